--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -5,7 +5,7 @@
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Directory, DirectoryEntry, EntryState, Tenant, Versioned};
 use eiderferry_node::{
-    AttemptEnd, CacheNews, DocumentKind, Envelope, Identity, Message, Node, NodeLimits, Output,
+    AttemptEnd, CacheUpdate, DocumentKind, Envelope, Identity, Message, Node, NodeLimits, Output,
     PlatformDocument, Submission,
 };
 use eiderferry_simulator::{Policy, Scenario, simulate};
@@ -294,7 +294,7 @@
                 }
                 Output::PollBackEnd { back_end, .. } => {
                     let report = eiderferry_admission::LoadReport::default();
-                    node.back_end_reported(now, back_end, &report, &CacheNews::default());
+                    node.back_end_reported(now, back_end, &report, &CacheUpdate::default());
                 }
                 _ => {}
             }
--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -16,11 +16,11 @@
 mod unknown_names;
 mod zone_digest;
 
-pub use cache_index::{CacheNews, CacheOrder};
-pub use granting::{Ended, ExpiredLease};
+pub use cache_index::{CacheUpdate, DueCacheCall};
+pub use granting::{ExpiredLease, LeaseRelease};
 pub(crate) use messages::{FAR_FANOUT, FAR_TICKS, NEAR_FANOUT, SPARSE_FAR_FANOUT};
 pub use noticing::NoticeSource;
-pub use reading::ReadingDuty;
+pub use reading::ReaderRole;
 pub use unknown_names::UnknownName;
 
 use aggregation::Aggregation;
@@ -36,10 +36,10 @@
 use crate::placement::pool_split::LongSilent;
 use crate::placement::replication::LossChances;
 use crate::{
-    Applied, Border, BudgetSettings, Change, ColdBound, ColdDuty, Content, DocumentKey, Envelope,
+    ApplyOutcome, Change, ColdRateLimit, ColdRole, Content, Distance, DocumentKey, Envelope,
     Features, Gossip, Knowledge, LeaseId, LimitChange, PeerChange, Peers, Placement,
-    QuarantineChange, QuarantineCounts, RetryBudget, Revision, SplitChange, SplitFigures,
-    VersionVector, WarmthChange,
+    QuarantineChange, QuarantineCounts, RetryBudget, RetryBudgetSettings, Revision, SplitChange,
+    SplitFigures, VersionVector, WarmupChange,
 };
 use eiderferry_quarantine::Quarantine;
 use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, RegionOfZone, ZoneName};
@@ -75,13 +75,13 @@
     /// Number of this run.
     pub incarnation: u32,
     /// Bound of repeats over all nodes.
-    pub budget: BudgetSettings,
+    pub budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
     /// Time within which a change that the platform has confirmed has to be in force.
-    pub apply_within: Span,
+    pub propagation_deadline: Span,
     /// Bound of requests to a cold back end over all nodes.
-    pub cold_bound: ColdBound,
+    pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
     pub regions: RegionOfZone,
     /// Parts in use.
@@ -96,7 +96,7 @@
     /// What changed with peers.
     pub peer_changes: Vec<PeerChange>,
     /// Back ends that turned cold or warm, or got other senders.
-    pub warmth_changes: Vec<WarmthChange>,
+    pub warmup_changes: Vec<WarmupChange>,
     /// Back ends whose rate limits changed, or this node's part in them.
     pub limit_changes: Vec<LimitChange>,
     /// Pools whose engines are split in another way than before.
@@ -109,7 +109,7 @@
 
 /// What a message asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceiveOutput {
     /// What changed with its sender.
     pub change: Option<PeerChange>,
     /// An answer is wanted.
@@ -117,14 +117,14 @@
     /// The sender knows newer documents, which have to be fetched.
     pub is_newer: bool,
     /// Changes that the message carried.
-    pub taken: Vec<TakenNews>,
+    pub taken: Vec<ReceivedChange>,
     /// Requests that are refused from now on, or no longer.
     pub quarantine_changes: Vec<QuarantineChange>,
 }
 
 /// A change that came with a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenNews {
+pub struct ReceivedChange {
     /// Which item.
     pub key: DocumentKey,
     /// What became of the item.
@@ -132,7 +132,7 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What came of it.
-    pub applied: Applied,
+    pub applied: ApplyOutcome,
     /// Zones and regions that it names and the settings don't know.
     pub unknown: Vec<UnknownName>,
 }
@@ -141,7 +141,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// Peers that are there.
-    pub living_peers: usize,
+    pub live_peers: usize,
     /// Listed back ends.
     pub back_ends: usize,
     /// Back ends that get no work for now.
@@ -177,9 +177,9 @@
     /// Requests under which back ends crashed.
     pub quarantine: QuarantineCounts,
     /// Back ends that were looked at for requests since the start.
-    pub looked_at: u64,
+    pub examined: u64,
     /// Looks at which engines' caches to follow since the start.
-    pub follow_looks: u64,
+    pub follow_evaluations: u64,
 }
 
 /// Decides for one node.
@@ -226,7 +226,7 @@
     /// Whether some back end was cold at the last tick.
     has_cold: bool,
     /// Back ends that were looked at for requests.
-    looked_at: u64,
+    examined: u64,
     random: ChaCha8Rng,
 }
 
@@ -275,7 +275,7 @@
             quarantine: Quarantine::default(),
             crash_news: CrashNews::default(),
             has_cold: false,
-            looked_at: 0,
+            examined: 0,
             random,
         }
     }
@@ -302,18 +302,18 @@
     }
 
     /// Takes a document over that is heard now.
-    pub fn apply(&mut self, change: Change, now: Timestamp) -> TakenNews {
+    pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
         let applied = self.knowledge.apply(change.clone());
         let mut unknown = Vec::new();
-        if applied == Applied::Taken {
+        if applied == ApplyOutcome::Applied {
             self.take(change, now);
             unknown = unknown_names(&key, &self.knowledge, &self.settings.regions);
         }
-        if applied == Applied::Withheld {
+        if applied == ApplyOutcome::Withheld {
             self.withhold(&key, now);
         }
-        TakenNews {
+        ReceivedChange {
             key,
             kind,
             revision,
@@ -397,7 +397,7 @@
         }
         let states = self.back_ends.all_mut();
         for state in states.filter(|state| state.back_end.zone == *zone) {
-            state.warmth.note_return(now);
+            state.warmup.note_return(now);
         }
     }
 
@@ -438,7 +438,12 @@
     }
 
     /// Takes a peer's message in.
-    pub fn receive(&mut self, address: SocketAddr, message: &Gossip, now: Timestamp) -> Received {
+    pub fn receive(
+        &mut self,
+        address: SocketAddr,
+        message: &Gossip,
+        now: Timestamp,
+    ) -> ReceiveOutput {
         self.now = now;
         let change = self.peers.heard(address, message, now);
         self.note_table_elsewhere(message.table_stamp);
@@ -457,7 +462,7 @@
             let at = now - Span::from_milliseconds(u64::from(age));
             self.knowledge.confirm(&message.complete_to, at);
         }
-        Received {
+        ReceiveOutput {
             change,
             wants_answer: message.wants_answer,
             is_newer: !knows_all,
@@ -472,7 +477,7 @@
         news.is_some_and(|news| self.knowledge.complete_to().includes(&news.after))
     }
 
-    fn take_news(&mut self, message: &Gossip, now: Timestamp) -> Vec<TakenNews> {
+    fn take_news(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
         let Some(news) = message.news.as_ref() else {
             return Vec::new();
         };
@@ -496,10 +501,10 @@
     }
 
     /// The border between this node and another.
-    pub fn border_to(&self, address: SocketAddr) -> Border {
+    pub fn distance_to(&self, address: SocketAddr) -> Distance {
         let zone = self.peers.zone_of(address);
-        zone.map_or(Border::Unknown, |zone| {
-            Border::between(&self.settings.zone, zone, &self.settings.regions)
+        zone.map_or(Distance::Unknown, |zone| {
+            Distance::between(&self.settings.zone, zone, &self.settings.regions)
         })
     }
 
@@ -520,22 +525,22 @@
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
         let table = self.knowledge.table();
         let age = self.knowledge.confirmed_age(now);
-        let count = |duty| {
+        let count = |role| {
             let states = self.back_ends.all();
-            states.filter(|state| state.warmth.duty() == duty).count()
+            states.filter(|state| state.warmup.role() == role).count()
         };
-        let cold_sender_for = count(ColdDuty::Sender);
+        let cold_sender_for = count(ColdRole::Sender);
         let (limited, limit_sender_for) = self.limit_counts();
         let (caches_followed, cache_counts) = self.cache_counts();
         Snapshot {
-            living_peers: self.peers.living_count(),
+            live_peers: self.peers.live_count(),
             back_ends: self.back_ends.all().count(),
             ejected: self
                 .back_ends
                 .all()
                 .filter(|state| state.health.is_ejected(now))
                 .count(),
-            cold: cold_sender_for + count(ColdDuty::Others),
+            cold: cold_sender_for + count(ColdRole::OtherNodes),
             cold_sender_for,
             limited,
             limit_sender_for,
@@ -550,8 +555,8 @@
             caches_followed,
             cache_counts,
             quarantine: self.quarantine.counts(),
-            looked_at: self.looked_at,
-            follow_looks: self.follow_looks(),
+            examined: self.examined,
+            follow_evaluations: self.follow_evaluations(),
         }
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -5,7 +5,7 @@
 //! first, then by hashing. They keep nothing that is not reported again within half a second,
 //! so that any of them may be lost at any time.
 
-use super::turns::in_turn;
+use super::turns::round_robin;
 use super::{Dispatcher, TICK};
 use crate::fleet::message::{
     Envelope, FleetSummary, Gossip, HeardZone, LoadReport, Member, Placement,
@@ -204,11 +204,11 @@
     }
 
     fn appointed_aggregators(&self) -> Vec<SocketAddr> {
-        let mut ranked = self.peers.ranked_for_duties();
+        let mut ranked = self.peers.role_candidates();
         ranked.truncate(AGGREGATORS);
         if !self.is_stopping {
             let own = self.settings.address;
-            ranked.push((self.duty_rank(), own));
+            ranked.push((self.role_priority(), own));
         }
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         let ranked = ranked.into_iter().take(AGGREGATORS);
@@ -289,7 +289,7 @@
         let period = self.aggregation.period;
         let near = self.peers.near();
         let told = near.len().div_ceil(period as usize);
-        let to = in_turn(&near, told, &mut self.aggregation.told_turn);
+        let to = round_robin(&near, told, &mut self.aggregation.told_turn);
         let mut message = self.bare_gossip(false, now);
         message.members = self.members_named(now);
         let round = TICK * period;
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -5,7 +5,7 @@
 //! and not a change of one.
 
 use super::{Dispatcher, PLACEMENTS_PER_MESSAGE};
-use crate::load::cache_index::{CacheAnswer, CacheCall, CacheIndex, FollowCounts};
+use crate::load::cache_index::{CacheCall, CacheIndex, CacheResponse, FollowCounts};
 use crate::load::registry::BackEndState;
 use crate::{Placement, TableStamp};
 use eiderferry_routing::{InstanceId, PartId};
@@ -23,7 +23,7 @@
 
 /// A call that is due at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CacheOrder {
+pub struct DueCacheCall {
     /// The engine.
     pub instance: InstanceId,
     /// Its address.
@@ -36,7 +36,7 @@
 
 /// What came of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// Parts believed kept that the engine doesn't keep.
     pub gone: usize,
     /// Parts that it keeps and that were not believed kept.
@@ -58,7 +58,7 @@
     indices: BTreeMap<InstanceId, CacheIndex>,
     ended: FollowCounts,
     /// What the last look at which engines to follow rests on, and when it was.
-    looked_at: Option<(FollowBasis, u64)>,
+    examined: Option<(FollowBasis, u64)>,
     looks: u64,
 }
 
@@ -106,7 +106,7 @@
 
 impl Dispatcher {
     /// Calls that are due at the engines that this node follows.
-    pub fn cache_calls(&mut self, now: Timestamp) -> Vec<CacheOrder> {
+    pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
         self.renew_cache_follows(now);
         let placed = self.back_ends.take_placed_lately();
         self.recall_kept(placed.into_iter(), now);
@@ -119,7 +119,7 @@
             let listed = &state.back_end;
             let (address, started_unix_ms) = (listed.address, listed.started_unix_ms);
             let call = index.call(now)?;
-            Some(CacheOrder {
+            Some(DueCacheCall {
                 instance: instance.clone(),
                 address,
                 started_unix_ms,
@@ -136,8 +136,8 @@
 
     fn renew_cache_follows(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
-        let looked_at = &self.cache_follows.looked_at;
-        if looked_at.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
+        let examined = &self.cache_follows.examined;
+        if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
             // An engine that leaves is left at once, as before each call.
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
@@ -146,7 +146,7 @@
             });
             return;
         }
-        self.cache_follows.looked_at = Some((basis, self.ticks));
+        self.cache_follows.examined = Some((basis, self.ticks));
         self.cache_follows.looks += 1;
         let own: HashSet<InstanceId> = self.caches_to_follow(&basis).into_iter().collect();
         let follows = &mut self.cache_follows;
@@ -202,17 +202,17 @@
 
     /// Takes in what came of a call; `None` where the engine is not followed any more, or
     /// nothing was learned.
-    pub fn take_cache_answer(
+    pub fn handle_cache_response(
         &mut self,
         instance: &InstanceId,
-        answer: CacheAnswer,
+        answer: CacheResponse,
         now: Timestamp,
-    ) -> Option<CacheNews> {
+    ) -> Option<CacheUpdate> {
         let index = self.cache_follows.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
         if !index.take(answer, now) {
             let has_gap = index.counts().gaps > gaps;
-            return has_gap.then(|| CacheNews::of(index, &[], now));
+            return has_gap.then(|| CacheUpdate::of(index, &[], now));
         }
         let facts = self.corrections(instance)?;
         let cache = &mut self.back_ends.get_mut(instance)?.load.cache;
@@ -222,7 +222,7 @@
         let index = self.cache_follows.indices.get_mut(instance)?;
         cache.confirm(|part| index.holds(part).is_some(), now);
         index.note_corrections(facts.len(), now);
-        let news = CacheNews::of(index, &facts, now);
+        let news = CacheUpdate::of(index, &facts, now);
         self.tell_facts(&facts);
         Some(news)
     }
@@ -233,9 +233,9 @@
         let index = self.cache_follows.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
         let cache = &state.load.cache;
-        let gone = index.believed_wrongly(cache).into_iter();
+        let gone = index.stale_parts(cache).into_iter();
         let gone = gone.map(|part| fact(state.digest, part, 0));
-        let kept = index.kept_unknown(cache, &self.back_ends.believed_parts());
+        let kept = index.missing_parts(cache, &self.back_ends.believed_parts());
         let kept = kept.into_iter();
         let kept = kept.map(|part| fact(state.digest, part.id, part.tokens));
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
@@ -269,7 +269,7 @@
     }
 
     /// Looks at which engines to follow since the start.
-    pub(super) fn follow_looks(&self) -> u64 {
+    pub(super) fn follow_evaluations(&self) -> u64 {
         self.cache_follows.looks
     }
 
@@ -301,7 +301,7 @@
     }
 }
 
-impl CacheNews {
+impl CacheUpdate {
     fn of(index: &CacheIndex, facts: &[Placement], now: Timestamp) -> Self {
         let gone = facts.iter().filter(|fact| fact.tokens == 0).count();
         Self {
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -3,7 +3,7 @@
 use super::Dispatcher;
 use crate::fleet::peers::Peers;
 use crate::load::cold_start::{
-    ColdDuty, GROWTH_SETTLING_TIME, SENDER_SETTLING_TIME, Warmth, WarmthChange,
+    ColdRole, GROWTH_SETTLING_TIME, SENDER_SETTLING_TIME, WarmupChange, WarmupState,
 };
 use crate::load::registry::BackEndState;
 use eiderferry_routing::{ColdStart, PoolName};
@@ -17,7 +17,7 @@
     }
 
     /// Renews which back ends are cold, and to which of its zone this node may send.
-    pub(super) fn renew_cold_senders(&mut self, now: Timestamp) -> Vec<WarmthChange> {
+    pub(super) fn renew_cold_senders(&mut self, now: Timestamp) -> Vec<WarmupChange> {
         let starts = self.cold_starts();
         if starts.is_empty() && !self.has_cold {
             // No pool starts cold: nothing to look for among thousands, ten times a second.
@@ -28,18 +28,18 @@
         self.has_cold = false;
         for state in self.back_ends.all_mut() {
             let start = starts.get(&state.back_end.pool);
-            let cold = start.filter(|start| state.warmth.is_cold(start, now));
-            let duty = cold.map_or(ColdDuty::Warm, |start| {
+            let cold = start.filter(|start| state.warmup.is_cold(start, now));
+            let role = cold.map_or(ColdRole::Warm, |start| {
                 let is_near = state.back_end.zone == self.settings.zone;
-                let senders = self.settings.cold_bound.senders(start);
-                duty(may_send && is_near, &self.peers, state, senders)
+                let senders = self.settings.cold_rate_limit.senders(start);
+                role(may_send && is_near, &self.peers, state, senders)
             });
-            self.has_cold |= duty != ColdDuty::Warm;
-            if state.warmth.renew_duty(duty) {
-                changes.push(WarmthChange {
+            self.has_cold |= role != ColdRole::Warm;
+            if state.warmup.update_role(role) {
+                changes.push(WarmupChange {
                     instance: state.back_end.instance.clone(),
-                    duty,
-                    warm_in: warm_in(&state.warmth, cold, now),
+                    role,
+                    warm_in: warm_in(&state.warmup, cold, now),
                 });
             }
         }
@@ -62,14 +62,14 @@
     }
 }
 
-fn duty(may_send: bool, peers: &Peers, state: &BackEndState, senders: usize) -> ColdDuty {
+fn role(may_send: bool, peers: &Peers, state: &BackEndState, senders: usize) -> ColdRole {
     if may_send && peers.sender_place(state.digest) < senders {
-        ColdDuty::Sender
+        ColdRole::Sender
     } else {
-        ColdDuty::Others
+        ColdRole::OtherNodes
     }
 }
 
-fn warm_in(warmth: &Warmth, cold: Option<&ColdStart>, now: Timestamp) -> Span {
-    cold.map_or(Span::ZERO, |start| now.until(warmth.cold_until(start)))
+fn warm_in(warmup: &WarmupState, cold: Option<&ColdStart>, now: Timestamp) -> Span {
+    cold.map_or(Span::ZERO, |start| now.until(warmup.cold_until(start)))
 }
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -3,7 +3,7 @@
 //! told them first carried 28 MB across borders at a start (`tests/borders.rs`).
 
 use super::Dispatcher;
-use crate::fleet::traffic::Border;
+use crate::fleet::traffic::Distance;
 use crate::{TableStamp, VersionVector};
 use eiderferry_types::{Span, Timestamp};
 use rand::seq::IndexedRandom;
@@ -86,24 +86,24 @@
         }
         let avoided = &mut self.wanted.avoided;
         avoided.retain(|_, until| *until > now);
-        let sources: Vec<(Border, SocketAddr)> = informed
+        let sources: Vec<(Distance, SocketAddr)> = informed
             .into_iter()
-            .map(|address| (self.border_to(address), address))
+            .map(|address| (self.distance_to(address), address))
             .collect();
-        let is_near = |(border, _): &&(Border, SocketAddr)| *border == Border::None;
+        let is_near = |(distance, _): &&(Distance, SocketAddr)| *distance == Distance::SameZone;
         let serves_near = sources.iter().any(|source| is_near(&source));
         let may_go_far = now.since(since) >= self.far_patience(lacks_newest_epoch, serves_near);
         let free = sources
             .into_iter()
             .filter(|(_, address)| !self.wanted.avoided.contains_key(address))
-            .filter(|(border, _)| *border == Border::None || may_go_far);
-        let free: Vec<(Border, SocketAddr)> = free.collect();
-        let told_by = told_by.map(|address| (Border::None, address));
+            .filter(|(distance, _)| *distance == Distance::SameZone || may_go_far);
+        let free: Vec<(Distance, SocketAddr)> = free.collect();
+        let told_by = told_by.map(|address| (Distance::SameZone, address));
         if let Some(near) = told_by.filter(|near| free.contains(near)) {
             return Some(near.1);
         }
-        let nearest = free.iter().map(|(border, _)| *border).min()?;
-        let nearest = free.iter().filter(|(border, _)| *border == nearest);
+        let nearest = free.iter().map(|(distance, _)| *distance).min()?;
+        let nearest = free.iter().filter(|(distance, _)| *distance == nearest);
         let nearest: Vec<SocketAddr> = nearest.map(|(_, address)| *address).collect();
         nearest.choose(&mut self.random).copied()
     }
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -82,9 +82,9 @@
 
 /// What changed when a place was given back.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
+pub struct LeaseRelease {
     /// Back ends whose standing changed.
-    pub standings: Vec<(InstanceId, HealthChange)>,
+    pub health_changes: Vec<(InstanceId, HealthChange)>,
     /// The request, if it was held to crash back ends.
     pub quarantine_change: Option<QuarantineChange>,
 }
@@ -129,9 +129,9 @@
         }
         let Plans {
             mut plans,
-            looked_at,
+            examined,
         } = plans(&self.back_ends, &view, demand, &mut self.random);
-        self.looked_at += looked_at as u64;
+        self.examined += examined as u64;
         let candidates: Vec<Candidate> = plans.iter().map(|plan| plan.candidate).collect();
         let Some(index) = choose(&candidates) else {
             let reason = refusal(&self.back_ends, &view, demand);
@@ -194,7 +194,7 @@
         self.back_ends.note_exposure(&demand.pool, exposure);
         let state = self.back_ends.get_mut(&plan.instance)?;
         state.load.begin(lease, plan.footprint, now);
-        state.warmth.note_sent(now);
+        state.warmup.note_sent(now);
         let has_limit = state.limiter.limit().is_some();
         state.limiter.note_sent(now);
         let cache_known = state.load.cache.known_age(demand.shared_parts(), now);
@@ -286,17 +286,17 @@
     }
 
     /// A place is given back.
-    pub fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> Ended {
+    pub fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> LeaseRelease {
         let Some(record) = self.leases.remove(&lease) else {
-            return Ended::default();
+            return LeaseRelease::default();
         };
         // A stream that ends without an event may be one that a crash cut short.
         let ended_well = outcome == Outcome::Completed && record.has_events;
         let quarantine_change = ended_well
             .then(|| self.quarantine.note_completed(record.request, now))
             .flatten();
-        Ended {
-            standings: self.judge_back_end(&record, outcome, lease, now),
+        LeaseRelease {
+            health_changes: self.judge_back_end(&record, outcome, lease, now),
             quarantine_change,
         }
     }
--- a/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
+++ b/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
@@ -2,8 +2,8 @@
 
 use super::Dispatcher;
 use crate::placement::places::HomeScope;
-use crate::placement::sampling::MOST_LOOKED_AT;
-use crate::{Border, DocumentKey};
+use crate::placement::sampling::MAX_EXAMINED;
+use crate::{Distance, DocumentKey};
 use eiderferry_routing::{InstanceId, PoolName};
 use eiderferry_types::Span;
 use std::collections::HashMap;
@@ -56,7 +56,7 @@
     fn up_to_date(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
         let looked = self.in_force.get(pool)?;
         let age = tick - looked.at_tick;
-        let may_wait = pool_size > MOST_LOOKED_AT && age < CHANGES_TICKS;
+        let may_wait = pool_size > MAX_EXAMINED && age < CHANGES_TICKS;
         let is_outdated = looked.is_outdated || (looked.has_changed && !may_wait);
         (age < HOME_SCOPE_TICKS && !is_outdated).then_some(looked.scope)
     }
@@ -88,8 +88,8 @@
             .pool(pool)
             .filter(|state| state.takes_work() && !self.evacuated.contains(&state.back_end.zone))
             .map(|state| {
-                let border = Border::between(zone, &state.back_end.zone, regions);
-                (border, state)
+                let distance = Distance::between(zone, &state.back_end.zone, regions);
+                (distance, state)
             })
             .collect();
         let shared = self.back_ends.kept_tokens(pool);
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -1,13 +1,13 @@
 //! What a dispatcher tells the other nodes, and when.
 
 use super::aggregation::PEER_TICKS;
-use super::turns::in_turn;
+use super::turns::round_robin;
 use super::{Dispatcher, OUTCOME_LIFETIME, PLACEMENTS_PER_MESSAGE, TickOutput};
 use crate::fleet::message::{Envelope, Gossip, LoadReport, News};
 use crate::fleet::traffic::MessageKind;
 use crate::load::limit_notices::Audience;
 use crate::load::registry::BackEndState;
-use crate::{ColdDuty, SplitChange};
+use crate::{ColdRole, SplitChange};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
@@ -60,7 +60,7 @@
         self.forget_lapsed(now);
         self.release_withheld(now);
         let mut peer_changes = self.peers.tick(now);
-        let warmth_changes = self.renew_cold_senders(now);
+        let warmup_changes = self.renew_cold_senders(now);
         let limit_changes = self.renew_limit_duties(now);
         peer_changes.extend(self.watch_aggregators(now));
         self.renew_silent_zones(now);
@@ -94,7 +94,7 @@
         TickOutput {
             messages,
             peer_changes,
-            warmth_changes,
+            warmup_changes,
             limit_changes,
             split_changes,
             quarantine_changes,
@@ -120,7 +120,7 @@
 
     /// Seeds are asked in each tick until one is heard, then at times.
     fn is_time_to_ask_seeds(&self) -> bool {
-        self.peers.living_count() == 0 || self.ticks.is_multiple_of(SEED_TICKS)
+        self.peers.live_count() == 0 || self.ticks.is_multiple_of(SEED_TICKS)
     }
 
     /// Looks from time to time at how the engines of pools are split.
@@ -138,7 +138,7 @@
             let zone = &state.back_end.zone;
             state.takes_work()
                 && !state.health.is_ejected(now)
-                && state.warmth.duty() == ColdDuty::Warm
+                && state.warmup.role() == ColdRole::Warm
                 && !silent.contains(zone)
                 && !evacuated.contains(zone)
         };
@@ -152,14 +152,14 @@
         if self.peers.is_zone_large() {
             let mut messages = self.aggregation_messages(now);
             if self.ticks.is_multiple_of(PEER_TICKS) {
-                let peers = in_turn(&self.peers.near(), 1, &mut self.near_turn);
+                let peers = round_robin(&self.peers.near(), 1, &mut self.near_turn);
                 let mut message = self.bare_gossip(false, now);
                 message.limits = self.limits_for(Audience::OwnZone, now);
                 messages.extend(envelope(MessageKind::Peer, peers, message));
             }
             return messages;
         }
-        let near = in_turn(&self.peers.near(), NEAR_FANOUT, &mut self.near_turn);
+        let near = round_robin(&self.peers.near(), NEAR_FANOUT, &mut self.near_turn);
         let mut message = self.gossip(false, now);
         message.zone_digests = self.zone_digests.passed_on(now);
         message.limits = self.limits_for(Audience::OwnZone, now);
@@ -170,7 +170,7 @@
 
     fn message_to_other_zones(&mut self, now: Timestamp) -> Option<Envelope> {
         let fanout = self.peers.far_fanout();
-        let far = in_turn(&self.peers.far(), fanout, &mut self.far_turn);
+        let far = round_robin(&self.peers.far(), fanout, &mut self.far_turn);
         let mut message = if self.tells_zones_by_digest() {
             self.bare_gossip(false, now)
         } else {
@@ -271,7 +271,7 @@
         } else {
             (FORWARD_NEAR_FANOUT, FORWARD_FAR_FANOUT)
         };
-        let mut peers = in_turn(&self.peers.near(), near, &mut self.near_turn);
+        let mut peers = round_robin(&self.peers.near(), near, &mut self.near_turn);
         peers.extend(self.announced_beyond(is_first_hand, far));
         let mut message = self.bare_gossip(false, now);
         message.news = self.news();
@@ -288,7 +288,7 @@
     /// tells its own zone only.
     fn announced_beyond(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
         if !self.is_spoken_for() {
-            return in_turn(&self.peers.far(), fanout, &mut self.far_turn);
+            return round_robin(&self.peers.far(), fanout, &mut self.far_turn);
         }
         if !is_first_hand && !self.speaks_for_zone() {
             return Vec::new();
--- a/crates/coordination/dispatch/src/dispatcher/noticing.rs
+++ b/crates/coordination/dispatch/src/dispatcher/noticing.rs
@@ -1,6 +1,6 @@
 //! What back ends say of themselves in their answers, as it bears on this node's decisions.
 
-use super::{CacheOrder, Dispatcher};
+use super::{Dispatcher, DueCacheCall};
 use crate::load::limiter::LimitNotice;
 use crate::{LeaseId, RateLimit};
 use eiderferry_routing::InstanceId;
@@ -12,7 +12,7 @@
     /// A request, at a granted place.
     Request(LeaseId),
     /// A call for what an engine keeps.
-    Call(&'a CacheOrder),
+    Call(&'a DueCacheCall),
 }
 
 impl From<LeaseId> for NoticeSource<'_> {
@@ -21,8 +21,8 @@
     }
 }
 
-impl<'a> From<&'a CacheOrder> for NoticeSource<'a> {
-    fn from(order: &'a CacheOrder) -> Self {
+impl<'a> From<&'a DueCacheCall> for NoticeSource<'a> {
+    fn from(order: &'a DueCacheCall) -> Self {
         Self::Call(order)
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -3,7 +3,7 @@
 use super::{Dispatcher, TICK};
 use crate::load::limit_notices::{Audience, HeardFrom};
 use crate::load::limiter::{PROBING_TURN, Share, probing_chance, senders};
-use crate::{Gossip, LimitChange, LimitDuty, LimitReport};
+use crate::{Gossip, LimitChange, LimitReport, LimitRole};
 use eiderferry_types::{Span, Timestamp};
 use rand::Rng;
 
@@ -53,7 +53,7 @@
             let is_near = *zone == self.settings.zone;
             let may_send = if is_near { knows_zone } else { knows_fleet };
             let digest = state.digest;
-            state.limiter.renew_duty(|limit| {
+            state.limiter.update_role(|limit| {
                 // By the most nodes ever known: those that are cut off from the others must not
                 // hold themselves to be alone and take the others' part as well.
                 let senders = senders(limit, most_known);
@@ -80,7 +80,7 @@
             .filter_map(|instance| self.back_ends.get(instance));
         let limited = states.filter(|state| state.limiter.limit().is_some());
         limited.fold((0, 0), |(all, sent_to), state| {
-            let sends = state.limiter.duty() != LimitDuty::Others;
+            let sends = state.limiter.role() != LimitRole::OtherNodes;
             (all + 1, sent_to + usize::from(sends))
         })
     }
--- a/crates/coordination/dispatch/src/dispatcher/reading.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reading.rs
@@ -1,7 +1,7 @@
 //! Which nodes read the platform, and which hear of changes from them.
 
 use super::Dispatcher;
-use crate::fleet::peers::DutyRank;
+use crate::fleet::peers::RolePriority;
 use eiderferry_types::{Span, Timestamp};
 
 /// Age of the youngest confirmation at which a node reads the platform itself, at the
@@ -37,17 +37,17 @@
 
 /// Whether this node reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadingDuty {
+pub enum ReaderRole {
     /// It does.
-    Read,
+    Reader,
     /// It hears of changes from peers.
-    Follow,
+    Follower,
 }
 
 impl Dispatcher {
     /// Whether this node reads the platform for its zone. One node of a zone does; the
     /// others follow one after the other, as long as nothing fresh is heard.
-    pub fn reading_duty(&self, now: Timestamp) -> ReadingDuty {
+    pub fn reader_role(&self, now: Timestamp) -> ReaderRole {
         let rank = self.reader_rank();
         let is_due = match self.knowledge.confirmed_age(now) {
             Some(_) if self.is_appointed_reader(rank, now) => true,
@@ -55,24 +55,24 @@
             None => self.uptime(now) >= self.start_patience(rank),
         };
         if is_due {
-            ReadingDuty::Read
+            ReaderRole::Reader
         } else {
-            ReadingDuty::Follow
+            ReaderRole::Follower
         }
     }
 
     /// Nodes of the zone that are to read before this one: living ones, in an order
     /// that all nodes compute alike.
     pub(super) fn reader_rank(&self) -> u64 {
-        let own = self.duty_rank();
-        let ranked = self.peers.ranked_for_duties();
+        let own = self.role_priority();
+        let ranked = self.peers.role_candidates();
         let before = ranked.iter().filter(|(rank, _)| *rank >= own);
         before.count() as u64 + u64::from(self.is_stopping)
     }
 
     /// Place of this node in the order of duties.
-    pub(super) fn duty_rank(&self) -> DutyRank {
-        DutyRank::new(self.settings.address, self.settings.link_mbps)
+    pub(super) fn role_priority(&self) -> RolePriority {
+        RolePriority::new(self.settings.address, self.settings.link_mbps)
     }
 
     /// The first of its zone reads; the seeds do while a node knows too few others to
@@ -86,19 +86,19 @@
     }
 
     /// Whether the youngest confirmation is so old that nodes have tried to read in vain.
-    pub fn lacks_confirmation(&self, now: Timestamp) -> bool {
+    pub fn is_confirmation_overdue(&self, now: Timestamp) -> bool {
         let age = self.knowledge.confirmed_age(now);
         age.is_some_and(|age| age > self.confirmation_limit() + VAIN_READING_TIME)
     }
 
     fn confirmation_limit(&self) -> Span {
-        let part = self.settings.apply_within.scaled(CONFIRMATION_PART);
+        let part = self.settings.propagation_deadline.scaled(CONFIRMATION_PART);
         part.max(CONFIRMATION_LIMIT)
     }
 
     /// Whether this node's zone is one of those that read, among the zones that it hears.
     fn is_zone_reading(&self) -> bool {
-        if self.settings.apply_within < FEW_READERS_FROM {
+        if self.settings.propagation_deadline < FEW_READERS_FROM {
             return true;
         }
         let own = self.settings.zone.digest();
@@ -112,7 +112,7 @@
     fn start_patience(&self, rank: u64) -> Span {
         if self.peers.is_seed() {
             Span::ZERO
-        } else if self.peers.living_count() == 0 {
+        } else if self.peers.live_count() == 0 {
             START_PATIENCE
         } else {
             START_PATIENCE_WITH_PEERS + START_PATIENCE_PER_READER * rank
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -72,7 +72,7 @@
 
     /// Whether nothing shows that an engine still works: its zone is not heard, it gets no work
     /// for its failures, or it is listed no longer.
-    pub fn is_unheard(&self, instance: &InstanceId, now: Timestamp) -> bool {
+    pub fn is_presumed_down(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(state) = self.back_ends.get(instance) else {
             return true;
         };
--- a/crates/coordination/dispatch/src/dispatcher/turns.rs
+++ b/crates/coordination/dispatch/src/dispatcher/turns.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// The next peers in turn, so that each is told at a steady pace.
-pub(super) fn in_turn(peers: &[SocketAddr], most: usize, turn: &mut usize) -> Vec<SocketAddr> {
+pub(super) fn round_robin(peers: &[SocketAddr], most: usize, turn: &mut usize) -> Vec<SocketAddr> {
     let count = most.min(peers.len());
     let start = *turn;
     *turn = turn.wrapping_add(count);
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -172,7 +172,7 @@
         for (zone, (sender, until)) in &self.zone_digests.senders {
             if let Some(receiver) = receivers.get_mut(zone)
                 && self.now < *until
-                && self.peers.is_living(*sender)
+                && self.peers.is_live(*sender)
             {
                 *receiver = *sender;
             }
--- a/crates/coordination/dispatch/src/documents/knowledge.rs
+++ b/crates/coordination/dispatch/src/documents/knowledge.rs
@@ -84,15 +84,15 @@
 
 /// What came of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is in force.
-    Taken,
+    Applied,
     /// It lists a back end that an earlier epoch removed; see [`Knowledge::release`].
     Withheld,
     /// Something as new was known.
-    Known,
+    AlreadyKnown,
     /// It is not usable; what was known stays.
-    Refused(String),
+    Rejected(String),
 }
 
 /// Order of tables: by version, which operators raise with each table, then by revision.
@@ -175,7 +175,7 @@
     }
 
     /// Takes a change over if it is newer than what is known.
-    pub fn apply(&mut self, change: Change) -> Applied {
+    pub fn apply(&mut self, change: Change) -> ApplyOutcome {
         match (change.key, change.content) {
             (DocumentKey::Table, Content::Table(document)) => {
                 self.apply_table(change.revision, document)
@@ -196,7 +196,7 @@
             (DocumentKey::Evacuation(zone), Content::Gone) => {
                 self.apply_evacuation(zone, change.revision, EvacuationState::Over)
             }
-            _ => Applied::Known,
+            _ => ApplyOutcome::AlreadyKnown,
         }
     }
 
@@ -205,16 +205,16 @@
         zone: ZoneName,
         revision: Revision,
         state: EvacuationState,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         let known = self.evacuations.get(&zone);
         let is_known = known.is_some_and(|known| known.revision >= revision);
         let has_room = known.is_some() || self.evacuations.len() < MAXIMUM_EVACUATIONS;
         if is_known || !has_room {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         let evacuation = Evacuation { revision, state };
         self.evacuations.insert(zone, evacuation);
-        Applied::Taken
+        ApplyOutcome::Applied
     }
 
     /// Zones whose back ends get nothing new, with the revision since which that is so.
@@ -225,26 +225,26 @@
         evacuated.map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
-    fn apply_table(&mut self, revision: Revision, document: TableDocument) -> Applied {
+    fn apply_table(&mut self, revision: Revision, document: TableDocument) -> ApplyOutcome {
         let version = document.version;
         let stamp = TableStamp { version, revision };
         if stamp <= self.table_stamp() || stamp == self.refused_table {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         if let Some((known, table)) = &mut self.table
             && *table.document() == document
         {
             *known = stamp;
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         match RoutingTable::new(document) {
             Ok(table) => {
                 self.table = Some((stamp, Arc::new(table)));
-                Applied::Taken
+                ApplyOutcome::Applied
             }
             Err(error) => {
                 self.refused_table = stamp;
-                Applied::Refused(error.to_string())
+                ApplyOutcome::Rejected(error.to_string())
             }
         }
     }
@@ -254,10 +254,10 @@
         instance: InstanceId,
         revision: Revision,
         back_end: BackEnd,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         if let Some((known, listed)) = self.back_ends.get(&instance) {
             let Some(newer) = newer_entry((*known, listed), (revision, back_end)) else {
-                return Applied::Known;
+                return ApplyOutcome::AlreadyKnown;
             };
             let known = *known;
             // A restore changes the revisions of unchanged entries too.
@@ -265,20 +265,20 @@
             self.by_revision.remove(&(known, instance.clone()));
             self.list(instance, revision, newer);
             return if is_same {
-                Applied::Known
+                ApplyOutcome::AlreadyKnown
             } else {
-                Applied::Taken
+                ApplyOutcome::Applied
             };
         }
         match self.gone.get(&instance).copied() {
-            Some(gone) if revision <= gone => Applied::Known,
+            Some(gone) if revision <= gone => ApplyOutcome::AlreadyKnown,
             Some(gone) if revision.epoch > gone.epoch => {
                 self.withhold(instance, revision, back_end)
             }
             _ => {
                 self.forget_removal(&instance);
                 self.list(instance, revision, back_end);
-                Applied::Taken
+                ApplyOutcome::Applied
             }
         }
     }
@@ -288,7 +288,12 @@
         self.back_ends.insert(instance, (revision, back_end));
     }
 
-    fn withhold(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) -> Applied {
+    fn withhold(
+        &mut self,
+        instance: InstanceId,
+        revision: Revision,
+        back_end: BackEnd,
+    ) -> ApplyOutcome {
         let known = self.withheld.get(&instance);
         let known = known.map(|(known, listed)| (*known, listed));
         let newer = match known {
@@ -296,14 +301,14 @@
             None => Some(back_end),
         };
         let Some(newer) = newer else {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         };
         if let Some((known, _)) = known {
             self.by_revision.remove(&(known, instance.clone()));
         }
         self.by_revision.insert((revision, instance.clone()));
         self.withheld.insert(instance, (revision, newer));
-        Applied::Withheld
+        ApplyOutcome::Withheld
     }
 
     /// Lists a withheld back end whose removal was not written again in time.
@@ -326,14 +331,14 @@
         }
     }
 
-    fn remove(&mut self, instance: InstanceId, revision: Revision) -> Applied {
+    fn remove(&mut self, instance: InstanceId, revision: Revision) -> ApplyOutcome {
         let listed = self.back_ends.get(&instance).map(|(listed, _)| *listed);
         if listed.is_some_and(|listed| listed.epoch > revision.epoch) {
             return self.withhold_listed(instance, revision);
         }
         let known = listed.max(self.gone.get(&instance).copied());
         if known.is_some_and(|known| revision <= known) {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         if let Some(known) = known {
             self.by_revision.remove(&(known, instance.clone()));
@@ -341,23 +346,23 @@
         self.back_ends.remove(&instance);
         self.add_tombstone(instance.clone(), revision);
         match self.withheld.get(&instance).map(|(listed, _)| *listed) {
-            Some(listed) if listed > revision => Applied::Withheld,
+            Some(listed) if listed > revision => ApplyOutcome::Withheld,
             Some(listed) => {
                 self.withheld.remove(&instance);
                 self.by_revision.remove(&(listed, instance));
-                Applied::Taken
+                ApplyOutcome::Applied
             }
-            None => Applied::Taken,
+            None => ApplyOutcome::Applied,
         }
     }
 
     /// Withholds a listed back end that an earlier epoch removed.
-    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> Applied {
+    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> ApplyOutcome {
         if let Some(entry) = self.back_ends.remove(&instance) {
             self.withheld.insert(instance.clone(), entry);
         }
         self.add_tombstone(instance, gone);
-        Applied::Withheld
+        ApplyOutcome::Withheld
     }
 
     /// Records a removal, so that an older list can't bring the back end back. Tombstones of
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -2,7 +2,7 @@
 //! other zone by itself; of the others it is told by the nodes of its zone, and these by the
 //! senders of digests.
 
-use super::peers::{DutyRank, FAR_SILENCE, FORGET_FACTOR, Peer, Peers, TOLD_SILENCE};
+use super::peers::{FAR_SILENCE, FORGET_FACTOR, Peer, Peers, RolePriority, TOLD_SILENCE};
 use crate::{Gossip, Member, VersionVector};
 use eiderferry_routing::ZoneName;
 use eiderferry_types::{Span, Timestamp};
@@ -117,7 +117,7 @@
         name: None,
         zone: member.zone.clone(),
         complete_to: VersionVector::default(),
-        rank: DutyRank::new(member.address, 0),
+        rank: RolePriority::new(member.address, 0),
         incarnation: 0,
         heard,
         is_lost: false,
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -49,7 +49,7 @@
     /// The changes that it knows, by its last message.
     pub(super) complete_to: VersionVector,
     /// Place in the order in which the nodes of a zone take duties over.
-    pub(super) rank: DutyRank,
+    pub(super) rank: RolePriority,
     pub(super) incarnation: u32,
     pub(super) heard: Timestamp,
     pub(super) is_lost: bool,
@@ -84,12 +84,12 @@
 /// first: strong links before weak ones, as aggregators send much, and then by hashing. All
 /// nodes compute it alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct DutyRank {
+pub(crate) struct RolePriority {
     link_mbps: u16,
     hash: u64,
 }
 
-impl DutyRank {
+impl RolePriority {
     pub fn new(address: SocketAddr, link_mbps: u16) -> Self {
         let hash = address_hash(address);
         Self { link_mbps, hash }
@@ -174,7 +174,7 @@
             name: Some(message.from.clone()),
             zone: message.zone.clone(),
             complete_to: message.complete_to.clone(),
-            rank: DutyRank::new(address, message.link_mbps),
+            rank: RolePriority::new(address, message.link_mbps),
             incarnation: message.incarnation,
             heard: now,
             is_lost: false,
@@ -376,8 +376,8 @@
 
     /// Nodes of the own zone that may take duties over for the others, with their places in
     /// the order, first ones first.
-    pub(crate) fn ranked_for_duties(&self) -> Vec<(DutyRank, SocketAddr)> {
-        let mut ranked: Vec<(DutyRank, SocketAddr)> = self
+    pub(crate) fn role_candidates(&self) -> Vec<(RolePriority, SocketAddr)> {
+        let mut ranked: Vec<(RolePriority, SocketAddr)> = self
             .staying_near()
             .map(|(address, peer)| (peer.rank, *address))
             .collect();
@@ -433,7 +433,7 @@
     }
 
     /// Whether a peer is there.
-    pub fn is_living(&self, address: SocketAddr) -> bool {
+    pub fn is_live(&self, address: SocketAddr) -> bool {
         let peer = self.peers.get(&address);
         peer.is_some_and(|peer| !peer.is_lost)
     }
@@ -461,7 +461,7 @@
     }
 
     /// Number of living peers.
-    pub fn living_count(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.near_living + self.far_living
     }
 }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -18,7 +18,7 @@
 
 /// The bound over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetSettings {
+pub struct RetryBudgetSettings {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed besides, over all nodes.
@@ -37,13 +37,13 @@
 /// The budget of one pool on one node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    settings: BudgetSettings,
+    settings: RetryBudgetSettings,
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
     /// A budget of which nothing is spent.
-    pub fn new(settings: BudgetSettings) -> Self {
+    pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             buckets: VecDeque::new(),
--- a/crates/coordination/dispatch/src/fleet/traffic.rs
+++ b/crates/coordination/dispatch/src/fleet/traffic.rs
@@ -41,35 +41,35 @@
 
 /// What lies between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Border {
+pub enum Distance {
     /// Both are in one zone.
-    None,
+    SameZone,
     /// They are in two zones of one region, or of regions that aren't known.
-    Zone,
+    CrossZone,
     /// They are in two regions.
-    Region,
+    CrossRegion,
     /// The zone of one isn't known: it has not been heard.
     Unknown,
 }
 
-impl Border {
+impl Distance {
     /// The border between two zones.
     pub fn between(one: &ZoneName, other: &ZoneName, regions: &RegionOfZone) -> Self {
         if one == other {
-            return Self::None;
+            return Self::SameZone;
         }
         match (regions.get(one), regions.get(other)) {
-            (Some(region), Some(other)) if region != other => Self::Region,
-            _ => Self::Zone,
+            (Some(region), Some(other)) if region != other => Self::CrossRegion,
+            _ => Self::CrossZone,
         }
     }
 
     /// The border as a label of metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::None => "none",
-            Self::Zone => "zone",
-            Self::Region => "region",
+            Self::SameZone => "none",
+            Self::CrossZone => "zone",
+            Self::CrossRegion => "region",
             Self::Unknown => "unknown",
         }
     }
--- a/crates/coordination/dispatch/src/lib.rs
+++ b/crates/coordination/dispatch/src/lib.rs
@@ -15,11 +15,12 @@
 mod placement;
 
 pub use dispatcher::{
-    CacheNews, CacheOrder, Dispatcher, DispatcherSettings, Ended, ExpiredLease, NoticeSource,
-    ReadingDuty, Received, Snapshot, TICK, TakenNews, TickOutput, UnknownName,
+    CacheUpdate, Dispatcher, DispatcherSettings, DueCacheCall, ExpiredLease, LeaseRelease,
+    NoticeSource, ReaderRole, ReceiveOutput, ReceivedChange, Snapshot, TICK, TickOutput,
+    UnknownName,
 };
 pub use documents::document_service::{Admission, DocumentService, TransferId};
-pub use documents::knowledge::{Applied, Change, Content, DocumentKey, Knowledge, TableStamp};
+pub use documents::knowledge::{ApplyOutcome, Change, Content, DocumentKey, Knowledge, TableStamp};
 pub use documents::revision::{Revision, VersionVector};
 pub use eiderferry_quarantine::{
     Change as QuarantineChange, Counts as QuarantineCounts, CrashReport, RequestReport,
@@ -29,18 +30,18 @@
     Envelope, FleetSummary, Gossip, HeardZone, LoadReport, Member, News, Placement, ZoneDigest,
 };
 pub use fleet::peers::{PeerChange, Peers};
-pub use fleet::retry_budget::{BudgetSettings, RetryBudget};
-pub use fleet::traffic::{Border, MessageKind};
+pub use fleet::retry_budget::{RetryBudget, RetryBudgetSettings};
+pub use fleet::traffic::{Distance, MessageKind};
 pub use load::back_end_load::{BackEndLoad, Footprint, LoadSource, Occupancy, REPORT_LIFETIME};
 pub use load::cache::PrefixCache;
 pub use load::cache_index::{
-    CacheAnswer, CacheCall, CacheEvent, CacheEvents, CacheListing, FollowCounts,
+    CacheCall, CacheEvent, CacheEvents, CacheListing, CacheResponse, FollowCounts,
 };
-pub use load::cold_start::{ColdBound, ColdDuty, LONGEST_COLD, WarmthChange};
+pub use load::cold_start::{ColdRateLimit, ColdRole, LONGEST_COLD, WarmupChange};
 pub use load::engine_model::{EngineSpeed, PoolModel};
 pub use load::health::{Health, HealthChange};
 pub use load::limit_notices::LimitReport;
-pub use load::limiter::{LimitChange, LimitDuty};
+pub use load::limiter::{LimitChange, LimitRole};
 pub use load::outcomes::{OutcomeCounts, RecentOutcomes};
 pub use load::pacing::StreamPacing;
 pub use load::rate_limit::RateLimit;
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -77,7 +77,7 @@
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CacheAnswer {
+pub enum CacheResponse {
     /// All that the engine keeps.
     Listing(CacheListing),
     /// What changed.
@@ -189,12 +189,12 @@
     }
 
     /// Takes an answer in; whether what the engine keeps is known by it.
-    pub fn take(&mut self, answer: CacheAnswer, now: Timestamp) -> bool {
+    pub fn take(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
         self.is_asked = false;
         match answer {
-            CacheAnswer::Listing(listing) => self.take_listing(listing, now),
-            CacheAnswer::Events(events) => self.take_events(events, now),
-            CacheAnswer::Refused | CacheAnswer::Failed | CacheAnswer::Unreadable => {
+            CacheResponse::Listing(listing) => self.take_listing(listing, now),
+            CacheResponse::Events(events) => self.take_events(events, now),
+            CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Unreadable => {
                 self.note_vain(now);
                 false
             }
@@ -297,7 +297,7 @@
     }
 
     /// Parts believed kept that the engine doesn't hold.
-    pub fn believed_wrongly(&self, believed: &PrefixCache) -> Vec<PartId> {
+    pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
         let settled = self.heard - EVENT_DELAY;
         let parts = believed.read_before(settled);
         let mut wrong: Vec<PartId> = parts.filter(|part| self.holds(*part).is_none()).collect();
@@ -307,7 +307,7 @@
 
     /// Parts that the engine holds and that aren't believed kept, of those that requests are
     /// known to share.
-    pub fn kept_unknown(
+    pub fn missing_parts(
         &self,
         believed: &PrefixCache,
         shared: &HashSet<PartId>,
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -31,14 +31,14 @@
 
 /// What all nodes together may send to a cold back end in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBound {
+pub struct ColdRateLimit {
     /// Multiple of what the back end bears.
     pub overage: f64,
     /// Requests besides.
     pub slack: f64,
 }
 
-impl ColdBound {
+impl ColdRateLimit {
     /// Nodes that send to one cold back end.
     pub fn senders(&self, start: &ColdStart) -> usize {
         let most = start.requests_per_second * self.overage + self.slack;
@@ -49,38 +49,38 @@
 
 /// What is known of a back end's warmth, and what this node sends it while it is cold.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Warmth {
+pub(crate) struct WarmupState {
     listed_at: Timestamp,
     cold_for: Option<Span>,
     returned_at: Option<Timestamp>,
     last_sent: Option<Timestamp>,
-    duty: ColdDuty,
+    role: ColdRole,
 }
 
 /// Whether a back end is cold, and whether this node sends to it all the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ColdDuty {
+pub enum ColdRole {
     /// It is warm.
     #[default]
     Warm,
     /// It is cold, and other nodes send to it.
-    Others,
+    OtherNodes,
     /// It is cold, and this node is one of its senders.
     Sender,
 }
 
 /// A back end that turned cold or warm, or got other senders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WarmthChange {
+pub struct WarmupChange {
     /// The back end.
     pub instance: InstanceId,
     /// How it stands now.
-    pub duty: ColdDuty,
+    pub role: ColdRole,
     /// Time until it is warm.
     pub warm_in: Span,
 }
 
-impl Warmth {
+impl WarmupState {
     /// Takes over what the back end's entry tells.
     pub fn list(&mut self, cold_for: Option<Span>, now: Timestamp) {
         self.listed_at = now;
@@ -116,7 +116,7 @@
             return true;
         }
         let last = self.last_sent;
-        self.duty == ColdDuty::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
+        self.role == ColdRole::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
     }
 
     /// Notes a request of this node.
@@ -125,13 +125,13 @@
     }
 
     /// How this node stands to it.
-    pub fn duty(&self) -> ColdDuty {
-        self.duty
+    pub fn role(&self) -> ColdRole {
+        self.role
     }
 
     /// Renews how this node stands to it; true if that changed.
-    pub fn renew_duty(&mut self, duty: ColdDuty) -> bool {
-        std::mem::replace(&mut self.duty, duty) != duty
+    pub fn update_role(&mut self, role: ColdRole) -> bool {
+        std::mem::replace(&mut self.role, role) != role
     }
 }
 
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -29,10 +29,10 @@
 
 /// How a node stands to a limited back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LimitDuty {
+pub enum LimitRole {
     /// Other nodes send to it.
     #[default]
-    Others,
+    OtherNodes,
     /// This node is one of those that send to it, one request in so long.
     Sender(Span),
 }
@@ -43,7 +43,7 @@
     /// The back end.
     pub instance: InstanceId,
     /// The limit and this node's duty; `None` where there is no limit any more.
-    pub stands: Option<(RateLimit, LimitDuty)>,
+    pub stands: Option<(RateLimit, LimitRole)>,
 }
 
 /// What a back end said last of its limit.
@@ -88,12 +88,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Limiter {
     notice: Option<LimitNotice>,
-    duty: LimitDuty,
+    role: LimitRole,
     last_sent: Option<Timestamp>,
     /// When this node's first request as a sender may be sent.
     first_at: Timestamp,
     probes_until: Option<Timestamp>,
-    logged: Option<(RateLimit, LimitDuty)>,
+    logged: Option<(RateLimit, LimitRole)>,
 }
 
 impl Limiter {
@@ -108,8 +108,8 @@
     }
 
     /// How this node stands to the back end.
-    pub fn duty(&self) -> LimitDuty {
-        self.duty
+    pub fn role(&self) -> LimitRole {
+        self.role
     }
 
     /// Whether a request may be sent to the back end now.
@@ -119,7 +119,7 @@
     }
 
     fn is_paced(&self, now: Timestamp) -> bool {
-        let LimitDuty::Sender(interval) = self.duty else {
+        let LimitRole::Sender(interval) = self.role else {
             return false;
         };
         let last = self.last_sent;
@@ -133,8 +133,8 @@
     }
 
     /// Renews this node's part in the limit; `share` tells it by the limit.
-    pub fn renew_duty(&mut self, share: impl FnOnce(RateLimit) -> Option<Share>) {
-        let before = std::mem::take(&mut self.duty);
+    pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<Share>) {
+        let before = std::mem::take(&mut self.role);
         let Some((limit, said_at)) = self.limit_and_time() else {
             return;
         };
@@ -142,13 +142,13 @@
             return;
         };
         let interval = interval(limit).scaled(share.senders as f64);
-        if before == LimitDuty::Others {
+        if before == LimitRole::OtherNodes {
             // Another sender may have sent what was answered last, so that it counts here. Those
             // that begin together are spread over the time between two requests.
             let after = 1.0 + share.place as f64 / share.senders as f64;
             self.first_at = said_at + interval.scaled(after);
         }
-        self.duty = LimitDuty::Sender(interval);
+        self.role = LimitRole::Sender(interval);
     }
 
     /// The limit, where this node doesn't send and nothing was heard of it for so long that the
@@ -157,7 +157,7 @@
         let (limit, said_at) = self.limit_and_time()?;
         let longest = SHORTEST_SILENCE.max(interval(limit).scaled(SILENT_INTERVALS));
         let is_silent = now.since(said_at) > longest;
-        (self.duty == LimitDuty::Others && is_silent).then_some(limit)
+        (self.role == LimitRole::OtherNodes && is_silent).then_some(limit)
     }
 
     /// The limit, where there is one, and when the back end named it last.
@@ -173,7 +173,7 @@
 
     /// How the limit of the back end stands for this node, if that has changed since the last call.
     pub fn change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
-        let stands = self.limit().map(|limit| (limit, self.duty));
+        let stands = self.limit().map(|limit| (limit, self.role));
         let before = std::mem::replace(&mut self.logged, stands);
         (before != stands).then(|| LimitChange {
             instance: instance.clone(),
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -3,7 +3,7 @@
 mod notices;
 
 use crate::load::back_end_load::Counted;
-use crate::load::cold_start::Warmth;
+use crate::load::cold_start::WarmupState;
 use crate::load::health::{Health, HealthChange};
 use crate::load::holders::Holders;
 use crate::load::limit_notices::LimitNotices;
@@ -43,7 +43,7 @@
     pub digest: u32,
     pub load: BackEndLoad,
     pub health: Health,
-    pub warmth: Warmth,
+    pub warmup: WarmupState,
     /// What it said of itself in its answers.
     pub notice: Notice,
     /// What it said of a rate limit, and this node's part in it.
@@ -246,7 +246,7 @@
             None => self.add(back_end, table),
         }
         if let Some(state) = self.states.get_mut(&instance) {
-            state.warmth.list(cold_for, now);
+            state.warmup.list(cold_for, now);
         }
     }
 
@@ -266,7 +266,7 @@
             digest,
             load: BackEndLoad::new(tokens, speed),
             health: Health::default(),
-            warmth: Warmth::default(),
+            warmup: WarmupState::default(),
             notice: self.notices.of(&back_end),
             limiter,
             back_end,
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -37,7 +37,7 @@
         Some(Obstacle::Region)
     } else if view.evacuated.contains(zone) {
         Some(Obstacle::Evacuated)
-    } else if cold_start.is_some_and(|start| !state.warmth.takes_request(start, view.now)) {
+    } else if cold_start.is_some_and(|start| !state.warmup.takes_request(start, view.now)) {
         Some(Obstacle::Cold)
     } else {
         None
--- a/crates/coordination/dispatch/src/placement/places.rs
+++ b/crates/coordination/dispatch/src/placement/places.rs
@@ -1,7 +1,7 @@
 //! Where back ends stand as seen from this node: what the way there costs, and how far the
 //! home of a prompt may lie.
 
-use crate::Border;
+use crate::Distance;
 use crate::load::registry::BackEndState;
 use eiderferry_routing::ZoneName;
 use eiderferry_types::Span;
@@ -33,19 +33,19 @@
 const STAY_NARROW_UP_TO: f64 = 0.6;
 
 /// Round trip over a border until one was measured.
-fn assumed_round_trip(border: Border) -> Span {
-    match border {
-        Border::None => Span::ZERO,
-        Border::Zone | Border::Unknown => ASSUMED_ZONE_ROUND_TRIP,
-        Border::Region => ASSUMED_REGION_ROUND_TRIP,
+fn assumed_round_trip(distance: Distance) -> Span {
+    match distance {
+        Distance::SameZone => Span::ZERO,
+        Distance::CrossZone | Distance::Unknown => ASSUMED_ZONE_ROUND_TRIP,
+        Distance::CrossRegion => ASSUMED_REGION_ROUND_TRIP,
     }
 }
 
-fn byte_nanoseconds(border: Border) -> u64 {
-    match border {
-        Border::None => 0,
-        Border::Zone | Border::Unknown => ZONE_BYTE_NANOSECONDS,
-        Border::Region => REGION_BYTE_NANOSECONDS,
+fn byte_nanoseconds(distance: Distance) -> u64 {
+    match distance {
+        Distance::SameZone => 0,
+        Distance::CrossZone | Distance::Unknown => ZONE_BYTE_NANOSECONDS,
+        Distance::CrossRegion => REGION_BYTE_NANOSECONDS,
     }
 }
 
@@ -74,14 +74,14 @@
     }
 
     /// The way to a zone for so many bytes.
-    pub fn way(&self, zone: &ZoneName, border: Border, bytes: u32) -> Way {
-        if border == Border::None {
+    pub fn way(&self, zone: &ZoneName, distance: Distance, bytes: u32) -> Way {
+        if distance == Distance::SameZone {
             return Way::default();
         }
         let measured = self.measured.get(zone).copied();
         Way {
-            round_trip: measured.unwrap_or(assumed_round_trip(border)),
-            bytes_cost: Span(u64::from(bytes) * byte_nanoseconds(border) / NANOSECONDS_A_UNIT),
+            round_trip: measured.unwrap_or(assumed_round_trip(distance)),
+            bytes_cost: Span(u64::from(bytes) * byte_nanoseconds(distance) / NANOSECONDS_A_UNIT),
         }
     }
 }
@@ -92,26 +92,26 @@
 /// How far from a node the homes of prompts lie.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HomeScope {
-    farthest: Border,
+    farthest: Distance,
 }
 
 impl HomeScope {
     /// Homes among all engines.
     pub const ALL: Self = Self {
-        farthest: Border::Region,
+        farthest: Distance::CrossRegion,
     };
 
     /// The nearest place whose engines hold the shared parts of all prompts; `before` is the
     /// one in force. Homes in the own zone took the bytes
     /// between zones from 27 to 17 MB on a calm day of 85 nodes in three zones, one run each.
     pub fn nearest(
-        engines: &[(Border, &BackEndState)],
+        engines: &[(Distance, &BackEndState)],
         shared_tokens: u64,
         before: Option<Self>,
     ) -> Self {
-        let places = [Border::None, Border::Zone];
-        let fits = |place: &Border| {
-            let there = engines.iter().filter(|(border, _)| border <= place);
+        let places = [Distance::SameZone, Distance::CrossZone];
+        let fits = |place: &Distance| {
+            let there = engines.iter().filter(|(distance, _)| distance <= place);
             let tokens = there.clone().map(|(_, state)| state.load.cache.capacity());
             let stays = before.is_some_and(|before| before.farthest <= *place);
             let part = if stays {
@@ -128,11 +128,11 @@
 
     /// Whether homes lie in the own zone alone.
     pub fn is_own_zone(self) -> bool {
-        self.farthest == Border::None
+        self.farthest == Distance::SameZone
     }
 
     /// Whether homes may lie so far away.
-    pub fn reaches(self, border: Border) -> bool {
-        border <= self.farthest
+    pub fn reaches(self, distance: Distance) -> bool {
+        distance <= self.farthest
     }
 }
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -2,7 +2,7 @@
 
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::pool_split::PoolSplit;
-use crate::placement::sampling::{LookedAt, look_at, preference};
+use crate::placement::sampling::{Examined, look_at, preference};
 use crate::placement::view::View;
 use crate::{Candidate, Demand, Footprint, Occupancy, PoolModel};
 use eiderferry_routing::InstanceId;
@@ -66,7 +66,7 @@
     /// Plans for the back ends worth comparing.
     pub plans: Vec<Plan>,
     /// Back ends that were looked at.
-    pub looked_at: usize,
+    pub examined: usize,
 }
 
 /// Plans for the back ends worth comparing.
@@ -80,10 +80,10 @@
     let split = Split::of(registry, demand);
     let may_be_home =
         |state: &BackEndState| split.suits(state) && view.may_be_home(&state.back_end.zone);
-    let looked_at = look_at(registry, view, demand, may_be_home, random);
-    let staying: Vec<&BackEndState> = looked_at.staying().collect();
-    let home = looked_at.home.map(|state| &state.back_end.instance);
-    let compared = shortlist(&looked_at, &split, view, demand, random);
+    let examined = look_at(registry, view, demand, may_be_home, random);
+    let staying: Vec<&BackEndState> = examined.staying().collect();
+    let home = examined.home.map(|state| &state.back_end.instance);
+    let compared = shortlist(&examined, &split, view, demand, random);
     let setting = Setting {
         model: registry.model(&demand.pool),
         home,
@@ -95,14 +95,14 @@
     let plans = compared.into_iter();
     Plans {
         plans: plans.map(|state| plan(state, demand, &setting)).collect(),
-        looked_at: looked_at.count,
+        examined: examined.count,
     }
 }
 
 /// The back ends compared: all of a small pool; of a large one those that a prompt's
 /// beginning prefers, and some drawn at random.
 fn shortlist<'a>(
-    looked_at: &LookedAt<'a>,
+    examined: &Examined<'a>,
     split: &Split<'_>,
     view: &View<'_>,
     demand: &Demand,
@@ -110,12 +110,9 @@
 ) -> Vec<&'a BackEndState> {
     let open = |state: &&BackEndState| demand.may_go_to(&state.back_end.instance);
     let healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
-    let is_any_healthy = looked_at
-        .staying()
-        .filter(open)
-        .any(|state| healthy(&state));
+    let is_any_healthy = examined.staying().filter(open).any(|state| healthy(&state));
     let usable = |state: &&BackEndState| open(state) && (healthy(state) || !is_any_healthy);
-    let all: Vec<&BackEndState> = looked_at.staying().filter(usable).collect();
+    let all: Vec<&BackEndState> = examined.staying().filter(usable).collect();
     if all.len() <= MOST_COMPARED {
         return all;
     }
@@ -124,7 +121,7 @@
     let near = all.iter().filter(is_near).filter(suits).copied();
     let near = near.choose_multiple(random, DRAWN_NEAR);
     let drawn = all.iter().copied().choose_multiple(random, DRAWN);
-    let preferable = looked_at.preferable.iter().copied();
+    let preferable = examined.preferable.iter().copied();
     let mut compared: Vec<&BackEndState> = preferable.filter(usable).collect();
     if compared.len() > MOST_PREFERRED {
         compared.select_nth_unstable_by_key(MOST_PREFERRED, |state| {
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -150,7 +150,7 @@
 /// Whether an engine may get a request at all, is sound, warm and heard.
 fn is_usable(state: &BackEndState, view: &View<'_>, demand: &Demand) -> bool {
     let start = view.cold_start.as_ref();
-    let is_cold = start.is_some_and(|start| state.warmth.is_cold(start, view.now));
+    let is_cold = start.is_some_and(|start| state.warmup.is_cold(start, view.now));
     is_eligible(state, view, demand)
         && demand.may_go_to(&state.back_end.instance)
         && !state.health.is_ejected(view.now)
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -17,7 +17,7 @@
 /// Back ends up to which all of a pool are looked at: up to that many the choice is exact and
 /// takes 0.2 to 0.3 ms. Of 6,000 engines a look at each took 5.8 ms a request, a twentieth of a
 /// second on a node that has an eighth of a core, and takes 0.1 ms now (`benches/scale.rs`).
-pub(crate) const MOST_LOOKED_AT: usize = 512;
+pub(crate) const MAX_EXAMINED: usize = 512;
 /// Back ends drawn from all of a large pool, and from its part in the own zone. With 24 or more,
 /// one of the emptier quarter is missed once in a thousand draws.
 const DRAWN: usize = 32;
@@ -40,7 +40,7 @@
 }
 
 /// Back ends that may get a request, as far as they were looked at.
-pub(crate) struct LookedAt<'a> {
+pub(crate) struct Examined<'a> {
     /// Those among which all nodes prefer the same ones for the request's prompt.
     pub preferable: Vec<&'a BackEndState>,
     /// Others.
@@ -51,7 +51,7 @@
     pub count: usize,
 }
 
-impl<'a> LookedAt<'a> {
+impl<'a> Examined<'a> {
     /// All that were looked at and may get the request.
     pub fn staying(&self) -> impl Iterator<Item = &'a BackEndState> + Clone {
         self.preferable.iter().chain(&self.others).copied()
@@ -66,25 +66,25 @@
     demand: &Demand,
     may_be_home: impl Fn(&BackEndState) -> bool,
     random: &mut impl Rng,
-) -> LookedAt<'a> {
-    if registry.pool_size(&demand.pool) <= MOST_LOOKED_AT {
+) -> Examined<'a> {
+    if registry.pool_size(&demand.pool) <= MAX_EXAMINED {
         return whole_pool(registry, view, demand, may_be_home);
     }
     let mut sample = Sample::new(registry, view, demand);
     if let Some(only) = &demand.only {
         // A run is taken over where its replica is, which no draw would find.
         let holder = sample.look_up([only]);
-        sample.looked_at.others.extend(holder);
-        return sample.looked_at;
+        sample.examined.others.extend(holder);
+        return sample.examined;
     }
     sample.look_at_homes(&may_be_home);
     sample.look_at_holders();
     sample.draw(random);
-    if sample.looked_at.staying().next().is_none() {
+    if sample.examined.staying().next().is_none() {
         // Most may be evacuated, cold or not allowed: rather all than none.
         return whole_pool(registry, view, demand, may_be_home);
     }
-    sample.looked_at
+    sample.examined
 }
 
 fn whole_pool<'a>(
@@ -92,11 +92,11 @@
     view: &View<'_>,
     demand: &Demand,
     may_be_home: impl Fn(&BackEndState) -> bool,
-) -> LookedAt<'a> {
+) -> Examined<'a> {
     let all = registry.pool(&demand.pool);
     let staying = all.filter(|state| is_eligible(state, view, demand));
     let staying: Vec<&BackEndState> = staying.collect();
-    LookedAt {
+    Examined {
         home: home_among(&staying, demand, may_be_home),
         preferable: staying,
         others: Vec::new(),
@@ -122,7 +122,7 @@
     view: &'b View<'b>,
     demand: &'b Demand,
     known: HashSet<u32>,
-    looked_at: LookedAt<'a>,
+    examined: Examined<'a>,
 }
 
 impl<'a, 'b> Sample<'a, 'b> {
@@ -132,7 +132,7 @@
             view,
             demand,
             known: HashSet::new(),
-            looked_at: LookedAt {
+            examined: Examined {
                 preferable: Vec::new(),
                 others: Vec::new(),
                 home: None,
@@ -151,7 +151,7 @@
         let states = states.filter_map(|instance| registry.get(instance));
         let new = states.filter(|state| self.known.insert(state.digest));
         let new: Vec<&BackEndState> = new.collect();
-        self.looked_at.count += new.len();
+        self.examined.count += new.len();
         let eligible = new.into_iter();
         eligible
             .filter(|state| is_eligible(state, self.view, self.demand))
@@ -171,10 +171,10 @@
         for group in groups.beginning_at(seed(self.demand)).take(MOST_GROUPS) {
             let staying = self.look_up(group);
             fitting += staying.iter().filter(|state| may_be_home(state)).count();
-            if self.looked_at.home.is_none() {
-                self.looked_at.home = home_among(&staying, self.demand, &may_be_home);
+            if self.examined.home.is_none() {
+                self.examined.home = home_among(&staying, self.demand, &may_be_home);
             }
-            self.looked_at.preferable.extend(staying);
+            self.examined.preferable.extend(staying);
             if fitting >= FEWEST_PREFERRED {
                 return;
             }
@@ -196,7 +196,7 @@
             let holders = self.registry.holders(part.id, &self.demand.pool);
             let holders: Vec<&InstanceId> = holders.collect();
             let staying = self.look_up(holders);
-            self.looked_at.others.extend(staying);
+            self.examined.others.extend(staying);
         }
     }
 
@@ -209,6 +209,6 @@
             drawn.extend(near.draw(DRAWN_NEAR, random));
         }
         let staying = self.look_up(drawn);
-        self.looked_at.others.extend(staying);
+        self.examined.others.extend(staying);
     }
 }
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,6 +1,6 @@
 //! What a node sees of the deployment when it decides about a request.
 
-use crate::Border;
+use crate::Distance;
 use crate::placement::places::{ANY_OTHER_ZONE, HomeScope, RoundTrips, Way};
 use eiderferry_routing::{ColdStart, RegionOfZone, ZoneName};
 use eiderferry_types::{Span, Timestamp};
@@ -31,14 +31,14 @@
 
 impl View<'_> {
     /// What lies between this node and a zone.
-    pub fn border(&self, zone: &ZoneName) -> Border {
-        Border::between(self.zone, zone, self.regions)
+    pub fn distance(&self, zone: &ZoneName) -> Distance {
+        Distance::between(self.zone, zone, self.regions)
     }
 
     /// The way to a zone for a request that takes so many bytes with its answer.
     pub fn way(&self, zone: &ZoneName, bytes: u32) -> Way {
         if self.costs_places {
-            return self.round_trips.way(zone, self.border(zone), bytes);
+            return self.round_trips.way(zone, self.distance(zone), bytes);
         }
         let is_other = zone != self.zone;
         Way {
@@ -49,6 +49,6 @@
 
     /// Whether a prompt's home may lie in a zone.
     pub fn may_be_home(&self, zone: &ZoneName) -> bool {
-        self.home_scope.reaches(self.border(zone))
+        self.home_scope.reaches(self.distance(zone))
     }
 }
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/borders.rs
@@ -269,7 +269,7 @@
     fleet.run_with_platform(20_000, 1);
     assert_eq!(fleet.lost, Vec::new());
     for node in &fleet.nodes {
-        assert_eq!(node.snapshot(fleet.now).living_peers, 119);
+        assert_eq!(node.snapshot(fleet.now).live_peers, 119);
         assert!(node.silent_zones().is_empty(), "{:?}", node.silent_zones());
     }
 }
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use eiderferry_dispatch::{
-    CacheAnswer, CacheCall, CacheEvent, CacheEvents, CacheListing, CacheNews, CacheOrder, Decision,
-    Dispatcher, Features, PromptPart, RateLimit, TICK,
+    CacheCall, CacheEvent, CacheEvents, CacheListing, CacheResponse, CacheUpdate, Decision,
+    Dispatcher, DueCacheCall, Features, PromptPart, RateLimit, TICK,
 };
 use eiderferry_routing::{InstanceId, PartId};
 use eiderferry_types::{Span, Timestamp};
@@ -59,12 +59,12 @@
     orders.into_iter().map(|order| order.call).collect()
 }
 
-fn listing(parts: &[(u64, u32)]) -> CacheAnswer {
+fn listing(parts: &[(u64, u32)]) -> CacheResponse {
     let kept = parts.iter().map(|(id, tokens)| PromptPart {
         id: PartId(*id),
         tokens: *tokens,
     });
-    CacheAnswer::Listing(CacheListing {
+    CacheResponse::Listing(CacheListing {
         epoch: 1,
         next: 10,
         kept: kept.collect(),
@@ -86,14 +86,14 @@
 }
 
 /// Makes the call that is due and answers it.
-fn answer(subject: &mut Dispatcher, answer: CacheAnswer, now: Timestamp) -> Option<CacheNews> {
+fn answer(subject: &mut Dispatcher, answer: CacheResponse, now: Timestamp) -> Option<CacheUpdate> {
     assert_eq!(subject.cache_calls(now).len(), 1, "one call is due");
-    subject.take_cache_answer(&engine(), answer, now)
+    subject.handle_cache_response(&engine(), answer, now)
 }
 
 /// Hands events over with the next call.
-fn events(subject: &mut Dispatcher, told: CacheEvents, now: Timestamp) -> Option<CacheNews> {
-    answer(subject, CacheAnswer::Events(told), now)
+fn events(subject: &mut Dispatcher, told: CacheEvents, now: Timestamp) -> Option<CacheUpdate> {
+    answer(subject, CacheResponse::Events(told), now)
 }
 
 #[test]
@@ -125,7 +125,7 @@
     uncached(&mut subject, START);
     let now = START + SETTLED;
     assert_eq!(calls(&mut subject, now), []);
-    let news = subject.take_cache_answer(&engine(), listing(&[]), now);
+    let news = subject.handle_cache_response(&engine(), listing(&[]), now);
     assert_eq!(news, None);
     assert_eq!(asked(&mut subject, THING, now), (0, None));
 }
@@ -134,7 +134,7 @@
 fn an_engine_is_listed_first_and_then_asked_for_what_follows() {
     let (mut subject, now) = believing();
     assert_eq!(calls(&mut subject, now), [CacheCall::List]);
-    subject.take_cache_answer(&engine(), listing(&[]), now);
+    subject.handle_cache_response(&engine(), listing(&[]), now);
     let call = CacheCall::Events {
         after: 10,
         wait: ms(1_000),
@@ -172,7 +172,7 @@
     let news = events(&mut subject, lost, now).expect("news of a gap");
     assert_eq!((news.gone, news.counts.gaps), (0, 1));
     assert_eq!(calls(&mut subject, now), [CacheCall::List]);
-    subject.take_cache_answer(&engine(), listing(&[]), now);
+    subject.handle_cache_response(&engine(), listing(&[]), now);
     assert_eq!(uncached(&mut subject, now), SHARED);
 }
 
@@ -200,10 +200,10 @@
 }
 
 #[rstest]
-#[case::too_many_calls(CacheAnswer::Refused)]
-#[case::no_answer(CacheAnswer::Failed)]
-#[case::unknown_shape(CacheAnswer::Unreadable)]
-fn a_call_in_vain_changes_nothing_and_is_repeated_ever_later(#[case] vain: CacheAnswer) {
+#[case::too_many_calls(CacheResponse::Refused)]
+#[case::no_answer(CacheResponse::Failed)]
+#[case::unknown_shape(CacheResponse::Unreadable)]
+fn a_call_in_vain_changes_nothing_and_is_repeated_ever_later(#[case] vain: CacheResponse) {
     let (mut subject, mut now) = believing();
     for pause in [1_000, 2_000, 4_000] {
         assert_eq!(answer(&mut subject, vain.clone(), now), None);
@@ -226,10 +226,10 @@
             let told = match order.call {
                 CacheCall::List => listing(&[(THING, SHARED)]),
                 CacheCall::Events { after, .. } => {
-                    CacheAnswer::Events(report(1, after + 1, &[(after, 99, 500)]))
+                    CacheResponse::Events(report(1, after + 1, &[(after, 99, 500)]))
                 }
             };
-            subject.take_cache_answer(&order.instance, told, now);
+            subject.handle_cache_response(&order.instance, told, now);
         }
         now = now + TICK;
     }
@@ -253,9 +253,9 @@
     for _ in 0..8 {
         let told = match calls(&mut subject, now)[..] {
             [CacheCall::List] => listing(&[]),
-            _ => CacheAnswer::Events(report(1, 10, &[])),
+            _ => CacheResponse::Events(report(1, 10, &[])),
         };
-        let news = subject.take_cache_answer(&engine(), told, now);
+        let news = subject.handle_cache_response(&engine(), told, now);
         let told = news.expect("news").gone;
         assert!(told <= 12, "{told} in one answer");
         gone += told;
@@ -297,7 +297,7 @@
     let now = START + SETTLED;
     let (mut follower, mut other, number) = pair(now);
     follower.cache_calls(now);
-    follower.take_cache_answer(&engine(), listing(&[]), now);
+    follower.handle_cache_response(&engine(), listing(&[]), now);
     let message = follower.gossip(false, now);
     other.receive(node_address(number), &message, now);
     assert_eq!(uncached(&mut other, now), SHARED);
@@ -334,7 +334,7 @@
     assert_eq!(subject.cache_calls(now).len(), 1);
     let woken = now + ms(5_000);
     subject.resume_after_pause(woken);
-    let news = subject.take_cache_answer(&engine(), listing(&[(THING, SHARED)]), woken);
+    let news = subject.handle_cache_response(&engine(), listing(&[(THING, SHARED)]), woken);
     assert_eq!(news.expect("news").gone, 0);
     assert_eq!(uncached(&mut subject, woken), 0);
 }
@@ -349,7 +349,7 @@
     assert_eq!(calls(&mut subject, now), []);
     assert!(!subject.follows_cache(&engine()));
     assert_eq!(
-        subject.take_cache_answer(&engine(), listing(&[]), now),
+        subject.handle_cache_response(&engine(), listing(&[]), now),
         None
     );
 }
@@ -381,7 +381,7 @@
 fn engines_of_another_zone_are_left_to_its_own_nodes() {
     let (mut subject, now) = believing();
     subject.apply(back_end_change(back_end("engine-1", 1, 1), 3), now);
-    let orders: Vec<CacheOrder> = subject.cache_calls(now);
+    let orders: Vec<DueCacheCall> = subject.cache_calls(now);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].instance, engine());
 }
@@ -393,7 +393,7 @@
     let now = START + ms(900);
     for order in subject.cache_calls(now) {
         let told = listing(&[(THING, SHARED)]);
-        subject.take_cache_answer(&order.instance, told, now);
+        subject.handle_cache_response(&order.instance, told, now);
     }
     assert_eq!(uncached(&mut subject, now), 0);
 }
@@ -414,7 +414,7 @@
             for order in node.cache_calls(fleet.now) {
                 assert!(asked.insert(order.instance.clone()), "listed once");
                 let told = listing(&[(THING, SHARED)]);
-                node.take_cache_answer(&order.instance, told, fleet.now);
+                node.handle_cache_response(&order.instance, told, fleet.now);
             }
         }
     }
@@ -437,7 +437,7 @@
 #[test]
 fn nothing_is_refused_for_lack_of_word_from_engines() {
     let (mut subject, now) = believing();
-    answer(&mut subject, CacheAnswer::Failed, now);
+    answer(&mut subject, CacheResponse::Failed, now);
     let decision = subject.ask(&demand(THING, SHARED, 1), now);
     assert!(matches!(decision, Decision::Grant(_)));
 }
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{ColdBound, Content, Decision, Dispatcher, Outcome};
+use eiderferry_dispatch::{ColdRateLimit, Content, Decision, Dispatcher, Outcome};
 use eiderferry_routing::{ColdStart, PoolName};
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
@@ -118,10 +118,10 @@
 
 #[rstest]
 #[case::usual(COLD_BOUND, 5.2, 6)]
-#[case::little(ColdBound { overage: 1.0, slack: 0.0 }, 0.5, 1)]
-#[case::nonsense(ColdBound { overage: -1.0, slack: 0.0 }, 5.2, 1)]
+#[case::little(ColdRateLimit { overage: 1.0, slack: 0.0 }, 0.5, 1)]
+#[case::nonsense(ColdRateLimit { overage: -1.0, slack: 0.0 }, 5.2, 1)]
 fn half_of_the_bound_is_dealt_out(
-    #[case] bound: ColdBound,
+    #[case] bound: ColdRateLimit,
     #[case] requests_per_second: f64,
     #[case] senders: usize,
 ) {
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -24,7 +24,7 @@
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(30_000, 1);
     for node in &fleet.nodes {
-        assert_eq!(node.snapshot(fleet.now).living_peers, count - 1);
+        assert_eq!(node.snapshot(fleet.now).live_peers, count - 1);
     }
 }
 
@@ -318,7 +318,7 @@
     let lacks = |fleet: &Fleet| {
         let nodes = fleet.nodes.iter();
         nodes
-            .filter(|node| node.lacks_confirmation(fleet.now))
+            .filter(|node| node.is_confirmation_overdue(fleet.now))
             .count()
     };
     fleet.run(1_900);
--- a/crates/coordination/dispatch/tests/knowledge.rs
+++ b/crates/coordination/dispatch/tests/knowledge.rs
@@ -1,7 +1,7 @@
 //! Documents never go back, whatever order their changes come in.
 
 use eiderferry_dispatch::{
-    Applied, Change, Content, DocumentKey, Knowledge, Revision, VersionVector,
+    ApplyOutcome, Change, Content, DocumentKey, Knowledge, Revision, VersionVector,
 };
 use eiderferry_routing::{BackEnd, InstanceId, Limits, PoolName, TableDocument, ZoneName};
 use eiderferry_types::{Span, Timestamp};
@@ -69,8 +69,11 @@
 #[test]
 fn an_older_table_never_replaces_a_newer_one() {
     let mut knowledge = Knowledge::default();
-    assert_eq!(knowledge.apply(table_change(9, 4)), Applied::Taken);
-    assert_eq!(knowledge.apply(table_change(7, 3)), Applied::Known);
+    assert_eq!(knowledge.apply(table_change(9, 4)), ApplyOutcome::Applied);
+    assert_eq!(
+        knowledge.apply(table_change(7, 3)),
+        ApplyOutcome::AlreadyKnown
+    );
     assert_eq!(version(&knowledge), Some(4));
 }
 
@@ -100,21 +103,25 @@
     };
     assert!(matches!(
         knowledge.apply(change.clone()),
-        Applied::Refused(_)
+        ApplyOutcome::Rejected(_)
     ));
     assert_eq!(version(&knowledge), Some(4));
-    assert_eq!(knowledge.apply(change), Applied::Known, "told once only");
-    assert_eq!(knowledge.apply(table_change(13, 6)), Applied::Taken);
+    assert_eq!(
+        knowledge.apply(change),
+        ApplyOutcome::AlreadyKnown,
+        "told once only"
+    );
+    assert_eq!(knowledge.apply(table_change(13, 6)), ApplyOutcome::Applied);
 }
 
 #[test]
 fn a_back_end_that_is_gone_is_not_brought_back_by_an_older_list() {
     let mut knowledge = Knowledge::default();
     knowledge.apply(back_end_change("i-1", 5, false));
-    assert_eq!(knowledge.apply(gone("i-1", 8)), Applied::Taken);
+    assert_eq!(knowledge.apply(gone("i-1", 8)), ApplyOutcome::Applied);
     assert_eq!(
         knowledge.apply(back_end_change("i-1", 6, true)),
-        Applied::Known
+        ApplyOutcome::AlreadyKnown
     );
     assert_eq!(knowledge.back_ends().count(), 0);
 }
@@ -125,7 +132,7 @@
     knowledge.apply(gone("i-1", 8));
     assert_eq!(
         knowledge.apply(back_end_change("i-1", 6, false)),
-        Applied::Known
+        ApplyOutcome::AlreadyKnown
     );
     assert_eq!(knowledge.back_ends().count(), 0);
 }
@@ -163,7 +170,7 @@
     peer.apply(table_change(2, 1));
     peer.apply(back_end_change("i-1", 5, false));
     for change in knowledge.changes_after(&known(5)) {
-        assert_eq!(peer.apply(change), Applied::Taken);
+        assert_eq!(peer.apply(change), ApplyOutcome::Applied);
     }
     let names: Vec<&str> = peer
         .back_ends()
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use eiderferry_dispatch::{Applied, Change, Content, Decision, Dispatcher, DocumentKey, Outcome};
+use eiderferry_dispatch::{
+    ApplyOutcome, Change, Content, Decision, Dispatcher, DocumentKey, Outcome,
+};
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
@@ -115,7 +117,7 @@
         subject.apply(change, after(1_000));
     }
     let taken = subject.apply(back_end_change(engine(LEAVING, 0), 21), after(5_000));
-    assert_eq!(taken.applied, Applied::Taken);
+    assert_eq!(taken.applied, ApplyOutcome::Applied);
     assert!(!is_asked(&mut subject, after(6_000)));
     assert!(!is_asked(&mut subject, after(600_000)));
 }
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -153,7 +153,9 @@
     let mut subject = with_engines(2);
     let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
     let gone = grant.instance.clone();
-    let change = subject.end(grant.lease, Outcome::Replaced, START).standings;
+    let change = subject
+        .end(grant.lease, Outcome::Replaced, START)
+        .health_changes;
     assert!(matches!(change[..], [(_, HealthChange::Ejected(_))]));
     for minute in 0..20 {
         let now = START + Span::from_milliseconds(minute * 60_000);
--- a/crates/coordination/dispatch/tests/restarted_back_ends.rs
+++ b/crates/coordination/dispatch/tests/restarted_back_ends.rs
@@ -74,7 +74,7 @@
     list(&mut subject, Some(FIRST_START + 4_000), 6, after(4_000));
     for lease in leases {
         let ended = subject.end(lease, Outcome::Broken, after(4_100));
-        assert!(ended.standings.is_empty());
+        assert!(ended.health_changes.is_empty());
     }
     granted(subject.ask(&demand(9, 1_000, 100), after(4_200)));
 }
--- a/crates/coordination/dispatch/tests/retry_budget.rs
+++ b/crates/coordination/dispatch/tests/retry_budget.rs
@@ -1,10 +1,10 @@
 //! The bound of repeats holds over all nodes without a word between them.
 
-use eiderferry_dispatch::{BudgetSettings, RetryBudget};
+use eiderferry_dispatch::{RetryBudget, RetryBudgetSettings};
 use eiderferry_types::{Span, Timestamp};
 use rstest::rstest;
 
-const SETTINGS: BudgetSettings = BudgetSettings {
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
     window: Span::from_milliseconds(10_000),
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -264,10 +264,10 @@
     let mut subject = with_zones(30);
     let grant = granted(subject.ask(&stream(1), START));
     let instance = grant.instance.clone();
-    assert!(!subject.is_unheard(&instance, START));
+    assert!(!subject.is_presumed_down(&instance, START));
     subject.end(grant.lease, Outcome::Unreachable, START);
-    assert!(subject.is_unheard(&instance, START));
-    assert!(subject.is_unheard(&InstanceId::from("engine-99"), START));
+    assert!(subject.is_presumed_down(&instance, START));
+    assert!(subject.is_presumed_down(&InstanceId::from("engine-99"), START));
 }
 
 #[test]
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -31,15 +31,15 @@
 }
 
 /// Back ends looked at for a request.
-fn looked_at(engines: usize) -> f64 {
+fn examined(engines: usize) -> f64 {
     let mut subject = with_engines(engines);
     place(&mut subject, REQUESTS);
-    subject.snapshot(START).looked_at as f64 / REQUESTS as f64
+    subject.snapshot(START).examined as f64 / REQUESTS as f64
 }
 
 #[test]
 fn a_request_looks_at_no_more_back_ends_in_a_larger_pool() {
-    let (many, more) = (looked_at(MANY), looked_at(FOUR_TIMES_AS_MANY));
+    let (many, more) = (examined(MANY), examined(FOUR_TIMES_AS_MANY));
     assert!(many < 300.0, "{many}");
     assert!(more < many * 1.5, "{many} and {more}");
 }
@@ -189,7 +189,7 @@
 fn engines_to_follow_are_sought_when_something_has_changed() {
     let mut subject = with_engines(MANY);
     let run = |subject: &mut Dispatcher, from: u64, ticks: u64| {
-        let before = subject.snapshot(START).follow_looks;
+        let before = subject.snapshot(START).follow_evaluations;
         for tick in from..from + ticks {
             let now = Timestamp(START.0 + tick * TICK.0);
             if tick % 2 == 0 && from > 0 {
@@ -203,7 +203,7 @@
             subject.tick(now);
             subject.cache_calls(now);
         }
-        subject.snapshot(START).follow_looks - before
+        subject.snapshot(START).follow_evaluations - before
     };
     let calm = run(&mut subject, 0, 100);
     assert!((1..=4).contains(&calm), "{calm} looks in 10 s");
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use eiderferry_dispatch::{
-    Applied, Border, BudgetSettings, Change, ColdBound, Content, Decision, Demand, Dispatcher,
-    DispatcherSettings, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind, PeerChange,
-    PromptPart, ReadingDuty, Revision, TICK, TakenNews, VersionVector,
+    ApplyOutcome, Change, ColdRateLimit, Content, Decision, Demand, Dispatcher, DispatcherSettings,
+    Distance, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind, PeerChange, PromptPart,
+    ReaderRole, ReceivedChange, RetryBudgetSettings, Revision, TICK, VersionVector,
 };
 use eiderferry_routing::{
     AllowedRegions, BackEnd, EngineSpecification, InstanceId, Limits, NodeName, PartId, Pool,
@@ -22,13 +22,13 @@
 
 pub const START: Timestamp = Timestamp(10_000_000_000);
 pub const ENGINES: &str = "engines";
-pub const BUDGET: BudgetSettings = BudgetSettings {
+pub const BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
     window: Span::from_milliseconds(10_000),
 };
 
-pub const COLD_BOUND: ColdBound = ColdBound {
+pub const COLD_BOUND: ColdRateLimit = ColdRateLimit {
     overage: 1.5,
     slack: 5.0,
 };
@@ -157,13 +157,13 @@
     number: usize,
     zone_number: usize,
     seeds: Vec<SocketAddr>,
-    apply_within: Span,
+    propagation_deadline: Span,
 ) -> Dispatcher {
     Dispatcher::new(settings(
         number,
         zone_number,
         seeds,
-        apply_within,
+        propagation_deadline,
         regions(),
     ))
 }
@@ -172,12 +172,12 @@
     number: usize,
     zone_number: usize,
     seeds: Vec<SocketAddr>,
-    apply_within: Span,
+    propagation_deadline: Span,
     regions: RegionOfZone,
 ) -> DispatcherSettings {
     DispatcherSettings {
-        apply_within,
-        cold_bound: COLD_BOUND,
+        propagation_deadline,
+        cold_rate_limit: COLD_BOUND,
         link_mbps: link_mbps(number),
         node: NodeName::from(format!("node-{number}")),
         zone: zone(zone_number),
@@ -300,7 +300,7 @@
     pub bytes: usize,
     pub largest_message: usize,
     /// The same bytes by kind of message and border, document packages included.
-    pub traffic: BTreeMap<(MessageKind, Border), usize>,
+    pub traffic: BTreeMap<(MessageKind, Distance), usize>,
     /// Largest part of its link that a node's messages of one tick took.
     pub busiest_link: f64,
     /// Each of so many messages is lost, if any is.
@@ -330,8 +330,8 @@
     }
 
     /// A fleet in which changes have to be in force within so long.
-    pub fn with_apply_within(count: usize, zone_count: usize, apply_within: Span) -> Self {
-        Self::with_regions(count, zone_count, apply_within, regions())
+    pub fn with_apply_within(count: usize, zone_count: usize, propagation_deadline: Span) -> Self {
+        Self::with_regions(count, zone_count, propagation_deadline, regions())
     }
 
     /// A fleet in which each node speaks for itself to other zones.
@@ -347,7 +347,7 @@
     fn with_regions(
         count: usize,
         zone_count: usize,
-        apply_within: Span,
+        propagation_deadline: Span,
         regions: RegionOfZone,
     ) -> Self {
         let seeds: Vec<SocketAddr> = (0..3.min(count)).map(node_address).collect();
@@ -358,7 +358,7 @@
                 number,
                 zones[number],
                 seeds,
-                apply_within,
+                propagation_deadline,
                 regions,
             ))
         };
@@ -519,8 +519,8 @@
             self.fetch_wanted(to, Some(node_address(from)));
         }
         let known = self.nodes[to].knowledge().complete_to();
-        let is_taken = |news: &TakenNews| news.applied == Applied::Taken;
-        let is_covered = |news: &TakenNews| known.covers(news.revision);
+        let is_taken = |news: &ReceivedChange| news.applied == ApplyOutcome::Applied;
+        let is_covered = |news: &ReceivedChange| known.covers(news.revision);
         let changes = &received.taken;
         // A change that stays uncovered would be announced back and forth without end.
         let is_new = changes.iter().any(is_taken);
@@ -567,7 +567,7 @@
             self.step();
             for number in 0..self.nodes.len() {
                 let is_dark = self.dark.contains(&number);
-                if !is_dark && self.nodes[number].reading_duty(self.now) == ReadingDuty::Read {
+                if !is_dark && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
                     self.read_by.insert(number);
                     self.nodes[number].apply(table_change(revision), self.now);
                     for change in &self.first_documents {
@@ -582,7 +582,7 @@
     pub fn readers(&self) -> Vec<usize> {
         let numbers = 0..self.nodes.len();
         numbers
-            .filter(|number| self.nodes[*number].reading_duty(self.now) == ReadingDuty::Read)
+            .filter(|number| self.nodes[*number].reader_role(self.now) == ReaderRole::Reader)
             .collect()
     }
 }
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -1,7 +1,7 @@
 //! A source of documents that can be restored from an older copy.
 
 use super::{Fleet, back_end, table_change};
-use eiderferry_dispatch::{Change, Content, DocumentKey, ReadingDuty, Revision};
+use eiderferry_dispatch::{Change, Content, DocumentKey, ReaderRole, Revision};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::Span;
 use std::collections::{BTreeMap, BTreeSet};
@@ -111,7 +111,7 @@
     pub fn step(&self, fleet: &mut Fleet) {
         fleet.step();
         for node in 0..fleet.nodes.len() {
-            let is_reader = fleet.nodes[node].reading_duty(fleet.now) == ReadingDuty::Read;
+            let is_reader = fleet.nodes[node].reader_role(fleet.now) == ReaderRole::Reader;
             if is_reader && !fleet.dark.contains(&node) && !self.unreachable.contains(&node) {
                 self.read(fleet, node);
             }
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -1,7 +1,7 @@
 //! Ways between the nodes of a fleet: how long they take, and the bytes that go over them.
 
 use super::{APPLY_WITHIN, Fleet, HOP, node_address, zone};
-use eiderferry_dispatch::{Border, Gossip, Knowledge, MessageKind};
+use eiderferry_dispatch::{Distance, Gossip, Knowledge, MessageKind};
 use eiderferry_routing::RegionName;
 use eiderferry_types::Span;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
     }
 
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, message: &Rc<Gossip>) {
-        let hop = match self.border(from, to) {
-            Some(Border::Region) => self.region_hop,
+        let hop = match self.distance(from, to) {
+            Some(Distance::CrossRegion) => self.region_hop,
             _ => HOP,
         };
         let key = (self.now + hop, self.messages);
@@ -32,23 +32,23 @@
         self.in_flight.insert(key, sent);
     }
 
-    fn border(&self, from: usize, to: SocketAddr) -> Option<Border> {
+    fn distance(&self, from: usize, to: SocketAddr) -> Option<Distance> {
         let to = self.number_of(to)?;
         let (from, to) = (zone(self.zones[from]), zone(self.zones[to]));
-        Some(Border::between(&from, &to, &self.regions))
+        Some(Distance::between(&from, &to, &self.regions))
     }
 
     /// Counts bytes on their way from a node.
     pub(super) fn count(&mut self, kind: MessageKind, from: usize, to: SocketAddr, bytes: usize) {
-        if let Some(border) = self.border(from, to) {
-            *self.traffic.entry((kind, border)).or_default() += bytes;
+        if let Some(distance) = self.distance(from, to) {
+            *self.traffic.entry((kind, distance)).or_default() += bytes;
         }
     }
 
     /// Bytes that crossed a border of a zone or region, of one kind or of all.
     pub fn border_bytes(&self, kind: Option<MessageKind>) -> usize {
         let traffic = self.traffic.iter();
-        let crossing = traffic.filter(|((_, border), _)| *border != Border::None);
+        let crossing = traffic.filter(|((_, distance), _)| *distance != Distance::SameZone);
         let counted = crossing.filter(|((of, _), _)| kind.is_none_or(|kind| *of == kind));
         counted.map(|(_, bytes)| bytes).sum()
     }
--- a/crates/coordination/node/src/holding.rs
+++ b/crates/coordination/node/src/holding.rs
@@ -245,7 +245,7 @@
         now: Timestamp,
         back_end: BackEndId,
         report: &LoadReport,
-        cache: &CacheNews,
+        cache: &CacheUpdate,
     ) {
         self.enter(now);
         let cell = self.catalog.back_end(back_end).map(|entry| entry.cell);
@@ -507,7 +507,7 @@
 
 /// Cache events of a back end since the last poll.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// Number of the last event.
     pub cursor: u64,
     /// Whether events were missed in between.
--- a/crates/coordination/node/src/lib.rs
+++ b/crates/coordination/node/src/lib.rs
@@ -32,7 +32,7 @@
 pub use catalog::Catalog;
 pub use counts::ClassCounts;
 pub use decision::{Decision, DecisionLog, Step};
-pub use holding::CacheNews;
+pub use holding::CacheUpdate;
 pub use message::{AttemptName, DocumentKind, Envelope, Message};
 pub use node::{Identity, Node, NodeLimits};
 pub use output::{Dispatch, Output, PlatformDocument};
--- a/crates/coordination/node/tests/crashing_requests.rs
+++ b/crates/coordination/node/tests/crashing_requests.rs
@@ -3,7 +3,7 @@
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Directory, DirectoryEntry, EntryState};
 use eiderferry_node::{
-    AttemptEnd, CacheNews, DocumentKind, Envelope, Identity, Node, NodeLimits, Output,
+    AttemptEnd, CacheUpdate, DocumentKind, Envelope, Identity, Node, NodeLimits, Output,
     PlatformDocument, Submission,
 };
 use eiderferry_types::{
@@ -216,7 +216,7 @@
             Output::Reject { refusal, .. } => self.refused.push((refusal.reason, refusal.verdict)),
             Output::PollBackEnd { back_end, .. } => {
                 let report = eiderferry_admission::LoadReport::default();
-                let news = CacheNews::default();
+                let news = CacheUpdate::default();
                 self.nodes[index].back_end_reported(self.now, back_end, &report, &news);
             }
             _ => {}
--- a/crates/lab/simulator/src/engines.rs
+++ b/crates/lab/simulator/src/engines.rs
@@ -7,7 +7,7 @@
 use eiderferry_admission::{LoadReport, Outcome};
 use eiderferry_config::{DirectoryEntry, EntryState};
 use eiderferry_emulator::{CacheEvent, Engine, EngineLoad, EngineTiming, Job, JobId};
-use eiderferry_node::{AttemptEnd, CacheNews, Dispatch, TokenVerdict};
+use eiderferry_node::{AttemptEnd, CacheUpdate, Dispatch, TokenVerdict};
 use eiderferry_types::{BackEndId, PoolId, Span, Timestamp, ZoneId};
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -441,14 +441,14 @@
         let (_, last_event) = back_end.load_at(cache_moment);
         let (gap, events) = engine.cache.events_between(cursor, last_event);
         let lost = self.random.random_bool(lags.cache_event_gaps);
-        let mut cache = CacheNews {
+        let mut cache = CacheUpdate {
             cursor: if gap {
                 last_event
             } else {
                 last_event.max(cursor)
             },
             gap: gap || lost,
-            ..CacheNews::default()
+            ..CacheUpdate::default()
         };
         for event in events {
             match event {
--- a/crates/lab/simulator/src/entry_logic.rs
+++ b/crates/lab/simulator/src/entry_logic.rs
@@ -3,7 +3,7 @@
 use eiderferry_admission::{CellPolicy, LoadReport};
 use eiderferry_config::{Directory, EntryState};
 use eiderferry_node::{
-    AttemptEnd, CacheNews, Dispatch, DocumentKind, Identity, Node, NodeLimits, Output,
+    AttemptEnd, CacheUpdate, Dispatch, DocumentKind, Identity, Node, NodeLimits, Output,
     PlatformDocument, Submission,
 };
 use eiderferry_types::{
@@ -250,7 +250,7 @@
         now: Timestamp,
         back_end: BackEndId,
         report: &LoadReport,
-        cache: &CacheNews,
+        cache: &CacheUpdate,
     ) {
         match self {
             Self::Node(node) => node.back_end_reported(now, back_end, report, cache),
--- a/crates/protocol/platform/src/lib.rs
+++ b/crates/protocol/platform/src/lib.rs
@@ -12,7 +12,7 @@
 
 use eiderferry_admission::LoadReport;
 use eiderferry_config::{Configuration, Directory, unpack_directory_version};
-use eiderferry_node::{CacheNews, DocumentKind, PlatformDocument};
+use eiderferry_node::{CacheUpdate, DocumentKind, PlatformDocument};
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
@@ -102,8 +102,8 @@
     }
 
     /// The cache part.
-    pub fn cache_news(self) -> CacheNews {
-        CacheNews {
+    pub fn cache_update(self) -> CacheUpdate {
+        CacheUpdate {
             cursor: self.cache_cursor,
             gap: self.cache_gap,
             stored: self.cache_stored,
--- a/crates/transport/entry/src/control.rs
+++ b/crates/transport/entry/src/control.rs
@@ -2,7 +2,7 @@
 
 use eiderferry_admission::LoadReport;
 use eiderferry_node::{
-    AttemptEnd, CacheNews, Dispatch, DocumentKind, Node, PlatformDocument, Submission,
+    AttemptEnd, CacheUpdate, Dispatch, DocumentKind, Node, PlatformDocument, Submission,
 };
 use eiderferry_once::{KeyName, KeyTableFull};
 use eiderferry_types::{BackEndId, Refusal, RequestId, Span};
@@ -66,7 +66,7 @@
     BackEndReported {
         back_end: BackEndId,
         report: LoadReport,
-        cache: CacheNews,
+        cache: CacheUpdate,
     },
     Tick,
     WithNode(NodeTask),
--- a/crates/transport/entry/src/reads.rs
+++ b/crates/transport/entry/src/reads.rs
@@ -59,7 +59,7 @@
             match LoadDocument::parse(&text) {
                 Ok(document) => {
                     let report = document.load();
-                    let cache = document.cache_news();
+                    let cache = document.cache_update();
                     let command = Command::BackEndReported {
                         back_end,
                         report,
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -7,7 +7,7 @@
 use crate::vocabulary::Vocabulary;
 use bytes::Bytes;
 use eiderferry_clock::duration;
-use eiderferry_dispatch::{CacheAnswer, CacheCall, CacheEvents, CacheListing, CacheOrder};
+use eiderferry_dispatch::{CacheCall, CacheEvents, CacheListing, CacheResponse, DueCacheCall};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::Span;
 use futures_lite::FutureExt;
@@ -76,10 +76,10 @@
 
 impl CallError {
     /// An answer that is too large has no known shape.
-    fn answer(&self) -> CacheAnswer {
+    fn answer(&self) -> CacheResponse {
         match self {
-            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheAnswer::Unreadable,
-            _ => CacheAnswer::Failed,
+            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Unreadable,
+            _ => CacheResponse::Failed,
         }
     }
 }
@@ -151,23 +151,24 @@
         }
     }
 
-    async fn carry_out(&self, order: CacheOrder, control: &Control) {
+    async fn carry_out(&self, order: DueCacheCall, control: &Control) {
         let reply = self.reply(&order).await;
         let now = control.clock.now();
         if let Ok(reply) = &reply {
             control.take_call_notice(&order, reply.notice, now);
         }
         let answer = self.answer(&order, reply);
-        let news = control
-            .dispatcher
-            .borrow_mut()
-            .take_cache_answer(&order.instance, answer, now);
+        let news =
+            control
+                .dispatcher
+                .borrow_mut()
+                .handle_cache_response(&order.instance, answer, now);
         if let Some(news) = news {
             events::cache_told(&order.instance, &news);
         }
     }
 
-    async fn reply(&self, order: &CacheOrder) -> Result<Reply, CallError> {
+    async fn reply(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
         let wait = match order.call {
             CacheCall::List => Span::ZERO,
             CacheCall::Events { wait, .. } => wait,
@@ -179,14 +180,14 @@
         self.exchange(order).or(timeout).await
     }
 
-    fn answer(&self, order: &CacheOrder, reply: Result<Reply, CallError>) -> CacheAnswer {
+    fn answer(&self, order: &DueCacheCall, reply: Result<Reply, CallError>) -> CacheResponse {
         match reply {
             Ok(reply) => match reply.status {
                 StatusCode::OK => self.read(order, &reply.body),
-                StatusCode::TOO_MANY_REQUESTS => CacheAnswer::Refused,
+                StatusCode::TOO_MANY_REQUESTS => CacheResponse::Refused,
                 status => {
                     events::cache_call_failed(&order.instance, status.as_str());
-                    CacheAnswer::Failed
+                    CacheResponse::Failed
                 }
             },
             Err(error) => {
@@ -196,18 +197,20 @@
         }
     }
 
-    fn read(&self, order: &CacheOrder, body: &[u8]) -> CacheAnswer {
+    fn read(&self, order: &DueCacheCall, body: &[u8]) -> CacheResponse {
         let read = match order.call {
-            CacheCall::List => (self.protocol.read_listing)(body).map(CacheAnswer::Listing),
-            CacheCall::Events { .. } => (self.protocol.read_events)(body).map(CacheAnswer::Events),
+            CacheCall::List => (self.protocol.read_listing)(body).map(CacheResponse::Listing),
+            CacheCall::Events { .. } => {
+                (self.protocol.read_events)(body).map(CacheResponse::Events)
+            }
         };
         read.unwrap_or_else(|error| {
             events::cache_answer_doubtful(&order.instance, &error);
-            CacheAnswer::Unreadable
+            CacheResponse::Unreadable
         })
     }
 
-    async fn exchange(&self, order: &CacheOrder) -> Result<Reply, CallError> {
+    async fn exchange(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
         let resting = self.resting.borrow_mut().remove(&order.instance);
         let mut connection = match usable(resting).await {
             Some(connection) => connection,
@@ -229,7 +232,7 @@
         })
     }
 
-    fn request(&self, order: &CacheOrder) -> Result<Request<Empty<Bytes>>, http::Error> {
+    fn request(&self, order: &DueCacheCall) -> Result<Request<Empty<Bytes>>, http::Error> {
         let host = order.address.to_string();
         let request = match order.call {
             CacheCall::List => Request::get(self.protocol.listing_path),
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -11,9 +11,9 @@
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{
-    Applied, CacheOrder, Change, Decision, Demand, Dispatcher, DocumentKey, Envelope, LeaseId,
-    MessageKind, NoticeSource, Outcome, QuarantineChange, ReadingDuty, Revision, StreamPacing,
-    TICK, TakenNews, VersionVector,
+    ApplyOutcome, Change, Decision, Demand, Dispatcher, DocumentKey, DueCacheCall, Envelope,
+    LeaseId, MessageKind, NoticeSource, Outcome, QuarantineChange, ReaderRole, ReceivedChange,
+    Revision, StreamPacing, TICK, VersionVector,
 };
 use eiderferry_routing::{InstanceId, RoutingTable, ZoneName};
 use eiderferry_types::{RequestDigest, Span, Timestamp};
@@ -92,7 +92,7 @@
     }
 
     /// Whether nothing shows that a back end still works.
-    pub async fn is_unheard(&self, instance: InstanceId) -> bool {
+    pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
         let (reply, answer) = async_channel::bounded(1);
         let asked = self.commands.send(Command::IsUnheard { instance, reply });
         asked.await.is_ok() && answer.recv().await.unwrap_or(false)
@@ -235,7 +235,7 @@
             Command::End(lease, outcome, pacing) => {
                 dispatcher.note_pacing(lease, &pacing);
                 let ended = dispatcher.end(lease, outcome, now);
-                for (instance, change) in &ended.standings {
+                for (instance, change) in &ended.health_changes {
                     events::back_end_standing(instance, *change, outcome);
                 }
                 self.note_quarantine(&ended.quarantine_change, now);
@@ -252,7 +252,7 @@
                 dispatcher.note_round_trip(&instance, round_trip);
             }
             Command::IsUnheard { instance, reply } => {
-                let _ = reply.try_send(dispatcher.is_unheard(&instance, now));
+                let _ = reply.try_send(dispatcher.is_presumed_down(&instance, now));
             }
             Command::Stop => dispatcher.stop(),
         }
@@ -288,8 +288,8 @@
         for change in &output.peer_changes {
             events::peer(change);
         }
-        for change in &output.warmth_changes {
-            events::warmth(change);
+        for change in &output.warmup_changes {
+            events::warmup(change);
         }
         for change in &output.limit_changes {
             events::rate_limit(change);
@@ -307,7 +307,7 @@
     }
 
     /// Takes in what the answer to a call says of its engine.
-    pub fn take_call_notice(&self, order: &CacheOrder, notice: Notice, now: Timestamp) {
+    pub fn take_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
         take_notice(&mut dispatcher, order.into(), notice, now);
     }
@@ -325,8 +325,8 @@
 
     fn send(&self, envelope: &Envelope) {
         let dispatcher = self.dispatcher.borrow();
-        let border = |address| dispatcher.border_to(address);
-        self.socket.send(envelope, border);
+        let distance = |address| dispatcher.distance_to(address);
+        self.socket.send(envelope, distance);
     }
 
     fn standing(&self) -> Standing {
@@ -425,7 +425,7 @@
     /// Whether the way to a node crosses no border that the way to another doesn't.
     fn is_as_near(&self, address: SocketAddr, other: SocketAddr) -> bool {
         let dispatcher = self.dispatcher.borrow();
-        dispatcher.border_to(address) <= dispatcher.border_to(other)
+        dispatcher.distance_to(address) <= dispatcher.distance_to(other)
     }
 
     /// Takes changes over; tells the other nodes when anything was new.
@@ -434,7 +434,7 @@
         for change in changes {
             let now = self.clock.now();
             let taken = self.dispatcher.borrow_mut().apply(change, now);
-            is_news |= taken.applied == Applied::Taken;
+            is_news |= taken.applied == ApplyOutcome::Applied;
             events::document(&taken, source);
         }
         if !is_news {
@@ -458,11 +458,14 @@
     }
 
     /// Notes changes that came with a message, and passes them on.
-    fn follow_news(&self, taken: &[TakenNews]) {
+    fn follow_news(&self, taken: &[ReceivedChange]) {
         for news in taken {
             events::document(news, "peer");
         }
-        if taken.iter().any(|news| news.applied == Applied::Taken) {
+        if taken
+            .iter()
+            .any(|news| news.applied == ApplyOutcome::Applied)
+        {
             self.announce(false);
         }
     }
@@ -486,10 +489,10 @@
     }
 
     /// Waits until this node has to read.
-    pub async fn wait_for_duty(&self) {
+    pub async fn wait_for_reader_role(&self) {
         loop {
             let now = self.control.clock.now();
-            if self.control.dispatcher.borrow().reading_duty(now) == ReadingDuty::Read {
+            if self.control.dispatcher.borrow().reader_role(now) == ReaderRole::Reader {
                 return;
             }
             let knows_nothing = self.complete_to().is_none();
@@ -509,9 +512,12 @@
     }
 
     /// Whether no node heard a confirmation for so long that the platform was probably away.
-    pub fn lacked_confirmation(&self) -> bool {
+    pub fn was_confirmation_overdue(&self) -> bool {
         let now = self.control.clock.now();
-        self.control.dispatcher.borrow().lacks_confirmation(now)
+        self.control
+            .dispatcher
+            .borrow()
+            .is_confirmation_overdue(now)
     }
 
     /// Hands changes over; `revision` is the one up to which all is then known.
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -224,8 +224,8 @@
                     }
                 };
                 let bytes = encode(&answer);
-                let border = control.dispatcher.borrow().border_to(caller);
-                metrics::control_bytes(MessageKind::Documents, border, bytes.len());
+                let distance = control.dispatcher.borrow().distance_to(caller);
+                metrics::control_bytes(MessageKind::Documents, distance, bytes.len());
                 // A caller that has left needs no answer; its connection ends the transfer.
                 let _ = reply.try_send((bytes, transfer));
             }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -10,9 +10,9 @@
 use crate::own_answer::OwnAnswer;
 use crate::upstream::ConnectionCheck;
 use eiderferry_dispatch::{
-    Applied, CacheNews, ColdDuty, DocumentKey, ExpiredLease, Grant, HealthChange, LimitChange,
-    LimitDuty, Outcome, PeerChange, QuarantineChange, Revision, SplitChange, StreamPacing,
-    TakenNews, UnknownName, WarmthChange,
+    ApplyOutcome, CacheUpdate, ColdRole, DocumentKey, ExpiredLease, Grant, HealthChange,
+    LimitChange, LimitRole, Outcome, PeerChange, QuarantineChange, ReceivedChange, Revision,
+    SplitChange, StreamPacing, UnknownName, WarmupChange,
 };
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
@@ -90,13 +90,13 @@
 /// to it.
 pub(crate) fn rate_limit(change: &LimitChange) {
     let back_end = change.instance.as_str();
-    let Some((limit, duty)) = change.stands else {
+    let Some((limit, role)) = change.stands else {
         log::info!(event = "back_end_unlimited", back_end = back_end; "a rate limit is over");
         return;
     };
-    let each = match duty {
-        LimitDuty::Sender(each) => Some(each),
-        LimitDuty::Others => None,
+    let each = match role {
+        LimitRole::Sender(each) => Some(each),
+        LimitRole::OtherNodes => None,
     };
     log::info!(
         event = "back_end_limited", back_end = back_end, limit:% = limit, sender = each.is_some(),
@@ -107,12 +107,12 @@
 
 /// A back end turned cold or warm, or this node became, or no longer is, one of the few that
 /// send to it.
-pub(crate) fn warmth(change: &WarmthChange) {
-    let event = match change.duty {
-        ColdDuty::Warm => "back_end_warm",
-        ColdDuty::Others | ColdDuty::Sender => "back_end_cold",
+pub(crate) fn warmup(change: &WarmupChange) {
+    let event = match change.role {
+        ColdRole::Warm => "back_end_warm",
+        ColdRole::OtherNodes | ColdRole::Sender => "back_end_cold",
     };
-    let is_sender = change.duty == ColdDuty::Sender;
+    let is_sender = change.role == ColdRole::Sender;
     log::info!(
         event = event, back_end = change.instance.as_str(), sender = is_sender,
         warm_in_ms = change.warm_in.milliseconds();
@@ -183,7 +183,7 @@
 }
 
 /// A document names a zone or region that the settings don't know.
-fn unknown_name(news: &TakenNews, unknown: &UnknownName) {
+fn unknown_name(news: &ReceivedChange, unknown: &UnknownName) {
     metrics::document_doubtful(unknown.kind());
     log::warn!(
         event = "document_doubtful", item = news.key.kind(), revision:% = news.revision,
@@ -193,7 +193,7 @@
 }
 
 /// A document was taken, or refused.
-pub(crate) fn document(news: &TakenNews, source: &'static str) {
+pub(crate) fn document(news: &ReceivedChange, source: &'static str) {
     for unknown in &news.unknown {
         unknown_name(news, unknown);
     }
@@ -204,16 +204,16 @@
         DocumentKey::Evacuation(zone) => zone.as_str(),
     };
     match &news.applied {
-        Applied::Known => {}
-        Applied::Withheld => log::info!(
+        ApplyOutcome::AlreadyKnown => {}
+        ApplyOutcome::Withheld => log::info!(
             event = "document_withheld", item = item, revision:% = revision, source = source;
             "back end removed before a restore is listed again; withheld"
         ),
-        Applied::Taken => log::info!(
+        ApplyOutcome::Applied => log::info!(
             event = "document_taken", item = item, kind = kind, revision:% = revision, source = source;
             "document in force"
         ),
-        Applied::Refused(error) => log::warn!(
+        ApplyOutcome::Rejected(error) => log::warn!(
             event = "document_refused", item = item, revision:% = revision, source = source,
             error = error.as_str();
             "document refused; the previous one stays"
@@ -239,7 +239,7 @@
 }
 
 /// What an engine told of its cache corrected what was believed, or has a gap.
-pub(crate) fn cache_told(instance: &InstanceId, news: &CacheNews) {
+pub(crate) fn cache_told(instance: &InstanceId, news: &CacheUpdate) {
     let counts = &news.counts;
     if news.gone + news.kept == 0 && counts.listings > 0 && counts.answers > 0 {
         return;
--- a/crates/transport/relay/src/gossip.rs
+++ b/crates/transport/relay/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes as datagrams.
 
 use crate::{events, metrics};
-use eiderferry_dispatch::{Border, Envelope, Gossip};
+use eiderferry_dispatch::{Distance, Envelope, Gossip};
 use smol::Async;
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
@@ -26,8 +26,8 @@
     }
 
     /// Sends a message; what can't be sent now is lost, and repeated with the next.
-    /// `border` says what lies between this node and another.
-    pub fn send(&self, envelope: &Envelope, border: impl Fn(SocketAddr) -> Border) {
+    /// `distance` says what lies between this node and another.
+    pub fn send(&self, envelope: &Envelope, distance: impl Fn(SocketAddr) -> Distance) {
         let frame = match postcard::to_extend(&envelope.message, vec![FORMAT_VERSION]) {
             Ok(frame) => frame,
             Err(error) => {
@@ -36,7 +36,7 @@
             }
         };
         for address in &envelope.to {
-            metrics::control_bytes(envelope.kind, border(*address), frame.len());
+            metrics::control_bytes(envelope.kind, distance(*address), frame.len());
             if let Err(error) = self.socket.get_ref().send_to(&frame, address) {
                 log::trace!("a message to {address} was not sent: {error}");
                 metrics::message_lost("send");
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -4,7 +4,7 @@
 //! routes, tenants or requests.
 
 use crate::memory_budget::MemoryBudget;
-use eiderferry_dispatch::{Border, MessageKind, Snapshot, SplitFigures};
+use eiderferry_dispatch::{Distance, MessageKind, Snapshot, SplitFigures};
 use eiderferry_routing::{Route, RouteKind};
 use eiderferry_types::Span;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
@@ -118,9 +118,9 @@
 }
 
 /// Bytes of control traffic were sent to another node, headers of the network not included.
-pub(crate) fn control_bytes(kind: MessageKind, border: Border, bytes: usize) {
+pub(crate) fn control_bytes(kind: MessageKind, distance: Distance, bytes: usize) {
     metrics::counter!(
-        "eiderferry_control_bytes_total", "kind" => kind.label(), "border" => border.label()
+        "eiderferry_control_bytes_total", "kind" => kind.label(), "border" => distance.label()
     )
     .increment(bytes as u64);
 }
@@ -189,7 +189,7 @@
 
 /// How the dispatcher stands.
 pub(crate) fn set_gauges(snapshot: &Snapshot) {
-    metrics::gauge!("eiderferry_living_peers").set(snapshot.living_peers as f64);
+    metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
     metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected as f64);
     metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold as f64);
@@ -212,8 +212,8 @@
     metrics::gauge!("eiderferry_documents_revision").set(snapshot.complete_to.number as f64);
     metrics::gauge!("eiderferry_table_version").set(snapshot.table_version as f64);
     metrics::gauge!("eiderferry_confirmation_age_seconds").set(snapshot.confirmed_age_seconds);
-    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.looked_at);
-    metrics::counter!("eiderferry_cache_follow_looks_total").absolute(snapshot.follow_looks);
+    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.examined);
+    metrics::counter!("eiderferry_cache_follow_looks_total").absolute(snapshot.follow_evaluations);
     let quarantine = &snapshot.quarantine;
     metrics::gauge!("eiderferry_requests_suspected").set(quarantine.suspected as f64);
     metrics::gauge!("eiderferry_requests_quarantined").set(quarantine.quarantined as f64);
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a relay is told at its start.
 
 use crate::{CacheProtocol, Vocabulary};
-use eiderferry_dispatch::{BudgetSettings, ColdBound, Features};
+use eiderferry_dispatch::{ColdRateLimit, Features, RetryBudgetSettings};
 use eiderferry_routing::{NodeName, RegionOfZone, ZoneName};
 use eiderferry_types::Span;
 use std::net::SocketAddr;
@@ -35,13 +35,13 @@
     /// Other nodes' addresses, perhaps out of date.
     pub seeds: Vec<SocketAddr>,
     /// Bound of repeats over all nodes.
-    pub budget: BudgetSettings,
+    pub budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
     /// Time within which a change that the platform has confirmed has to be in force.
-    pub apply_within: Span,
+    pub propagation_deadline: Span,
     /// Bound of requests to a cold back end over all nodes.
-    pub cold_bound: ColdBound,
+    pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
     pub regions: RegionOfZone,
     /// Parts of the dispatcher in use.
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -215,7 +215,11 @@
             return true;
         };
         let instance = source.lease.grant.instance.clone();
-        self.exchange.traffic.control.is_unheard(instance).await
+        self.exchange
+            .traffic
+            .control
+            .is_presumed_down(instance)
+            .await
     }
 
     async fn note_break(&self, outcome: Outcome) {
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/running.rs
@@ -2,7 +2,7 @@
 
 use super::documents::{ENGINE, cache_protocol, changes, engine, leaving, vocabulary};
 use super::{AMPLE_MEMORY, Answer, Caller, PATIENCE, SMALL_BUFFER, StandIn, write};
-use eiderferry_dispatch::{BudgetSettings, Change, ColdBound, Features};
+use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
 use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, Source, StopSettings};
 use eiderferry_routing::{EngineSpecification, NodeName, ZoneName};
 use eiderferry_types::Span;
@@ -185,17 +185,17 @@
             metrics: None,
             peer,
             seeds: options.seeds,
-            budget: BudgetSettings {
+            budget: RetryBudgetSettings {
                 ratio: 0.2,
                 allowance: 400.0,
                 window: Span::from_milliseconds(10_000),
             },
             link_mbps: 100,
             memory_budget: options.memory_budget,
-            apply_within: Span::from_milliseconds(2_000),
+            propagation_deadline: Span::from_milliseconds(2_000),
             regions: BTreeMap::new(),
             features: options.features,
-            cold_bound: ColdBound {
+            cold_rate_limit: ColdRateLimit {
                 overage: 1.5,
                 slack: 5.0,
             },
