--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -18,7 +18,9 @@
 
 pub use cache_index::{CacheUpdate, DueCacheCall};
 pub use granting::{ExpiredLease, LeaseRelease};
-pub(crate) use messages::{FAR_FANOUT, FAR_TICKS, NEAR_FANOUT, SPARSE_FAR_FANOUT};
+pub(crate) use messages::{
+    CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
+};
 pub use noticing::NoticeSource;
 pub use reading::ReaderRole;
 pub use unknown_names::UnknownName;
@@ -32,17 +34,17 @@
 
 use crate::load::cache_index::FollowCounts;
 use crate::load::registry::Registry;
-use crate::placement::places::RoundTrips;
-use crate::placement::pool_split::LongSilent;
+use crate::placement::locality::RoundTrips;
+use crate::placement::pool_split::PersistentSilence;
 use crate::placement::replication::LossChances;
 use crate::{
-    ApplyOutcome, Change, ColdRateLimit, ColdRole, Content, Distance, DocumentKey, Envelope,
-    Features, Gossip, Knowledge, LeaseId, LimitChange, PeerChange, Peers, Placement,
+    ApplyOutcome, Change, ColdRateLimit, ColdRole, Distance, DocumentContent, DocumentKey,
+    DocumentStore, Envelope, Features, Gossip, LeaseId, LimitChange, PeerChange, Peers, Placement,
     QuarantineChange, QuarantineCounts, RetryBudget, RetryBudgetSettings, Revision, SplitChange,
     SplitFigures, VersionVector, WarmupChange,
 };
 use eiderferry_quarantine::Quarantine;
-use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, RegionOfZone, ZoneName};
+use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -83,7 +85,7 @@
     /// Bound of requests to a cold back end over all nodes.
     pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
-    pub regions: RegionOfZone,
+    pub regions: ZoneRegions,
     /// Parts in use.
     pub features: Features,
 }
@@ -113,9 +115,9 @@
     /// What changed with its sender.
     pub change: Option<PeerChange>,
     /// An answer is wanted.
-    pub wants_answer: bool,
+    pub wants_reply: bool,
     /// The sender knows newer documents, which have to be fetched.
-    pub is_newer: bool,
+    pub has_newer_documents: bool,
     /// Changes that the message carried.
     pub taken: Vec<ReceivedChange>,
     /// Requests that are refused from now on, or no longer.
@@ -186,7 +188,7 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
-    knowledge: Knowledge,
+    document_store: DocumentStore,
     peers: Peers,
     back_ends: Registry,
     budgets: HashMap<PoolName, RetryBudget>,
@@ -216,7 +218,7 @@
     silent_zones: BTreeSet<ZoneName>,
     round_trips: RoundTrips,
     home_scopes: HomeScopes,
-    long_silent: LongSilent,
+    long_silent: PersistentSilence,
     /// Zones whose back ends get nothing new.
     evacuated: BTreeSet<ZoneName>,
     /// How likely a stream of each pool is to be lost.
@@ -244,7 +246,7 @@
         let (near_turn, far_turn) = (random.random::<u16>(), random.random::<u16>());
         Self {
             settings,
-            knowledge: Knowledge::default(),
+            document_store: DocumentStore::default(),
             peers,
             back_ends: Registry::default(),
             budgets: HashMap::new(),
@@ -269,7 +271,7 @@
             silent_zones: BTreeSet::new(),
             round_trips: RoundTrips::default(),
             home_scopes: HomeScopes::default(),
-            long_silent: LongSilent::default(),
+            long_silent: PersistentSilence::default(),
             evacuated: BTreeSet::new(),
             losses: LossChances::default(),
             quarantine: Quarantine::default(),
@@ -281,8 +283,8 @@
     }
 
     /// The documents known.
-    pub fn knowledge(&self) -> &Knowledge {
-        &self.knowledge
+    pub fn document_store(&self) -> &DocumentStore {
+        &self.document_store
     }
 
     /// Takes over new seeds.
@@ -297,18 +299,18 @@
 
     /// This process stood still: what it knows is old, and silence proves nothing.
     pub fn resume_after_pause(&mut self, now: Timestamp) {
-        self.peers.pardon(now);
-        self.aggregation.pardon(now);
+        self.peers.reset_silence(now);
+        self.aggregation.reset_silence(now);
     }
 
     /// Takes a document over that is heard now.
     pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
-        let applied = self.knowledge.apply(change.clone());
+        let applied = self.document_store.apply(change.clone());
         let mut unknown = Vec::new();
         if applied == ApplyOutcome::Applied {
             self.take(change, now);
-            unknown = unknown_names(&key, &self.knowledge, &self.settings.regions);
+            unknown = unknown_names(&key, &self.document_store, &self.settings.regions);
         }
         if applied == ApplyOutcome::Withheld {
             self.withhold(&key, now);
@@ -323,26 +325,26 @@
     }
 
     fn take(&mut self, change: Change, now: Timestamp) {
-        self.home_scopes.note_document(&change.key);
-        let table = self.knowledge.table().cloned();
+        self.home_scopes.record_document(&change.key);
+        let table = self.document_store.table().cloned();
         match (change.key, change.content) {
-            (key @ DocumentKey::BackEnd(_), Content::BackEnd(back_end)) => {
+            (key @ DocumentKey::BackEnd(_), DocumentContent::BackEnd(back_end)) => {
                 self.lapsed.remove(&key);
                 self.withheld.remove(&back_end.instance);
                 self.forget_previous_run(&back_end);
                 let table = table.as_deref();
                 self.back_ends.list(back_end, change.revision, table, now);
             }
-            (DocumentKey::Evacuation(zone), Content::Evacuated) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
                 self.lapsed.remove(&DocumentKey::Evacuation(zone.clone()));
                 self.evacuated.insert(zone);
             }
             (DocumentKey::Table, _) => {
                 if let Some(table) = table {
-                    self.back_ends.take_table(&table);
+                    self.back_ends.apply_table(&table);
                 }
             }
-            (key, Content::Lapsed(within)) => {
+            (key, DocumentContent::Expired(within)) => {
                 self.lapsed.insert(key, now + within);
             }
             (key, _) => self.forget(&key, now),
@@ -384,7 +386,7 @@
         let due: Vec<InstanceId> = due.map(|(instance, _)| instance.clone()).collect();
         for instance in due {
             self.withheld.remove(&instance);
-            if let Some(change) = self.knowledge.release(&instance) {
+            if let Some(change) = self.document_store.release(&instance) {
                 self.take(change, now);
             }
         }
@@ -397,7 +399,7 @@
         }
         let states = self.back_ends.all_mut();
         for state in states.filter(|state| state.back_end.zone == *zone) {
-            state.warmup.note_return(now);
+            state.warmup.record_zone_return(now);
         }
     }
 
@@ -412,7 +414,7 @@
 
     /// Time of the platform's last confirmation.
     fn confirmed_at(&self, now: Timestamp) -> Option<Timestamp> {
-        let age = self.knowledge.confirmed_age(now)?;
+        let age = self.document_store.confirmed_age(now)?;
         Some(now - age)
     }
 
@@ -434,7 +436,7 @@
     /// Notes that the platform confirmed, to this node or to a peer, that no change is newer than
     /// the known ones.
     pub fn confirm(&mut self, known: &VersionVector, at: Timestamp) {
-        self.knowledge.confirm(known, at);
+        self.document_store.confirm(known, at);
     }
 
     /// Takes a peer's message in.
@@ -445,27 +447,30 @@
         now: Timestamp,
     ) -> ReceiveOutput {
         self.now = now;
-        let change = self.peers.heard(address, message, now);
-        self.note_table_elsewhere(message.table_stamp);
-        self.take_own_loads(message, now);
+        let change = self.peers.record_message(address, message, now);
+        self.record_table_elsewhere(message.table_stamp);
+        self.apply_own_loads(message, now);
         self.take_aggregation(address, message, now);
-        self.take_zone_digests(address, message, now);
-        self.back_ends.take_placements(&message.placements, now);
-        let taken = self.take_news(message, now);
+        self.apply_zone_digests(address, message, now);
+        self.back_ends.apply_placements(&message.placements, now);
+        let taken = self.apply_recent_changes(message, now);
         let quarantine_changes = self.take_crashing_requests(message, now);
         self.take_limits(message, now);
-        let knows_all = self.knowledge.complete_to().includes(&message.complete_to)
+        let knows_all = self
+            .document_store
+            .complete_to()
+            .includes(&message.complete_to)
             || (self.has_taken_all(message) && message.news.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
             let at = now - Span::from_milliseconds(u64::from(age));
-            self.knowledge.confirm(&message.complete_to, at);
+            self.document_store.confirm(&message.complete_to, at);
         }
         ReceiveOutput {
             change,
-            wants_answer: message.wants_answer,
-            is_newer: !knows_all,
+            wants_reply: message.wants_reply,
+            has_newer_documents: !knows_all,
             taken,
             quarantine_changes,
         }
@@ -474,10 +479,10 @@
     /// Whether the news of a message follow on what is known.
     fn has_taken_all(&self, message: &Gossip) -> bool {
         let news = message.news.as_ref();
-        news.is_some_and(|news| self.knowledge.complete_to().includes(&news.after))
+        news.is_some_and(|news| self.document_store.complete_to().includes(&news.after))
     }
 
-    fn take_news(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
+    fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
         let Some(news) = message.news.as_ref() else {
             return Vec::new();
         };
@@ -523,8 +528,8 @@
 
     /// Figures for metrics.
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
-        let table = self.knowledge.table();
-        let age = self.knowledge.confirmed_age(now);
+        let table = self.document_store.table();
+        let age = self.document_store.confirmed_age(now);
         let count = |role| {
             let states = self.back_ends.all();
             states.filter(|state| state.warmup.role() == role).count()
@@ -548,7 +553,11 @@
             silent_zones: self.silent_zones.len(),
             evacuated_zones: self.evacuated.len(),
             leases: self.leases.len(),
-            complete_to: self.knowledge.complete_to().newest().unwrap_or_default(),
+            complete_to: self
+                .document_store
+                .complete_to()
+                .newest()
+                .unwrap_or_default(),
             table_version: table.map_or(0, |table| table.version()),
             confirmed_age_seconds: age.map_or(f64::INFINITY, |age| age.seconds()),
             split: self.largest_split(),
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -8,7 +8,7 @@
 use super::turns::round_robin;
 use super::{Dispatcher, TICK};
 use crate::fleet::message::{
-    Envelope, FleetSummary, Gossip, HeardZone, LoadReport, Member, Placement,
+    Envelope, FleetSummary, Gossip, LoadReport, Member, Placement, ZoneAge,
 };
 use crate::fleet::traffic::MessageKind;
 use crate::load::limit_notices::Audience;
@@ -110,7 +110,7 @@
     }
 
     /// Notes placements for the next summary.
-    pub(super) fn note_placements(&mut self, placements: &[Placement]) {
+    pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
             if self.placed.len() < MOST_PLACEMENTS || self.placed.contains_key(&key) {
@@ -135,7 +135,7 @@
     }
 
     /// Silence of the others before a pause of this process proves nothing.
-    pub(super) fn pardon(&mut self, now: Timestamp) {
+    pub(super) fn reset_silence(&mut self, now: Timestamp) {
         for watched in &mut self.watched {
             watched.until = now + FIRST_SUMMARY_WITHIN;
         }
@@ -145,12 +145,12 @@
     }
 
     /// Notes a report to this node.
-    pub(super) fn note_report(&mut self, now: Timestamp) {
+    pub(super) fn record_report(&mut self, now: Timestamp) {
         self.reported_to = Some(now);
     }
 
     /// Notes that something was counted in another zone at a moment.
-    pub(super) fn note_zone(&mut self, zone: &ZoneName, counted_at: Timestamp) {
+    pub(super) fn record_zone(&mut self, zone: &ZoneName, counted_at: Timestamp) {
         let heard = self.zones_heard.entry(zone.clone()).or_default();
         *heard = counted_at.max(*heard);
     }
@@ -187,7 +187,7 @@
         let silent: Vec<SocketAddr> = silent.map(|watched| watched.address).collect();
         let changes = silent
             .into_iter()
-            .filter_map(|address| self.peers.give_up(address))
+            .filter_map(|address| self.peers.mark_lost(address))
             .collect();
         let known = std::mem::take(&mut self.aggregation.watched);
         let watch = |address: SocketAddr| {
@@ -199,7 +199,7 @@
         };
         let appointed = self.appointed_aggregators();
         self.aggregation.watched = appointed.into_iter().map(watch).collect();
-        self.renew_own_role(now);
+        self.update_own_role(now);
         changes
     }
 
@@ -215,7 +215,7 @@
         ranked.map(|(_, address)| address).collect()
     }
 
-    fn renew_own_role(&mut self, now: Timestamp) {
+    fn update_own_role(&mut self, now: Timestamp) {
         let own = self.settings.address;
         let period = self.summary_ticks();
         let aggregation = &mut self.aggregation;
@@ -247,7 +247,7 @@
         let has_changed = loads != self.aggregation.last_report
             || !self.placements.is_empty()
             || !digests.is_empty()
-            || self.back_ends.limit_notices().has_news(now);
+            || self.back_ends.limit_notices().has_unsent_changes(now);
         if !has_changed && rested < UNCHANGED_REPORT_TICKS {
             return Vec::new();
         }
@@ -256,7 +256,7 @@
         let placements = std::mem::take(&mut self.placements);
         let aggregators = self.aggregation.watched.clone();
         let mut message = self.bare_gossip(false, now);
-        message.is_report = true;
+        message.is_for_aggregator = true;
         message.loads = Some(loads);
         message.zone_digests = digests;
         message.limits = self.limits_for(Audience::OwnZone, now);
@@ -267,7 +267,7 @@
             let told = told.filter(|placement| Aggregation::is_for(number, count, placement));
             let told: Vec<Placement> = told.collect();
             if address == self.settings.address {
-                self.aggregation.note_placements(&told);
+                self.aggregation.record_placements(&told);
                 continue;
             }
             let mut report = message.clone();
@@ -287,7 +287,7 @@
             return None;
         }
         let period = self.aggregation.period;
-        let near = self.peers.near();
+        let near = self.peers.same_zone_peers();
         let told = near.len().div_ceil(period as usize);
         let to = round_robin(&near, told, &mut self.aggregation.told_turn);
         let mut message = self.bare_gossip(false, now);
@@ -311,20 +311,20 @@
     /// name the same ones, as each goes to other nodes.
     fn members_named(&mut self, now: Timestamp) -> Vec<Member> {
         let period = self.aggregation.period;
-        let near = self.peers.near_count() as u64;
+        let near = self.peers.same_zone_count() as u64;
         let named = (near * period).div_ceil(TICKS_TO_NAME_ALL) as usize;
         if self.ticks.is_multiple_of(period) {
             let turn = self.aggregation.member_turn;
             self.aggregation.member_turn = turn.wrapping_add(named);
         }
         let first = self.aggregation.member_turn;
-        let mut members = self.peers.near_members(first, named, now);
-        let far = (self.peers.far_count() as u64 * period).div_ceil(TICKS_TO_NAME_FAR);
+        let mut members = self.peers.same_zone_members(first, named, now);
+        let far = (self.peers.other_zone_count() as u64 * period).div_ceil(TICKS_TO_NAME_FAR);
         let first = self.aggregation.far_member_turn;
         if self.ticks.is_multiple_of(period) {
             self.aggregation.far_member_turn = first.wrapping_add(far as usize);
         }
-        members.extend(self.peers.far_members(first, far as usize, now));
+        members.extend(self.peers.other_zone_members(first, far as usize, now));
         members
     }
 
@@ -334,7 +334,7 @@
         let summary_bytes = back_ends * BYTES_PER_BACK_END + BYTES_OF_PLACEMENTS;
         let bytes_a_second = f64::from(self.settings.link_mbps) * BYTES_A_MBIT * LINK_PART;
         let told_per_tick = bytes_a_second * TICK.seconds() / summary_bytes;
-        let ticks = self.peers.near_count() as f64 / told_per_tick.clamp(1.0, TOLD_PER_TICK);
+        let ticks = self.peers.same_zone_count() as f64 / told_per_tick.clamp(1.0, TOLD_PER_TICK);
         (ticks.ceil() as u64).clamp(SHORTEST_PERIOD, LONGEST_PERIOD)
     }
 
@@ -354,10 +354,10 @@
         busiest(loads.collect(), MOST_SUMMED)
     }
 
-    fn heard_zones(&self, now: Timestamp) -> Vec<HeardZone> {
+    fn heard_zones(&self, now: Timestamp) -> Vec<ZoneAge> {
         let zones = self.aggregation.zones_heard.iter();
         zones
-            .map(|(zone, heard)| HeardZone {
+            .map(|(zone, heard)| ZoneAge {
                 zone: zone.clone(),
                 age_ms: now.since(*heard).milliseconds() as u32,
             })
@@ -374,16 +374,16 @@
         if message.zone != self.settings.zone {
             return;
         }
-        if message.is_report {
-            self.aggregation.note_report(now);
-            self.aggregation.note_placements(&message.placements);
+        if message.is_for_aggregator {
+            self.aggregation.record_report(now);
+            self.aggregation.record_placements(&message.placements);
         }
         if let Some(summary) = &message.summary {
-            self.take_summary(address, message.from.digest(), summary, now);
+            self.apply_summary(address, message.from.digest(), summary, now);
         }
     }
 
-    fn take_summary(
+    fn apply_summary(
         &mut self,
         address: SocketAddr,
         aggregator: u64,
@@ -399,19 +399,21 @@
         self.aggregation.summary_heard = Some(now);
         for heard in &summary.zones {
             let age = Span::from_milliseconds(u64::from(heard.age_ms));
-            self.aggregation.note_zone(&heard.zone, now - age);
+            self.aggregation.record_zone(&heard.zone, now - age);
         }
-        self.back_ends.take_placements(&summary.placements, now);
+        self.back_ends.apply_placements(&summary.placements, now);
         // An aggregator counts itself, from fresher reports.
         if !self.aggregation.is_acting() {
-            let source = LoadSource::AllNodes { teller: aggregator };
-            self.back_ends.take_loads(source, &summary.loads, now);
+            let source = LoadSource::AllNodes {
+                reporter: aggregator,
+            };
+            self.back_ends.apply_loads(source, &summary.loads, now);
         }
     }
 
     /// Takes over the requests that a message's sender reports as its own, unless they
     /// arrive here in sums.
-    pub(super) fn take_own_loads(&mut self, message: &Gossip, now: Timestamp) {
+    pub(super) fn apply_own_loads(&mut self, message: &Gossip, now: Timestamp) {
         let Some(loads) = &message.loads else {
             return;
         };
@@ -422,14 +424,14 @@
         };
         if !is_summed {
             let source = LoadSource::Node(message.from.digest());
-            self.back_ends.take_loads(source, loads, now);
+            self.back_ends.apply_loads(source, loads, now);
         }
     }
 }
 
 /// The reports that say something; of these the ones with most requests.
 pub(super) fn busiest(mut loads: Vec<LoadReport>, most: usize) -> Vec<LoadReport> {
-    loads.retain(LoadReport::says_something);
+    loads.retain(LoadReport::has_content);
     loads.sort_unstable_by_key(|load| (std::cmp::Reverse(load.running), load.back_end));
     loads.truncate(most);
     loads
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -67,7 +67,7 @@
 struct FollowBasis {
     may_follow: bool,
     table_stamp: TableStamp,
-    staying_version: u64,
+    active_peers_version: u64,
     back_ends_version: u64,
 }
 
@@ -107,13 +107,13 @@
 impl Dispatcher {
     /// Calls that are due at the engines that this node follows.
     pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
-        self.renew_cache_follows(now);
-        let placed = self.back_ends.take_placed_lately();
+        self.update_cache_follows(now);
+        let placed = self.back_ends.drain_recent_placements();
         self.recall_kept(placed.into_iter(), now);
         let follows = &mut self.cache_follows.indices;
         let due = follows.iter_mut().filter_map(|(instance, index)| {
             let state = self.back_ends.get(instance)?;
-            if state.notice.rest_left(now).is_some() || state.limiter.limit().is_some() {
+            if state.notice.remaining_backoff(now).is_some() || state.limiter.limit().is_some() {
                 return None;
             }
             let listed = &state.back_end;
@@ -134,7 +134,7 @@
         self.cache_follows.indices.contains_key(instance)
     }
 
-    fn renew_cache_follows(&mut self, now: Timestamp) {
+    fn update_cache_follows(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
         let examined = &self.cache_follows.examined;
         if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
@@ -142,7 +142,7 @@
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
                 let state = back_ends.get(instance);
-                state.is_some_and(BackEndState::takes_work)
+                state.is_some_and(BackEndState::accepts_work)
             });
             return;
         }
@@ -161,8 +161,8 @@
         let is_on = self.settings.features.cache_index && self.is_any_cache_told();
         FollowBasis {
             may_follow: is_on && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
-            table_stamp: self.knowledge.table_stamp(),
-            staying_version: self.peers.staying_version(),
+            table_stamp: self.document_store.table_stamp(),
+            active_peers_version: self.peers.active_peers_version(),
             back_ends_version: self.back_ends.version(),
         }
     }
@@ -181,7 +181,7 @@
 
     /// Whether the engines of any pool tell what they keep.
     fn is_any_cache_told(&self) -> bool {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let mut pools = table
             .into_iter()
             .flat_map(|table| table.document().pools.values());
@@ -193,11 +193,11 @@
 
     fn has_to_follow(&self, state: &BackEndState) -> bool {
         let tells = self
-            .knowledge
+            .document_store
             .table()
             .and_then(|table| table.pool(&state.back_end.pool)?.engine.as_ref())
             .is_some_and(|engine| engine.cache_event_calls > 0);
-        tells && state.takes_work() && self.peers.sender_place(state.digest) == 0
+        tells && state.accepts_work() && self.peers.sender_index(state.digest) == 0
     }
 
     /// Takes in what came of a call; `None` where the engine is not followed any more, or
@@ -217,11 +217,11 @@
         let facts = self.corrections(instance)?;
         let cache = &mut self.back_ends.get_mut(instance)?.load.cache;
         for fact in &facts {
-            cache.take_fact(fact.part, fact.tokens, now);
+            cache.apply_observation(fact.part, fact.tokens, now);
         }
         let index = self.cache_follows.indices.get_mut(instance)?;
         cache.confirm(|part| index.holds(part).is_some(), now);
-        index.note_corrections(facts.len(), now);
+        index.record_corrections(facts.len(), now);
         let news = CacheUpdate::of(index, &facts, now);
         self.tell_facts(&facts);
         Some(news)
@@ -235,7 +235,7 @@
         let cache = &state.load.cache;
         let gone = index.stale_parts(cache).into_iter();
         let gone = gone.map(|part| fact(state.digest, part, 0));
-        let kept = index.missing_parts(cache, &self.back_ends.believed_parts());
+        let kept = index.missing_parts(cache, &self.back_ends.cached_parts());
         let kept = kept.into_iter();
         let kept = kept.map(|part| fact(state.digest, part.id, part.tokens));
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
@@ -260,7 +260,7 @@
                 };
                 let cache = &mut state.load.cache;
                 if !cache.keeps(part) {
-                    cache.take_fact(part, tokens, now);
+                    cache.apply_observation(part, tokens, now);
                     recalled.push(fact(state.digest, part, tokens));
                 }
             }
@@ -296,7 +296,7 @@
         let told = &told[..told.len().min(room)];
         self.placements.extend_from_slice(told);
         if self.collects_placements() {
-            self.zone_digests.note_placements(told);
+            self.zone_digests.record_placements(told);
         }
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -13,11 +13,11 @@
 impl Dispatcher {
     /// How the back ends of a pool start, if they start cold.
     pub(super) fn cold_start(&self, pool: &PoolName) -> Option<ColdStart> {
-        self.knowledge.table()?.pool(pool)?.cold_start
+        self.document_store.table()?.pool(pool)?.cold_start
     }
 
     /// Renews which back ends are cold, and to which of its zone this node may send.
-    pub(super) fn renew_cold_senders(&mut self, now: Timestamp) -> Vec<WarmupChange> {
+    pub(super) fn update_cold_senders(&mut self, now: Timestamp) -> Vec<WarmupChange> {
         let starts = self.cold_starts();
         if starts.is_empty() && !self.has_cold {
             // No pool starts cold: nothing to look for among thousands, ten times a second.
@@ -54,7 +54,7 @@
     }
 
     fn cold_starts(&self) -> BTreeMap<PoolName, ColdStart> {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let pools = table.into_iter().flat_map(|table| &table.document().pools);
         pools
             .filter_map(|(name, pool)| Some((name.clone(), pool.cold_start?)))
@@ -63,7 +63,7 @@
 }
 
 fn role(may_send: bool, peers: &Peers, state: &BackEndState, senders: usize) -> ColdRole {
-    if may_send && peers.sender_place(state.digest) < senders {
+    if may_send && peers.sender_index(state.digest) < senders {
         ColdRole::Sender
     } else {
         ColdRole::OtherNodes
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -70,11 +70,11 @@
         told_by: Option<SocketAddr>,
         now: Timestamp,
     ) -> Option<SocketAddr> {
-        if !self.settings.features.zone_speakers {
+        if !self.settings.features.zone_representatives {
             return told_by;
         }
-        let known = self.knowledge.complete_to();
-        let informed = self.peers.knowing_more_than(known);
+        let known = self.document_store.complete_to();
+        let informed = self.peers.peers_ahead_of(known);
         if informed.is_empty() {
             self.wanted.lacking = None;
             return None;
@@ -111,19 +111,19 @@
     /// Whether what this node lacks is probably on its way to it. A table is not: it is too large
     /// for an announcement.
     fn is_announcement_due(&self, since: Timestamp, now: Timestamp) -> bool {
-        let lacks_table = self.wanted.table_stamp > self.knowledge.table_stamp();
+        let lacks_table = self.wanted.table_stamp > self.document_store.table_stamp();
         !lacks_table && now.since(since) < ANNOUNCEMENT_PATIENCE
     }
 
     /// Whether this node knows nothing of the newest epoch that its peers know, and so lacks
     /// nearly all documents. This is also the case after its start.
     fn lacks_newest_epoch(&self) -> bool {
-        let newest = self.peers.newest_known();
-        newest.is_some_and(|newest| !self.knowledge.complete_to().has_epoch(newest.epoch))
+        let newest = self.peers.newest_known_revision();
+        newest.is_some_and(|newest| !self.document_store.complete_to().has_epoch(newest.epoch))
     }
 
     /// Notes which table another node has.
-    pub(super) fn note_table_elsewhere(&mut self, stamp: TableStamp) {
+    pub(super) fn record_table_elsewhere(&mut self, stamp: TableStamp) {
         let latest = &mut self.wanted.table_stamp;
         *latest = stamp.max(*latest);
     }
@@ -147,7 +147,7 @@
     }
 
     /// A node gave no documents: because it is busy, or for another reason.
-    pub fn note_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
+    pub fn record_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
         let pause = if is_busy {
             AVOIDED_BUSY
         } else {
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -119,7 +119,7 @@
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
-            costs_places: self.settings.features.place_costs,
+            costs_locality: self.settings.features.locality_costs,
             now,
         };
         if let Some(holder) = &demand.only
@@ -143,8 +143,8 @@
         if !is_takeover && self.is_full(&plans[index].instance, &candidate, demand, now) {
             return Decision::Refuse(Reason::QueueFull, OVERLOAD_RETRY);
         }
-        if demand.is_repeat {
-            let nodes = self.peers.most_known();
+        if demand.is_retry {
+            let nodes = self.peers.max_known();
             if !self.budget(&demand.pool).spend(now, nodes) {
                 return Decision::Refuse(Reason::RetryBudget, NO_BACK_END_RETRY);
             }
@@ -175,9 +175,9 @@
 
     /// Requests at a back end beyond which this one is not added.
     fn most_running(&self, demand: &Demand, slots: u32) -> u32 {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let part = table.map_or(0.0, |table| {
-            table.part_less_urgent(&demand.pool, demand.rank)
+            table.less_urgent_share(&demand.pool, demand.rank)
         });
         let fullest = FULLEST + (FULLEST_MOST_URGENT - FULLEST) * part;
         let most = (f64::from(slots) * fullest).ceil() as u32;
@@ -188,26 +188,30 @@
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
         let connections = self.connection_limit(&demand.pool);
-        let revision = self.knowledge.complete_to().newest().unwrap_or_default();
-        let list_age = self.knowledge.confirmed_age(now).unwrap_or(Span::ZERO);
+        let revision = self
+            .document_store
+            .complete_to()
+            .newest()
+            .unwrap_or_default();
+        let list_age = self.document_store.confirmed_age(now).unwrap_or(Span::ZERO);
         let exposure = plan.footprint.exposure;
-        self.back_ends.note_exposure(&demand.pool, exposure);
+        self.back_ends.record_exposure(&demand.pool, exposure);
         let state = self.back_ends.get_mut(&plan.instance)?;
         state.load.begin(lease, plan.footprint, now);
-        state.warmup.note_sent(now);
+        state.warmup.record_sent(now);
         let has_limit = state.limiter.limit().is_some();
-        state.limiter.note_sent(now);
-        let cache_known = state.load.cache.known_age(demand.shared_parts(), now);
+        state.limiter.record_sent(now);
+        let cache_observation_age = state.load.cache.observation_age(demand.shared_parts(), now);
         let read_at = now + plan.candidate.first_event;
         state.load.cache.insert(&demand.parts, read_at);
-        state.load.cache.note_shared(demand.shared_parts());
+        state.load.cache.record_shared(demand.shared_parts());
         let answer = u64::from(demand.output_tokens);
-        state.load.cache.insert_single(answer);
+        state.load.cache.insert_unshared(answer);
         let address = state.back_end.address;
         let started_unix_ms = state.back_end.started_unix_ms;
         let digest = state.digest;
         let placements = placements(digest, demand.shared_parts());
-        self.back_ends.note_holder(demand.shared_parts(), digest);
+        self.back_ends.record_holder(demand.shared_parts(), digest);
         self.tell_placements(&placements);
         let kept = self.replicate(demand, &plan.instance, now);
         let replica = kept.as_ref().map(|kept| Box::new(kept.target.clone()));
@@ -227,7 +231,7 @@
             address,
             connections,
             uncached_tokens: plan.footprint.uncached_tokens,
-            cache_known,
+            cache_observation_age,
             copy_from: plan.copy_from,
             replica,
             has_limit,
@@ -244,7 +248,7 @@
             Reason::ColdBackEnds | Reason::ZoneEvacuated => UNDER_WAY_RETRY,
             // They rest from this node alone: a caller that comes back soon may reach another.
             Reason::BackEndsRest => {
-                let rest = self.back_ends.shortest_rest(&demand.pool, now);
+                let rest = self.back_ends.shortest_backoff(&demand.pool, now);
                 rest.map_or(NO_BACK_END_RETRY, |rest| rest.min(NO_BACK_END_RETRY))
             }
             // The limits hold for all nodes together: no other one takes the caller sooner.
@@ -257,11 +261,11 @@
     }
 
     fn connection_limit(&self, pool: &PoolName) -> u32 {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let maximum = table
             .and_then(|table| table.pool(pool))
             .map_or(MINIMUM_CONNECTIONS, |pool| pool.maximum_connections);
-        let share = f64::from(maximum) * CONNECTION_PART / f64::from(self.peers.most_known());
+        let share = f64::from(maximum) * CONNECTION_PART / f64::from(self.peers.max_known());
         (share as u32).max(MINIMUM_CONNECTIONS)
     }
 
@@ -273,7 +277,7 @@
     }
 
     /// How the events of a stream came, told before its place is given back.
-    pub fn note_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
+    pub fn record_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.has_events |= pacing.events() > 0;
             self.back_ends.learn(&lease.instance, pacing);
@@ -293,10 +297,10 @@
         // A stream that ends without an event may be one that a crash cut short.
         let ended_well = outcome == Outcome::Completed && record.has_events;
         let quarantine_change = ended_well
-            .then(|| self.quarantine.note_completed(record.request, now))
+            .then(|| self.quarantine.record_completed(record.request, now))
             .flatten();
         LeaseRelease {
-            health_changes: self.judge_back_end(&record, outcome, lease, now),
+            health_changes: self.record_back_end_outcome(&record, outcome, lease, now),
             quarantine_change,
         }
     }
@@ -321,7 +325,7 @@
     }
 
     /// Returns the back ends whose standing an outcome has changed.
-    fn judge_back_end(
+    fn record_back_end_outcome(
         &mut self,
         record: &Lease,
         outcome: Outcome,
@@ -337,7 +341,9 @@
             return Vec::new();
         }
         self.ended_lately.insert(record.instance.clone(), now);
-        let change = self.back_ends.judge(&record.instance, outcome, now);
+        let change = self
+            .back_ends
+            .record_outcome(&record.instance, outcome, now);
         let own = change.map(|change| (record.instance.clone(), change));
         let Some(state) = self.back_ends.get_mut(&record.instance) else {
             return Vec::new();
@@ -345,20 +351,20 @@
         state.load.end(lease, outcome, now);
         let zone = state.back_end.zone.clone();
         let mut changes: Vec<(InstanceId, HealthChange)> = own.into_iter().collect();
-        let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::Refused);
+        let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
         if is_missed && zone != self.settings.zone {
             let miss = Miss {
-                is_refusal: outcome == Outcome::Refused,
+                is_refusal: outcome == Outcome::ConnectionRefused,
                 at: now,
             };
-            changes.extend(self.note_missed(zone, record.instance.clone(), miss));
+            changes.extend(self.record_missed(zone, record.instance.clone(), miss));
         }
         changes
     }
 
     /// Several back ends of another zone that can't be reached show that the way there is cut:
     /// the rest of them gets no work for a while either.
-    fn note_missed(
+    fn record_missed(
         &mut self,
         zone: ZoneName,
         instance: InstanceId,
--- a/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
+++ b/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
@@ -1,7 +1,7 @@
 //! Where the homes of prompts lie, and how far other zones are.
 
 use super::Dispatcher;
-use crate::placement::places::HomeScope;
+use crate::placement::locality::HomeScope;
 use crate::placement::sampling::MAX_EXAMINED;
 use crate::{Distance, DocumentKey};
 use eiderferry_routing::{InstanceId, PoolName};
@@ -37,8 +37,8 @@
 impl HomeScopes {
     /// A document came: of back ends there may be one more or less, any other may change where
     /// all of them are.
-    pub(super) fn note_document(&mut self, key: &DocumentKey) {
-        self.note_back_end();
+    pub(super) fn record_document(&mut self, key: &DocumentKey) {
+        self.record_back_end();
         let is_back_end = matches!(key, DocumentKey::BackEnd(_));
         for looked in self.in_force.values_mut() {
             looked.is_outdated |= !is_back_end;
@@ -46,7 +46,7 @@
     }
 
     /// There may be a back end more or less that takes work.
-    pub(super) fn note_back_end(&mut self) {
+    pub(super) fn record_back_end(&mut self) {
         for looked in self.in_force.values_mut() {
             looked.has_changed = true;
         }
@@ -64,35 +64,35 @@
 
 impl Dispatcher {
     /// Notes how long a connection to a back end took to come up.
-    pub fn note_round_trip(&mut self, instance: &InstanceId, round_trip: Span) {
+    pub fn record_round_trip(&mut self, instance: &InstanceId, round_trip: Span) {
         if let Some(state) = self.back_ends.get(instance) {
-            self.round_trips.note(&state.back_end.zone, round_trip);
+            self.round_trips.record(&state.back_end.zone, round_trip);
         }
     }
 
     /// Where the homes of a pool's prompts lie.
     pub(super) fn home_scope(&mut self, pool: &PoolName) -> HomeScope {
-        if !self.settings.features.place_costs {
+        if !self.settings.features.locality_costs {
             return HomeScope::ALL;
         }
         let size = self.back_ends.pool_size(pool);
         let known = self.home_scopes.up_to_date(pool, size, self.ticks);
-        known.unwrap_or_else(|| self.renew_home_scope(pool))
+        known.unwrap_or_else(|| self.update_home_scope(pool))
     }
 
-    fn renew_home_scope(&mut self, pool: &PoolName) -> HomeScope {
+    fn update_home_scope(&mut self, pool: &PoolName) -> HomeScope {
         let zone = &self.settings.zone;
         let regions = &self.settings.regions;
         let engines: Vec<_> = self
             .back_ends
             .pool(pool)
-            .filter(|state| state.takes_work() && !self.evacuated.contains(&state.back_end.zone))
+            .filter(|state| state.accepts_work() && !self.evacuated.contains(&state.back_end.zone))
             .map(|state| {
                 let distance = Distance::between(zone, &state.back_end.zone, regions);
                 (distance, state)
             })
             .collect();
-        let shared = self.back_ends.kept_tokens(pool);
+        let shared = self.back_ends.cached_tokens(pool);
         let before = self.home_scopes.in_force.get(pool);
         let scope = HomeScope::nearest(&engines, shared, before.map(|looked| looked.scope));
         let looked = KnownScope {
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -3,7 +3,7 @@
 use super::aggregation::PEER_TICKS;
 use super::turns::round_robin;
 use super::{Dispatcher, OUTCOME_LIFETIME, PLACEMENTS_PER_MESSAGE, TickOutput};
-use crate::fleet::message::{Envelope, Gossip, LoadReport, News};
+use crate::fleet::message::{ChangeBatch, Envelope, Gossip, LoadReport};
 use crate::fleet::traffic::MessageKind;
 use crate::load::limit_notices::Audience;
 use crate::load::registry::BackEndState;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 /// Ticks between two messages to other zones, whose bytes are dear.
-pub(crate) const FAR_TICKS: u64 = 4;
+pub(crate) const CROSS_ZONE_TICKS: u64 = 4;
 /// Ticks between two attempts to reach nodes not known to be there.
 const DOUBTFUL_TICKS: u64 = 10;
 /// Ticks between two messages that name other nodes unasked.
@@ -26,11 +26,11 @@
 /// The same, while starting or while nodes are known by hearsay only.
 const SEARCHING_TICKS: u64 = 2;
 /// Peers of the own zone told at each tick.
-pub(crate) const NEAR_FANOUT: usize = 12;
+pub(crate) const SAME_ZONE_FANOUT: usize = 12;
 /// Peers of other zones told at a time.
-pub(crate) const FAR_FANOUT: usize = 8;
+pub(crate) const CROSS_ZONE_FANOUT: usize = 8;
 /// The same in a large zone, whose aggregators hear of other zones from theirs.
-pub(crate) const SPARSE_FAR_FANOUT: usize = 2;
+pub(crate) const LARGE_ZONE_CROSS_ZONE_FANOUT: usize = 2;
 /// Doubtful addresses tried at a time.
 const DOUBTFUL_FANOUT: usize = 2;
 /// The same while nodes are known by hearsay only.
@@ -60,36 +60,36 @@
         self.forget_lapsed(now);
         self.release_withheld(now);
         let mut peer_changes = self.peers.tick(now);
-        let warmup_changes = self.renew_cold_senders(now);
-        let limit_changes = self.renew_limit_duties(now);
+        let warmup_changes = self.update_cold_senders(now);
+        let limit_changes = self.update_limit_roles(now);
         peer_changes.extend(self.watch_aggregators(now));
-        self.renew_silent_zones(now);
+        self.update_silent_zones(now);
         self.ended_lately
             .retain(|_, ended| now.since(*ended) < OUTCOME_LIFETIME);
-        let split_changes = self.renew_splits(now);
+        let split_changes = self.update_splits(now);
         let quarantine_changes = self.quarantine.expire(now);
         let expired_leases = self.expire_leases(now);
         if self.ticks.is_multiple_of(LOSS_TICKS) {
-            self.losses.renew(&self.back_ends, now);
+            self.losses.update(&self.back_ends, now);
         }
         let mut messages = self.messages_to_zone(now);
         messages.extend(self.zone_digest(now));
         messages.extend(self.crash_announcement(now));
-        if self.ticks.is_multiple_of(FAR_TICKS) {
+        if self.ticks.is_multiple_of(CROSS_ZONE_TICKS) {
             // In a large zone the senders of digests speak for all of its nodes.
             if !self.is_spoken_for() {
                 messages.extend(self.message_to_other_zones(now));
             }
             self.placements.clear();
         }
-        if self.knowledge.complete_to().is_empty() && self.is_time_to_ask_seeds() {
+        if self.document_store.complete_to().is_empty() && self.is_time_to_ask_seeds() {
             let seeds = self.peers.other_seeds();
             messages.extend(self.question(seeds, now));
         }
         let (period, fanout) = self.search_pace();
         if self.ticks % period == 1 {
-            let doubtful = self.peers.doubtful(fanout, &mut self.random);
-            messages.extend(self.question(doubtful, now));
+            let probe_targets = self.peers.probe_targets(fanout, &mut self.random);
+            messages.extend(self.question(probe_targets, now));
         }
         TickOutput {
             messages,
@@ -104,12 +104,12 @@
 
     /// Whether other nodes speak for this one to other zones.
     fn is_spoken_for(&self) -> bool {
-        self.settings.features.zone_speakers
+        self.settings.features.zone_representatives
             && self.peers.is_zone_large()
             && self.tells_zones_by_digest()
     }
 
-    fn renew_silent_zones(&mut self, now: Timestamp) {
+    fn update_silent_zones(&mut self, now: Timestamp) {
         match self.aggregation.silent_zones(now) {
             Some(zones) => self.silent_zones = zones,
             // What aggregators told last stands until others have taken their place.
@@ -124,26 +124,26 @@
     }
 
     /// Looks from time to time at how the engines of pools are split.
-    fn renew_splits(&mut self, now: Timestamp) -> Vec<SplitChange> {
+    fn update_splits(&mut self, now: Timestamp) -> Vec<SplitChange> {
         if !self.ticks.is_multiple_of(SPLIT_TICKS) {
             return Vec::new();
         }
         if !self.settings.features.pool_split {
-            self.back_ends.renew_streams_apart(now);
+            self.back_ends.update_stream_isolation(now);
             return Vec::new();
         }
-        self.long_silent.note(&self.silent_zones);
+        self.long_silent.record(&self.silent_zones);
         let (silent, evacuated) = (&self.long_silent, &self.evacuated);
         let is_usable = |state: &BackEndState| {
             let zone = &state.back_end.zone;
-            state.takes_work()
+            state.accepts_work()
                 && !state.health.is_ejected(now)
                 && state.warmup.role() == ColdRole::Warm
                 && !silent.contains(zone)
                 && !evacuated.contains(zone)
         };
         let seconds = super::TICK.seconds() * SPLIT_TICKS as f64;
-        self.back_ends.renew_splits(is_usable, seconds, now)
+        self.back_ends.update_splits(is_usable, seconds, now)
     }
 
     /// Messages to the own zone: its peers hear of this node's work themselves, or in a large
@@ -152,14 +152,18 @@
         if self.peers.is_zone_large() {
             let mut messages = self.aggregation_messages(now);
             if self.ticks.is_multiple_of(PEER_TICKS) {
-                let peers = round_robin(&self.peers.near(), 1, &mut self.near_turn);
+                let peers = round_robin(&self.peers.same_zone_peers(), 1, &mut self.near_turn);
                 let mut message = self.bare_gossip(false, now);
                 message.limits = self.limits_for(Audience::OwnZone, now);
                 messages.extend(envelope(MessageKind::Peer, peers, message));
             }
             return messages;
         }
-        let near = round_robin(&self.peers.near(), NEAR_FANOUT, &mut self.near_turn);
+        let near = round_robin(
+            &self.peers.same_zone_peers(),
+            SAME_ZONE_FANOUT,
+            &mut self.near_turn,
+        );
         let mut message = self.gossip(false, now);
         message.zone_digests = self.zone_digests.passed_on(now);
         message.limits = self.limits_for(Audience::OwnZone, now);
@@ -169,8 +173,8 @@
     }
 
     fn message_to_other_zones(&mut self, now: Timestamp) -> Option<Envelope> {
-        let fanout = self.peers.far_fanout();
-        let far = round_robin(&self.peers.far(), fanout, &mut self.far_turn);
+        let fanout = self.peers.cross_zone_fanout();
+        let far = round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
         let mut message = if self.tells_zones_by_digest() {
             self.bare_gossip(false, now)
         } else {
@@ -183,12 +187,12 @@
     /// A message that wants an answer.
     fn question(&mut self, to: Vec<SocketAddr>, now: Timestamp) -> Option<Envelope> {
         let message = self.gossip(true, now);
-        envelope(MessageKind::Question, to, message)
+        envelope(MessageKind::Query, to, message)
     }
 
     /// Ticks between two attempts to reach doubtful nodes, and how many are tried.
     fn search_pace(&self) -> (u64, usize) {
-        if self.peers.hearsay_count() > 0 {
+        if self.peers.indirect_count() > 0 {
             return (SEARCHING_TICKS, SEARCHING_FANOUT);
         }
         if self.ticks < STARTING_TICKS {
@@ -211,8 +215,8 @@
     }
 
     /// The message that tells how this node stands, and its work at back ends.
-    pub fn gossip(&mut self, wants_answer: bool, now: Timestamp) -> Gossip {
-        let mut message = self.bare_gossip(wants_answer, now);
+    pub fn gossip(&mut self, wants_reply: bool, now: Timestamp) -> Gossip {
+        let mut message = self.bare_gossip(wants_reply, now);
         let count = self.placements.len().min(PLACEMENTS_PER_MESSAGE);
         message.placements = self.placements[..count].to_vec();
         message.loads = Some(self.own_loads(now));
@@ -220,8 +224,8 @@
     }
 
     /// The message that tells how this node stands, without its work.
-    pub(super) fn bare_gossip(&mut self, wants_answer: bool, now: Timestamp) -> Gossip {
-        let names_members = wants_answer || self.ticks.is_multiple_of(MEMBER_TICKS);
+    pub(super) fn bare_gossip(&mut self, wants_reply: bool, now: Timestamp) -> Gossip {
+        let names_members = wants_reply || self.ticks.is_multiple_of(MEMBER_TICKS);
         let members = if names_members {
             self.peers.sample(now, &mut self.random)
         } else {
@@ -233,15 +237,15 @@
             zone: self.settings.zone.clone(),
             link_mbps: self.settings.link_mbps,
             is_stopping: self.is_stopping,
-            wants_answer,
-            complete_to: self.knowledge.complete_to().clone(),
-            table_stamp: self.knowledge.table_stamp(),
+            wants_reply,
+            complete_to: self.document_store.complete_to().clone(),
+            table_stamp: self.document_store.table_stamp(),
             confirmed_ms: self
-                .knowledge
+                .document_store
                 .confirmed_age(now)
                 .map(|age| (age + ON_THE_WAY).milliseconds() as u32),
             loads: None,
-            is_report: false,
+            is_for_aggregator: false,
             zone_digests: Vec::new(),
             summary: None,
             placements: Vec::new(),
@@ -267,15 +271,16 @@
     /// a peer has told this node.
     pub fn announce(&mut self, is_first_hand: bool, now: Timestamp) -> Envelope {
         let (near, far) = if is_first_hand {
-            (NEAR_FANOUT, FAR_FANOUT)
+            (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
         } else {
             (FORWARD_NEAR_FANOUT, FORWARD_FAR_FANOUT)
         };
-        let mut peers = round_robin(&self.peers.near(), near, &mut self.near_turn);
+        let mut peers = round_robin(&self.peers.same_zone_peers(), near, &mut self.near_turn);
         peers.extend(self.announced_beyond(is_first_hand, far));
         let mut message = self.bare_gossip(false, now);
         message.news = self.news();
-        self.announced_to.clone_from(self.knowledge.complete_to());
+        self.announced_to
+            .clone_from(self.document_store.complete_to());
         Envelope {
             kind: MessageKind::Announcement,
             to: peers,
@@ -288,13 +293,13 @@
     /// tells its own zone only.
     fn announced_beyond(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
         if !self.is_spoken_for() {
-            return round_robin(&self.peers.far(), fanout, &mut self.far_turn);
+            return round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
         }
         if !is_first_hand && !self.speaks_for_zone() {
             return Vec::new();
         }
         let mut told = self.digest_receivers();
-        let others = self.peers.one_of_each_other_zone(&mut self.random);
+        let others = self.peers.one_per_other_zone(&mut self.random);
         let others = others.into_values().filter(|_| is_first_hand);
         told.extend(others);
         told.sort_unstable();
@@ -303,11 +308,11 @@
     }
 
     /// The changes since the last announcement, if they fit a message.
-    fn news(&self) -> Option<News> {
-        let (count, has_table) = self.knowledge.count_after(&self.announced_to);
-        (count <= MOST_NEWS && !has_table).then(|| News {
+    fn news(&self) -> Option<ChangeBatch> {
+        let (count, has_table) = self.document_store.count_after(&self.announced_to);
+        (count <= MOST_NEWS && !has_table).then(|| ChangeBatch {
             after: self.announced_to.clone(),
-            changes: self.knowledge.changes_after(&self.announced_to),
+            changes: self.document_store.changes_after(&self.announced_to),
         })
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/noticing.rs
+++ b/crates/coordination/dispatch/src/dispatcher/noticing.rs
@@ -38,19 +38,22 @@
 impl Dispatcher {
     /// An answer says that its back end is leaving: the back end gets nothing more from here.
     /// Returns it if that was not known.
-    pub fn note_leaving<'a>(&mut self, source: impl Into<NoticeSource<'a>>) -> Option<InstanceId> {
+    pub fn record_leaving<'a>(
+        &mut self,
+        source: impl Into<NoticeSource<'a>>,
+    ) -> Option<InstanceId> {
         let run = self.answering_run(source.into())?;
         let is_new = self
             .back_ends
-            .note_leaving(&run.instance, run.started_unix_ms);
+            .record_leaving(&run.instance, run.started_unix_ms);
         if is_new {
-            self.home_scopes.note_back_end();
+            self.home_scopes.record_back_end();
         }
         is_new.then_some(run.instance)
     }
 
     /// An answer says that its back end wants nothing from this node for so long.
-    pub fn note_rest<'a>(
+    pub fn record_backoff<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
         rest: Span,
@@ -59,12 +62,12 @@
         if let Some(run) = self.answering_run(source.into()) {
             let until = now + rest;
             self.back_ends
-                .note_rest(&run.instance, run.started_unix_ms, until);
+                .record_backoff(&run.instance, run.started_unix_ms, until);
         }
     }
 
     /// An answer names a rate limit of its back end, or none.
-    pub fn note_limit<'a>(
+    pub fn record_limit<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
         limit: Option<RateLimit>,
@@ -75,11 +78,11 @@
         };
         // Answers overtake each other: that a limit is over is shown only by the answer to a
         // request that was sent after the limit was named last.
-        let said_at = limit.map(|_| now).or(run.requested);
-        if let Some(said_at) = said_at {
-            let notice = LimitNotice { limit, said_at };
+        let reported_at = limit.map(|_| now).or(run.requested);
+        if let Some(reported_at) = reported_at {
+            let notice = LimitNotice { limit, reported_at };
             self.back_ends
-                .note_limit(&run.instance, run.started_unix_ms, notice, now);
+                .record_limit(&run.instance, run.started_unix_ms, notice, now);
         }
     }
 
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -37,7 +37,7 @@
     }
 
     /// A back end crashed under a request of this node.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: RequestDigest,
         instance: &InstanceId,
@@ -48,7 +48,7 @@
         }
         self.crash_news.is_untold = true;
         let back_end = instance.digest() as u32;
-        self.quarantine.note_crash(request, back_end, now)
+        self.quarantine.record_crash(request, back_end, now)
     }
 
     /// Refuses a request under which back ends crash.
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -1,7 +1,7 @@
 //! Rate limits that back ends name: what nodes tell each other, and this node's part in each.
 
 use super::{Dispatcher, TICK};
-use crate::load::limit_notices::{Audience, HeardFrom};
+use crate::load::limit_notices::{Audience, NoticeOrigin};
 use crate::load::limiter::{PROBING_TURN, Share, probing_chance, senders};
 use crate::{Gossip, LimitChange, LimitReport, LimitRole};
 use eiderferry_types::{Span, Timestamp};
@@ -17,12 +17,12 @@
     /// Takes over what another node tells of limits.
     pub(super) fn take_limits(&mut self, message: &Gossip, now: Timestamp) {
         let heard_from = if message.zone == self.settings.zone {
-            HeardFrom::OwnZone
+            NoticeOrigin::OwnZone
         } else {
-            HeardFrom::OtherZone
+            NoticeOrigin::OtherZone
         };
         self.back_ends
-            .take_limit_reports(&message.limits, heard_from, now);
+            .apply_limit_reports(&message.limits, heard_from, now);
     }
 
     /// What a message for an audience tells of limits.
@@ -33,7 +33,7 @@
 
     /// Renews which limited back ends this node sends to, and gives it a turn at those of which
     /// nothing is heard. Returns what has changed.
-    pub(super) fn renew_limit_duties(&mut self, now: Timestamp) -> Vec<LimitChange> {
+    pub(super) fn update_limit_roles(&mut self, now: Timestamp) -> Vec<LimitChange> {
         self.back_ends.expire_limits(now);
         let limited = self.back_ends.with_limits();
         if limited.is_empty() {
@@ -43,7 +43,7 @@
         let knows_fleet = knows_zone && self.uptime(now) >= FLEET_SETTLING_TIME;
         let has_turn = knows_fleet && self.ticks.is_multiple_of(PROBING_TICKS);
         let nodes = self.peers.by_zone();
-        let most_known = self.peers.most_known() as usize;
+        let max_known = self.peers.max_known() as usize;
         let mut changes = Vec::new();
         for instance in limited {
             let Some(state) = self.back_ends.get_mut(&instance) else {
@@ -56,14 +56,14 @@
             state.limiter.update_role(|limit| {
                 // By the most nodes ever known: those that are cut off from the others must not
                 // hold themselves to be alone and take the others' part as well.
-                let senders = senders(limit, most_known);
+                let senders = senders(limit, max_known);
                 let place = nodes.place(digest, zone, senders);
                 let place = place.filter(|_| may_send)?;
                 Some(Share { place, senders })
             });
-            let silent = state.limiter.silent_limit(now).filter(|_| has_turn);
+            let silent = state.limiter.stale_limit(now).filter(|_| has_turn);
             if let Some(limit) = silent
-                && self.random.random_bool(probing_chance(limit, most_known))
+                && self.random.random_bool(probing_chance(limit, max_known))
             {
                 state.limiter.begin_probing(now);
             }
--- a/crates/coordination/dispatch/src/dispatcher/reading.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reading.rs
@@ -49,7 +49,7 @@
     /// others follow one after the other, as long as nothing fresh is heard.
     pub fn reader_role(&self, now: Timestamp) -> ReaderRole {
         let rank = self.reader_rank();
-        let is_due = match self.knowledge.confirmed_age(now) {
+        let is_due = match self.document_store.confirmed_age(now) {
             Some(_) if self.is_appointed_reader(rank, now) => true,
             Some(age) => age > self.confirmation_limit() + patience(rank),
             None => self.uptime(now) >= self.start_patience(rank),
@@ -87,7 +87,7 @@
 
     /// Whether the youngest confirmation is so old that nodes have tried to read in vain.
     pub fn is_confirmation_overdue(&self, now: Timestamp) -> bool {
-        let age = self.knowledge.confirmed_age(now);
+        let age = self.document_store.confirmed_age(now);
         age.is_some_and(|age| age > self.confirmation_limit() + VAIN_READING_TIME)
     }
 
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -39,7 +39,7 @@
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
-            costs_places: self.settings.features.place_costs,
+            costs_locality: self.settings.features.locality_costs,
             now,
         };
         let state = self.back_ends.get(source)?;
@@ -57,7 +57,7 @@
     }
 
     fn keeps_replicas(&self, pool: &PoolName) -> bool {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let pool = table.and_then(|table| table.pool(pool));
         let engine = pool.and_then(|pool| pool.engine.as_ref());
         engine.is_some_and(|engine| engine.replicas.is_some())
--- a/crates/coordination/dispatch/src/dispatcher/unknown_names.rs
+++ b/crates/coordination/dispatch/src/dispatcher/unknown_names.rs
@@ -1,7 +1,7 @@
 //! Zones and regions that documents name and the settings don't know.
 
-use crate::{DocumentKey, Knowledge};
-use eiderferry_routing::{RegionName, RegionOfZone, ZoneName};
+use crate::{DocumentKey, DocumentStore};
+use eiderferry_routing::{RegionName, ZoneName, ZoneRegions};
 use std::collections::BTreeSet;
 
 /// A name that means nothing here.
@@ -34,21 +34,21 @@
 /// The names in a document just taken that are not among the settings' zones and regions.
 pub(super) fn unknown_names(
     key: &DocumentKey,
-    knowledge: &Knowledge,
-    regions: &RegionOfZone,
+    document_store: &DocumentStore,
+    regions: &ZoneRegions,
 ) -> Vec<UnknownName> {
     match key {
         DocumentKey::Evacuation(zone) if !regions.contains_key(zone) => {
             vec![UnknownName::Zone(zone.clone())]
         }
-        DocumentKey::Table => unknown_regions(knowledge, regions),
+        DocumentKey::Table => unknown_regions(document_store, regions),
         _ => Vec::new(),
     }
 }
 
-fn unknown_regions(knowledge: &Knowledge, regions: &RegionOfZone) -> Vec<UnknownName> {
+fn unknown_regions(document_store: &DocumentStore, regions: &ZoneRegions) -> Vec<UnknownName> {
     let known: BTreeSet<&RegionName> = regions.values().collect();
-    let table = knowledge.table();
+    let table = document_store.table();
     let named = table.into_iter().flat_map(|table| table.named_regions());
     let unknown: BTreeSet<&RegionName> = named.filter(|name| !known.contains(name)).collect();
     let unknown = unknown.into_iter().cloned();
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -4,7 +4,7 @@
 
 use super::Dispatcher;
 use super::aggregation::busiest;
-use super::messages::{FAR_FANOUT, NEAR_FANOUT};
+use super::messages::{CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT};
 use crate::LoadSource;
 use crate::fleet::message::{Envelope, Gossip, LoadReport, Member, Placement, ZoneDigest};
 use crate::fleet::traffic::MessageKind;
@@ -33,7 +33,7 @@
 /// A digest that this node has heard.
 #[derive(Clone, Debug)]
 struct HeardDigest {
-    teller: u64,
+    reporter: u64,
     counted_at: Timestamp,
     loads: Vec<LoadReport>,
     placements: Vec<Placement>,
@@ -53,7 +53,7 @@
 
 impl ZoneDigests {
     /// Notes placements by nodes of the own zone.
-    pub(super) fn note_placements(&mut self, placements: &[Placement]) {
+    pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
             if self.placed.len() < MOST_PLACEMENTS || self.placed.contains_key(&key) {
@@ -89,7 +89,7 @@
             digest.ticks_left -= 1;
             passed_on.push(ZoneDigest {
                 zone: zone.clone(),
-                teller: digest.teller,
+                reporter: digest.reporter,
                 age_ms: now.since(digest.counted_at).milliseconds() as u32,
                 loads: digest.loads.clone(),
                 placements: digest.placements.clone(),
@@ -102,7 +102,7 @@
 impl Dispatcher {
     /// Whether other zones have more nodes than this one tells at a time.
     pub(super) fn tells_zones_by_digest(&self) -> bool {
-        self.peers.far_count() > FAR_FANOUT
+        self.peers.other_zone_count() > CROSS_ZONE_FANOUT
     }
 
     /// A digest of this zone's loads, if it is this node's turn to send one.
@@ -120,7 +120,7 @@
         }
         message.zone_digests.push(ZoneDigest {
             zone: self.settings.zone.clone(),
-            teller: self.settings.node.digest(),
+            reporter: self.settings.node.digest(),
             age_ms: 0,
             loads: self.loads_of_zone(now),
             placements: std::mem::take(&mut self.zone_digests.placed)
@@ -137,10 +137,10 @@
 
     /// Nodes of the own zone, a few with each digest.
     fn members_for_other_zones(&mut self, now: Timestamp) -> Vec<Member> {
-        let count = self.peers.near_count().div_ceil(DIGESTS_TO_NAME_ALL);
+        let count = self.peers.same_zone_count().div_ceil(DIGESTS_TO_NAME_ALL);
         let first = self.zone_digests.member_turn;
         self.zone_digests.member_turn = first.wrapping_add(count);
-        self.peers.near_members(first, count, now)
+        self.peers.same_zone_members(first, count, now)
     }
 
     /// Whether this node speaks for its zone to others.
@@ -168,7 +168,7 @@
     /// One node of each other zone: the one whose digest was heard last, as it collects what
     /// its zone is told, or any.
     pub(super) fn digest_receivers(&mut self) -> Vec<SocketAddr> {
-        let mut receivers = self.peers.one_of_each_other_zone(&mut self.random);
+        let mut receivers = self.peers.one_per_other_zone(&mut self.random);
         for (zone, (sender, until)) in &self.zone_digests.senders {
             if let Some(receiver) = receivers.get_mut(zone)
                 && self.now < *until
@@ -188,7 +188,7 @@
     }
 
     /// Takes over the digests that a message carries.
-    pub(super) fn take_zone_digests(
+    pub(super) fn apply_zone_digests(
         &mut self,
         address: SocketAddr,
         message: &Gossip,
@@ -196,7 +196,7 @@
     ) {
         let is_first_hand = message.zone != self.settings.zone;
         if !is_first_hand && self.collects_placements() {
-            self.zone_digests.note_placements(&message.placements);
+            self.zone_digests.record_placements(&message.placements);
         }
         for zone_digest in &message.zone_digests {
             if zone_digest.zone == self.settings.zone {
@@ -208,24 +208,24 @@
                     .senders
                     .insert(zone, (address, now + SENDER_LIFETIME));
             }
-            self.take_zone_digest(zone_digest, is_first_hand, now);
+            self.apply_zone_digest(zone_digest, is_first_hand, now);
         }
     }
 
-    fn take_zone_digest(&mut self, told: &ZoneDigest, is_first_hand: bool, now: Timestamp) {
-        self.back_ends.take_placements(&told.placements, now);
+    fn apply_zone_digest(&mut self, told: &ZoneDigest, is_first_hand: bool, now: Timestamp) {
+        self.back_ends.apply_placements(&told.placements, now);
         if self.aggregation.is_acting() {
-            self.aggregation.note_placements(&told.placements);
+            self.aggregation.record_placements(&told.placements);
         }
         let counted_at = now - Span::from_milliseconds(u64::from(told.age_ms));
-        self.aggregation.note_zone(&told.zone, counted_at);
+        self.aggregation.record_zone(&told.zone, counted_at);
         let ticks_left = if is_first_hand {
             self.ticks_to_pass_on()
         } else {
             0
         };
         let digest = HeardDigest {
-            teller: told.teller,
+            reporter: told.reporter,
             counted_at,
             loads: told.loads.clone(),
             placements: self.placements_passed_on(told),
@@ -234,9 +234,9 @@
         if self.zone_digests.take(&told.zone, digest) {
             let source = LoadSource::Zone {
                 zone: told.zone.digest(),
-                teller: told.teller,
+                reporter: told.reporter,
             };
-            self.back_ends.take_loads(source, &told.loads, counted_at);
+            self.back_ends.apply_loads(source, &told.loads, counted_at);
         }
     }
 
@@ -245,7 +245,7 @@
         if self.peers.is_zone_large() {
             return 1;
         }
-        self.peers.near_count().div_ceil(NEAR_FANOUT) as u64
+        self.peers.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64
     }
 
     /// Placements of a digest that this node has to pass on: an aggregator tells them in its
--- a/crates/coordination/dispatch/src/documents.rs
+++ b/crates/coordination/dispatch/src/documents.rs
@@ -1,5 +1,5 @@
 //! The documents in force, and handing them to nodes that lack them.
 
 pub(crate) mod document_service;
-pub(crate) mod knowledge;
+pub(crate) mod document_store;
 pub(crate) mod revision;
--- a/crates/coordination/dispatch/src/documents/knowledge.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -45,7 +45,7 @@
 
 /// What an item says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Content {
+pub enum DocumentContent {
     /// The routing table.
     Table(TableDocument),
     /// A back end.
@@ -53,20 +53,20 @@
     /// The zone's back ends are to get nothing new.
     Evacuated,
     /// The item is gone.
-    Gone,
+    Removed,
     /// The item ran out while the platform was away; it is gone unless it is back within
     /// the span.
-    Lapsed(Span),
+    Expired(Span),
 }
 
-impl Content {
+impl DocumentContent {
     /// What became of the item, as a word for logs.
     pub fn kind(&self) -> &'static str {
         match self {
-            Content::Table(_) | Content::BackEnd(_) => "written",
-            Content::Evacuated => "evacuated",
-            Content::Gone => "gone",
-            Content::Lapsed(_) => "lapsed",
+            DocumentContent::Table(_) | DocumentContent::BackEnd(_) => "written",
+            DocumentContent::Evacuated => "evacuated",
+            DocumentContent::Removed => "gone",
+            DocumentContent::Expired(_) => "lapsed",
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What it says now.
-    pub content: Content,
+    pub content: DocumentContent,
 }
 
 /// What came of a change.
@@ -87,7 +87,7 @@
 pub enum ApplyOutcome {
     /// It is in force.
     Applied,
-    /// It lists a back end that an earlier epoch removed; see [`Knowledge::release`].
+    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release`].
     Withheld,
     /// Something as new was known.
     AlreadyKnown,
@@ -121,7 +121,7 @@
 
 /// All documents known to a node.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct DocumentStore {
     table: Option<(TableStamp, Arc<RoutingTable>)>,
     refused_table: TableStamp,
     back_ends: BTreeMap<InstanceId, (Revision, BackEnd)>,
@@ -137,7 +137,7 @@
     confirmed_at: Option<Timestamp>,
 }
 
-impl Knowledge {
+impl DocumentStore {
     /// The table in force.
     pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref().map(|(_, table)| table)
@@ -177,23 +177,24 @@
     /// Takes a change over if it is newer than what is known.
     pub fn apply(&mut self, change: Change) -> ApplyOutcome {
         match (change.key, change.content) {
-            (DocumentKey::Table, Content::Table(document)) => {
+            (DocumentKey::Table, DocumentContent::Table(document)) => {
                 self.apply_table(change.revision, document)
             }
-            (DocumentKey::BackEnd(instance), Content::BackEnd(back_end)) => {
+            (DocumentKey::BackEnd(instance), DocumentContent::BackEnd(back_end)) => {
                 self.apply_back_end(instance, change.revision, back_end)
             }
-            (DocumentKey::BackEnd(instance), Content::Gone | Content::Lapsed(_)) => {
-                self.remove(instance, change.revision)
-            }
-            (DocumentKey::Evacuation(zone), Content::Evacuated) => {
+            (
+                DocumentKey::BackEnd(instance),
+                DocumentContent::Removed | DocumentContent::Expired(_),
+            ) => self.remove(instance, change.revision),
+            (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
                 self.apply_evacuation(zone, change.revision, EvacuationState::On)
             }
-            (DocumentKey::Evacuation(zone), Content::Lapsed(within)) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Expired(within)) => {
                 let state = EvacuationState::Lapsed(within);
                 self.apply_evacuation(zone, change.revision, state)
             }
-            (DocumentKey::Evacuation(zone), Content::Gone) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Removed) => {
                 self.apply_evacuation(zone, change.revision, EvacuationState::Over)
             }
             _ => ApplyOutcome::AlreadyKnown,
@@ -319,7 +320,7 @@
         Some(Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision,
-            content: Content::BackEnd(back_end),
+            content: DocumentContent::BackEnd(back_end),
         })
     }
 
@@ -406,9 +407,9 @@
                 key,
                 revision,
                 content: if known.epoch < revision.epoch {
-                    Content::Lapsed(grace_period)
+                    DocumentContent::Expired(grace_period)
                 } else {
-                    Content::Gone
+                    DocumentContent::Removed
                 },
             })
             .collect()
@@ -422,7 +423,7 @@
         let table = table.map(|(stamp, table)| Change {
             key: DocumentKey::Table,
             revision: stamp.revision,
-            content: Content::Table(table.document().clone()),
+            content: DocumentContent::Table(table.document().clone()),
         });
         let evacuations = self.evacuations.iter();
         let evacuations = evacuations.filter(|(_, evacuation)| !known.covers(evacuation.revision));
@@ -430,9 +431,9 @@
             key: DocumentKey::Evacuation(zone.clone()),
             revision: evacuation.revision,
             content: match evacuation.state {
-                EvacuationState::On => Content::Evacuated,
-                EvacuationState::Over => Content::Gone,
-                EvacuationState::Lapsed(within) => Content::Lapsed(within),
+                EvacuationState::On => DocumentContent::Evacuated,
+                EvacuationState::Over => DocumentContent::Removed,
+                EvacuationState::Lapsed(within) => DocumentContent::Expired(within),
             },
         });
         let back_ends = self.back_ends_after(known);
@@ -477,8 +478,8 @@
                 key: DocumentKey::BackEnd(instance.clone()),
                 revision: *revision,
                 content: match self.listed_at(instance, *revision) {
-                    Some(back_end) => Content::BackEnd(back_end.clone()),
-                    None => Content::Gone,
+                    Some(back_end) => DocumentContent::BackEnd(back_end.clone()),
+                    None => DocumentContent::Removed,
                 },
             })
     }
@@ -508,7 +509,7 @@
         return new.draining.then_some(new);
     }
     // The remaining cold time of a restored entry is out of date.
-    new.cold_for = known.cold_for;
+    new.cold_remaining = known.cold_remaining;
     (revision > known_revision).then_some(new)
 }
 
--- a/crates/coordination/dispatch/src/features.rs
+++ b/crates/coordination/dispatch/src/features.rs
@@ -12,9 +12,9 @@
     /// The engines of a pool are split between streams and long prompts by their load.
     pub pool_split: bool,
     /// A back end in another zone or region costs what the way there takes.
-    pub place_costs: bool,
+    pub locality_costs: bool,
     /// Few nodes speak for a large zone to others, and documents come from the own zone first.
-    pub zone_speakers: bool,
+    pub zone_representatives: bool,
     /// Requests under which back ends crashed are refused on all nodes.
     pub quarantine: bool,
 }
@@ -25,8 +25,8 @@
         run_replicas: true,
         cache_index: true,
         pool_split: true,
-        place_costs: true,
-        zone_speakers: true,
+        locality_costs: true,
+        zone_representatives: true,
         quarantine: true,
     };
 }
--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -31,7 +31,7 @@
     /// and a cut that parts them from the others parts the back end from these as well.
     pub fn place(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
         let before = if *zone == self.peers.zone {
-            self.peers.sender_place(back_end)
+            self.peers.sender_index(back_end)
         } else {
             let there = self.hashes.get(zone).map_or(0, Vec::len);
             if there >= senders {
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -22,16 +22,16 @@
 impl Peers {
     /// Nodes that another node names: unknown ones are to be tried; its word on when they were
     /// heard counts as well for nodes of its zone, and if it is of the own zone for all.
-    pub(super) fn take_members(&mut self, message: &Gossip, is_near: bool, now: Timestamp) {
+    pub(super) fn apply_members(&mut self, message: &Gossip, is_near: bool, now: Timestamp) {
         let members = message.members.iter();
         for member in members.filter(|member| member.address != self.own) {
-            let silent = Span::from_milliseconds(u64::from(member.silent_ms));
+            let silent = Span::from_milliseconds(u64::from(member.silence_ms));
             let heard = now - silent;
             let is_known = self.peers.contains_key(&member.address);
             if !is_known && self.takes_by_word(member, message, is_near) {
                 let peer = told_peer(member, heard);
                 self.peers.insert(member.address, peer);
-                self.hearsay.remove(&member.address);
+                self.indirect.remove(&member.address);
                 continue;
             }
             match self.peers.get_mut(&member.address) {
@@ -39,8 +39,8 @@
                     peer.heard = peer.heard.max(heard);
                 }
                 None if silent < Span(FAR_SILENCE.0 * FORGET_FACTOR) => {
-                    let hearsay = (member.zone.clone(), heard);
-                    self.hearsay.insert(member.address, hearsay);
+                    let indirect = (member.zone.clone(), heard);
+                    self.indirect.insert(member.address, indirect);
                 }
                 _ => {}
             }
@@ -50,7 +50,7 @@
     /// Whether a node that wasn't heard counts as known because others name it.
     fn takes_by_word(&self, member: &Member, message: &Gossip, is_near: bool) -> bool {
         let is_trusted = is_near || member.zone == message.zone;
-        let silent = Span::from_milliseconds(u64::from(member.silent_ms));
+        let silent = Span::from_milliseconds(u64::from(member.silence_ms));
         let is_fresh = silent < TOLD_SILENCE;
         is_trusted && is_fresh && member.zone != self.zone && self.has_met(&member.zone)
     }
@@ -85,13 +85,13 @@
     }
 
     /// So many nodes of the own zone to name in a message, from a place in their order on.
-    pub fn near_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
+    pub fn same_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let near = self.members(|peer| peer.zone == self.zone, now);
         slice(near.collect(), first, count)
     }
 
     /// The same of other zones.
-    pub fn far_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
+    pub fn other_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let far = self.members(|peer| peer.zone != self.zone, now);
         slice(far.collect(), first, count)
     }
@@ -106,7 +106,7 @@
         living.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silent_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
+            silence_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
         })
     }
 }
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -18,10 +18,10 @@
     /// hundredths of a stream: the sum of their chances.
     pub exposed_hundredths: u16,
     /// Those of them whose own prompts take long to read.
-    pub long_readings: u16,
+    pub long_prefills: u16,
     /// Tokens of memory that they take at their end and that only one of them has, in
     /// hundreds.
-    pub single_hundreds: u16,
+    pub unshared_hundreds: u16,
     /// Prompt tokens of these that it has still to read, in hundreds.
     pub pending_hundreds: u16,
     /// Tokens that only single requests have, of all that the sender ever placed there,
@@ -39,7 +39,7 @@
     /// The zone.
     pub zone: ZoneName,
     /// Digest of the node that counted them.
-    pub teller: u64,
+    pub reporter: u64,
     /// How long ago they were counted, in milliseconds.
     pub age_ms: u32,
     /// The requests.
@@ -69,7 +69,7 @@
     /// Its zone.
     pub zone: ZoneName,
     /// How long ago it was heard, in milliseconds, by whoever heard it last.
-    pub silent_ms: u32,
+    pub silence_ms: u32,
 }
 
 /// What all nodes of the fleet have at back ends and placed there, as an aggregator tells
@@ -81,14 +81,14 @@
     /// Shared parts of prompts placed since the last summary.
     pub placements: Vec<Placement>,
     /// The other zones that were heard.
-    pub zones: Vec<HeardZone>,
+    pub zones: Vec<ZoneAge>,
     /// Time until the receiver gets the sender's next summary, in milliseconds.
     pub next_ms: u16,
 }
 
 /// How long ago anything was heard of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardZone {
+pub struct ZoneAge {
     /// The zone.
     pub zone: ZoneName,
     /// Time since its last digest was counted, in milliseconds.
@@ -120,7 +120,7 @@
     /// Whether the sender is stopping.
     pub is_stopping: bool,
     /// Whether an answer is wanted at once.
-    pub wants_answer: bool,
+    pub wants_reply: bool,
     /// The changes that the sender knows.
     pub complete_to: VersionVector,
     /// Stamp of the routing table in force at the sender.
@@ -130,7 +130,7 @@
     /// Requests of the sender at back ends; `None` where the message doesn't tell them.
     pub loads: Option<Vec<LoadReport>>,
     /// The sender takes the receiver for an aggregator of its zone.
-    pub is_report: bool,
+    pub is_for_aggregator: bool,
     /// What whole zones have at back ends.
     pub zone_digests: Vec<ZoneDigest>,
     /// What the whole fleet has at back ends.
@@ -140,7 +140,7 @@
     /// Some other nodes.
     pub members: Vec<Member>,
     /// The latest changes, where they are few and small.
-    pub news: Option<News>,
+    pub news: Option<ChangeBatch>,
     /// Requests under which back ends crashed.
     pub crashing_requests: Vec<RequestReport>,
     /// What back ends said of their rate limits.
@@ -149,14 +149,14 @@
 
 impl LoadReport {
     /// Whether there is anything to tell.
-    pub(crate) fn says_something(&self) -> bool {
+    pub(crate) fn has_content(&self) -> bool {
         self.running > 0 || self.completed > 0 || self.failed > 0
     }
 }
 
 /// Changes that follow without a gap on those that the receiver must know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct ChangeBatch {
     /// Changes that the receiver must know.
     pub after: VersionVector,
     /// All changes from there to the sender's `complete_to`.
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -1,6 +1,8 @@
 //! The other nodes: known from a few seeds and from what nodes tell each other.
 
-use crate::dispatcher::{FAR_FANOUT, FAR_TICKS, NEAR_FANOUT, SPARSE_FAR_FANOUT};
+use crate::dispatcher::{
+    CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
+};
 use crate::load::cold_start::sender_rank;
 use crate::{Gossip, Revision, TICK, VersionVector};
 use eiderferry_routing::{NodeName, ZoneName};
@@ -34,9 +36,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerChange {
     /// It was heard for the first time.
-    Found(NodeName),
+    Discovered(NodeName),
     /// It was heard again, or has started anew.
-    Regained(NodeName),
+    Recovered(NodeName),
     /// It fell silent.
     Lost(NodeName),
 }
@@ -63,18 +65,18 @@
     own_hash: u64,
     pub(super) zone: ZoneName,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    pub(super) hearsay: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
+    pub(super) indirect: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
     seeds: Vec<SocketAddr>,
-    most_known: u32,
+    max_known: u32,
     /// When the own zone was large last.
     large_until: Timestamp,
-    near_living: usize,
-    far_living: usize,
+    live_same_zone: usize,
+    live_other_zones: usize,
     /// Hashes of the peers of the own zone that are there and not stopping, in the order of
     /// their addresses, and how often they changed. Kept, as each engine is compared with each of
     /// them.
-    staying_hashes: Vec<u64>,
-    staying_version: u64,
+    active_peer_hashes: Vec<u64>,
+    active_peers_version: u64,
     /// Most nodes of the own zone ever there at once, and since when.
     most_near: usize,
     most_near_since: Timestamp,
@@ -113,14 +115,14 @@
             own_hash: address_hash(own),
             zone,
             peers: BTreeMap::new(),
-            hearsay: BTreeMap::new(),
+            indirect: BTreeMap::new(),
             seeds,
-            most_known: 1,
+            max_known: 1,
             large_until: Timestamp::default(),
-            near_living: 0,
-            far_living: 0,
-            staying_hashes: Vec::new(),
-            staying_version: 0,
+            live_same_zone: 0,
+            live_other_zones: 0,
+            active_peer_hashes: Vec::new(),
+            active_peers_version: 0,
             most_near: 0,
             most_near_since: Timestamp::default(),
         }
@@ -143,20 +145,20 @@
     }
 
     /// The largest number of nodes ever known at once, this one included.
-    pub fn most_known(&self) -> u32 {
-        self.most_known
+    pub fn max_known(&self) -> u32 {
+        self.max_known
     }
 
     /// Takes a message in.
-    pub fn heard(
+    pub fn record_message(
         &mut self,
         address: SocketAddr,
         message: &Gossip,
         now: Timestamp,
     ) -> Option<PeerChange> {
         let is_near = message.zone == self.zone;
-        self.take_members(message, is_near, now);
-        self.hearsay.remove(&address);
+        self.apply_members(message, is_near, now);
+        self.indirect.remove(&address);
         if let Some(peer) = self.peers.get_mut(&address)
             && peer.name.is_some()
             && !peer.is_lost
@@ -181,41 +183,41 @@
             is_stopping: message.is_stopping,
         };
         let previous = self.peers.insert(address, peer);
-        self.most_known = self.most_known.max(self.peers.len() as u32 + 1);
+        self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
         self.recount();
-        if self.near_living > self.most_near {
-            self.most_near = self.near_living;
+        if self.live_same_zone > self.most_near {
+            self.most_near = self.live_same_zone;
             self.most_near_since = now;
         }
         let name = message.from.clone();
         Some(match previous.and_then(|previous| previous.name) {
-            None => PeerChange::Found(name),
-            Some(_) => PeerChange::Regained(name),
+            None => PeerChange::Discovered(name),
+            Some(_) => PeerChange::Recovered(name),
         })
     }
 
     fn recount(&mut self) {
         let living = self.peers.values().filter(|peer| !peer.is_lost);
         let near = living.clone().filter(|peer| peer.zone == self.zone);
-        self.near_living = near.count();
-        self.far_living = living.count() - self.near_living;
+        self.live_same_zone = near.count();
+        self.live_other_zones = living.count() - self.live_same_zone;
         let staying: Vec<u64> = self
-            .staying_near()
+            .active_same_zone()
             .map(|(_, peer)| peer.rank.hash)
             .collect();
-        if staying != self.staying_hashes {
-            self.staying_hashes = staying;
-            self.staying_version += 1;
+        if staying != self.active_peer_hashes {
+            self.active_peer_hashes = staying;
+            self.active_peers_version += 1;
         }
     }
 
     /// Changes whenever other nodes of the own zone may take duties over.
-    pub(crate) fn staying_version(&self) -> u64 {
-        self.staying_version
+    pub(crate) fn active_peers_version(&self) -> u64 {
+        self.active_peers_version
     }
 
     /// Counts a peer as lost until it is heard again.
-    pub fn give_up(&mut self, address: SocketAddr) -> Option<PeerChange> {
+    pub fn mark_lost(&mut self, address: SocketAddr) -> Option<PeerChange> {
         let peer = self.peers.get_mut(&address)?;
         if std::mem::replace(&mut peer.is_lost, true) {
             return None;
@@ -241,10 +243,10 @@
         self.peers.retain(|_, peer| {
             now.since(peer.heard) < forget && !(peer.is_lost && peer.name.is_none())
         });
-        self.hearsay
+        self.indirect
             .retain(|_, (_, heard)| now.since(*heard) < forget);
         self.recount();
-        self.most_known = self.most_known.max(self.peers.len() as u32 + 1);
+        self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
         if self.is_zone_large() {
             self.large_until = now;
         }
@@ -253,29 +255,29 @@
 
     /// Whether the own zone is so large that aggregators collect what its nodes report.
     pub fn is_zone_large(&self) -> bool {
-        self.near_living > NEAR_FANOUT
+        self.live_same_zone > SAME_ZONE_FANOUT
     }
 
     /// Peers of other zones told at a time.
-    pub fn far_fanout(&self) -> usize {
+    pub fn cross_zone_fanout(&self) -> usize {
         if self.is_zone_large() {
-            SPARSE_FAR_FANOUT
+            LARGE_ZONE_CROSS_ZONE_FANOUT
         } else {
-            FAR_FANOUT
+            CROSS_ZONE_FANOUT
         }
     }
 
     /// How long a peer may be silent: each is told in turn, and in a large fleet its
     /// turn comes less often.
     fn silence_limits(&self) -> (Span, Span) {
-        let near = self.near_count().div_ceil(NEAR_FANOUT) as u64;
+        let near = self.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64;
         let near = if self.is_zone_large() {
             SUMMARIZED_SILENCE
         } else {
             Span(near * TICK.0 * MISSED_TURNS).max(NEAR_SILENCE)
         };
-        let far = self.far_count().div_ceil(self.far_fanout()) as u64;
-        let far = Span(far * FAR_TICKS * TICK.0 * MISSED_TURNS).max(FAR_SILENCE);
+        let far = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
+        let far = Span(far * CROSS_ZONE_TICKS * TICK.0 * MISSED_TURNS).max(FAR_SILENCE);
         let far = if self.is_zone_large() || self.has_told() {
             far.max(TOLD_SILENCE)
         } else {
@@ -292,7 +294,7 @@
     /// Other zones none of whose peers was heard for some turns: the way there is probably
     /// cut, for requests as well. Their nodes may also all have stopped or ended.
     pub fn silent_zones(&self, now: Timestamp) -> BTreeSet<ZoneName> {
-        let turns = self.far_count().div_ceil(self.far_fanout()) as u64;
+        let turns = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone != self.zone) {
             // Before that, aggregators heard them in place of this node.
@@ -302,7 +304,7 @@
         let is_silent = |heard: &Vec<Timestamp>| {
             // Each of its peers tells this node once in so many turns, one after the other.
             let apart = turns.div_ceil(heard.len() as u64).max(1);
-            let limit = Span(apart * FAR_TICKS * TICK.0 * MISSED_BY_ZONE);
+            let limit = Span(apart * CROSS_ZONE_TICKS * TICK.0 * MISSED_BY_ZONE);
             heard.iter().all(|heard| now.since(*heard) > limit)
         };
         let silent = zones.into_iter().filter(|(_, heard)| is_silent(heard));
@@ -310,20 +312,20 @@
     }
 
     /// After a pause of this process, silence is no fault of the others.
-    pub fn pardon(&mut self, now: Timestamp) {
+    pub fn reset_silence(&mut self, now: Timestamp) {
         for peer in self.peers.values_mut().filter(|peer| !peer.is_lost) {
             peer.heard = now;
         }
     }
 
     /// Peers of the own zone that are there.
-    pub fn near(&self) -> Vec<SocketAddr> {
+    pub fn same_zone_peers(&self) -> Vec<SocketAddr> {
         self.living(|peer| peer.zone == self.zone)
     }
 
     /// Number of peers of the own zone that are there.
-    pub fn near_count(&self) -> usize {
-        self.near_living
+    pub fn same_zone_count(&self) -> usize {
+        self.live_same_zone
     }
 
     /// Time since more peers of the own zone than ever were there.
@@ -332,12 +334,12 @@
     }
 
     /// Number of peers of other zones that are there.
-    pub fn far_count(&self) -> usize {
-        self.far_living
+    pub fn other_zone_count(&self) -> usize {
+        self.live_other_zones
     }
 
     /// Peers of other zones that are there.
-    pub fn far(&self) -> Vec<SocketAddr> {
+    pub fn other_zone_peers(&self) -> Vec<SocketAddr> {
         self.living(|peer| peer.zone != self.zone)
     }
 
@@ -350,12 +352,12 @@
     }
 
     /// Addresses to try that are not known to be there.
-    pub fn doubtful(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn probe_targets(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         let lost = self.peers.iter().filter(|(_, peer)| peer.is_lost);
         let lost = lost.map(|(address, _)| *address);
         let seeds = self.other_seeds().into_iter();
         let named = self
-            .hearsay
+            .indirect
             .iter()
             .filter(|(_, (zone, _))| self.is_sought(zone));
         let unknown = seeds.chain(named.map(|(address, _)| *address));
@@ -364,8 +366,8 @@
     }
 
     /// Number of nodes known by hearsay only.
-    pub fn hearsay_count(&self) -> usize {
-        let zones = self.hearsay.values();
+    pub fn indirect_count(&self) -> usize {
+        let zones = self.indirect.values();
         zones.filter(|(zone, _)| self.is_sought(zone)).count()
     }
 
@@ -378,7 +380,7 @@
     /// the order, first ones first.
     pub(crate) fn role_candidates(&self) -> Vec<(RolePriority, SocketAddr)> {
         let mut ranked: Vec<(RolePriority, SocketAddr)> = self
-            .staying_near()
+            .active_same_zone()
             .map(|(address, peer)| (peer.rank, *address))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
@@ -387,8 +389,8 @@
 
     /// Place of a node of the own zone among those that send to a cold back end: the number
     /// of living nodes before it that are not stopping.
-    pub(crate) fn sender_place(&self, back_end: u32) -> usize {
-        self.before_own(back_end, &self.staying_hashes)
+    pub(crate) fn sender_index(&self, back_end: u32) -> usize {
+        self.before_own(back_end, &self.active_peer_hashes)
     }
 
     /// How many of some nodes come before this one in the order of senders to a back end.
@@ -411,17 +413,17 @@
     }
 
     /// Those of the own zone.
-    fn staying_near(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    fn active_same_zone(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         self.staying().filter(|(_, peer)| peer.zone == self.zone)
     }
 
     /// Living peers that know changes beyond `known`.
-    pub fn knowing_more_than(&self, known: &VersionVector) -> Vec<SocketAddr> {
+    pub fn peers_ahead_of(&self, known: &VersionVector) -> Vec<SocketAddr> {
         self.living(|peer| !known.includes(&peer.complete_to))
     }
 
     /// The newest revision that a living peer knows.
-    pub fn newest_known(&self) -> Option<Revision> {
+    pub fn newest_known_revision(&self) -> Option<Revision> {
         let living = self.peers.values().filter(|peer| !peer.is_lost);
         living.filter_map(|peer| peer.complete_to.newest()).max()
     }
@@ -429,7 +431,7 @@
     /// Zone of a node, as far as it was heard or others tell.
     pub fn zone_of(&self, address: SocketAddr) -> Option<&ZoneName> {
         let heard = self.peers.get(&address).map(|peer| &peer.zone);
-        heard.or_else(|| self.hearsay.get(&address).map(|(zone, _)| zone))
+        heard.or_else(|| self.indirect.get(&address).map(|(zone, _)| zone))
     }
 
     /// Whether a peer is there.
@@ -447,7 +449,7 @@
     }
 
     /// A peer that is there of each other zone.
-    pub fn one_of_each_other_zone(&self, random: &mut impl Rng) -> BTreeMap<ZoneName, SocketAddr> {
+    pub fn one_per_other_zone(&self, random: &mut impl Rng) -> BTreeMap<ZoneName, SocketAddr> {
         let mut zones: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         for (address, peer) in &self.peers {
             if !peer.is_lost && peer.zone != self.zone {
@@ -462,6 +464,6 @@
 
     /// Number of living peers.
     pub fn live_count(&self) -> usize {
-        self.near_living + self.far_living
+        self.live_same_zone + self.live_other_zones
     }
 }
--- a/crates/coordination/dispatch/src/fleet/traffic.rs
+++ b/crates/coordination/dispatch/src/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! Kinds of messages and the borders that they cross, for counting what control costs.
 
-use eiderferry_routing::{RegionOfZone, ZoneName};
+use eiderferry_routing::{ZoneName, ZoneRegions};
 
 /// What a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,9 +14,9 @@
     /// A node tells another how it stands.
     Peer,
     /// A node asks for an answer.
-    Question,
+    Query,
     /// The answer.
-    Answer,
+    Reply,
     /// Newer documents are known.
     Announcement,
     /// Documents handed to a node that lacks them.
@@ -31,8 +31,8 @@
             Self::Summary => "summary",
             Self::Digest => "digest",
             Self::Peer => "peer",
-            Self::Question => "question",
-            Self::Answer => "answer",
+            Self::Query => "question",
+            Self::Reply => "answer",
             Self::Announcement => "announcement",
             Self::Documents => "documents",
         }
@@ -54,7 +54,7 @@
 
 impl Distance {
     /// The border between two zones.
-    pub fn between(one: &ZoneName, other: &ZoneName, regions: &RegionOfZone) -> Self {
+    pub fn between(one: &ZoneName, other: &ZoneName, regions: &ZoneRegions) -> Self {
         if one == other {
             return Self::SameZone;
         }
--- a/crates/coordination/dispatch/src/lib.rs
+++ b/crates/coordination/dispatch/src/lib.rs
@@ -20,14 +20,16 @@
     UnknownName,
 };
 pub use documents::document_service::{Admission, DocumentService, TransferId};
-pub use documents::knowledge::{ApplyOutcome, Change, Content, DocumentKey, Knowledge, TableStamp};
+pub use documents::document_store::{
+    ApplyOutcome, Change, DocumentContent, DocumentKey, DocumentStore, TableStamp,
+};
 pub use documents::revision::{Revision, VersionVector};
 pub use eiderferry_quarantine::{
     Change as QuarantineChange, Counts as QuarantineCounts, CrashReport, RequestReport,
 };
 pub use features::Features;
 pub use fleet::message::{
-    Envelope, FleetSummary, Gossip, HeardZone, LoadReport, Member, News, Placement, ZoneDigest,
+    ChangeBatch, Envelope, FleetSummary, Gossip, LoadReport, Member, Placement, ZoneAge, ZoneDigest,
 };
 pub use fleet::peers::{PeerChange, Peers};
 pub use fleet::retry_budget::{RetryBudget, RetryBudgetSettings};
@@ -37,7 +39,7 @@
 pub use load::cache_index::{
     CacheCall, CacheEvent, CacheEvents, CacheListing, CacheResponse, FollowCounts,
 };
-pub use load::cold_start::{ColdRateLimit, ColdRole, LONGEST_COLD, WarmupChange};
+pub use load::cold_start::{ColdRateLimit, ColdRole, MAX_COLD_PERIOD, WarmupChange};
 pub use load::engine_model::{EngineSpeed, PoolModel};
 pub use load::health::{Health, HealthChange};
 pub use load::limit_notices::LimitReport;
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -35,11 +35,11 @@
     pub uncached_tokens: u32,
     /// Tokens of memory at its end that no other request shares, its answer included.
     /// What requests share stands there once, and gives way where nobody uses it.
-    pub single_tokens: u32,
+    pub unshared_tokens: u32,
     /// Chance that a long prompt read beside it makes it late.
     pub exposure: f64,
     /// Whether its own prompt takes long to read.
-    pub is_long_reading: bool,
+    pub is_long_prefill: bool,
 }
 
 /// A request that this node has at a back end.
@@ -62,7 +62,7 @@
 
     fn add_to(&self, occupancy: &mut Occupancy, has_begun: bool) {
         if self.is_replica {
-            occupancy.single_tokens += u64::from(self.footprint.single_tokens);
+            occupancy.unshared_tokens += u64::from(self.footprint.unshared_tokens);
         } else {
             occupancy.add(&self.footprint, has_begun);
         }
@@ -77,9 +77,9 @@
     /// Streams that a long prompt would make late, in expectation.
     pub exposed: f64,
     /// Requests whose own prompts take long to read.
-    pub long_readings: u32,
+    pub long_prefills: u32,
     /// Tokens of memory at their ends that only one request has.
-    pub single_tokens: u64,
+    pub unshared_tokens: u64,
     /// Prompt tokens that are still to be read.
     pub pending_tokens: u64,
 }
@@ -89,8 +89,8 @@
         Self {
             running: self.running + other.running,
             exposed: self.exposed + other.exposed,
-            long_readings: self.long_readings + other.long_readings,
-            single_tokens: self.single_tokens + other.single_tokens,
+            long_prefills: self.long_prefills + other.long_prefills,
+            unshared_tokens: self.unshared_tokens + other.unshared_tokens,
             pending_tokens: self.pending_tokens + other.pending_tokens,
         }
     }
@@ -99,8 +99,8 @@
         Self {
             running: self.running.saturating_sub(part.running),
             exposed: (self.exposed - part.exposed).max(0.0),
-            long_readings: self.long_readings.saturating_sub(part.long_readings),
-            single_tokens: self.single_tokens.saturating_sub(part.single_tokens),
+            long_prefills: self.long_prefills.saturating_sub(part.long_prefills),
+            unshared_tokens: self.unshared_tokens.saturating_sub(part.unshared_tokens),
             pending_tokens: self.pending_tokens.saturating_sub(part.pending_tokens),
         }
     }
@@ -108,8 +108,8 @@
     fn add(&mut self, footprint: &Footprint, has_begun: bool) {
         self.running += 1;
         self.exposed += footprint.exposure;
-        self.long_readings += u32::from(footprint.is_long_reading);
-        self.single_tokens += u64::from(footprint.single_tokens);
+        self.long_prefills += u32::from(footprint.is_long_prefill);
+        self.unshared_tokens += u64::from(footprint.unshared_tokens);
         if !has_begun {
             self.pending_tokens += u64::from(footprint.uncached_tokens);
         }
@@ -129,8 +129,8 @@
             occupancy: Occupancy {
                 running: u32::from(report.running),
                 exposed: f64::from(report.exposed_hundredths) / HUNDRED as f64,
-                long_readings: u32::from(report.long_readings),
-                single_tokens: u64::from(report.single_hundreds) * HUNDRED,
+                long_prefills: u32::from(report.long_prefills),
+                unshared_tokens: u64::from(report.unshared_hundreds) * HUNDRED,
                 pending_tokens: u64::from(report.pending_hundreds) * HUNDRED,
             },
             outcomes: OutcomeCounts {
@@ -150,8 +150,8 @@
             back_end,
             running: saturate(u64::from(self.occupancy.running)),
             exposed_hundredths: saturate((self.occupancy.exposed * HUNDRED as f64) as u64),
-            long_readings: saturate(u64::from(self.occupancy.long_readings)),
-            single_hundreds: saturate(self.occupancy.single_tokens / HUNDRED),
+            long_prefills: saturate(u64::from(self.occupancy.long_prefills)),
+            unshared_hundreds: saturate(self.occupancy.unshared_tokens / HUNDRED),
             pending_hundreds: saturate(self.occupancy.pending_tokens / HUNDRED),
             placed_hundreds: placed / HUNDRED,
             completed: saturate(u64::from(self.outcomes.completed)),
@@ -174,12 +174,12 @@
         /// The zone.
         zone: u64,
         /// The node.
-        teller: u64,
+        reporter: u64,
     },
     /// An aggregator tells of those of all nodes.
     AllNodes {
         /// The aggregator.
-        teller: u64,
+        reporter: u64,
     },
 }
 
@@ -203,11 +203,11 @@
         }
     }
 
-    fn teller(self) -> u64 {
+    fn reporter(self) -> u64 {
         match self {
-            LoadSource::Node(teller)
-            | LoadSource::Zone { teller, .. }
-            | LoadSource::AllNodes { teller } => teller,
+            LoadSource::Node(reporter)
+            | LoadSource::Zone { reporter, .. }
+            | LoadSource::AllNodes { reporter } => reporter,
         }
     }
 }
@@ -215,7 +215,7 @@
 /// Tokens of single requests that others ever placed at a back end.
 #[derive(Clone, Copy, Debug)]
 struct Placed {
-    teller: u64,
+    reporter: u64,
     placed: u64,
     at: Timestamp,
 }
@@ -278,7 +278,7 @@
         if self.cache.engine_tokens() > 0 {
             return f64::from(running);
         }
-        let mean = self.crowding.note(running, now);
+        let mean = self.crowding.record(running, now);
         mean.max(f64::from(self.own_running()))
     }
 
@@ -355,14 +355,14 @@
     }
 
     /// Expected time to read so many prompt tokens.
-    pub fn reading_time(&self, tokens: u64) -> Span {
+    pub fn prefill_time(&self, tokens: u64) -> Span {
         let milliseconds = tokens as f64 / ASSUMED_TOKENS_PER_MS * self.slowness;
         Span::from_seconds(milliseconds / 1_000.0)
     }
 
     /// Takes over what a source reports of requests there.
     pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
-        self.note_placed(source, report.placed_hundreds * HUNDRED, at);
+        self.record_placed(source, report.placed_hundreds * HUNDRED, at);
         let report = Report::new(report, at);
         match source.counted() {
             Counted::AllNodes => self.sum = Some(report),
@@ -375,18 +375,18 @@
     /// Others have ever placed so many tokens of single requests there. After a restart of
     /// the teller the figure begins anew. The figures of two tellers differ by what one of
     /// them has not heard, so that only one is followed for as long as it is heard.
-    fn note_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
+    fn record_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
         let counted = source.counted();
-        let teller = source.teller();
+        let reporter = source.reporter();
         let known = self.placed_by.get(&counted).copied();
-        let is_followed = known.is_none_or(|known| known.teller == teller);
+        let is_followed = known.is_none_or(|known| known.reporter == reporter);
         let is_heard = known.is_some_and(|known| at.since(known.at) < SUMMARY_LIFETIME);
         if !is_followed && is_heard {
             return;
         }
         let before = known.filter(|_| is_followed);
         let since = before.map_or(0, |before| placed.saturating_sub(before.placed));
-        self.cache.insert_single(since);
+        self.cache.insert_unshared(since);
         match counted {
             Counted::Node(_) => self.placed_by_nodes += since,
             Counted::Zone(_) => self.placed_by_zones += since,
@@ -395,7 +395,11 @@
         if counted != Counted::AllNodes && self.fresh_sum(at).is_none() {
             self.placed_by_all += since;
         }
-        let placed = Placed { teller, placed, at };
+        let placed = Placed {
+            reporter,
+            placed,
+            at,
+        };
         self.placed_by.insert(counted, placed);
     }
 
@@ -444,10 +448,10 @@
     }
 
     pub(crate) fn begin(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
-        self.own_placed += u64::from(footprint.single_tokens);
+        self.own_placed += u64::from(footprint.unshared_tokens);
         if self.fresh_sum(now).is_none() {
             // A sum holds what this node places, too.
-            self.placed_by_all += u64::from(footprint.single_tokens);
+            self.placed_by_all += u64::from(footprint.unshared_tokens);
         }
         let running = Running {
             footprint,
@@ -464,7 +468,7 @@
         self.own_placed += u64::from(tokens);
         let running = Running {
             footprint: Footprint {
-                single_tokens: tokens,
+                unshared_tokens: tokens,
                 ..Footprint::default()
             },
             pending_before: 0,
@@ -526,7 +530,7 @@
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let ended = self.running.remove(&lease);
         if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
-            self.crowding.note_answer(now.since(call.started));
+            self.crowding.record_answer(now.since(call.started));
         }
         self.outcomes.record(outcome, now);
     }
--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -83,7 +83,7 @@
     }
 
     /// Tokens at the beginning of the prompt that need not be read.
-    pub fn kept_tokens(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
         let kept = parts.iter().take_while(|part| self.keeps(part.id));
         kept.map(|part| part.tokens).sum()
     }
@@ -111,7 +111,7 @@
     }
 
     /// Notes that these parts, which are kept, are ones that requests share.
-    pub fn note_shared(&mut self, parts: &[PromptPart]) {
+    pub fn record_shared(&mut self, parts: &[PromptPart]) {
         for part in parts {
             if let Some(kept) = self.parts.get_mut(&part.id) {
                 kept.is_shared = true;
@@ -137,7 +137,7 @@
 
     /// The engine itself told how much it keeps of a part. What is being read there just now
     /// may not have reached that word.
-    pub fn take_fact(&mut self, part: PartId, tokens: u32, now: Timestamp) {
+    pub fn apply_observation(&mut self, part: PartId, tokens: u32, now: Timestamp) {
         let known = self.parts.get(&part);
         if tokens == 0 {
             if known.is_some_and(|kept| kept.read_at + EVENT_DELAY < now) {
@@ -165,7 +165,7 @@
 
     /// How long ago the engine itself told that it keeps what is expected of the beginning of
     /// a prompt; `None` where that is only believed, or nothing is kept.
-    pub fn known_age(&self, parts: &[PromptPart], now: Timestamp) -> Option<Span> {
+    pub fn observation_age(&self, parts: &[PromptPart], now: Timestamp) -> Option<Span> {
         let kept = parts.iter().map_while(|part| self.parts.get(&part.id));
         let ages = kept.map(|kept| kept.known_at.map(|at| now.since(at)));
         ages.collect::<Option<Vec<Span>>>()?.into_iter().max()
@@ -179,7 +179,7 @@
     }
 
     /// Notes tokens that take room and that no other request shares.
-    pub fn insert_single(&mut self, tokens: u64) {
+    pub fn insert_unshared(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
         }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -192,16 +192,16 @@
     pub fn take(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
         self.is_asked = false;
         match answer {
-            CacheResponse::Listing(listing) => self.take_listing(listing, now),
+            CacheResponse::Listing(listing) => self.apply_listing(listing, now),
             CacheResponse::Events(events) => self.take_events(events, now),
             CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Unreadable => {
-                self.note_vain(now);
+                self.record_failed_call(now);
                 false
             }
         }
     }
 
-    fn take_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
+    fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
         let number = listing.next.saturating_sub(1);
         let kept = listing.kept.iter().take(MOST_PARTS);
         let held = kept.map(|part| {
@@ -213,7 +213,7 @@
         self.next = listing.next;
         self.listed_to = number;
         self.counts.listings += 1;
-        self.note_heard(now);
+        self.record_heard(now);
         true
     }
 
@@ -231,7 +231,7 @@
         self.counts.answers += 1;
         self.counts.events += report.events.len() as u64;
         self.forget_dropped();
-        self.note_heard(now);
+        self.record_heard(now);
         true
     }
 
@@ -261,13 +261,13 @@
         }
     }
 
-    fn note_heard(&mut self, now: Timestamp) {
+    fn record_heard(&mut self, now: Timestamp) {
         self.heard = now;
         self.failures = 0;
         self.next_call = now + self.pace;
     }
 
-    fn note_vain(&mut self, now: Timestamp) {
+    fn record_failed_call(&mut self, now: Timestamp) {
         self.counts.vain += 1;
         let doublings = self.failures.min(MOST_DOUBLINGS);
         self.failures += 1;
@@ -275,7 +275,7 @@
     }
 
     /// Sets the pace by what the last answer corrected.
-    pub fn note_corrections(&mut self, count: usize, now: Timestamp) {
+    pub fn record_corrections(&mut self, count: usize, now: Timestamp) {
         self.counts.corrections += count as u64;
         if count > 0 {
             self.answers_in_vain = 0;
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -27,7 +27,7 @@
 /// (`tests/cold_start.rs`).
 pub(crate) const GROWTH_SETTLING_TIME: Span = Span::from_milliseconds(1_000);
 /// Longest time for which a back end is believed to be cold: a longer one is a mistake.
-pub const LONGEST_COLD: Span = Span::from_milliseconds(60_000);
+pub const MAX_COLD_PERIOD: Span = Span::from_milliseconds(60_000);
 
 /// What all nodes together may send to a cold back end in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WarmupState {
     listed_at: Timestamp,
-    cold_for: Option<Span>,
+    cold_remaining: Option<Span>,
     returned_at: Option<Timestamp>,
     last_sent: Option<Timestamp>,
     role: ColdRole,
@@ -82,26 +82,29 @@
 
 impl WarmupState {
     /// Takes over what the back end's entry tells.
-    pub fn list(&mut self, cold_for: Option<Span>, now: Timestamp) {
+    pub fn list(&mut self, cold_remaining: Option<Span>, now: Timestamp) {
         self.listed_at = now;
-        self.cold_for = cold_for;
+        self.cold_remaining = cold_remaining;
     }
 
     /// Its zone was evacuated and gets requests again: it starts as after a restart.
-    pub fn note_return(&mut self, now: Timestamp) {
+    pub fn record_zone_return(&mut self, now: Timestamp) {
         self.returned_at = Some(now);
     }
 
     /// When it is warm. A back end that doesn't tell counts as just started.
     pub fn cold_until(&self, start: &ColdStart) -> Timestamp {
-        let told = self.cold_for.unwrap_or(start.lasts).min(LONGEST_COLD);
+        let told = self
+            .cold_remaining
+            .unwrap_or(start.lasts)
+            .min(MAX_COLD_PERIOD);
         let after_listing = if told == Span::ZERO {
             self.listed_at
         } else {
             self.listed_at + told + ON_THE_WAY
         };
         let returned = self.returned_at;
-        let after_return = returned.map(|at| at + start.lasts.min(LONGEST_COLD) + ON_THE_WAY);
+        let after_return = returned.map(|at| at + start.lasts.min(MAX_COLD_PERIOD) + ON_THE_WAY);
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
@@ -111,7 +114,7 @@
     }
 
     /// Whether this node may send it a request now.
-    pub fn takes_request(&self, start: &ColdStart, now: Timestamp) -> bool {
+    pub fn may_send_request(&self, start: &ColdStart, now: Timestamp) -> bool {
         if !self.is_cold(start, now) {
             return true;
         }
@@ -120,7 +123,7 @@
     }
 
     /// Notes a request of this node.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent = Some(now);
     }
 
--- a/crates/coordination/dispatch/src/load/crowding.rs
+++ b/crates/coordination/dispatch/src/load/crowding.rs
@@ -30,7 +30,7 @@
 
 impl Crowding {
     /// Takes a count in. Returns the mean with it.
-    pub fn note(&mut self, running: u32, now: Timestamp) -> f64 {
+    pub fn record(&mut self, running: u32, now: Timestamp) -> f64 {
         let part = now.since(self.noted_at).0 as f64 / MEMORY.0 as f64;
         self.mean += part.min(MOST_WEIGHT) * (f64::from(running) - self.mean);
         self.noted_at = now;
@@ -38,7 +38,7 @@
     }
 
     /// Takes in how long an answer took.
-    pub fn note_answer(&mut self, took: Span) {
+    pub fn record_answer(&mut self, took: Span) {
         let known = self.answer_time.unwrap_or(took);
         let part = took.scaled(ANSWER_SMOOTHING);
         self.answer_time = Some(known.scaled(1.0 - ANSWER_SMOOTHING) + part);
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -152,7 +152,7 @@
     }
 
     /// Longest pause that reading makes at an engine, however long the prompt is.
-    pub fn reading_pause(&self, speed: &EngineSpeed) -> Span {
+    pub fn prefill_pause(&self, speed: &EngineSpeed) -> Span {
         Span::from_seconds(self.reading_pause_ms.value * self.relative(speed) / 1_000.0)
     }
 
@@ -172,7 +172,7 @@
     /// Chance that a stream exceeds its target for pauses, 0 to 1, when a prompt that
     /// takes so long to read is read beside it.
     pub fn chance_of_late_event(&self, speed: &EngineSpeed, target: Span, reading: Span) -> f64 {
-        let longest = milliseconds(self.reading_pause(speed)) * MIDDLE_OF_PAUSES;
+        let longest = milliseconds(self.prefill_pause(speed)) * MIDDLE_OF_PAUSES;
         let pause = (milliseconds(self.spacing(speed)) + milliseconds(reading)).min(longest);
         let excess = (pause / milliseconds(target).max(1.0)).ln() / SPREAD_OF_PAUSES;
         1.0 / (1.0 + (-excess).exp())
@@ -187,15 +187,15 @@
     /// length makes late, 0 to 1. Their targets are taken to lie at the longest pause:
     /// of those far above none is late, and far below there are few.
     pub fn share_made_late(&self, speed: &EngineSpeed, reading: Span) -> f64 {
-        let target = self.reading_pause(speed).scaled(MIDDLE_OF_PAUSES);
+        let target = self.prefill_pause(speed).scaled(MIDDLE_OF_PAUSES);
         let longest = self.chance_beside_long_prompts(speed, target);
         self.chance_of_late_event(speed, target, reading) / longest
     }
 
     /// Whether a prompt that takes so long to read disturbs others noticeably: half as
     /// much as the longest can.
-    pub fn is_long_reading(&self, speed: &EngineSpeed, reading: Span) -> bool {
-        reading.0 * 2 >= self.reading_pause(speed).0
+    pub fn is_long_prefill(&self, speed: &EngineSpeed, reading: Span) -> bool {
+        reading.0 * 2 >= self.prefill_pause(speed).0
     }
 }
 
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -63,7 +63,7 @@
         now: Timestamp,
     ) -> Option<HealthChange> {
         let is_failure = match outcome {
-            Outcome::Abandoned | Outcome::Withdrawn | Outcome::NotSent => return None,
+            Outcome::Abandoned | Outcome::Cancelled | Outcome::NotSent => return None,
             Outcome::Completed | Outcome::Rejected => false,
             _ => true,
         };
@@ -96,13 +96,13 @@
     ) -> Option<HealthChange> {
         self.failures_in_a_row += 1;
         let was_ejected = self.is_ejected(now);
-        self.is_replaced |= outcome == Outcome::Replaced;
+        self.is_replaced |= outcome == Outcome::InstanceReplaced;
         if was_ejected {
             return None;
         }
         let is_gone = matches!(
             outcome,
-            Outcome::Unreachable | Outcome::Refused | Outcome::Replaced
+            Outcome::Unreachable | Outcome::ConnectionRefused | Outcome::InstanceReplaced
         );
         let in_a_row = self.failures_in_a_row >= FAILURES_IN_A_ROW;
         let too_many =
--- a/crates/coordination/dispatch/src/load/holders.rs
+++ b/crates/coordination/dispatch/src/load/holders.rs
@@ -20,7 +20,7 @@
 
 impl Holders {
     /// Notes that a part was placed at a back end.
-    pub fn note(&mut self, part: PartId, back_end: u32) {
+    pub fn record(&mut self, part: PartId, back_end: u32) {
         if self.young.len() >= MOST_PARTS && !self.young.contains_key(&part) {
             self.old = std::mem::take(&mut self.young);
         }
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -53,7 +53,7 @@
 
 /// Where this node heard of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HeardFrom {
+pub(crate) enum NoticeOrigin {
     /// In an answer to this node.
     BackEnd,
     /// From a node of the own zone.
@@ -79,11 +79,11 @@
 impl Audience {
     /// Whether it has not been told by those from whom this node heard: back and forth, each
     /// notice would fill the messages of all nodes.
-    fn lacks(self, heard_from: HeardFrom) -> bool {
+    fn lacks(self, heard_from: NoticeOrigin) -> bool {
         match self {
-            Audience::OwnZone => heard_from != HeardFrom::OwnZone,
+            Audience::OwnZone => heard_from != NoticeOrigin::OwnZone,
             Audience::ZoneMembers { .. } => true,
-            Audience::OtherZones => heard_from != HeardFrom::OtherZone,
+            Audience::OtherZones => heard_from != NoticeOrigin::OtherZone,
         }
     }
 
@@ -110,17 +110,17 @@
 struct Entry {
     started_unix_ms: Option<u64>,
     notice: LimitNotice,
-    heard_from: HeardFrom,
+    heard_from: NoticeOrigin,
     /// When this node heard of the limit, or that it is over.
     changed_at: Timestamp,
 }
 
 impl Entry {
     /// Takes over what the same run said, if it is later.
-    fn renew(&mut self, notice: LimitNotice, heard_from: HeardFrom, now: Timestamp) {
+    fn update(&mut self, notice: LimitNotice, heard_from: NoticeOrigin, now: Timestamp) {
         let is_change = notice.limit != self.notice.limit;
         let margin = if is_change { Span::ZERO } else { LATEST_ECHO };
-        if notice.said_at <= self.notice.said_at + margin {
+        if notice.reported_at <= self.notice.reported_at + margin {
             return;
         }
         if is_change {
@@ -141,7 +141,7 @@
         } else {
             Span::ZERO
         };
-        let age = now.since(self.notice.said_at) + margin;
+        let age = now.since(self.notice.reported_at) + margin;
         LimitReport {
             back_end,
             started_unix_ms: self.started_unix_ms,
@@ -181,18 +181,18 @@
 
     /// Takes in what a run said, here or elsewhere, unless it has said something since. Returns a
     /// back end whose notice gave way to it.
-    pub fn note(
+    pub fn record(
         &mut self,
         run: Run,
         notice: LimitNotice,
-        heard_from: HeardFrom,
+        heard_from: NoticeOrigin,
         now: Timestamp,
     ) -> Option<u32> {
         let known = self.entries.get_mut(&run.back_end);
         let is_same =
             |entry: &&mut Entry| may_be_same_start(entry.started_unix_ms, run.started_unix_ms);
         if let Some(entry) = known.filter(is_same) {
-            entry.renew(notice, heard_from, now);
+            entry.update(notice, heard_from, now);
             entry.started_unix_ms = run.started_unix_ms.or(entry.started_unix_ms);
             return None;
         }
@@ -212,7 +212,7 @@
     /// Forgets limits that are long over, and all of runs for which `is_gone` holds.
     pub fn expire(&mut self, is_gone: impl Fn(u32) -> bool, now: Timestamp) {
         self.entries.retain(|back_end, entry| {
-            let age = now.since(entry.notice.said_at);
+            let age = now.since(entry.notice.reported_at);
             age < OVER_KEPT || (entry.notice.limit.is_some() && !is_gone(*back_end))
         });
     }
@@ -223,14 +223,14 @@
             return None;
         }
         let oldest = self.entries.iter();
-        let oldest = oldest.min_by_key(|(_, entry)| entry.notice.said_at);
+        let oldest = oldest.min_by_key(|(_, entry)| entry.notice.reported_at);
         let oldest = oldest.map(|(back_end, _)| *back_end)?;
         self.entries.remove(&oldest);
         Some(oldest)
     }
 
     /// Whether anything has changed that nodes of the own zone have to hear from this one.
-    pub fn has_news(&self, now: Timestamp) -> bool {
+    pub fn has_unsent_changes(&self, now: Timestamp) -> bool {
         let mut entries = self.entries.values();
         entries.any(|entry| entry.is_news(Audience::OwnZone, now))
     }
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -52,7 +52,7 @@
     /// The limit; `None` where it has none any more.
     pub limit: Option<RateLimit>,
     /// When it said so, by this node's clock.
-    pub said_at: Timestamp,
+    pub reported_at: Timestamp,
 }
 
 /// Rate at which requests are sent under a limit, of all nodes.
@@ -98,7 +98,7 @@
 
 impl Limiter {
     /// Takes over what the back end said last.
-    pub fn take_notice(&mut self, notice: Option<LimitNotice>) {
+    pub fn set_notice(&mut self, notice: Option<LimitNotice>) {
         self.notice = notice;
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Whether a request may be sent to the back end now.
-    pub fn takes_request(&self, now: Timestamp) -> bool {
+    pub fn may_send_request(&self, now: Timestamp) -> bool {
         let is_probe = self.probes_until.is_some_and(|until| now < until);
         self.limit().is_none() || is_probe || self.is_paced(now)
     }
@@ -127,7 +127,7 @@
     }
 
     /// Notes a request of this node.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent = Some(now);
         self.probes_until = None;
     }
@@ -135,7 +135,7 @@
     /// Renews this node's part in the limit; `share` tells it by the limit.
     pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<Share>) {
         let before = std::mem::take(&mut self.role);
-        let Some((limit, said_at)) = self.limit_and_time() else {
+        let Some((limit, reported_at)) = self.limit_and_time() else {
             return;
         };
         let Some(share) = share(limit) else {
@@ -146,24 +146,24 @@
             // Another sender may have sent what was answered last, so that it counts here. Those
             // that begin together are spread over the time between two requests.
             let after = 1.0 + share.place as f64 / share.senders as f64;
-            self.first_at = said_at + interval.scaled(after);
+            self.first_at = reported_at + interval.scaled(after);
         }
         self.role = LimitRole::Sender(interval);
     }
 
     /// The limit, where this node doesn't send and nothing was heard of it for so long that the
     /// senders probably have no requests for the back end.
-    pub fn silent_limit(&self, now: Timestamp) -> Option<RateLimit> {
-        let (limit, said_at) = self.limit_and_time()?;
+    pub fn stale_limit(&self, now: Timestamp) -> Option<RateLimit> {
+        let (limit, reported_at) = self.limit_and_time()?;
         let longest = SHORTEST_SILENCE.max(interval(limit).scaled(SILENT_INTERVALS));
-        let is_silent = now.since(said_at) > longest;
+        let is_silent = now.since(reported_at) > longest;
         (self.role == LimitRole::OtherNodes && is_silent).then_some(limit)
     }
 
     /// The limit, where there is one, and when the back end named it last.
     fn limit_and_time(&self) -> Option<(RateLimit, Timestamp)> {
         let notice = self.notice?;
-        Some((notice.limit?, notice.said_at))
+        Some((notice.limit?, notice.reported_at))
     }
 
     /// This node may send one request to hear whether the limit still holds.
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -28,7 +28,7 @@
     }
 
     /// How long it wants nothing from this node from now on, if at all.
-    pub fn rest_left(self, now: Timestamp) -> Option<Span> {
+    pub fn remaining_backoff(self, now: Timestamp) -> Option<Span> {
         let until = self.rests_until.filter(|until| *until > now)?;
         Some(now.until(until))
     }
@@ -57,7 +57,7 @@
     }
 
     /// A run, started then, says something.
-    pub fn note(
+    pub fn record(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
--- a/crates/coordination/dispatch/src/load/outcomes.rs
+++ b/crates/coordination/dispatch/src/load/outcomes.rs
@@ -64,7 +64,7 @@
             return;
         };
         match outcome {
-            Outcome::Abandoned | Outcome::Withdrawn | Outcome::NotSent => {}
+            Outcome::Abandoned | Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Completed | Outcome::Rejected => counts.completed += 1,
             _ => counts.failed += 1,
         }
--- a/crates/coordination/dispatch/src/load/pacing.rs
+++ b/crates/coordination/dispatch/src/load/pacing.rs
@@ -13,7 +13,7 @@
 
 impl StreamPacing {
     /// Notes that some events arrived together.
-    pub fn note(&mut self, events: u64, now: Timestamp) {
+    pub fn record(&mut self, events: u64, now: Timestamp) {
         if self.events == 0 {
             self.first_at = now;
         } else {
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -89,7 +89,7 @@
     }
 
     /// The groups, beginning with the one that a hash names.
-    pub fn beginning_at(
+    pub fn starting_at(
         &self,
         hash: u64,
     ) -> impl Iterator<Item = impl Iterator<Item = &InstanceId>> {
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -12,7 +12,7 @@
 use crate::load::pool_index::{HashGroups, PoolIndex};
 use crate::placement::planning::SENSITIVE_CHANCE;
 use crate::placement::pool_split::{PoolLoad, PoolSplit, RankedEngine, SplitChange};
-use crate::placement::streams_apart::keeps_streams_apart;
+use crate::placement::stream_isolation::should_isolate_streams;
 use crate::{
     BackEndLoad, LoadReport, LoadSource, Outcome, Placement, PoolModel, PrefixCache, PromptPart,
     Revision, StreamPacing,
@@ -54,7 +54,7 @@
     /// Whether it takes new work at all. Its own notice counts as the list does: while the platform
     /// is away the list stays as it was, and what is sent to a back end that leaves is lost when it
     /// ends.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         !self.back_end.draining && !self.notice.is_leaving && !self.health.is_replaced()
     }
 }
@@ -69,7 +69,7 @@
     by_digest: HashMap<u32, InstanceId>,
     reported: HashMap<Counted, Vec<u32>>,
     models: HashMap<PoolName, PoolModel>,
-    streams_apart: HashMap<PoolName, bool>,
+    stream_isolation: HashMap<PoolName, bool>,
     splits: HashMap<PoolName, PoolSplit>,
     /// Shared parts placed anywhere since they were last taken.
     placed_lately: Vec<PartId>,
@@ -105,11 +105,11 @@
         load.memory_tokens += state.load.cache.engine_tokens();
         load.running += there.running;
         load.exposed += there.exposed;
-        load.long_requests += there.long_readings;
-        load.single_tokens += there.single_tokens;
-        rates += READING_SAMPLE as f64 / state.load.reading_time(READING_SAMPLE).seconds();
+        load.long_requests += there.long_prefills;
+        load.unshared_tokens += there.unshared_tokens;
+        rates += READING_SAMPLE as f64 / state.load.prefill_time(READING_SAMPLE).seconds();
     }
-    load.reading_rate = rates / f64::from(load.engines.max(1));
+    load.prefill_rate = rates / f64::from(load.engines.max(1));
     load
 }
 
@@ -169,14 +169,14 @@
     }
 
     /// Notes which back end was given the shared parts of a prompt.
-    pub fn note_holder(&mut self, parts: &[PromptPart], back_end: u32) {
+    pub fn record_holder(&mut self, parts: &[PromptPart], back_end: u32) {
         for part in parts {
-            self.holders.note(part.id, back_end);
+            self.holders.record(part.id, back_end);
         }
     }
 
     /// Takes an outcome at a back end in. Returns what it changes in its standing.
-    pub fn judge(
+    pub fn record_outcome(
         &mut self,
         instance: &InstanceId,
         outcome: Outcome,
@@ -218,7 +218,7 @@
     ) {
         self.version += 1;
         let instance = back_end.instance.clone();
-        let cold_for = back_end.cold_for;
+        let cold_remaining = back_end.cold_remaining;
         if let Some((newest, holder)) = self.by_address.get(&back_end.address) {
             let is_other = *holder != instance;
             if is_other && *newest > revision {
@@ -246,7 +246,7 @@
             None => self.add(back_end, table),
         }
         if let Some(state) = self.states.get_mut(&instance) {
-            state.warmup.list(cold_for, now);
+            state.warmup.list(cold_remaining, now);
         }
     }
 
@@ -261,7 +261,7 @@
         pool.add(digest, &instance, &back_end.zone);
         self.by_digest.insert(digest, instance.clone());
         let mut limiter = Limiter::default();
-        limiter.take_notice(self.limit_notices.of(digest, &back_end));
+        limiter.set_notice(self.limit_notices.of(digest, &back_end));
         let state = BackEndState {
             digest,
             load: BackEndLoad::new(tokens, speed),
@@ -305,12 +305,12 @@
     }
 
     /// Whether some engines of a pool are kept for streams that long prompts make late.
-    pub fn streams_are_apart(&self, pool: &PoolName) -> bool {
-        self.streams_apart.get(pool).copied().unwrap_or(false)
+    pub fn isolates_streams(&self, pool: &PoolName) -> bool {
+        self.stream_isolation.get(pool).copied().unwrap_or(false)
     }
 
     /// Renews which pools keep streams apart, from what runs there now.
-    pub fn renew_streams_apart(&mut self, now: Timestamp) {
+    pub fn update_stream_isolation(&mut self, now: Timestamp) {
         for (pool, index) in &self.pools {
             let states = index
                 .members()
@@ -321,15 +321,15 @@
                 exposed += state.load.occupancy(now).exposed;
                 slots += state.back_end.slots;
             }
-            let before = self.streams_apart.get(pool).copied().unwrap_or(false);
-            let apart = keeps_streams_apart(exposed, slots, before);
-            self.streams_apart.insert(pool.clone(), apart);
+            let before = self.stream_isolation.get(pool).copied().unwrap_or(false);
+            let apart = should_isolate_streams(exposed, slots, before);
+            self.stream_isolation.insert(pool.clone(), apart);
         }
     }
 
     /// Tokens of all different parts of prompts that the engines of a pool are believed to
     /// keep, estimated from a sample of the parts.
-    pub fn kept_tokens(&self, pool: &PoolName) -> u64 {
+    pub fn cached_tokens(&self, pool: &PoolName) -> u64 {
         let mut sampled = HashMap::new();
         for state in self.pool(pool) {
             let parts = state.load.cache.parts_with_lengths();
@@ -345,12 +345,12 @@
     }
 
     /// Notes the exposure of a request that was placed.
-    pub fn note_exposure(&mut self, pool: &PoolName, exposure: f64) {
+    pub fn record_exposure(&mut self, pool: &PoolName, exposure: f64) {
         if exposure < SENSITIVE_CHANCE {
             return;
         }
         if let Some(split) = self.splits.get_mut(pool) {
-            split.note_exposure(exposure);
+            split.record_exposure(exposure);
         }
     }
 
@@ -361,7 +361,7 @@
 
     /// Renews the splits from what runs at the back ends for which `is_usable` holds; the
     /// last renewal was so many seconds ago. Returns those whose border has moved.
-    pub fn renew_splits(
+    pub fn update_splits(
         &mut self,
         is_usable: impl Fn(&BackEndState) -> bool,
         seconds: f64,
@@ -383,7 +383,7 @@
             let placed = states.iter().map(|state| state.load.placed_by_all()).sum();
             let load = pool_load(states.into_iter().filter(|state| is_usable(state)), now);
             let split = self.splits.entry(pool.clone()).or_default();
-            if split.renew(&ranked, load, placed, seconds) {
+            if split.update(&ranked, load, placed, seconds) {
                 changes.push(SplitChange {
                     pool: pool.clone(),
                     figures: split.figures(),
@@ -421,15 +421,15 @@
 
     /// A new table may give pools other memory, and tell what they are for the first
     /// time: back ends may be listed before it.
-    pub fn take_table(&mut self, table: &RoutingTable) {
-        self.renew_unseen_models(table);
+    pub fn apply_table(&mut self, table: &RoutingTable) {
+        self.update_unseen_models(table);
         for state in self.states.values_mut() {
             let tokens = engine_tokens(Some(table), &state.back_end.pool);
             state.load.cache.set_engine_tokens(tokens);
         }
     }
 
-    fn renew_unseen_models(&mut self, table: &RoutingTable) {
+    fn update_unseen_models(&mut self, table: &RoutingTable) {
         for (pool, model) in &mut self.models {
             if model.has_seen_streams() {
                 continue;
@@ -443,7 +443,7 @@
     }
 
     /// Takes over what a source reports, in place of what was reported of the same before.
-    pub fn take_loads(&mut self, source: LoadSource, loads: &[LoadReport], now: Timestamp) {
+    pub fn apply_loads(&mut self, source: LoadSource, loads: &[LoadReport], now: Timestamp) {
         let counted = source.counted();
         let digests = loads.iter().map(|report| report.back_end).collect();
         let previous = self.reported.insert(counted, digests);
@@ -460,8 +460,8 @@
     }
 
     /// Takes over which prompts were placed where.
-    pub fn take_placements(&mut self, placements: &[Placement], now: Timestamp) {
-        self.note_placed(placements.iter().map(|placement| placement.part));
+    pub fn apply_placements(&mut self, placements: &[Placement], now: Timestamp) {
+        self.record_placed(placements.iter().map(|placement| placement.part));
         for placement in placements {
             let part = PromptPart {
                 id: placement.part,
@@ -471,33 +471,36 @@
                 continue;
             };
             if placement.is_observed {
-                state.load.cache.take_fact(part.id, part.tokens, now);
+                state
+                    .load
+                    .cache
+                    .apply_observation(part.id, part.tokens, now);
             } else {
                 let waiting = state.load.occupancy(now).pending_tokens;
                 let tokens = waiting.max(u64::from(part.tokens));
-                let read_at = now + state.load.reading_time(tokens);
+                let read_at = now + state.load.prefill_time(tokens);
                 state.load.cache.insert(&[part], read_at);
-                state.load.cache.note_shared(&[part]);
+                state.load.cache.record_shared(&[part]);
             }
             if placement.tokens > 0 {
-                self.holders.note(part.id, placement.back_end);
+                self.holders.record(part.id, placement.back_end);
             }
         }
     }
 
     /// Notes shared parts that requests were placed with.
-    pub fn note_placed(&mut self, parts: impl Iterator<Item = PartId>) {
+    pub fn record_placed(&mut self, parts: impl Iterator<Item = PartId>) {
         let room = MOST_PLACED_LATELY.saturating_sub(self.placed_lately.len());
         self.placed_lately.extend(parts.take(room));
     }
 
     /// Shared parts placed anywhere since the last call.
-    pub fn take_placed_lately(&mut self) -> Vec<PartId> {
+    pub fn drain_recent_placements(&mut self) -> Vec<PartId> {
         std::mem::take(&mut self.placed_lately)
     }
 
     /// Shared parts that any engine is believed to keep.
-    pub fn believed_parts(&self) -> HashSet<PartId> {
+    pub fn cached_parts(&self) -> HashSet<PartId> {
         let caches = self.states.values().map(|state| &state.load.cache);
         caches.flat_map(PrefixCache::parts).collect()
     }
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -2,7 +2,7 @@
 
 use super::{Registry, instance_digest};
 use crate::LimitReport;
-use crate::load::limit_notices::{HeardFrom, LimitNotices, Run};
+use crate::load::limit_notices::{LimitNotices, NoticeOrigin, Run};
 use crate::load::limiter::{LimitNotice, interval_of};
 use crate::load::notices::Notice;
 use eiderferry_routing::{InstanceId, PoolName};
@@ -10,33 +10,33 @@
 
 impl Registry {
     /// A run that started then says that it is leaving. Returns whether that is new.
-    pub fn note_leaving(&mut self, instance: &InstanceId, started_unix_ms: Option<u64>) -> bool {
-        let notice = self.note(instance, started_unix_ms, |notice| notice.is_leaving = true);
+    pub fn record_leaving(&mut self, instance: &InstanceId, started_unix_ms: Option<u64>) -> bool {
+        let notice = self.record(instance, started_unix_ms, |notice| notice.is_leaving = true);
         let is_new = notice.is_some_and(|before| !before.is_leaving);
         self.version += u64::from(is_new);
         is_new
     }
 
     /// A run that started then wants nothing from this node until then.
-    pub fn note_rest(
+    pub fn record_backoff(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
         until: Timestamp,
     ) {
-        self.note(instance, started_unix_ms, |notice| notice.rest(until));
+        self.record(instance, started_unix_ms, |notice| notice.rest(until));
     }
 
     /// Time until the first of a pool's back ends that rest wants requests again.
-    pub fn shortest_rest(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
-        let working = self.pool(pool).filter(|state| state.takes_work());
-        let rests = working.filter_map(|state| state.notice.rest_left(now));
+    pub fn shortest_backoff(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
+        let working = self.pool(pool).filter(|state| state.accepts_work());
+        let rests = working.filter_map(|state| state.notice.remaining_backoff(now));
         rests.min()
     }
 
     /// A run that started then says something of itself. Returns what it had said before;
     /// `None` where it is not listed, or another run has its name now.
-    fn note(
+    fn record(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
@@ -49,14 +49,14 @@
         if is_over {
             return None;
         }
-        self.notices.note(instance, started_unix_ms, change);
+        self.notices.record(instance, started_unix_ms, change);
         let state = state?;
         let notice = self.notices.of(&state.back_end);
         Some(std::mem::replace(&mut state.notice, notice))
     }
 
     /// A run that started then says something of its rate limit.
-    pub fn note_limit(
+    pub fn record_limit(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
@@ -67,52 +67,52 @@
             back_end: instance_digest(instance),
             started_unix_ms,
         };
-        self.note_limit_of(run, notice, HeardFrom::BackEnd, now);
+        self.record_limit_of(run, notice, NoticeOrigin::BackEnd, now);
     }
 
     /// Takes over what another node tells of limits.
-    pub fn take_limit_reports(
+    pub fn apply_limit_reports(
         &mut self,
         reports: &[LimitReport],
-        heard_from: HeardFrom,
+        heard_from: NoticeOrigin,
         now: Timestamp,
     ) {
         for report in reports {
             let age = Span::from_milliseconds(u64::from(report.age_ms));
             let notice = LimitNotice {
                 limit: report.limit,
-                said_at: now - age,
+                reported_at: now - age,
             };
             let run = Run {
                 back_end: report.back_end,
                 started_unix_ms: report.started_unix_ms,
             };
-            self.note_limit_of(run, notice, heard_from, now);
+            self.record_limit_of(run, notice, heard_from, now);
         }
     }
 
-    fn note_limit_of(
+    fn record_limit_of(
         &mut self,
         run: Run,
         notice: LimitNotice,
-        heard_from: HeardFrom,
+        heard_from: NoticeOrigin,
         now: Timestamp,
     ) {
         let state = self.by_digest_mut(run.back_end);
         if state.is_some_and(|state| !state.back_end.may_have_started(run.started_unix_ms)) {
             return;
         }
-        let evicted = self.limit_notices.note(run, notice, heard_from, now);
+        let evicted = self.limit_notices.record(run, notice, heard_from, now);
         for changed in evicted.into_iter().chain([run.back_end]) {
-            self.renew_limiter(changed);
+            self.update_limiter(changed);
         }
     }
 
-    fn renew_limiter(&mut self, back_end: u32) {
+    fn update_limiter(&mut self, back_end: u32) {
         let instance = self.by_digest.get(&back_end);
         if let Some(state) = instance.and_then(|instance| self.states.get_mut(instance)) {
             let notice = self.limit_notices.of(back_end, &state.back_end);
-            state.limiter.take_notice(notice);
+            state.limiter.set_notice(notice);
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// Time in which the limited back ends of a pool together take one request.
     pub fn limited_interval(&self, pool: &PoolName) -> Option<Span> {
-        let working = self.pool(pool).filter(|state| state.takes_work());
+        let working = self.pool(pool).filter(|state| state.accepts_work());
         interval_of(working.filter_map(|state| state.limiter.limit()))
     }
 }
--- a/crates/coordination/dispatch/src/placement.rs
+++ b/crates/coordination/dispatch/src/placement.rs
@@ -4,10 +4,10 @@
 pub(crate) mod candidate;
 pub(crate) mod demand;
 pub(crate) mod eligibility;
-pub(crate) mod places;
+pub(crate) mod locality;
 pub(crate) mod planning;
 pub(crate) mod pool_split;
 pub(crate) mod replication;
 pub(crate) mod sampling;
-pub(crate) mod streams_apart;
+pub(crate) mod stream_isolation;
 pub(crate) mod view;
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -46,15 +46,15 @@
     /// Time within which the first event is in time.
     pub target: Span,
     /// Shared prompt tokens that it would have to read although another has them.
-    pub read_again: u32,
+    pub recomputed_tokens: u32,
     /// Whether it is the one that all nodes prefer for the request's prompt.
     pub is_home: bool,
     /// Shared prompt tokens that it would have to copy from another.
     pub copied: u32,
     /// Chance that prompts read there make the request's own events late.
-    pub own_late_event: f64,
+    pub own_delay_probability: f64,
     /// Streams there that its prompt would make late, in expectation.
-    pub others_late: f64,
+    pub delayed_streams: f64,
     /// Requests there.
     pub running: u32,
     /// Requests that run there at once.
@@ -62,23 +62,23 @@
     /// Part of its memory that is taken with the request; 0 where it has none.
     pub memory: f64,
     /// What the bytes on the way there cost, as a time.
-    pub way_cost: Span,
+    pub network_cost: Span,
     /// By how much its share of failures exceeds that of its pool.
     pub excess_failures: f64,
     /// Whether the request may be sent again.
-    pub may_repeat: bool,
+    pub may_retry: bool,
 }
 
 impl Candidate {
     /// What choosing it costs, as a time.
     pub fn cost(&self) -> Span {
         self.waiting_cost()
-            + self.way_cost
+            + self.network_cost
             + self.batch_cost()
             + self.memory_cost()
-            + self.reading_cost()
+            + self.prefill_cost()
             + LATE_REQUEST.scaled(self.late_first_event())
-            + LATE_REQUEST.scaled(self.own_late_event + self.others_late)
+            + LATE_REQUEST.scaled(self.own_delay_probability + self.delayed_streams)
             + self.failure_cost()
     }
 
@@ -114,14 +114,14 @@
         FULL_MEMORY.scaled(excess.max(0.0))
     }
 
-    fn reading_cost(&self) -> Span {
-        let read_again = u64::from(self.read_again) * READ_AGAIN_PER_TOKEN;
+    fn prefill_cost(&self) -> Span {
+        let recomputed_tokens = u64::from(self.recomputed_tokens) * READ_AGAIN_PER_TOKEN;
         let copied = u64::from(self.copied) * COPY_PER_TOKEN;
-        Span(read_again + copied)
+        Span(recomputed_tokens + copied)
     }
 
     fn failure_cost(&self) -> Span {
-        let failure = if self.may_repeat {
+        let failure = if self.may_retry {
             FAILURE
         } else {
             FAILURE_FOR_GOOD
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -38,7 +38,7 @@
     /// Time within which the answer, or its first event, is in time.
     pub target: Span,
     /// Longest pause between events that is in time, for streams.
-    pub pause_target: Option<Span>,
+    pub event_gap_target: Option<Span>,
     /// Time until the caller gives up.
     pub remaining: Span,
     /// Regions in which it may run.
@@ -46,9 +46,9 @@
     /// Back ends that have failed it already.
     pub excluded: Vec<InstanceId>,
     /// Whether it may be sent again after it has reached a back end.
-    pub may_repeat: bool,
+    pub may_retry: bool,
     /// Whether an earlier attempt of the same request has reached a back end.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Whether it is answered by a stream of events.
     pub is_stream: bool,
     /// The only back end that can take it: the holder of its replica.
@@ -79,7 +79,7 @@
     pub uncached_tokens: u32,
     /// How long ago the engine told that it keeps what it is expected to find of the shared
     /// parts; `None` where that is only believed, or nothing is found.
-    pub cache_known: Option<Span>,
+    pub cache_observation_age: Option<Span>,
     /// Engine from which it is to copy what it lacks of the prompt.
     pub copy_from: Option<SocketAddr>,
     /// Engine at which a replica of the run is kept up.
@@ -115,19 +115,19 @@
     /// The back end refused it; it did not run.
     Shed,
     /// Another run of a back end has the address.
-    Replaced,
+    InstanceReplaced,
     /// Nothing answered: no connection came up.
     Unreachable,
     /// The connection was refused: nothing listens there, on a machine that can be reached.
-    Refused,
+    ConnectionRefused,
     /// This node's own bounds kept it from being sent; says nothing of the back end.
     NotSent,
     /// The answer broke off, or was none.
-    Broken,
+    IncompleteResponse,
     /// No answer, or no further event, in time.
-    Silent,
+    TimedOut,
     /// This node took it back, as back ends crash under it; says nothing of the back end.
-    Withdrawn,
+    Cancelled,
     /// The caller left, or a planned stop ended it; says nothing of the back end.
     Abandoned,
 }
@@ -146,7 +146,7 @@
     }
 
     /// Tokens that no other request shares: the rest of the prompt, and the answer.
-    pub fn single_tokens(&self) -> u32 {
+    pub fn unshared_tokens(&self) -> u32 {
         let own = self.prompt_tokens.saturating_sub(self.shared_tokens());
         own.saturating_add(self.output_tokens)
     }
@@ -165,13 +165,13 @@
             Outcome::Rejected => "rejected",
             Outcome::Failed => "failed",
             Outcome::Shed => "shed",
-            Outcome::Replaced => "replaced",
+            Outcome::InstanceReplaced => "replaced",
             Outcome::Unreachable => "unreachable",
-            Outcome::Refused => "refused",
+            Outcome::ConnectionRefused => "refused",
             Outcome::NotSent => "not_sent",
-            Outcome::Broken => "broken",
-            Outcome::Silent => "silent",
-            Outcome::Withdrawn => "withdrawn",
+            Outcome::IncompleteResponse => "broken",
+            Outcome::TimedOut => "silent",
+            Outcome::Cancelled => "withdrawn",
             Outcome::Abandoned => "abandoned",
         }
     }
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -27,17 +27,17 @@
 fn obstacle(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<Obstacle> {
     let zone = &state.back_end.zone;
     let cold_start = view.cold_start.as_ref();
-    if !state.takes_work() {
+    if !state.accepts_work() {
         Some(Obstacle::Leaving)
-    } else if state.notice.rest_left(view.now).is_some() {
+    } else if state.notice.remaining_backoff(view.now).is_some() {
         Some(Obstacle::Resting)
-    } else if !state.limiter.takes_request(view.now) {
+    } else if !state.limiter.may_send_request(view.now) {
         Some(Obstacle::Limited)
     } else if !demand.allowed_regions.allow(zone, view.regions) {
         Some(Obstacle::Region)
     } else if view.evacuated.contains(zone) {
         Some(Obstacle::Evacuated)
-    } else if cold_start.is_some_and(|start| !state.warmup.takes_request(start, view.now)) {
+    } else if cold_start.is_some_and(|start| !state.warmup.may_send_request(start, view.now)) {
         Some(Obstacle::Cold)
     } else {
         None
--- a/crates/coordination/dispatch/src/placement/places.rs
+++ b/crates/coordination/dispatch/src/placement/locality.rs
@@ -51,11 +51,11 @@
 
 /// The way to a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Way {
+pub(crate) struct NetworkPath {
     /// Time there and back.
     pub round_trip: Span,
     /// What the bytes of a request and its answer cost, as a time.
-    pub bytes_cost: Span,
+    pub transfer_cost: Span,
 }
 
 /// Round trips to the back ends of other zones, as connections that came up told them.
@@ -66,7 +66,7 @@
 
 impl RoundTrips {
     /// Notes how long a connection to a zone took to come up.
-    pub fn note(&mut self, zone: &ZoneName, round_trip: Span) {
+    pub fn record(&mut self, zone: &ZoneName, round_trip: Span) {
         let round_trip = round_trip.min(LONGEST_ROUND_TRIP);
         let known = self.measured.entry(zone.clone()).or_insert(round_trip);
         let smoothed = known.scaled(1.0 - ROUND_TRIP_SMOOTHING);
@@ -74,14 +74,14 @@
     }
 
     /// The way to a zone for so many bytes.
-    pub fn way(&self, zone: &ZoneName, distance: Distance, bytes: u32) -> Way {
+    pub fn network_path(&self, zone: &ZoneName, distance: Distance, bytes: u32) -> NetworkPath {
         if distance == Distance::SameZone {
-            return Way::default();
+            return NetworkPath::default();
         }
         let measured = self.measured.get(zone).copied();
-        Way {
+        NetworkPath {
             round_trip: measured.unwrap_or(assumed_round_trip(distance)),
-            bytes_cost: Span(u64::from(bytes) * byte_nanoseconds(distance) / NANOSECONDS_A_UNIT),
+            transfer_cost: Span(u64::from(bytes) * byte_nanoseconds(distance) / NANOSECONDS_A_UNIT),
         }
     }
 }
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -161,16 +161,16 @@
     fn of(registry: &'a Registry, demand: &Demand) -> Self {
         let engines = registry.pool_size(&demand.pool);
         let by_load = registry.split(&demand.pool);
-        let chance = registry.model(&demand.pool).zip(demand.pause_target);
+        let chance = registry.model(&demand.pool).zip(demand.event_gap_target);
         let is_exposed = chance.is_some_and(|(model, target)| {
             model.chance_beside_long_prompts(&model.engine_speed(), target) >= SENSITIVE_CHANCE
         });
-        let has_fixed_part = registry.streams_are_apart(&demand.pool)
-            || by_load.is_some_and(|split| split.is_full());
+        let has_fixed_part =
+            registry.isolates_streams(&demand.pool) || by_load.is_some_and(|split| split.is_full());
         let by_load = by_load.filter(|split| split.is_on());
         let is_short = match (by_load, registry.model(&demand.pool)) {
             (Some(split), Some(model)) => {
-                let reading = split.reading_time(demand.prompt_tokens);
+                let reading = split.prefill_time(demand.prompt_tokens);
                 model.share_made_late(&model.engine_speed(), reading) < HARMLESS_SHARE
             }
             _ => demand.prompt_tokens < SHORT_PROMPT_TOKENS,
@@ -286,40 +286,42 @@
 fn plan(state: &BackEndState, demand: &Demand, setting: &Setting<'_>) -> Plan {
     let now = setting.view.now;
     let instance = &state.back_end.instance;
-    let kept = state.load.cache.kept_tokens(&demand.parts);
+    let kept = state.load.cache.cached_tokens(&demand.parts);
     let missing = demand.shared_tokens().saturating_sub(kept);
     let copy_from = setting.keepers.source(instance, kept);
     let copied = if copy_from.is_some() { missing } else { 0 };
     let is_home = setting.home == Some(instance);
-    let read_again = if is_home { 0 } else { missing - copied };
+    let recomputed_tokens = if is_home { 0 } else { missing - copied };
     let uncached = demand.prompt_tokens.saturating_sub(kept + copied);
     let there = state.load.occupancy(now);
     let footprint = footprint(state, demand, uncached, setting);
     let reading = state
         .load
-        .reading_time(there.pending_tokens + u64::from(uncached));
-    let way = setting.view.way(&state.back_end.zone, demand.bytes);
+        .prefill_time(there.pending_tokens + u64::from(uncached));
+    let network_path = setting
+        .view
+        .network_path(&state.back_end.zone, demand.bytes);
     let mut candidate = Candidate {
-        first_event: reading + way.round_trip,
+        first_event: reading + network_path.round_trip,
         target: demand.target,
-        read_again,
+        recomputed_tokens,
         is_home,
         copied,
         running: there.running,
         slots: state.back_end.slots,
         memory: memory_part(state, &there, &footprint),
-        way_cost: way.bytes_cost,
+        network_cost: network_path.transfer_cost,
         excess_failures: excess_failures(state, setting),
-        may_repeat: demand.may_repeat,
+        may_retry: demand.may_retry,
         ..Candidate::default()
     };
     if let Some(model) = setting.model {
         let readings = Readings::at(state, &there, &footprint);
         let expected = setting.split.expected_long_readings(state);
-        candidate.own_late_event = readings.own_late_event(&footprint, expected);
-        candidate.others_late = {
+        candidate.own_delay_probability = readings.own_delay_probability(&footprint, expected);
+        candidate.delayed_streams = {
             let exposed = setting.split.expected_exposed(state, there.exposed);
-            readings.others_late(model, state, exposed)
+            readings.delayed_streams(model, state, exposed)
         };
     }
     Plan {
@@ -336,18 +338,18 @@
     uncached: u32,
     setting: &Setting<'_>,
 ) -> Footprint {
-    let reading = state.load.reading_time(u64::from(uncached));
+    let reading = state.load.prefill_time(u64::from(uncached));
     let speed = &state.load.speed;
-    let exposure = setting.model.zip(demand.pause_target);
+    let exposure = setting.model.zip(demand.event_gap_target);
     Footprint {
         uncached_tokens: uncached,
-        single_tokens: demand.single_tokens(),
+        unshared_tokens: demand.unshared_tokens(),
         exposure: exposure.map_or(0.0, |(model, target)| {
             model.chance_beside_long_prompts(speed, target)
         }),
-        is_long_reading: setting
+        is_long_prefill: setting
             .model
-            .is_some_and(|model| model.is_long_reading(speed, reading)),
+            .is_some_and(|model| model.is_long_prefill(speed, reading)),
     }
 }
 
@@ -357,7 +359,7 @@
     if capacity == 0 {
         return 0.0;
     }
-    let taken = there.single_tokens + u64::from(footprint.single_tokens);
+    let taken = there.unshared_tokens + u64::from(footprint.unshared_tokens);
     taken as f64 / capacity as f64
 }
 
@@ -372,22 +374,22 @@
     fn at(state: &BackEndState, there: &Occupancy, footprint: &Footprint) -> Self {
         let own = u64::from(footprint.uncached_tokens);
         Self {
-            waiting: state.load.reading_time(there.pending_tokens),
-            own: state.load.reading_time(own),
-            long_there: there.long_readings,
+            waiting: state.load.prefill_time(there.pending_tokens),
+            own: state.load.prefill_time(own),
+            long_there: there.long_prefills,
         }
     }
 
     /// Chance that the newcomer's events come late: where requests with long prompts
     /// run, further ones are likely to come while it runs.
-    fn own_late_event(&self, footprint: &Footprint, expected: u32) -> f64 {
-        let long_readings = self.long_there + expected;
-        let none_comes = (1.0 - FURTHER_LONG_READING).powi(long_readings as i32);
+    fn own_delay_probability(&self, footprint: &Footprint, expected: u32) -> f64 {
+        let long_prefills = self.long_there + expected;
+        let none_comes = (1.0 - FURTHER_LONG_READING).powi(long_prefills as i32);
         footprint.exposure * (1.0 - none_comes)
     }
 
     /// Streams that the newcomer's prompt makes late, in expectation.
-    fn others_late(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
+    fn delayed_streams(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
         let together = Span(self.waiting.0 + self.own.0);
         let after = model.share_made_late(&state.load.speed, together);
         let before = model.share_made_late(&state.load.speed, self.waiting);
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -75,9 +75,9 @@
     /// Requests that read long there.
     pub long_requests: u32,
     /// Tokens of memory that only one request has.
-    pub single_tokens: u64,
+    pub unshared_tokens: u64,
     /// Prompt tokens that one engine reads in a second.
-    pub reading_rate: f64,
+    pub prefill_rate: f64,
 }
 
 /// How many engines each kind of request needs.
@@ -95,12 +95,12 @@
         let engines = f64::from(load.engines.max(1));
         let slots = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
         let memory = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
-        let reading = placed_rate / load.reading_rate.max(1.0) / READING_UTILISATION;
+        let reading = placed_rate / load.prefill_rate.max(1.0) / READING_UTILISATION;
         let running = f64::from(load.running);
         let streams = (load.exposed / usual_exposure).min(running);
         let others = running - streams;
         // Nearly all of what only one request has belongs to long prompts.
-        let remembered = load.single_tokens as f64 / memory;
+        let remembered = load.unshared_tokens as f64 / memory;
         Self {
             prompts: reading.max(others / slots).max(remembered),
             streams: streams / slots,
@@ -142,13 +142,13 @@
 /// Zones that were silent at several looks on end. Where messages are late a zone counts as
 /// silent for some hundred milliseconds now and then, and borders would follow that.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LongSilent {
+pub(crate) struct PersistentSilence {
     looks: BTreeMap<ZoneName, u32>,
 }
 
-impl LongSilent {
+impl PersistentSilence {
     /// Notes the zones that are silent at this look.
-    pub fn note(&mut self, silent: &BTreeSet<ZoneName>) {
+    pub fn record(&mut self, silent: &BTreeSet<ZoneName>) {
         self.looks.retain(|zone, _| silent.contains(zone));
         for zone in silent {
             let looks = self.looks.entry(zone.clone()).or_default();
@@ -198,14 +198,14 @@
 impl PoolSplit {
     /// Renews the split from what runs now and the tokens that were ever placed; the last
     /// renewal was so many seconds ago. Returns whether the border has moved.
-    pub fn renew(
+    pub fn update(
         &mut self,
         engines: &[RankedEngine<'_>],
         load: PoolLoad,
         placed: u64,
         seconds: f64,
     ) -> bool {
-        self.note_placed(placed, seconds);
+        self.record_placed(placed, seconds);
         let exposure = self.usual_exposure.unwrap_or(1.0);
         let need = EngineNeed::of(&load, self.figures.placed_rate, exposure);
         let before = self.border;
@@ -224,7 +224,7 @@
         self.border != before
     }
 
-    fn note_placed(&mut self, placed: u64, seconds: f64) {
+    fn record_placed(&mut self, placed: u64, seconds: f64) {
         // A sum that falls has lost a teller: it begins anew.
         if let Some(before) = self.placed_before.filter(|before| *before <= placed) {
             let rate = (placed - before) as f64 / seconds.max(f64::EPSILON);
@@ -263,7 +263,7 @@
     }
 
     /// Notes a stream that is exposed to long prompts.
-    pub fn note_exposure(&mut self, exposure: f64) {
+    pub fn record_exposure(&mut self, exposure: f64) {
         let usual = self.usual_exposure.get_or_insert(exposure);
         *usual += EXPOSURE_SMOOTHING * (exposure - *usual);
     }
@@ -304,8 +304,8 @@
     }
 
     /// Time in which an engine of the pool reads so many tokens.
-    pub fn reading_time(&self, tokens: u32) -> Span {
-        let rate = self.figures.load.reading_rate.max(1.0);
+    pub fn prefill_time(&self, tokens: u32) -> Span {
+        let rate = self.figures.load.prefill_rate.max(1.0);
         Span::from_seconds(f64::from(tokens) / rate)
     }
 
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -46,7 +46,7 @@
 
 impl LossChances {
     /// Takes in how requests ended lately; to be called twice a second.
-    pub fn renew(&mut self, registry: &Registry, now: Timestamp) {
+    pub fn update(&mut self, registry: &Registry, now: Timestamp) {
         for pool in registry.pool_names() {
             let shares = registry.pool(pool);
             let shares = shares.map(|state| state.load.failure_share(now));
@@ -66,7 +66,7 @@
 /// Whether a request's run is worth a replica: a stream that no other attempt mends, and
 /// whose loss, by its chance, costs more than the replica's bytes.
 pub(crate) fn is_worth_replica(demand: &Demand, source_share: f64, chances: &LossChances) -> bool {
-    let is_lost_for_good = demand.is_stream && !demand.may_repeat;
+    let is_lost_for_good = demand.is_stream && !demand.may_retry;
     if !is_lost_for_good || demand.output_tokens < MINIMUM_OUTPUT_TOKENS {
         return false;
     }
@@ -167,7 +167,7 @@
     let there = state.load.occupancy(view.now);
     let batch = f64::from(there.running) / f64::from(state.back_end.slots.max(1));
     let capacity = state.load.cache.engine_tokens().max(1) as f64;
-    let tokens = there.single_tokens + u64::from(replica_tokens(demand));
+    let tokens = there.unshared_tokens + u64::from(replica_tokens(demand));
     let memory = tokens as f64 / capacity;
     (batch < FULLEST_BATCH && memory <= FULLEST_MEMORY).then_some(batch.max(memory))
 }
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -168,7 +168,7 @@
             return;
         };
         let mut fitting = 0;
-        for group in groups.beginning_at(seed(self.demand)).take(MOST_GROUPS) {
+        for group in groups.starting_at(seed(self.demand)).take(MOST_GROUPS) {
             let staying = self.look_up(group);
             fitting += staying.iter().filter(|state| may_be_home(state)).count();
             if self.examined.home.is_none() {
--- a/crates/coordination/dispatch/src/placement/streams_apart.rs
+++ b/crates/coordination/dispatch/src/placement/stream_isolation.rs
@@ -7,7 +7,7 @@
 
 /// Whether the streams of a pool, so many of them exposed to long prompts over so many slots,
 /// are kept apart from now on.
-pub(crate) fn keeps_streams_apart(exposed: f64, slots: u32, before: bool) -> bool {
+pub(crate) fn should_isolate_streams(exposed: f64, slots: u32, before: bool) -> bool {
     let limit = if before {
         STREAMS_APART_TO
     } else {
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,8 +1,8 @@
 //! What a node sees of the deployment when it decides about a request.
 
 use crate::Distance;
-use crate::placement::places::{ANY_OTHER_ZONE, HomeScope, RoundTrips, Way};
-use eiderferry_routing::{ColdStart, RegionOfZone, ZoneName};
+use crate::placement::locality::{ANY_OTHER_ZONE, HomeScope, NetworkPath, RoundTrips};
+use eiderferry_routing::{ColdStart, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
     /// Zones that it hears nothing of.
     pub silent_zones: &'a BTreeSet<ZoneName>,
     /// Region of each zone.
-    pub regions: &'a RegionOfZone,
+    pub regions: &'a ZoneRegions,
     /// Zones whose back ends get nothing new.
     pub evacuated: &'a BTreeSet<ZoneName>,
     /// How the back ends of the request's pool start, if they start cold.
@@ -24,7 +24,7 @@
     /// Where the homes of prompts lie.
     pub home_scope: HomeScope,
     /// Whether back ends cost what the way to them takes.
-    pub costs_places: bool,
+    pub costs_locality: bool,
     /// The time.
     pub now: Timestamp,
 }
@@ -36,14 +36,16 @@
     }
 
     /// The way to a zone for a request that takes so many bytes with its answer.
-    pub fn way(&self, zone: &ZoneName, bytes: u32) -> Way {
-        if self.costs_places {
-            return self.round_trips.way(zone, self.distance(zone), bytes);
+    pub fn network_path(&self, zone: &ZoneName, bytes: u32) -> NetworkPath {
+        if self.costs_locality {
+            return self
+                .round_trips
+                .network_path(zone, self.distance(zone), bytes);
         }
         let is_other = zone != self.zone;
-        Way {
+        NetworkPath {
             round_trip: Span::ZERO,
-            bytes_cost: if is_other { ANY_OTHER_ZONE } else { Span::ZERO },
+            transfer_cost: if is_other { ANY_OTHER_ZONE } else { Span::ZERO },
         }
     }
 
--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -150,10 +150,10 @@
     let readers = fleet.readers();
     fleet.dark.extend(readers);
     fleet.run_with_platform(2_000, 2);
-    let teller = (0..71)
+    let reporter = (0..71)
         .find(|number| !fleet.dark.contains(number))
         .expect("one");
-    place(&mut fleet, teller, 40);
+    place(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     assert_all_count(&mut fleet, 40, &[]);
 }
@@ -163,10 +163,10 @@
     let mut fleet = fleet_with_one_engine(71, 3);
     fleet.cut.extend([(0, 1), (0, 2)]);
     fleet.run_with_platform(4_000, 2);
-    let teller = (0..71)
+    let reporter = (0..71)
         .find(|number| fleet.zones[*number] == 0)
         .expect("one");
-    place(&mut fleet, teller, 40);
+    place(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     let outside: Vec<usize> = (0..71).filter(|number| fleet.zones[*number] != 0).collect();
     assert_all_count(&mut fleet, 40, &outside);
--- a/crates/coordination/dispatch/tests/cache.rs
+++ b/crates/coordination/dispatch/tests/cache.rs
@@ -19,10 +19,10 @@
     let mut cache = PrefixCache::new(100_000);
     cache.insert(&[part(1, 1_000), part(2, 500), part(3, 200)], READ);
     assert_eq!(
-        cache.kept_tokens(&[part(1, 1_000), part(2, 500), part(9, 70)]),
+        cache.cached_tokens(&[part(1, 1_000), part(2, 500), part(9, 70)]),
         1_500
     );
-    assert_eq!(cache.kept_tokens(&[part(7, 1_000), part(2, 500)]), 0);
+    assert_eq!(cache.cached_tokens(&[part(7, 1_000), part(2, 500)]), 0);
 }
 
 #[test]
@@ -57,9 +57,9 @@
 fn tokens_of_single_requests_take_room_from_shared_parts() {
     let mut cache = PrefixCache::new(1_000);
     cache.insert(&[part(1, 400)], READ);
-    cache.insert_single(300);
+    cache.insert_unshared(300);
     assert!(cache.keeps(PartId(1)));
-    cache.insert_single(300);
+    cache.insert_unshared(300);
     assert!(
         !cache.keeps(PartId(1)),
         "700 of 850 usable tokens came after it"
@@ -75,7 +75,7 @@
     cache.insert(&[part(1, 1_000)], READ);
     cache.insert(&[part(1, 1_000), part(2, 500)], later);
     let parts = [part(1, 1_000), part(2, 500)];
-    assert_eq!(cache.kept_tokens(&parts), 1_500);
+    assert_eq!(cache.cached_tokens(&parts), 1_500);
     assert_eq!(cache.read_tokens(&parts, READ), 1_000);
     assert_eq!(cache.read_tokens(&parts, later), 1_500);
 }
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -38,7 +38,7 @@
 fn asked(subject: &mut Dispatcher, thing: u64, now: Timestamp) -> (u32, Option<Span>) {
     let own = PROMPTS.fetch_add(1, Ordering::Relaxed);
     let grant = granted(subject.ask(&demand(thing, SHARED, own), now));
-    (grant.uncached_tokens - own, grant.cache_known)
+    (grant.uncached_tokens - own, grant.cache_observation_age)
 }
 
 /// Tokens of the shared part that the next request is expected to read.
@@ -359,7 +359,7 @@
 fn an_engine_that_asked_for_a_rest_is_not_called_in_it() {
     let (mut subject, now) = believing();
     let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
-    subject.note_rest(lease, ms(1_000), now);
+    subject.record_backoff(lease, ms(1_000), now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
     assert_eq!(calls(&mut subject, now + ms(1_000)).len(), 1);
 }
@@ -369,11 +369,11 @@
 fn an_engine_under_a_rate_limit_is_not_called_until_it_is_over() {
     let (mut subject, now) = believing();
     let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
-    subject.note_limit(lease, RateLimit::from_requests_per_second(1.0), now);
+    subject.record_limit(lease, RateLimit::from_requests_per_second(1.0), now);
     subject.tick(now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
     let later = granted(subject.ask(&demand(THING, SHARED, 2), now + ms(1_000))).lease;
-    subject.note_limit(later, None, now + ms(1_050));
+    subject.record_limit(later, None, now + ms(1_050));
     assert_eq!(calls(&mut subject, now + ms(1_100)).len(), 1);
 }
 
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{ColdRateLimit, Content, Decision, Dispatcher, Outcome};
+use eiderferry_dispatch::{ColdRateLimit, Decision, Dispatcher, DocumentContent, Outcome};
 use eiderferry_routing::{ColdStart, PoolName};
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
@@ -24,7 +24,7 @@
 
 fn table_with_cold_starts(revision: u64) -> eiderferry_dispatch::Change {
     let mut change = table_change(revision);
-    if let Content::Table(table) = &mut change.content {
+    if let DocumentContent::Table(table) = &mut change.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
         pool.expect("the pool").cold_start = Some(COLD_START);
     }
@@ -38,7 +38,7 @@
     revision: u64,
 ) -> eiderferry_dispatch::Change {
     let mut engine = back_end(name, number, zone);
-    engine.cold_for = Some(COLD_START.lasts);
+    engine.cold_remaining = Some(COLD_START.lasts);
     back_end_change(engine, revision)
 }
 
@@ -90,7 +90,7 @@
     subject.apply(table_with_cold_starts(1), START);
     let now = START + Span::from_milliseconds(5_000);
     let mut silent = back_end("engine-0", 0, 0);
-    silent.cold_for = None;
+    silent.cold_remaining = None;
     subject.apply(back_end_change(silent, 2), now);
     subject.tick(now);
     let asked = (0..10).map(|own| subject.ask(&demand(1, 1_000, own), now));
--- a/crates/coordination/dispatch/tests/costs.rs
+++ b/crates/coordination/dispatch/tests/costs.rs
@@ -15,7 +15,7 @@
     };
     let reader = Candidate {
         first_event: Span::from_milliseconds(reader_ms),
-        read_again: 10_000,
+        recomputed_tokens: 10_000,
         ..keeper
     };
     choose(&[keeper, reader]).expect("one of them")
--- a/crates/coordination/dispatch/tests/crashing_requests.rs
+++ b/crates/coordination/dispatch/tests/crashing_requests.rs
@@ -64,8 +64,8 @@
         let node = &mut self.fleet.nodes[node];
         match node.ask(&fatal, now) {
             Decision::Grant(grant) => {
-                node.end(grant.lease, Outcome::Broken, now);
-                node.note_crash(fatal.digest, &grant.instance, now);
+                node.end(grant.lease, Outcome::IncompleteResponse, now);
+                node.record_crash(fatal.digest, &grant.instance, now);
                 self.down.push(grant.instance);
                 if self.down.len() > DOWN {
                     self.down.remove(0);
@@ -195,12 +195,12 @@
         for thing in 0..20 {
             let crashed = InstanceId::from(format!("engine-{}", (thing + round as u64) % 4));
             let digest = demand(thing, 2_000, 100).digest;
-            day.fleet.nodes[thing as usize % 8].note_crash(digest, &crashed, now);
+            day.fleet.nodes[thing as usize % 8].record_crash(digest, &crashed, now);
             if round == 1 {
                 let node = &mut day.fleet.nodes[(thing as usize + 1) % 8];
                 let grant = granted(node.ask(&demand(thing, 2_000, 100), now));
                 node.first_event(grant.lease, now);
-                node.note_pacing(grant.lease, &one_event(now));
+                node.record_pacing(grant.lease, &one_event(now));
                 node.end(grant.lease, Outcome::Completed, now);
             }
         }
@@ -218,7 +218,7 @@
 
 fn one_event(now: Timestamp) -> StreamPacing {
     let mut pacing = StreamPacing::default();
-    pacing.note(1, now);
+    pacing.record(1, now);
     pacing
 }
 
@@ -230,11 +230,11 @@
     let node = &mut day.fleet.nodes[0];
     assert_eq!(node.crash_announcement(now), None);
     let crashed = InstanceId::from("engine-1");
-    node.note_crash(demand(1, 2_000, 100).digest, &crashed, now);
+    node.record_crash(demand(1, 2_000, 100).digest, &crashed, now);
     let told = node.crash_announcement(now).expect("news");
     assert_eq!(told.message.crashing_requests.len(), 1);
     assert_eq!(told.to.len(), 7);
-    node.note_crash(demand(2, 2_000, 100).digest, &crashed, now);
+    node.record_crash(demand(2, 2_000, 100).digest, &crashed, now);
     assert_eq!(node.crash_announcement(now), None);
     now = now + Span::from_milliseconds(60);
     let told = node.crash_announcement(now).expect("news");
@@ -251,7 +251,7 @@
     fatal.is_stream = false;
     let lease = granted(node.ask(&fatal, now)).lease;
     for number in 0..3 {
-        node.note_crash(
+        node.record_crash(
             fatal.digest,
             &InstanceId::from(format!("engine-{number}")),
             now,
@@ -292,7 +292,7 @@
     let now = day.fleet.now;
     for thing in 0..60 {
         let digest = demand(thing, 2_000, 100).digest;
-        day.fleet.nodes[3].note_crash(digest, &InstanceId::from("engine-1"), now);
+        day.fleet.nodes[3].record_crash(digest, &InstanceId::from("engine-1"), now);
     }
     let told = bytes_of_a_second(&mut day);
     day.run(10_000);
--- a/crates/coordination/dispatch/tests/document_source.rs
+++ b/crates/coordination/dispatch/tests/document_source.rs
@@ -103,7 +103,7 @@
     let mut subject = subject();
     hears(&mut subject, 1, 0, 5, START);
     hears(&mut subject, 2, 0, 5, START);
-    subject.note_failed_fetch(node_address(1), false, START);
+    subject.record_failed_fetch(node_address(1), false, START);
     for _ in 0..20 {
         assert_eq!(source(&mut subject, 900), Some(node_address(2)));
     }
@@ -115,10 +115,10 @@
     hears(&mut subject, 1, 0, 5, START);
     hears(&mut subject, 2, 1, 5, START);
     assert_eq!(source(&mut subject, 0), Some(node_address(1)));
-    subject.note_failed_fetch(node_address(1), true, START);
+    subject.record_failed_fetch(node_address(1), true, START);
     assert_eq!(source(&mut subject, 100), None, "it is busy");
     assert_eq!(source(&mut subject, 200), Some(node_address(1)));
-    subject.note_failed_fetch(node_address(1), true, after(LONG));
+    subject.record_failed_fetch(node_address(1), true, after(LONG));
     assert_eq!(source(&mut subject, LONG + 100), Some(node_address(2)));
 }
 
--- a/crates/coordination/dispatch/tests/engine_model.rs
+++ b/crates/coordination/dispatch/tests/engine_model.rs
@@ -23,10 +23,10 @@
 fn stream(spacing: u64, longest: u64) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = Timestamp(1_000_000);
-    pacing.note(1, now);
+    pacing.record(1, now);
     for number in 0..20 {
         now = now + milliseconds(if number == 7 { longest } else { spacing });
-        pacing.note(1, now);
+        pacing.record(1, now);
     }
     pacing
 }
@@ -92,8 +92,8 @@
     assert!(share(40) < 0.05);
     assert!(share(120) < 0.7);
     assert!((share(5_000) - 1.0).abs() < 0.001);
-    assert!(model.is_long_reading(&speed, milliseconds(500)));
-    assert!(!model.is_long_reading(&speed, milliseconds(30)));
+    assert!(model.is_long_prefill(&speed, milliseconds(500)));
+    assert!(!model.is_long_prefill(&speed, milliseconds(30)));
 }
 
 #[test]
@@ -104,10 +104,10 @@
         model.learn(&stream(20, 15_000));
         speed.learn(&stream(20, 15_000));
     }
-    assert!(model.reading_pause(&speed) < milliseconds(1_000));
+    assert!(model.prefill_pause(&speed) < milliseconds(1_000));
     for _ in 0..1_000 {
         model.learn(&stream(20, 180));
         speed.learn(&stream(20, 180));
     }
-    assert!(model.reading_pause(&speed) < milliseconds(250));
+    assert!(model.prefill_pause(&speed) < milliseconds(250));
 }
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Decision, Dispatcher, DocumentKey, Outcome, PromptPart,
+    Change, Decision, Dispatcher, DocumentContent, DocumentKey, Outcome, PromptPart,
 };
 use eiderferry_routing::{ColdStart, PoolName, ZoneName};
 use eiderferry_types::{Reason, Span, Timestamp};
@@ -17,7 +17,7 @@
 /// Time within which an evacuation has to be obeyed by all nodes that are in touch.
 const EVACUATED_WITHIN_MS: u64 = 5_000;
 
-fn evacuation(zone: ZoneName, revision: u64, content: Content) -> Change {
+fn evacuation(zone: ZoneName, revision: u64, content: DocumentContent) -> Change {
     Change {
         key: DocumentKey::Evacuation(zone),
         revision: revision.into(),
@@ -64,17 +64,17 @@
 fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
     let mut subject = with_three_zones();
     assert!(zones_used(&mut subject, START).contains(&1));
-    subject.apply(evacuation(zone(1), 7, Content::Evacuated), START);
+    subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
     assert!(!zones_used(&mut subject, START).contains(&1));
-    subject.apply(evacuation(zone(1), 9, Content::Gone), START);
+    subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), START);
     assert!(zones_used(&mut subject, START).contains(&1));
 }
 
 #[test]
 fn an_older_word_on_an_evacuation_changes_nothing() {
     let mut subject = with_three_zones();
-    subject.apply(evacuation(zone(1), 9, Content::Gone), START);
-    subject.apply(evacuation(zone(1), 7, Content::Evacuated), START);
+    subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), START);
+    subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
     assert!(zones_used(&mut subject, START).contains(&1));
 }
 
@@ -82,7 +82,7 @@
 fn with_all_zones_evacuated_requests_are_refused_with_that_reason() {
     let mut subject = with_three_zones();
     for number in 0..3 {
-        let change = evacuation(zone(number), 7 + number as u64, Content::Evacuated);
+        let change = evacuation(zone(number), 7 + number as u64, DocumentContent::Evacuated);
         subject.apply(change, START);
     }
     let decision = subject.ask(&demand(1, 2_000, 100), START);
@@ -98,13 +98,16 @@
     let prompt = demand(5, 13_000, 100);
     let first = granted(subject.ask(&prompt, START));
     subject.first_event(first.lease, START);
-    subject.end(first.lease, Outcome::Broken, START);
+    subject.end(first.lease, Outcome::IncompleteResponse, START);
     let number = engine_number(&first);
     let its_zone = number % 3;
-    subject.apply(evacuation(zone(its_zone), 7, Content::Evacuated), START);
+    subject.apply(
+        evacuation(zone(its_zone), 7, DocumentContent::Evacuated),
+        START,
+    );
     let later = START + Span::from_milliseconds(3_000);
     let mut again = prompt.clone();
-    again.is_repeat = true;
+    again.is_retry = true;
     again.excluded = vec![first.instance];
     again.parts[1] = PromptPart {
         id: again.parts[1].id,
@@ -130,7 +133,7 @@
     let mut subject = dispatcher(0, 0, Vec::new());
     subject.tick(START);
     let mut table = table_change(1);
-    if let Content::Table(table) = &mut table.content {
+    if let DocumentContent::Table(table) = &mut table.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
         pool.expect("the pool").cold_start = Some(ColdStart {
             lasts: Span::from_milliseconds(3_000),
@@ -140,8 +143,8 @@
     subject.apply(table, START);
     engines_in_three_zones(&mut subject);
     let back = START + Span::from_milliseconds(8_000);
-    subject.apply(evacuation(zone(1), 7, Content::Evacuated), START);
-    subject.apply(evacuation(zone(1), 9, Content::Gone), back);
+    subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
+    subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), back);
     // A node of another zone sends nothing there before they are warm.
     assert!(!zones_used(&mut subject, back).contains(&1));
     let warm = back + Span::from_milliseconds(3_200);
@@ -164,7 +167,11 @@
     fleet.dark.insert(dead);
     fleet.cut.insert((0, 2));
     let reader = *fleet.readers().first().expect("a reader");
-    fleet.read_change(reader, evacuation(zone(1), 5, Content::Evacuated), 5);
+    fleet.read_change(
+        reader,
+        evacuation(zone(1), 5, DocumentContent::Evacuated),
+        5,
+    );
     fleet.run_with_platform(500, 5);
     fleet.cut.clear();
     fleet.dark.clear();
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -79,7 +79,7 @@
     let behind = fleet
         .nodes
         .iter()
-        .filter(|node| node.knowledge().table_stamp().revision != 2.into())
+        .filter(|node| node.document_store().table_stamp().revision != 2.into())
         .count();
     assert_eq!(behind, 0);
 }
@@ -126,11 +126,11 @@
         fleet.nodes[number].confirm(&known(2), fleet.now);
     }
     fleet.run(1_000);
-    assert!(fleet.nodes[0].knowledge().table_stamp().revision == 1.into());
+    assert!(fleet.nodes[0].document_store().table_stamp().revision == 1.into());
     fleet.cut.clear();
     fleet.run(2_500);
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().table_stamp().revision, 2.into());
+        assert_eq!(node.document_store().table_stamp().revision, 2.into());
     }
 }
 
@@ -143,8 +143,8 @@
     fleet.read_change(2, change, 2);
     fleet.run(1_000);
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().complete_to(), &known(2));
-        assert_eq!(node.knowledge().back_ends().count(), 1);
+        assert_eq!(node.document_store().complete_to(), &known(2));
+        assert_eq!(node.document_store().back_ends().count(), 1);
     }
     assert_eq!(fleet.fetches, before);
 }
@@ -161,8 +161,8 @@
     let change = support::back_end_change(support::back_end("engine-2", 2, 0), 3);
     fleet.read_change(2, change, 3);
     fleet.run(1_000);
-    assert_eq!(fleet.nodes[6].knowledge().complete_to(), &known(3));
-    assert_eq!(fleet.nodes[6].knowledge().back_ends().count(), 2);
+    assert_eq!(fleet.nodes[6].document_store().complete_to(), &known(3));
+    assert_eq!(fleet.nodes[6].document_store().back_ends().count(), 2);
 }
 
 #[rstest]
@@ -178,7 +178,7 @@
     }
     assert!(readers.len() <= 5 * zones, "read by {readers:?}");
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().table_stamp().revision, 1.into());
+        assert_eq!(node.document_store().table_stamp().revision, 1.into());
     }
 }
 
@@ -187,7 +187,10 @@
     let mut fleet = Fleet::new(7, 3);
     fleet.dark.extend(1..7);
     fleet.run_with_platform(600, 1);
-    assert_eq!(fleet.nodes[0].knowledge().table_stamp().revision, 1.into());
+    assert_eq!(
+        fleet.nodes[0].document_store().table_stamp().revision,
+        1.into()
+    );
 }
 
 #[test]
@@ -236,14 +239,14 @@
 fn a_zone_whose_digest_senders_are_dead_is_told_of_by_others() {
     let mut fleet = busy_fleet(71, 3, 0, 0);
     let mut nodes = 0..71;
-    let teller = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
+    let reporter = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
     let readers = fleet.readers();
-    let dead = readers.into_iter().filter(|number| *number != teller);
+    let dead = readers.into_iter().filter(|number| *number != reporter);
     fleet.dark.extend(dead);
     fleet.run_with_platform(2_500, 2);
     let now = fleet.now;
     for own in 0..70 {
-        granted(fleet.nodes[teller].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[reporter].ask(&demand(1, 13_000, own), now));
     }
     fleet.run(900);
     let now = fleet.now;
@@ -423,7 +426,7 @@
     fleet.run(1_000);
     let known = (LOOKS * (RELEASED_BETWEEN_LOOKS + 1)) as usize;
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().back_ends().count(), known);
+        assert_eq!(node.document_store().back_ends().count(), known);
     }
     let all = nodes as f64 * LOOKS as f64;
     CostOfALook {
--- a/crates/coordination/dispatch/tests/health.rs
+++ b/crates/coordination/dispatch/tests/health.rs
@@ -12,8 +12,8 @@
 
 #[rstest]
 #[case::nothing_answers(Outcome::Unreachable, false)]
-#[case::nobody_listens(Outcome::Refused, false)]
-#[case::another_run_has_the_address(Outcome::Replaced, true)]
+#[case::nobody_listens(Outcome::ConnectionRefused, false)]
+#[case::another_run_has_the_address(Outcome::InstanceReplaced, true)]
 fn a_back_end_that_is_gone_gets_no_work_at_once(
     #[case] outcome: Outcome,
     #[case] is_for_good: bool,
@@ -38,9 +38,9 @@
 #[test]
 fn three_failures_in_a_row_eject_and_two_do_not() {
     let mut health = Health::default();
-    assert_eq!(health.record(Outcome::Broken, 0.0, START), None);
-    assert_eq!(health.record(Outcome::Broken, 0.0, START), None);
-    let change = health.record(Outcome::Broken, 0.0, START);
+    assert_eq!(health.record(Outcome::IncompleteResponse, 0.0, START), None);
+    assert_eq!(health.record(Outcome::IncompleteResponse, 0.0, START), None);
+    let change = health.record(Outcome::IncompleteResponse, 0.0, START);
     assert!(matches!(change, Some(HealthChange::Ejected(_))));
 }
 
