--- a/crates/coordination/dispatch/tests/knowledge.rs
+++ b/crates/coordination/dispatch/tests/knowledge.rs
@@ -1,7 +1,7 @@
 //! Documents never go back, whatever order their changes come in.
 
 use eiderferry_dispatch::{
-    ApplyOutcome, Change, Content, DocumentKey, Knowledge, Revision, VersionVector,
+    ApplyOutcome, Change, DocumentContent, DocumentKey, DocumentStore, Revision, VersionVector,
 };
 use eiderferry_routing::{BackEnd, InstanceId, Limits, PoolName, TableDocument, ZoneName};
 use eiderferry_types::{Span, Timestamp};
@@ -32,7 +32,7 @@
     Change {
         key: DocumentKey::Table,
         revision: revision.into(),
-        content: Content::Table(table(version)),
+        content: DocumentContent::Table(table(version)),
     }
 }
 
@@ -41,14 +41,14 @@
     Change {
         key: DocumentKey::BackEnd(instance.clone()),
         revision: revision.into(),
-        content: Content::BackEnd(BackEnd {
+        content: DocumentContent::BackEnd(BackEnd {
             instance,
             pool: PoolName::from("app"),
             address: "10.0.0.1:80".parse().expect("an address"),
             zone: ZoneName::from("a"),
             slots: 6,
             draining,
-            cold_for: None,
+            cold_remaining: None,
             started_unix_ms: None,
         }),
     }
@@ -58,29 +58,32 @@
     Change {
         key: DocumentKey::BackEnd(InstanceId::from(name)),
         revision: revision.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     }
 }
 
-fn version(knowledge: &Knowledge) -> Option<u64> {
-    knowledge.table().map(|table| table.version())
+fn version(document_store: &DocumentStore) -> Option<u64> {
+    document_store.table().map(|table| table.version())
 }
 
 #[test]
 fn an_older_table_never_replaces_a_newer_one() {
-    let mut knowledge = Knowledge::default();
-    assert_eq!(knowledge.apply(table_change(9, 4)), ApplyOutcome::Applied);
+    let mut document_store = DocumentStore::default();
     assert_eq!(
-        knowledge.apply(table_change(7, 3)),
+        document_store.apply(table_change(9, 4)),
+        ApplyOutcome::Applied
+    );
+    assert_eq!(
+        document_store.apply(table_change(7, 3)),
         ApplyOutcome::AlreadyKnown
     );
-    assert_eq!(version(&knowledge), Some(4));
+    assert_eq!(version(&document_store), Some(4));
 }
 
 #[test]
 fn a_table_that_is_refused_leaves_the_previous_one_in_force() {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(table_change(9, 4));
+    let mut document_store = DocumentStore::default();
+    document_store.apply(table_change(9, 4));
     let mut broken = table(5);
     broken.tenants = vec![
         eiderferry_routing::Tenant {
@@ -99,77 +102,80 @@
     let change = Change {
         key: DocumentKey::Table,
         revision: 12.into(),
-        content: Content::Table(broken),
+        content: DocumentContent::Table(broken),
     };
     assert!(matches!(
-        knowledge.apply(change.clone()),
+        document_store.apply(change.clone()),
         ApplyOutcome::Rejected(_)
     ));
-    assert_eq!(version(&knowledge), Some(4));
+    assert_eq!(version(&document_store), Some(4));
     assert_eq!(
-        knowledge.apply(change),
+        document_store.apply(change),
         ApplyOutcome::AlreadyKnown,
         "told once only"
     );
-    assert_eq!(knowledge.apply(table_change(13, 6)), ApplyOutcome::Applied);
+    assert_eq!(
+        document_store.apply(table_change(13, 6)),
+        ApplyOutcome::Applied
+    );
 }
 
 #[test]
 fn a_back_end_that_is_gone_is_not_brought_back_by_an_older_list() {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(back_end_change("i-1", 5, false));
-    assert_eq!(knowledge.apply(gone("i-1", 8)), ApplyOutcome::Applied);
+    let mut document_store = DocumentStore::default();
+    document_store.apply(back_end_change("i-1", 5, false));
+    assert_eq!(document_store.apply(gone("i-1", 8)), ApplyOutcome::Applied);
     assert_eq!(
-        knowledge.apply(back_end_change("i-1", 6, true)),
+        document_store.apply(back_end_change("i-1", 6, true)),
         ApplyOutcome::AlreadyKnown
     );
-    assert_eq!(knowledge.back_ends().count(), 0);
+    assert_eq!(document_store.back_ends().count(), 0);
 }
 
 #[test]
 fn a_removal_heard_before_the_entry_still_counts() {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(gone("i-1", 8));
+    let mut document_store = DocumentStore::default();
+    document_store.apply(gone("i-1", 8));
     assert_eq!(
-        knowledge.apply(back_end_change("i-1", 6, false)),
+        document_store.apply(back_end_change("i-1", 6, false)),
         ApplyOutcome::AlreadyKnown
     );
-    assert_eq!(knowledge.back_ends().count(), 0);
+    assert_eq!(document_store.back_ends().count(), 0);
 }
 
 #[test]
 fn what_a_listing_lacks_is_gone_unless_it_is_newer_than_the_listing() {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(back_end_change("listed", 3, false));
-    knowledge.apply(back_end_change("left", 4, false));
-    knowledge.apply(back_end_change("new", 11, false));
+    let mut document_store = DocumentStore::default();
+    document_store.apply(back_end_change("listed", 3, false));
+    document_store.apply(back_end_change("left", 4, false));
+    document_store.apply(back_end_change("new", 11, false));
     let evacuation = |zone, revision: u64, content| Change {
         key: DocumentKey::Evacuation(ZoneName::from(zone)),
         revision: revision.into(),
         content,
     };
-    knowledge.apply(evacuation("over", 5, Content::Evacuated));
-    knowledge.apply(evacuation("listed", 6, Content::Evacuated));
+    document_store.apply(evacuation("over", 5, DocumentContent::Evacuated));
+    document_store.apply(evacuation("listed", 6, DocumentContent::Evacuated));
     let listed = BTreeSet::from([
         DocumentKey::BackEnd(InstanceId::from("listed")),
         DocumentKey::Evacuation(ZoneName::from("listed")),
     ]);
-    let missing = knowledge.missing_from_listing(&listed, 10.into(), GRACE_PERIOD);
-    let over = evacuation("over", 10, Content::Gone);
+    let missing = document_store.missing_from_listing(&listed, 10.into(), GRACE_PERIOD);
+    let over = evacuation("over", 10, DocumentContent::Removed);
     assert_eq!(missing, vec![gone("left", 10), over]);
 }
 
 #[test]
 fn a_peer_gets_exactly_what_it_lacks() {
-    let mut knowledge = Knowledge::default();
-    knowledge.apply(table_change(2, 1));
-    knowledge.apply(back_end_change("i-1", 5, false));
-    knowledge.apply(back_end_change("i-2", 6, false));
-    knowledge.apply(gone("i-1", 8));
-    let mut peer = Knowledge::default();
+    let mut document_store = DocumentStore::default();
+    document_store.apply(table_change(2, 1));
+    document_store.apply(back_end_change("i-1", 5, false));
+    document_store.apply(back_end_change("i-2", 6, false));
+    document_store.apply(gone("i-1", 8));
+    let mut peer = DocumentStore::default();
     peer.apply(table_change(2, 1));
     peer.apply(back_end_change("i-1", 5, false));
-    for change in knowledge.changes_after(&known(5)) {
+    for change in document_store.changes_after(&known(5)) {
         assert_eq!(peer.apply(change), ApplyOutcome::Applied);
     }
     let names: Vec<&str> = peer
@@ -181,14 +187,14 @@
 
 #[test]
 fn a_confirmation_of_an_older_revision_says_nothing() {
-    let mut knowledge = Knowledge::default();
+    let mut document_store = DocumentStore::default();
     let now = Timestamp(50_000_000);
-    knowledge.confirm(&known(10), now);
+    document_store.confirm(&known(10), now);
     let later = now + Span::from_milliseconds(900);
-    knowledge.confirm(&known(9), later);
-    assert_eq!(knowledge.complete_to(), &known(10));
+    document_store.confirm(&known(9), later);
+    assert_eq!(document_store.complete_to(), &known(10));
     assert_eq!(
-        knowledge.confirmed_age(later),
+        document_store.confirmed_age(later),
         Some(Span::from_milliseconds(900))
     );
 }
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    ApplyOutcome, Change, Content, Decision, Dispatcher, DocumentKey, Outcome,
+    ApplyOutcome, Change, Decision, Dispatcher, DocumentContent, DocumentKey, Outcome,
 };
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Reason, Span, Timestamp};
@@ -46,8 +46,8 @@
         let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
         let is_told = grant.instance == leaving();
         if is_told {
-            assert_eq!(subject.note_leaving(grant.lease), Some(leaving()));
-            assert_eq!(subject.note_leaving(grant.lease), None, "told once more");
+            assert_eq!(subject.record_leaving(grant.lease), Some(leaving()));
+            assert_eq!(subject.record_leaving(grant.lease), None, "told once more");
         }
         subject.end(grant.lease, Outcome::Completed, now);
         if is_told {
@@ -76,7 +76,7 @@
     for thing in 0..4_000 {
         let grant = granted(subject.ask(&demand(thing, 1_000, 100), START));
         if grant.instance == leaving() {
-            subject.note_leaving(grant.lease);
+            subject.record_leaving(grant.lease);
             told.push(thing);
         }
         subject.end(grant.lease, Outcome::Completed, START);
@@ -101,7 +101,7 @@
     Change {
         key: DocumentKey::BackEnd(leaving()),
         revision: revision.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     }
 }
 
@@ -142,6 +142,6 @@
     let mut another = engine(LEAVING, 0);
     another.started_unix_ms = Some(FIRST_START + 9_000);
     subject.apply(back_end_change(another, 9), after(9_000));
-    assert_eq!(subject.note_leaving(lease), None);
+    assert_eq!(subject.record_leaving(lease), None);
     assert!(is_asked(&mut subject, after(9_100)));
 }
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Dispatcher, DocumentKey, LimitReport, Outcome, RateLimit,
+    Change, Dispatcher, DocumentContent, DocumentKey, LimitReport, Outcome, RateLimit,
 };
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Span, Timestamp};
@@ -19,9 +19,9 @@
 /// A node that starts is told of limits before it hears which back ends there are.
 #[test]
 fn a_node_that_hears_of_a_limit_before_the_engine_is_listed_keeps_it() {
-    let (mut teller, now) = alone(1);
-    answer_with(&mut teller, 0, Some(1.0), now);
-    let answer = teller.answer(node_address(1), now);
+    let (mut reporter, now) = alone(1);
+    answer_with(&mut reporter, 0, Some(1.0), now);
+    let answer = reporter.answer(node_address(1), now);
     let mut starting = dispatcher(1, 0, vec![node_address(0)]);
     starting.receive(node_address(0), &answer, now);
     starting.apply(table_change(1), now);
@@ -62,7 +62,7 @@
         let mut demand = demand(number as u64, 1_000, 100);
         demand.only = Some(format!("engine-{number}").as_str().into());
         let lease = granted(fleet.nodes[0].ask(&demand, now)).lease;
-        fleet.nodes[0].note_limit(lease, named, now);
+        fleet.nodes[0].record_limit(lease, named, now);
         fleet.nodes[0].end(lease, Outcome::Completed, now);
     }
     let first = bytes_a_second(&mut fleet, KNOWN_WITHIN);
@@ -97,8 +97,8 @@
 }
 
 fn hear(subject: &mut Dispatcher, limits: Vec<LimitReport>, now: Timestamp) {
-    let mut teller = dispatcher(1, 0, vec![node_address(0)]);
-    let mut message = teller.gossip(false, now);
+    let mut reporter = dispatcher(1, 0, vec![node_address(0)]);
+    let mut message = reporter.gossip(false, now);
     message.limits = limits;
     subject.receive(node_address(1), &message, now);
 }
@@ -154,7 +154,7 @@
     let gone = Change {
         key: DocumentKey::BackEnd(InstanceId::from("engine-0")),
         revision: 3.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     };
     subject.apply(gone, now);
     let later = now + Span::from_milliseconds(70_000);
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -117,7 +117,7 @@
         if self.limit.is_some() {
             self.told.entry(node).or_insert(now);
         }
-        self.fleet.nodes[node].note_limit(lease, self.limit.map(limit), now);
+        self.fleet.nodes[node].record_limit(lease, self.limit.map(limit), now);
         self.fleet.nodes[node].end(lease, Outcome::Completed, now);
     }
 
--- a/crates/coordination/dispatch/tests/limits_at_one_node.rs
+++ b/crates/coordination/dispatch/tests/limits_at_one_node.rs
@@ -50,7 +50,7 @@
     let (mut subject, now) = alone(2);
     for (number, rate) in rates.into_iter().enumerate() {
         let lease = lease_at(&mut subject, number, now);
-        subject.note_limit(lease, Some(limit(rate)), now);
+        subject.record_limit(lease, Some(limit(rate)), now);
     }
     match subject.ask(&demand(7, 1_000, 100), now) {
         Decision::Refuse(reason, retry_after) => {
@@ -74,7 +74,7 @@
         now + Span::from_milliseconds(10),
     );
     let later = now + Span::from_milliseconds(500);
-    subject.note_limit(older, None, later);
+    subject.record_limit(older, None, later);
     assert_eq!(sent_at(&mut subject, later, 400), []);
     let next = now + Span::from_milliseconds(1_100);
     answer_with(&mut subject, 0, None, next);
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Decision, Demand, Dispatcher, Features, HealthChange, Outcome, StreamPacing,
+    Change, Decision, Demand, Dispatcher, DocumentContent, Features, HealthChange, Outcome,
+    StreamPacing,
 };
 use eiderferry_routing::{InstanceId, PoolName, Route, RouteKind, Split};
 use eiderferry_types::{Reason, Span};
@@ -102,7 +103,7 @@
     let mut subject = with_engines(1);
     subject.tick(START);
     let mut change = lapsed_change("engine-0", 3);
-    change.content = Content::Lapsed(Span::from_milliseconds(500));
+    change.content = DocumentContent::Expired(Span::from_milliseconds(500));
     subject.apply(change, START);
     let later = START + Span::from_milliseconds(500);
     subject.tick(later);
@@ -154,7 +155,7 @@
     let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
     let gone = grant.instance.clone();
     let change = subject
-        .end(grant.lease, Outcome::Replaced, START)
+        .end(grant.lease, Outcome::InstanceReplaced, START)
         .health_changes;
     assert!(matches!(change[..], [(_, HealthChange::Ejected(_))]));
     for minute in 0..20 {
@@ -198,7 +199,7 @@
 fn a_repeat_beyond_the_budget_is_refused_and_a_first_request_is_not() {
     let mut subject = with_engines(4);
     let mut repeat = demand(1, 1_000, 100);
-    repeat.is_repeat = true;
+    repeat.is_retry = true;
     let mut granted_repeats = 0;
     for _ in 0..40 {
         if let Decision::Grant(grant) = subject.ask(&repeat, START) {
@@ -248,7 +249,7 @@
 fn see_pauses(subject: &mut Dispatcher, longest: Span) {
     for thing in 0..200 {
         let grant = granted(subject.ask(&demand(1_000 + thing, 300, 100), START));
-        subject.note_pacing(grant.lease, &stream_with_pause(longest));
+        subject.record_pacing(grant.lease, &stream_with_pause(longest));
         subject.end(grant.lease, Outcome::Completed, START);
     }
 }
@@ -258,7 +259,7 @@
     let mut pacing = StreamPacing::default();
     let mut now = START;
     for number in 0..20 {
-        pacing.note(1, now);
+        pacing.record(1, now);
         let pause = if number == 10 {
             longest
         } else {
@@ -277,7 +278,7 @@
     let mut engines_of_prompts = BTreeSet::new();
     for number in 0..12 {
         let mut stream = demand(100 + number, 300, 1_000);
-        stream.pause_target = Some(Span::from_milliseconds(300));
+        stream.event_gap_target = Some(Span::from_milliseconds(300));
         let grant = granted(subject.ask(&stream, START));
         subject.first_event(grant.lease, START);
         engines_of_streams.insert(grant.instance);
@@ -299,7 +300,7 @@
     let mut subject = with_engines(1);
     see_pauses(&mut subject, Span::from_milliseconds(120));
     let mut stream = demand(1, 300, 1_000);
-    stream.pause_target = Some(Span::from_milliseconds(300));
+    stream.event_gap_target = Some(Span::from_milliseconds(300));
     granted(subject.ask(&stream, START));
     let told = subject.gossip(false, START);
     let loads = told.loads.expect("loads");
@@ -349,7 +350,7 @@
 /// A table whose engines serve a tier of rank 0 and one of rank 1.
 fn table_of_two_tiers() -> Change {
     let mut change = table_change(2);
-    let Content::Table(table) = &mut change.content else {
+    let DocumentContent::Table(table) = &mut change.content else {
         panic!("a table");
     };
     table.routes = vec![route("chat", 0), route("terms", 1)];
@@ -364,7 +365,7 @@
         kind: RouteKind::Streaming,
         timeout: Span::from_milliseconds(15_000),
         target: Span::from_milliseconds(600),
-        pause_target: None,
+        event_gap_target: None,
         rank,
         splits: vec![Split {
             pool: PoolName::from(support::ENGINES),
@@ -435,11 +436,11 @@
 fn witness_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
     let mut peer = with_engines(2);
     let home = granted(peer.ask(&demand(1, 1_000, 100), START));
-    peer.end(home.lease, Outcome::Broken, START);
+    peer.end(home.lease, Outcome::IncompleteResponse, START);
     for _ in 1..count {
         let grant = granted(peer.ask(&demand(1, 1_000, 100), START));
         let outcome = if grant.instance == home.instance {
-            Outcome::Broken
+            Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
@@ -456,7 +457,7 @@
     let (message, failing) = witness_of_failures(3);
     subject.receive(support::node_address(5), &message, START);
     let mut unrepeatable = demand(1, 1_000, 100);
-    unrepeatable.may_repeat = false;
+    unrepeatable.may_retry = false;
     let grant = granted(subject.ask(&unrepeatable, START));
     assert_ne!(grant.instance, failing);
 }
@@ -468,7 +469,7 @@
     subject.receive(support::node_address(5), &message, START);
     let later = START + Span::from_milliseconds(10_000);
     let mut unrepeatable = demand(1, 1_000, 100);
-    unrepeatable.may_repeat = false;
+    unrepeatable.may_retry = false;
     let grant = granted(subject.ask(&unrepeatable, later));
     assert_eq!(grant.instance, failing);
 }
@@ -528,7 +529,7 @@
 /// Some cuts refuse connections.
 #[test]
 fn a_zone_most_of_whose_back_ends_refuse_connections_is_suspect() {
-    let mut subject = with_two_missed(Outcome::Refused);
+    let mut subject = with_two_missed(Outcome::ConnectionRefused);
     let used = engines_used(&mut subject);
     assert!(used.iter().all(|number| number % 3 != 1), "{used:?}");
 }
@@ -548,7 +549,7 @@
         }
         subject.first_event(grant.lease, START);
         let outcome = if crashes {
-            Outcome::Refused
+            Outcome::ConnectionRefused
         } else {
             Outcome::Completed
         };
--- a/crates/coordination/dispatch/tests/places.rs
+++ b/crates/coordination/dispatch/tests/places.rs
@@ -109,14 +109,14 @@
     let mut request = demand(1, 1_000, 100);
     request.excluded = near;
     let before = granted(subject.ask(&request, START));
-    let way = Span::from_milliseconds(250);
+    let round_trip = Span::from_milliseconds(250);
     for _ in 0..50 {
-        subject.note_round_trip(&InstanceId::from("engine-2"), way);
+        subject.record_round_trip(&InstanceId::from("engine-2"), round_trip);
     }
     subject.end(before.lease, Outcome::Completed, START);
     let after = granted(subject.ask(&request, START));
-    assert!(before.candidate.first_event < way);
-    assert!(after.candidate.first_event >= way.scaled(0.95));
+    assert!(before.candidate.first_event < round_trip);
+    assert!(after.candidate.first_event >= round_trip.scaled(0.95));
 }
 
 /// Of the region's two zones one is cut off: its engines are homes, and get nothing.
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use eiderferry_dispatch::{Change, Content, Decision, Demand, Dispatcher, DocumentKey, Outcome};
+use eiderferry_dispatch::{
+    Change, Decision, Demand, Dispatcher, DocumentContent, DocumentKey, Outcome,
+};
 use eiderferry_routing::{BackEnd, Pool, PoolName, TableDocument};
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
@@ -34,7 +36,7 @@
     Change {
         key: DocumentKey::Table,
         revision: 1.into(),
-        content: Content::Table(TableDocument {
+        content: DocumentContent::Table(TableDocument {
             version: 1,
             routes: Vec::new(),
             pools: BTreeMap::from([(PoolName::from(SERVICE), pool)]),
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -177,8 +177,8 @@
             Kind::Question => Demand {
                 rank: 0,
                 target: Span::from_milliseconds(300),
-                pause_target: Some(PAUSE_TARGET),
-                may_repeat: false,
+                event_gap_target: Some(PAUSE_TARGET),
+                may_retry: false,
                 ..demand(
                     thing(&mut self.random, 80),
                     200,
@@ -188,7 +188,7 @@
             Kind::Verdict => Demand {
                 rank: 1,
                 target: Span::from_milliseconds(500),
-                pause_target: Some(Span::from_milliseconds(500)),
+                event_gap_target: Some(Span::from_milliseconds(500)),
                 ..demand(
                     1_000 + thing(&mut self.random, 80),
                     560,
@@ -197,7 +197,7 @@
             },
             Kind::Review => Demand {
                 target: Span::from_milliseconds(2_000),
-                pause_target: Some(Span::from_milliseconds(1_200)),
+                event_gap_target: Some(Span::from_milliseconds(1_200)),
                 ..demand(
                     2_000 + thing(&mut self.random, 300),
                     5_400,
@@ -278,7 +278,7 @@
             let is_question = running.kind == Kind::Question;
             self.tally.late += u64::from(running.is_late && is_question);
             let node = &mut self.fleet.nodes[running.node];
-            node.note_pacing(running.grant.lease, &pacing(&running));
+            node.record_pacing(running.grant.lease, &pacing(&running));
             node.end(running.grant.lease, Outcome::Completed, at(now));
         }
     }
@@ -330,7 +330,7 @@
         } else {
             35
         };
-        pacing.note(1, at(now));
+        pacing.record(1, at(now));
     }
     pacing
 }
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Decision, Dispatcher, DocumentKey, Outcome, UnknownName,
+    Change, Decision, Dispatcher, DocumentContent, DocumentKey, Outcome, UnknownName,
 };
 use eiderferry_routing::{AllowedRegions, RegionName, ZoneName};
 use eiderferry_types::{Reason, Span};
@@ -123,12 +123,12 @@
     let change = Change {
         key: DocumentKey::Evacuation(nowhere.clone()),
         revision: 8.into(),
-        content: Content::Evacuated,
+        content: DocumentContent::Evacuated,
     };
     let taken = subject.apply(change, START);
     assert_eq!(taken.unknown, [UnknownName::Zone(nowhere)]);
     let mut change = table_change(9);
-    if let Content::Table(table) = &mut change.content {
+    if let DocumentContent::Table(table) = &mut change.content {
         table.tenants.push(eiderferry_routing::Tenant {
             name: "t".to_owned(),
             keys: Vec::new(),
--- a/crates/coordination/dispatch/tests/restarted_back_ends.rs
+++ b/crates/coordination/dispatch/tests/restarted_back_ends.rs
@@ -58,7 +58,7 @@
 fn it_gets_work_again_after_the_run_before_was_replaced() {
     let mut subject = with_one_engine();
     let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
-    subject.end(grant.lease, Outcome::Replaced, START);
+    subject.end(grant.lease, Outcome::InstanceReplaced, START);
     let refused = subject.ask(&demand(1, 1_000, 100), after(60_000));
     assert!(matches!(refused, eiderferry_dispatch::Decision::Refuse(..)));
     list(&mut subject, Some(FIRST_START + 60_000), 6, after(60_000));
@@ -73,7 +73,7 @@
         .collect();
     list(&mut subject, Some(FIRST_START + 4_000), 6, after(4_000));
     for lease in leases {
-        let ended = subject.end(lease, Outcome::Broken, after(4_100));
+        let ended = subject.end(lease, Outcome::IncompleteResponse, after(4_100));
         assert!(ended.health_changes.is_empty());
     }
     granted(subject.ask(&demand(9, 1_000, 100), after(4_200)));
--- a/crates/coordination/dispatch/tests/resting_back_ends.rs
+++ b/crates/coordination/dispatch/tests/resting_back_ends.rs
@@ -32,7 +32,7 @@
     for thing in 0..200 {
         let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
         if grant.instance == InstanceId::from(RESTING) {
-            subject.note_rest(grant.lease, Span::from_milliseconds(rest_ms), now);
+            subject.record_backoff(grant.lease, Span::from_milliseconds(rest_ms), now);
             subject.end(grant.lease, Outcome::Shed, now);
             return;
         }
@@ -64,8 +64,8 @@
     let mut subject = with_engines(1);
     let first = granted(subject.ask(&demand(1, 1_000, 100), START));
     let second = granted(subject.ask(&demand(2, 1_000, 100), START));
-    subject.note_rest(first.lease, Span::from_milliseconds(REST_MS), START);
-    subject.note_rest(second.lease, Span::from_milliseconds(100), after(10));
+    subject.record_backoff(first.lease, Span::from_milliseconds(REST_MS), START);
+    subject.record_backoff(second.lease, Span::from_milliseconds(100), after(10));
     assert!(!is_asked(&mut subject, after(REST_MS - 1)));
     assert!(is_asked(&mut subject, after(REST_MS)));
 }
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{Content, DocumentKey, VersionVector};
+use eiderferry_dispatch::{DocumentContent, DocumentKey, VersionVector};
 use eiderferry_types::{Span, Timestamp};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -20,26 +20,26 @@
 const CATCH_UP_MS: u64 = 3_000;
 
 fn version(fleet: &Fleet, node: usize) -> u64 {
-    let table = fleet.nodes[node].knowledge().table();
+    let table = fleet.nodes[node].document_store().table();
     table.map_or(0, |table| table.version())
 }
 
 /// Whether the documents of a node allow requests to a back end.
 fn is_usable(fleet: &Fleet, node: usize, name: &str) -> bool {
-    let mut listed = fleet.nodes[node].knowledge().back_ends();
+    let mut listed = fleet.nodes[node].document_store().back_ends();
     listed.any(|back_end| back_end.instance.as_str() == name && !back_end.draining)
 }
 
 /// Whether a node knows that a back end is draining or removed.
 fn has_left(fleet: &Fleet, node: usize, name: &str) -> bool {
-    let known = fleet.nodes[node].knowledge();
+    let known = fleet.nodes[node].document_store();
     let changes = known.changes_after(&VersionVector::default());
     let of_it = changes
         .iter()
         .filter(|change| change.key == instance_key(name));
     let mut contents = of_it.map(|change| &change.content);
     contents.any(|content| match content {
-        Content::BackEnd(entry) => entry.draining,
+        DocumentContent::BackEnd(entry) => entry.draining,
         _ => true,
     })
 }
@@ -185,7 +185,7 @@
 fn an_evacuation_that_the_copy_lacks_ends_unless_it_is_written_again_in_time() {
     let (mut fleet, mut source) = settled(9, 3);
     let key = DocumentKey::Evacuation(support::zone(0));
-    source.write(key.clone(), Content::Evacuated);
+    source.write(key.clone(), DocumentContent::Evacuated);
     source.run(&mut fleet, APPLIED_WITHIN_MS);
     source.restore(4);
     source.run(&mut fleet, 1_500);
@@ -194,7 +194,7 @@
         nodes.all(|node| node.evacuated().contains(&support::zone(0)))
     };
     assert!(is_evacuated(&fleet));
-    source.write(key, Content::Evacuated);
+    source.write(key, DocumentContent::Evacuated);
     source.run(&mut fleet, 5_000);
     assert!(is_evacuated(&fleet));
     source.restore(4);
@@ -276,7 +276,7 @@
         known_leaving: vec![BTreeSet::new(); 9],
     };
     let mut names: Vec<String> = (0..3).map(|number| format!("i-{number}")).collect();
-    let mut rewrites: Vec<(Timestamp, DocumentKey, Content)> = Vec::new();
+    let mut rewrites: Vec<(Timestamp, DocumentKey, DocumentContent)> = Vec::new();
     let mut last_restart = fleet.now;
     for step in 0..600 {
         let now = fleet.now;
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Decision, Demand, Dispatcher, Features, Grant, Outcome, TICK,
+    Change, Decision, Demand, Dispatcher, DocumentContent, Features, Grant, Outcome, TICK,
 };
 use eiderferry_routing::{InstanceId, PoolName, RegionName, ReplicaOffer, ZoneName};
 use eiderferry_types::{Span, Timestamp};
@@ -15,7 +15,7 @@
 /// A table whose engines keep replicas for each other.
 fn offering(revision: u64) -> Change {
     let mut change = table_change(revision);
-    if let Content::Table(table) = &mut change.content {
+    if let DocumentContent::Table(table) = &mut change.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
         let engine = pool.and_then(|pool| pool.engine.as_mut());
         engine.expect("a pool of engines").replicas = Some(ReplicaOffer {
@@ -49,7 +49,7 @@
 /// A stream whose loss no other attempt mends, so short that it is always replicated.
 fn stream(thing: u64) -> Demand {
     Demand {
-        may_repeat: false,
+        may_retry: false,
         output_tokens: 150,
         ..demand(thing, 100, 100)
     }
@@ -58,7 +58,7 @@
 /// The same with a prompt whose replica only pays where streams are lost.
 fn longer_stream(thing: u64) -> Demand {
     Demand {
-        may_repeat: false,
+        may_retry: false,
         output_tokens: 290,
         ..demand(thing, 400, 1_400)
     }
@@ -110,7 +110,7 @@
 #[test]
 fn what_another_attempt_mends_or_ends_at_once_is_not_replicated() {
     let mut subject = with_zones(30);
-    let may_repeat = demand(1, 100, 100);
+    let may_retry = demand(1, 100, 100);
     let no_stream = Demand {
         is_stream: false,
         ..stream(2)
@@ -119,7 +119,7 @@
         output_tokens: 20,
         ..stream(3)
     };
-    for demand in [may_repeat, no_stream, short] {
+    for demand in [may_retry, no_stream, short] {
         assert_eq!(granted(subject.ask(&demand, START)).replica, None);
     }
 }
@@ -131,7 +131,7 @@
     for thing in 1..=60 {
         let grant = granted(subject.ask(&longer_stream(thing), START));
         let outcome = if thing % 5 == 0 {
-            Outcome::Broken
+            Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
@@ -188,7 +188,7 @@
     // A loss is certain enough that bytes don't matter.
     for thing in 0..30 {
         let grant = granted(subject.ask(&stream(thing), START));
-        subject.end(grant.lease, Outcome::Broken, START);
+        subject.end(grant.lease, Outcome::IncompleteResponse, START);
     }
     let now = START + Span::from_milliseconds(500);
     for _ in 0..5 {
@@ -215,14 +215,14 @@
 fn takeover(holder: &InstanceId) -> Demand {
     Demand {
         only: Some(holder.clone()),
-        is_repeat: true,
+        is_retry: true,
         ..stream(1)
     }
 }
 
 fn lost(subject: &mut Dispatcher, now: Timestamp) -> InstanceId {
     let grant = granted(subject.ask(&stream(1), now));
-    subject.end(grant.lease, Outcome::Broken, now);
+    subject.end(grant.lease, Outcome::IncompleteResponse, now);
     holder(&grant).expect("a replica")
 }
 
@@ -284,7 +284,7 @@
             continue;
         };
         let outcome = if engine == dead {
-            Outcome::Broken
+            Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
@@ -319,7 +319,7 @@
             continue;
         };
         let outcome = if engine == dead && number >= 60 {
-            Outcome::Broken
+            Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{Change, Content, Dispatcher, DocumentKey, TICK};
+use eiderferry_dispatch::{Change, Dispatcher, DocumentContent, DocumentKey, TICK};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Span, Timestamp};
 use rstest::rstest;
@@ -82,7 +82,7 @@
         let change = Change {
             key: DocumentKey::BackEnd(gone),
             revision: 3.into(),
-            content: Content::Gone,
+            content: DocumentContent::Removed,
         };
         subject.apply(change, START);
         let name = format!("engine-{}", MANY + number);
@@ -115,7 +115,7 @@
     let gone = Change {
         key: DocumentKey::BackEnd(home.instance.clone()),
         revision: 3.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     };
     subject.apply(gone, START);
     let later = START + Span::from_milliseconds(5_000);
--- a/crates/coordination/dispatch/tests/streams_apart.rs
+++ b/crates/coordination/dispatch/tests/streams_apart.rs
@@ -18,7 +18,7 @@
 /// A short prompt whose stream must not pause.
 fn sensitive(thing: u64) -> Demand {
     Demand {
-        pause_target: Some(Span::from_milliseconds(200)),
+        event_gap_target: Some(Span::from_milliseconds(200)),
         target: Span::from_milliseconds(1_500),
         ..demand(thing, 300, 900)
     }
--- a/crates/coordination/dispatch/tests/support/limits.rs
+++ b/crates/coordination/dispatch/tests/support/limits.rs
@@ -31,7 +31,7 @@
 /// Sends a request to the engine of that number, whose answer names a limit or none.
 pub fn answer_with(subject: &mut Dispatcher, number: usize, rate: Option<f64>, now: Timestamp) {
     let lease = lease_at(subject, number, now);
-    subject.note_limit(lease, rate.map(limit), now);
+    subject.record_limit(lease, rate.map(limit), now);
     subject.end(lease, Outcome::Completed, now);
 }
 
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -3,13 +3,14 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use eiderferry_dispatch::{
-    ApplyOutcome, Change, ColdRateLimit, Content, Decision, Demand, Dispatcher, DispatcherSettings,
-    Distance, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind, PeerChange, PromptPart,
-    ReaderRole, ReceivedChange, RetryBudgetSettings, Revision, TICK, VersionVector,
+    ApplyOutcome, Change, ColdRateLimit, Decision, Demand, Dispatcher, DispatcherSettings,
+    Distance, DocumentContent, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind,
+    PeerChange, PromptPart, ReaderRole, ReceivedChange, RetryBudgetSettings, Revision, TICK,
+    VersionVector,
 };
 use eiderferry_routing::{
     AllowedRegions, BackEnd, EngineSpecification, InstanceId, Limits, NodeName, PartId, Pool,
-    PoolName, RegionName, RegionOfZone, TableDocument, ZoneName,
+    PoolName, RegionName, TableDocument, ZoneName, ZoneRegions,
 };
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -96,7 +97,7 @@
     Change {
         key: DocumentKey::Table,
         revision: revision.into(),
-        content: Content::Table(TableDocument {
+        content: DocumentContent::Table(TableDocument {
             version: revision,
             routes: Vec::new(),
             pools: BTreeMap::from([(PoolName::from(ENGINES), pool)]),
@@ -114,7 +115,7 @@
         zone: zone(zone_number),
         slots: 64,
         draining: false,
-        cold_for: Some(Span::ZERO),
+        cold_remaining: Some(Span::ZERO),
         started_unix_ms: None,
     }
 }
@@ -123,7 +124,7 @@
     Change {
         key: DocumentKey::BackEnd(back_end.instance.clone()),
         revision: revision.into(),
-        content: Content::BackEnd(back_end),
+        content: DocumentContent::BackEnd(back_end),
     }
 }
 
@@ -131,7 +132,7 @@
     Change {
         key: DocumentKey::BackEnd(InstanceId::from(name)),
         revision: revision.into(),
-        content: Content::Lapsed(Span::from_milliseconds(2_000)),
+        content: DocumentContent::Expired(Span::from_milliseconds(2_000)),
     }
 }
 
@@ -149,7 +150,7 @@
 
 /// Features without the ones that keep prompts near: engines of all zones are used.
 pub const HOMES_ANYWHERE: Features = Features {
-    place_costs: false,
+    locality_costs: false,
     ..Features::ALL
 };
 
@@ -173,7 +174,7 @@
     zone_number: usize,
     seeds: Vec<SocketAddr>,
     propagation_deadline: Span,
-    regions: RegionOfZone,
+    regions: ZoneRegions,
 ) -> DispatcherSettings {
     DispatcherSettings {
         propagation_deadline,
@@ -191,7 +192,7 @@
 }
 
 /// Zones 0 and 1 lie in one region, zone 2 in another; of further ones it isn't known.
-fn regions() -> RegionOfZone {
+fn regions() -> ZoneRegions {
     let region = |number: usize| RegionName::from(if number < 2 { "west" } else { "east" });
     let zones = (0..3).map(|number| (zone(number), region(number)));
     zones.collect()
@@ -244,12 +245,12 @@
         output_tokens: 100,
         bytes: 4_000,
         target: Span::from_milliseconds(2_500),
-        pause_target: None,
+        event_gap_target: None,
         remaining: Span::from_milliseconds(12_000),
         allowed_regions: AllowedRegions::Any,
         excluded: Vec::new(),
-        may_repeat: true,
-        is_repeat: false,
+        may_retry: true,
+        is_retry: false,
         is_stream: true,
         only: None,
     }
@@ -315,7 +316,7 @@
     /// Parts in use on nodes that start anew.
     pub features: Features,
     /// Region of each zone.
-    pub regions: RegionOfZone,
+    pub regions: ZoneRegions,
     /// Nodes that hand out no documents.
     pub busy: BTreeSet<usize>,
     /// Documents that the platform has besides the table.
@@ -337,7 +338,7 @@
     /// A fleet in which each node speaks for itself to other zones.
     pub fn without_zone_speakers(count: usize, zone_count: usize) -> Self {
         let mut fleet = Self::new(count, zone_count);
-        fleet.features.zone_speakers = false;
+        fleet.features.zone_representatives = false;
         for number in 0..count {
             fleet.restart(number);
         }
@@ -348,7 +349,7 @@
         count: usize,
         zone_count: usize,
         propagation_deadline: Span,
-        regions: RegionOfZone,
+        regions: ZoneRegions,
     ) -> Self {
         let seeds: Vec<SocketAddr> = (0..3.min(count)).map(node_address).collect();
         let zones: Vec<usize> = (0..count).map(|number| number % zone_count).collect();
@@ -505,20 +506,20 @@
             return;
         };
         let received = self.nodes[to].receive(node_address(from), message, self.now);
-        if received.wants_answer {
+        if received.wants_reply {
             let answer = self.nodes[to].answer(node_address(from), self.now);
             let to_asker = vec![node_address(from)];
             let envelope = Envelope {
-                kind: MessageKind::Answer,
+                kind: MessageKind::Reply,
                 to: to_asker,
                 message: answer,
             };
             self.post(to, vec![envelope]);
         }
-        if received.is_newer {
+        if received.has_newer_documents {
             self.fetch_wanted(to, Some(node_address(from)));
         }
-        let known = self.nodes[to].knowledge().complete_to();
+        let known = self.nodes[to].document_store().complete_to();
         let is_taken = |news: &ReceivedChange| news.applied == ApplyOutcome::Applied;
         let is_covered = |news: &ReceivedChange| known.covers(news.revision);
         let changes = &received.taken;
@@ -548,7 +549,7 @@
         at: Timestamp,
         is_first_hand: bool,
     ) {
-        let before = self.nodes[number].knowledge().complete_to().clone();
+        let before = self.nodes[number].document_store().complete_to().clone();
         self.nodes[number].confirm(known, at);
         if !before.includes(known) {
             self.announce(number, is_first_hand);
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -1,7 +1,7 @@
 //! A source of documents that can be restored from an older copy.
 
 use super::{Fleet, back_end, table_change};
-use eiderferry_dispatch::{Change, Content, DocumentKey, ReaderRole, Revision};
+use eiderferry_dispatch::{Change, DocumentContent, DocumentKey, ReaderRole, Revision};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::Span;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,9 +14,9 @@
 pub struct Source {
     epoch: u64,
     /// All writes in order; the number of each is its index plus one.
-    history: Vec<(DocumentKey, Content)>,
+    history: Vec<(DocumentKey, DocumentContent)>,
     /// The last write of each item, lost or not.
-    written: BTreeMap<DocumentKey, Content>,
+    written: BTreeMap<DocumentKey, DocumentContent>,
     /// Nodes that cannot reach the source.
     pub unreachable: BTreeSet<usize>,
 }
@@ -37,7 +37,7 @@
         }
     }
 
-    pub fn write(&mut self, key: DocumentKey, content: Content) {
+    pub fn write(&mut self, key: DocumentKey, content: DocumentContent) {
         self.written.insert(key.clone(), content.clone());
         self.history.push((key, content));
     }
@@ -49,15 +49,15 @@
     pub fn write_back_end(&mut self, name: &str, number: usize, draining: bool) {
         let mut entry = back_end(name, number, 0);
         entry.draining = draining;
-        self.write(instance_key(name), Content::BackEnd(entry));
+        self.write(instance_key(name), DocumentContent::BackEnd(entry));
     }
 
     pub fn remove_back_end(&mut self, name: &str) {
-        self.write(instance_key(name), Content::Gone);
+        self.write(instance_key(name), DocumentContent::Removed);
     }
 
     /// Restores the copy made at a number. Returns the last write of each item that lost one.
-    pub fn restore(&mut self, number: u64) -> BTreeMap<DocumentKey, Content> {
+    pub fn restore(&mut self, number: u64) -> BTreeMap<DocumentKey, DocumentContent> {
         self.epoch += 1;
         let lost = self.history.split_off(number as usize);
         let lost = lost.into_iter().map(|(key, _)| key);
@@ -86,11 +86,11 @@
 
     /// Lets a node watch for changes, or list all documents if it does not know the epoch.
     fn read(&self, fleet: &mut Fleet, node: usize) {
-        let known = fleet.nodes[node].knowledge().complete_to().newest();
+        let known = fleet.nodes[node].document_store().complete_to().newest();
         let watched = known.filter(|known| known.epoch == self.epoch);
         let number = watched.map_or(0, |known| known.number);
         let changes = self.changes_after(number);
-        let is_gone = |change: &Change| change.content == Content::Gone;
+        let is_gone = |change: &Change| change.content == DocumentContent::Removed;
         let present = changes.iter().filter(|change| !is_gone(change));
         let listed: BTreeSet<DocumentKey> = present.map(|change| change.key.clone()).collect();
         let is_reported = |change: &Change| watched.is_some() || !is_gone(change);
@@ -98,8 +98,9 @@
             fleet.nodes[node].apply(change.clone(), fleet.now);
         }
         if watched.is_none() {
-            let knowledge = fleet.nodes[node].knowledge();
-            let missing = knowledge.missing_from_listing(&listed, self.revision(), GRACE_PERIOD);
+            let document_store = fleet.nodes[node].document_store();
+            let missing =
+                document_store.missing_from_listing(&listed, self.revision(), GRACE_PERIOD);
             for change in missing {
                 fleet.nodes[node].apply(change, fleet.now);
             }
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -1,7 +1,7 @@
 //! Ways between the nodes of a fleet: how long they take, and the bytes that go over them.
 
 use super::{APPLY_WITHIN, Fleet, HOP, node_address, zone};
-use eiderferry_dispatch::{Distance, Gossip, Knowledge, MessageKind};
+use eiderferry_dispatch::{Distance, DocumentStore, Gossip, MessageKind};
 use eiderferry_routing::RegionName;
 use eiderferry_types::Span;
 use std::net::SocketAddr;
@@ -64,14 +64,14 @@
             .filter(|from| self.hears(*from, number));
         match from {
             Some(from) if !self.busy.contains(&from) => self.fetch(number, from),
-            from => self.nodes[number].note_failed_fetch(source, from.is_some(), now),
+            from => self.nodes[number].record_failed_fetch(source, from.is_some(), now),
         }
     }
 
     fn fetch(&mut self, to: usize, from: usize) {
         self.fetches += 1;
-        let known = self.nodes[to].knowledge().complete_to().clone();
-        let source: Knowledge = self.nodes[from].knowledge().clone();
+        let known = self.nodes[to].document_store().complete_to().clone();
+        let source: DocumentStore = self.nodes[from].document_store().clone();
         let changes = source.changes_after(&known);
         if self.measures_bytes {
             let bytes = postcard::to_stdvec(&changes).expect("a package").len();
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing.rs
@@ -23,8 +23,8 @@
     }
 
     /// Notes that a back end crashed under a request, and tells some nodes at once.
-    pub(crate) fn note_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
-        let change = self.quarantine.note_crash(request, back_end.0, self.now);
+    pub(crate) fn record_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
+        let change = self.quarantine.record_crash(request, back_end.0, self.now);
         self.note_quarantine_change(change);
         for peer in self.peers_told_of_crashes() {
             self.tell_crashing_requests(peer);
@@ -33,7 +33,7 @@
 
     /// Notes that a request ended well.
     pub(crate) fn note_ended_well(&mut self, request: RequestDigest) {
-        let change = self.quarantine.note_completed(request, self.now);
+        let change = self.quarantine.record_completed(request, self.now);
         self.note_quarantine_change(change);
     }
 
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -170,7 +170,7 @@
             } => {
                 self.release(holder, cell, name, observation);
                 if has_crashed {
-                    self.note_crash(digest, back_end);
+                    self.record_crash(digest, back_end);
                 }
                 self.after_failure(sequence, back_end, verdict, observation);
             }
@@ -190,9 +190,8 @@
         };
         request.verdict = request.verdict.max(verdict);
         request.delivered_tokens += observation.tokens;
-        let may_repeat =
-            request.may_repeat_after(verdict) && request.attempt + 1 < MAXIMUM_ATTEMPTS;
-        if !may_repeat {
+        let may_retry = request.may_repeat_after(verdict) && request.attempt + 1 < MAXIMUM_ATTEMPTS;
+        if !may_retry {
             self.reject(
                 sequence,
                 refusal_for_failure(verdict, Reason::BackEndFailed),
--- a/crates/coordination/quarantine/src/completions.rs
+++ b/crates/coordination/quarantine/src/completions.rs
@@ -15,7 +15,7 @@
 }
 
 impl Completions {
-    pub fn note(&mut self, request: RequestDigest, now: Timestamp) {
+    pub fn record(&mut self, request: RequestDigest, now: Timestamp) {
         if self.ended.insert(request, now).is_some() {
             return;
         }
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -62,7 +62,7 @@
 
 impl Quarantine {
     /// A back end crashed under a request of this node.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: RequestDigest,
         back_end: u32,
@@ -76,8 +76,8 @@
     }
 
     /// A request of this node ended well.
-    pub fn note_completed(&mut self, request: RequestDigest, now: Timestamp) -> Option<Change> {
-        self.completions.note(request, now);
+    pub fn record_completed(&mut self, request: RequestDigest, now: Timestamp) -> Option<Change> {
+        self.completions.record(request, now);
         let mut entry = self.entries.remove(&request)?;
         let is_news = entry.record.add_completion(now);
         self.keep(request, entry, is_news, Source::Own, now)
@@ -87,11 +87,11 @@
     pub fn take(&mut self, reports: &[RequestReport], now: Timestamp) -> Vec<Change> {
         let changes = reports.iter();
         changes
-            .filter_map(|report| self.take_report(report, now))
+            .filter_map(|report| self.apply_report(report, now))
             .collect()
     }
 
-    fn take_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<Change> {
+    fn apply_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<Change> {
         let moment = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
         let request = report.request;
         let mut entry = self.entries.remove(&request).unwrap_or_default();
--- a/crates/coordination/quarantine/tests/quarantine.rs
+++ b/crates/coordination/quarantine/tests/quarantine.rs
@@ -18,7 +18,7 @@
 fn crashed(back_ends: std::ops::Range<u32>) -> Quarantine {
     let mut subject = Quarantine::default();
     for back_end in back_ends {
-        subject.note_crash(REQUEST, back_end, after(u64::from(back_end) * 1_000));
+        subject.record_crash(REQUEST, back_end, after(u64::from(back_end) * 1_000));
     }
     subject
 }
@@ -54,7 +54,7 @@
 #[test]
 fn the_third_crash_is_told_once() {
     let mut subject = crashed(0..2);
-    let change = subject.note_crash(REQUEST, 2, after(2_000));
+    let change = subject.record_crash(REQUEST, 2, after(2_000));
     let expected = Change::Began {
         request: REQUEST,
         crashes: 3,
@@ -62,22 +62,22 @@
         source: Source::Own,
     };
     assert_eq!(change, Some(expected));
-    assert_eq!(subject.note_crash(REQUEST, 3, after(3_000)), None);
+    assert_eq!(subject.record_crash(REQUEST, 3, after(3_000)), None);
 }
 
 #[test]
 fn one_crash_that_several_nodes_saw_counts_once() {
     let mut subject = crashed(0..2);
     subject.take(&[report(&[(1, 300), (0, 1_400)], None)], after(1_500));
-    subject.note_crash(REQUEST, 1, after(1_900));
+    subject.record_crash(REQUEST, 1, after(1_900));
     assert!(!is_refused(&subject, after(2_000)));
 }
 
 #[test]
 fn a_back_end_that_crashes_again_once_it_is_back_counts_again() {
     let mut subject = crashed(0..1);
-    subject.note_crash(REQUEST, 0, after(4_000));
-    subject.note_crash(REQUEST, 0, after(8_000));
+    subject.record_crash(REQUEST, 0, after(4_000));
+    subject.record_crash(REQUEST, 0, after(8_000));
     assert!(is_refused(&subject, after(8_000)));
 }
 
@@ -100,7 +100,7 @@
 #[test]
 fn a_request_that_ends_well_is_cleared() {
     let mut subject = crashed(0..3);
-    let change = subject.note_completed(REQUEST, after(2_100));
+    let change = subject.record_completed(REQUEST, after(2_100));
     let source = Source::Own;
     let cleared = Change::Cleared {
         request: REQUEST,
@@ -126,9 +126,9 @@
 #[test]
 fn a_request_that_just_ended_well_is_not_blamed_for_back_ends_lost_together() {
     let mut subject = Quarantine::default();
-    subject.note_completed(REQUEST, START);
+    subject.record_completed(REQUEST, START);
     for back_end in 0..5 {
-        subject.note_crash(REQUEST, back_end, after(200));
+        subject.record_crash(REQUEST, back_end, after(200));
     }
     assert!(!is_refused(&subject, after(200)));
     let told = subject.reports(after(200));
@@ -138,9 +138,9 @@
 #[test]
 fn a_request_that_turned_bad_long_after_it_ended_well_is_refused() {
     let mut subject = Quarantine::default();
-    subject.note_completed(REQUEST, START);
+    subject.record_completed(REQUEST, START);
     for back_end in 0..3 {
-        subject.note_crash(REQUEST, back_end, after(11_000));
+        subject.record_crash(REQUEST, back_end, after(11_000));
     }
     assert!(is_refused(&subject, after(11_000)));
 }
@@ -155,7 +155,7 @@
         subject.expire(over),
         vec![Change::Expired { request: REQUEST }]
     );
-    subject.note_crash(REQUEST, 9, over);
+    subject.record_crash(REQUEST, 9, over);
     assert!(is_refused(&subject, over));
 }
 
@@ -188,7 +188,7 @@
     let mut told = 0;
     for second in 0..120 {
         let now = after(1_000 + second * 1_000);
-        subject.note_completed(REQUEST, now);
+        subject.record_completed(REQUEST, now);
         subject.expire(now);
         told += subject.reports(now).len();
     }
@@ -200,7 +200,7 @@
 fn memory_is_bounded_and_the_quarantined_stay() {
     let mut subject = crashed(0..3);
     for number in 100..20_100 {
-        subject.note_crash(RequestDigest(number), 1, after(3_000 + number));
+        subject.record_crash(RequestDigest(number), 1, after(3_000 + number));
     }
     let counts = subject.counts();
     assert!(counts.suspected + counts.quarantined <= MOST_RECORDS);
@@ -213,7 +213,7 @@
 fn a_message_tells_a_bounded_number_and_first_what_others_act_on() {
     let mut subject = crashed(0..3);
     for number in 100..400 {
-        subject.note_crash(RequestDigest(number), 1, after(2_500));
+        subject.record_crash(RequestDigest(number), 1, after(2_500));
     }
     let told = subject.reports(after(2_600));
     assert!(told.len() <= 18, "{} told", told.len());
@@ -224,7 +224,7 @@
 fn what_does_not_fit_one_message_is_told_by_the_next_ones() {
     let mut subject = Quarantine::default();
     for number in 100..160 {
-        subject.note_crash(RequestDigest(number), 1, START);
+        subject.record_crash(RequestDigest(number), 1, START);
     }
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..8 {
--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -22,7 +22,7 @@
     pub draining: bool,
     /// Time for which it was still cold when its entry was written, zero for a warm one;
     /// `None` where the entry doesn't tell.
-    pub cold_for: Option<Span>,
+    pub cold_remaining: Option<Span>,
     /// When the run began, in Unix milliseconds of its own machine; `None` where the entry doesn't
     /// tell. A back end may start again under its name: another start is another run, which knows
     /// nothing of what the one before was sent. Never compared with a clock of this node.
--- a/crates/state/routing/src/lib.rs
+++ b/crates/state/routing/src/lib.rs
@@ -17,7 +17,7 @@
 pub use cold_start::ColdStart;
 pub use error::TableError;
 pub use identity::{InstanceId, NodeName, PartId, PoolName, RegionName, ZoneName};
-pub use regions::{AllowedRegions, RegionOfZone};
+pub use regions::{AllowedRegions, ZoneRegions};
 pub use table::{
     EngineSpecification, Limits, Pool, ReplicaOffer, Route, RouteKind, RouteMatch, RoutingTable,
     Split, TableDocument, Tenant,
--- a/crates/state/routing/src/regions.rs
+++ b/crates/state/routing/src/regions.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Region of each zone.
-pub type RegionOfZone = BTreeMap<ZoneName, RegionName>;
+pub type ZoneRegions = BTreeMap<ZoneName, RegionName>;
 
 /// Regions in which a request may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
     /// Whether a request may run in a zone. Where the zone's region is not known, only one
     /// that may run anywhere does.
-    pub fn allow(&self, zone: &ZoneName, regions: &RegionOfZone) -> bool {
+    pub fn allow(&self, zone: &ZoneName, regions: &ZoneRegions) -> bool {
         match self {
             Self::Any => true,
             Self::Only(allowed) => regions
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -42,7 +42,7 @@
     /// Time within which an answer, or a stream's first event, is in time.
     pub target: Span,
     /// Longest pause between two events that keeps a stream in time.
-    pub pause_target: Option<Span>,
+    pub event_gap_target: Option<Span>,
     /// Rank; 0 is the most urgent.
     pub rank: u8,
     /// Where its requests go.
@@ -59,7 +59,7 @@
 
 impl Route {
     /// Whether a request may be sent again although it may have run.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
             RouteKind::NotRepeatable => false,
@@ -251,8 +251,8 @@
 
     /// Part of the other tiers that a pool serves which are less urgent than this one:
     /// 1 for the most urgent of several, 0 for the last and for an only one.
-    pub fn part_less_urgent(&self, pool: &PoolName, rank: u8) -> f64 {
-        self.tiers.part_less_urgent(pool, rank)
+    pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
+        self.tiers.less_urgent_share(pool, rank)
     }
 
     /// The tenant that holds a key.
--- a/crates/state/routing/src/urgency.rs
+++ b/crates/state/routing/src/urgency.rs
@@ -59,7 +59,7 @@
     }
 
     /// Part of the pool's other tiers that are less urgent.
-    pub fn part_less_urgent(&self, pool: &PoolName, rank: u8) -> f64 {
+    pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
         let Some(ranks) = self.ranks.get(pool) else {
             return 0.0;
         };
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -16,7 +16,7 @@
         kind: RouteKind::Repeatable,
         timeout: Span::from_milliseconds(1_000),
         target: Span::from_milliseconds(150),
-        pause_target: None,
+        event_gap_target: None,
         rank: 2,
         splits: vec![Split {
             pool: PoolName::from("app"),
@@ -135,7 +135,7 @@
     let mut subject = route("r", "a.example", "/x/");
     subject.kind = kind;
     subject.is_resumable = is_resumable;
-    assert_eq!(subject.may_repeat(), expected);
+    assert_eq!(subject.may_retry(), expected);
 }
 
 fn error_of(change: impl FnOnce(&mut TableDocument)) -> TableError {
@@ -228,7 +228,7 @@
     let pool = both.pools[&PoolName::from("app")].clone();
     both.pools.insert(PoolName::from("second"), pool);
     let table = RoutingTable::new(both).expect("a table");
-    let part = |pool: &str, rank| table.part_less_urgent(&PoolName::from(pool), rank);
+    let part = |pool: &str, rank| table.less_urgent_share(&PoolName::from(pool), rank);
     assert_eq!(part("app", 0), 1.0);
     assert_eq!(part("app", 1), 0.5);
     assert_eq!(part("app", 3), 0.0);
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -137,7 +137,8 @@
                 }
                 AttemptEnd::None(outcome) => outcome,
             };
-            self.note_failed_attempt(&instance, address, outcome).await;
+            self.record_failed_attempt(&instance, address, outcome)
+                .await;
             if let Some(until) = self.withdrawn_until {
                 let lasts = self.traffic.clock.now().until(until);
                 let answer = self.crashes_back_ends(lasts);
@@ -181,7 +182,7 @@
         let limit = self.head_deadline(&lease);
         let timeout = async {
             self.traffic.clock.sleep(limit).await;
-            Err(Outcome::Silent)
+            Err(Outcome::TimedOut)
         };
         let outcome = match read_answer(body, &self.progress.memory).or(timeout).await {
             Err(outcome) => outcome,
@@ -213,7 +214,7 @@
         };
         metrics::attempt(outcome.as_str());
         lease.end(outcome);
-        if is_failure && self.head.route.may_repeat() {
+        if is_failure && self.head.route.may_retry() {
             AttemptEnd::FailedAnswer(response)
         } else {
             AttemptEnd::Answer(response)
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -161,23 +161,23 @@
 }
 
 /// Takes in what an answer says of its back end.
-fn take_notice(
+fn apply_notice(
     dispatcher: &mut Dispatcher,
     source: NoticeSource<'_>,
     notice: Notice,
     now: Timestamp,
 ) {
     if notice.is_leaving
-        && let Some(instance) = dispatcher.note_leaving(source)
+        && let Some(instance) = dispatcher.record_leaving(source)
     {
         events::back_end_leaving(&instance);
     }
     if let Some(rest) = notice.rest {
-        dispatcher.note_rest(source, rest, now);
+        dispatcher.record_backoff(source, rest, now);
     }
     match notice.limit {
-        NamedLimit::Named(limit) => dispatcher.note_limit(source, Some(limit), now),
-        NamedLimit::Over => dispatcher.note_limit(source, None, now),
+        NamedLimit::Named(limit) => dispatcher.record_limit(source, Some(limit), now),
+        NamedLimit::Over => dispatcher.record_limit(source, None, now),
         NamedLimit::Unnamed | NamedLimit::Unreadable => {}
     }
 }
@@ -230,10 +230,10 @@
             }
             Command::FirstEvent(lease) => dispatcher.first_event(lease, now),
             Command::Noticed(lease, notice) => {
-                take_notice(&mut dispatcher, lease.into(), notice, now);
+                apply_notice(&mut dispatcher, lease.into(), notice, now);
             }
             Command::End(lease, outcome, pacing) => {
-                dispatcher.note_pacing(lease, &pacing);
+                dispatcher.record_pacing(lease, &pacing);
                 let ended = dispatcher.end(lease, outcome, now);
                 for (instance, change) in &ended.health_changes {
                     events::back_end_standing(instance, *change, outcome);
@@ -241,7 +241,7 @@
                 self.note_quarantine(&ended.quarantine_change, now);
             }
             Command::Crashed(request, instance) => {
-                self.note_quarantine(&dispatcher.note_crash(request, &instance, now), now);
+                self.note_quarantine(&dispatcher.record_crash(request, &instance, now), now);
                 let announcement = dispatcher.crash_announcement(now);
                 drop(dispatcher);
                 if let Some(announcement) = announcement {
@@ -249,7 +249,7 @@
                 }
             }
             Command::Connected(instance, round_trip) => {
-                dispatcher.note_round_trip(&instance, round_trip);
+                dispatcher.record_round_trip(&instance, round_trip);
             }
             Command::IsUnheard { instance, reply } => {
                 let _ = reply.try_send(dispatcher.is_presumed_down(&instance, now));
@@ -309,7 +309,7 @@
     /// Takes in what the answer to a call says of its engine.
     pub fn take_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
-        take_notice(&mut dispatcher, order.into(), notice, now);
+        apply_notice(&mut dispatcher, order.into(), notice, now);
     }
 
     fn note_quarantine<'a>(
@@ -319,7 +319,7 @@
     ) {
         for change in changes {
             events::quarantine(change);
-            self.withdrawals.note(change, now);
+            self.withdrawals.record(change, now);
         }
     }
 
@@ -350,15 +350,15 @@
             }
             self.follow_news(&received.taken);
             self.note_quarantine(&received.quarantine_changes, now);
-            if received.wants_answer {
+            if received.wants_reply {
                 let message = self.dispatcher.borrow_mut().answer(from, now);
                 self.send(&Envelope {
-                    kind: MessageKind::Answer,
+                    kind: MessageKind::Reply,
                     to: vec![from],
                     message,
                 });
             }
-            if received.is_newer {
+            if received.has_newer_documents {
                 self.fetch_wanted(Some(from), executor);
             }
         }
@@ -407,7 +407,7 @@
             let is_busy = matches!(error, FetchError::Busy(_));
             let now = self.clock.now();
             let mut dispatcher = self.dispatcher.borrow_mut();
-            dispatcher.note_failed_fetch(from, is_busy, now);
+            dispatcher.record_failed_fetch(from, is_busy, now);
         }
         match result {
             Ok(package) => {
@@ -440,13 +440,17 @@
         if !is_news {
             return;
         }
-        let table = self.dispatcher.borrow().knowledge().table().cloned();
+        let table = self.dispatcher.borrow().document_store().table().cloned();
         self.table.store(table);
     }
 
     /// The changes that this node knows.
     fn known_changes(&self) -> VersionVector {
-        self.dispatcher.borrow().knowledge().complete_to().clone()
+        self.dispatcher
+            .borrow()
+            .document_store()
+            .complete_to()
+            .clone()
     }
 
     fn confirm(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
@@ -508,7 +512,7 @@
     /// Last known revision of the newest epoch, from the source or from peers.
     pub fn complete_to(&self) -> Option<Revision> {
         let dispatcher = self.control.dispatcher.borrow();
-        dispatcher.knowledge().complete_to().newest()
+        dispatcher.document_store().complete_to().newest()
     }
 
     /// Whether no node heard a confirmation for so long that the platform was probably away.
@@ -529,7 +533,7 @@
 
     /// Hands a whole listing over that began at `revision`. Items that it lacks after a restore
     /// are gone unless they are written again within the grace period.
-    pub fn take_listing(
+    pub fn apply_listing(
         &self,
         changes: Vec<Change>,
         listed: &BTreeSet<DocumentKey>,
@@ -540,7 +544,7 @@
         let missing = {
             let dispatcher = self.control.dispatcher.borrow();
             dispatcher
-                .knowledge()
+                .document_store()
                 .missing_from_listing(listed, revision, grace_period)
         };
         self.take(missing, revision);
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -26,7 +26,7 @@
 
 impl Exchange {
     /// Notes that an attempt at a back end failed, and whether the back end crashed under it.
-    pub(crate) async fn note_failed_attempt(
+    pub(crate) async fn record_failed_attempt(
         &self,
         back_end: &InstanceId,
         address: SocketAddr,
@@ -43,10 +43,10 @@
             control: self.traffic.control.clone(),
         };
         match outcome {
-            Outcome::Broken => run.note_crash().await,
+            Outcome::IncompleteResponse => run.record_crash().await,
             // Where nothing answers the check takes as long as a connection may: the next
             // attempt does not wait for it.
-            Outcome::Silent => self.traffic.upstream.spawn(run.note_crash()),
+            Outcome::TimedOut => self.traffic.upstream.spawn(run.record_crash()),
             _ => {}
         }
     }
@@ -54,13 +54,13 @@
 
 impl LostRun {
     /// Tells the control thread if the back end is gone.
-    async fn note_crash(self) {
+    async fn record_crash(self) {
         let check = check_connection(self.address).await;
         let has_crashed = match check {
             ConnectionCheck::Listening => false,
             ConnectionCheck::Refused => true,
             // A back end that is silent to both may be cut off and at work.
-            ConnectionCheck::Silent => self.outcome == Outcome::Broken,
+            ConnectionCheck::Silent => self.outcome == Outcome::IncompleteResponse,
         };
         if !has_crashed {
             return;
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -210,7 +210,7 @@
             } => {
                 let wants_whole_epoch = {
                     let dispatcher = control.dispatcher.borrow();
-                    dispatcher.knowledge().peer_lacks_newest_epoch(&known)
+                    dispatcher.document_store().peer_lacks_newest_epoch(&known)
                 };
                 let admission = service.ask(caller, wants_whole_epoch, &mut rand::rng(), now);
                 let (answer, transfer) = match admission {
@@ -235,11 +235,11 @@
 
 fn package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
     let dispatcher = control.dispatcher.borrow();
-    let knowledge = dispatcher.knowledge();
-    let age = knowledge.confirmed_age(now);
+    let document_store = dispatcher.document_store();
+    let age = document_store.confirmed_age(now);
     Package {
-        changes: knowledge.changes_after(known),
-        complete_to: knowledge.complete_to().clone(),
+        changes: document_store.changes_after(known),
+        complete_to: document_store.complete_to().clone(),
         confirmed_ms: age.map(|age| age.milliseconds()),
     }
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -74,10 +74,10 @@
 pub(crate) fn peer(change: &PeerChange) {
     match change {
         // A start of a fleet of 300 would write 300 such lines on each node.
-        PeerChange::Found(node) => {
+        PeerChange::Discovered(node) => {
             log::debug!(event = "peer_found", peer = node.as_str(); "new peer")
         }
-        PeerChange::Regained(node) => {
+        PeerChange::Recovered(node) => {
             log::info!(event = "peer_regained", peer = node.as_str(); "peer heard");
         }
         PeerChange::Lost(node) => {
@@ -130,7 +130,7 @@
         usable = figures.load.engines, needed_prompts = figures.need.prompts,
         needed_streams = figures.need.streams, running = figures.load.running,
         exposed = figures.load.exposed, long_requests = figures.load.long_requests,
-        placed_per_s = figures.placed_rate, read_per_s = figures.load.reading_rate;
+        placed_per_s = figures.placed_rate, read_per_s = figures.load.prefill_rate;
         "engines split between long prompts and streams"
     );
 }
@@ -283,12 +283,12 @@
     log::info!(
         event = "granted", request = id, route = route, rank = rank, attempt = attempt, digest:% = digest,
         back_end = grant.instance.as_str(), expected_ms = candidate.first_event.milliseconds(),
-        uncached = grant.uncached_tokens, read_again = candidate.read_again,
-        copied = candidate.copied, cache = if grant.cache_known.is_some() { "known" } else { "believed" },
-        cache_age_ms = grant.cache_known.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
+        uncached = grant.uncached_tokens, read_again = candidate.recomputed_tokens,
+        copied = candidate.copied, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
+        cache_age_ms = grant.cache_observation_age.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
         running = candidate.running,
-        own_late_percent = percent(candidate.own_late_event),
-        others_late_percent = percent(candidate.others_late),
+        own_late_percent = percent(candidate.own_delay_probability),
+        others_late_percent = percent(candidate.delayed_streams),
         memory_percent = percent(candidate.memory), revision:% = grant.revision,
         list_age_ms = grant.list_age.milliseconds(),
         replica_at = grant.replica.as_ref().map_or("", |replica| replica.instance.as_str());
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -132,7 +132,7 @@
 
     /// Whether another back end may be tried.
     pub fn may_try_again(&self) -> bool {
-        let may_run = !self.may_have_run || self.head.route.may_repeat();
+        let may_run = !self.may_have_run || self.head.route.may_retry();
         may_run
             && self.attempts < self.head.route.maximum_attempts
             && self.unreachable < MAXIMUM_UNREACHABLE
@@ -156,12 +156,12 @@
             output_tokens: self.head.output_tokens,
             bytes: self.transferred_bytes(),
             target: self.head.route.target,
-            pause_target: self.head.route.pause_target,
+            event_gap_target: self.head.route.event_gap_target,
             remaining: now.until(self.deadline),
             allowed_regions: self.head.allowed_regions.clone(),
             excluded: self.excluded.clone(),
-            may_repeat: self.head.route.may_repeat(),
-            is_repeat: self.attempts > 0,
+            may_retry: self.head.route.may_retry(),
+            is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
             only,
         };
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -35,7 +35,7 @@
 impl Exchange {
     /// Longest pause between two events before a stream goes on elsewhere.
     pub(crate) fn pause_patience(&self) -> Span {
-        let pause = self.head.route.pause_target.unwrap_or(MINIMUM_PAUSE);
+        let pause = self.head.route.event_gap_target.unwrap_or(MINIMUM_PAUSE);
         Span(pause.0 * PAUSE_TARGETS).max(MINIMUM_PAUSE)
     }
 
@@ -70,7 +70,8 @@
     async fn end_failed(&self, lease: Lease, outcome: Outcome) {
         let (back_end, address) = (lease.grant.instance.clone(), lease.grant.address);
         lease.end(outcome);
-        self.note_failed_attempt(&back_end, address, outcome).await;
+        self.record_failed_attempt(&back_end, address, outcome)
+            .await;
     }
 
     async fn continue_at(&mut self, lease: Lease, last_id: u64) -> Result<Answering, &'static str> {
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -190,17 +190,17 @@
     let mut held = memory.nothing(HeldKind::Answer);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Outcome::Broken)?;
+        let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() > MAXIMUM_ANSWER_BYTES {
-            return Err(Outcome::Broken);
+            return Err(Outcome::IncompleteResponse);
         }
         let uncounted = collected.len() as u64 - held.bytes();
         if memory.grow_answer(&mut held, uncounted).is_err() {
-            memory.note_ended(held.bytes(), "answer");
-            return Err(Outcome::Broken);
+            memory.record_ended(held.bytes(), "answer");
+            return Err(Outcome::IncompleteResponse);
         }
     }
     Ok(held.into_bytes(collected))
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -32,7 +32,7 @@
     }
 
     /// Its back end says something of itself.
-    pub fn note(&self, notice: Notice) {
+    pub fn record(&self, notice: Notice) {
         self.control.noticed(self.grant.lease, notice);
     }
 
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -75,7 +75,7 @@
     }
 
     /// Lines left out since the last time this was asked.
-    pub fn take_left_out(&self) -> u64 {
+    pub fn drain_dropped_count(&self) -> u64 {
         self.left_out.swap(0, Ordering::Relaxed)
     }
 
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -178,7 +178,7 @@
     }
 
     /// Notes how much was given back; called now and then.
-    pub(crate) fn note_pace(&self, now: Timestamp) {
+    pub(crate) fn record_pace(&self, now: Timestamp) {
         let Ok(mut pace) = self.pace.lock() else {
             return;
         };
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -234,5 +234,5 @@
     metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed);
     metrics::gauge!("eiderferry_split_long_requests").set(f64::from(split.load.long_requests));
     metrics::gauge!("eiderferry_split_placed_tokens_per_second").set(split.placed_rate);
-    metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.reading_rate);
+    metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.prefill_rate);
 }
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -226,7 +226,7 @@
         let traffic = &server.traffic;
         traffic.upstream.close_rested();
         let budget = &traffic.memory.budget;
-        budget.note_pace(traffic.clock.now());
+        budget.record_pace(traffic.clock.now());
         metrics::held(budget);
     }
 }
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -26,7 +26,7 @@
     }
 
     /// The request is being sent.
-    pub fn note_sent(&self) {
+    pub fn record_sent(&self) {
         self.was_sent.set(true);
     }
 
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -103,7 +103,7 @@
     }
 
     fn give_up(&mut self, why: &'static str) -> Option<Pieces> {
-        self.memory.note_ended(self.held.bytes(), why);
+        self.memory.record_ended(self.held.bytes(), why);
         self.ready.clear();
         self.held.shrink(self.held.bytes());
         self.end = Some(Err(BrokenAnswer::Memory));
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -113,7 +113,7 @@
     }
 
     /// The request is ended for want of memory.
-    pub fn note_ended(&self, held: u64, why: &'static str) {
+    pub fn record_ended(&self, held: u64, why: &'static str) {
         self.was_ended.set(true);
         events::ended_for_memory(&self.id.borrow(), self.route.get(), held, why);
     }
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -76,8 +76,8 @@
             resume_from: after.resume_from,
         };
         let request = self.request.attempt(&self.traffic.vocabulary, &told);
-        self.progress.note_sent();
-        let may_repeat = self.head.route.may_repeat();
+        self.progress.record_sent();
+        let may_retry = self.head.route.may_retry();
         let limit = self.head_deadline(lease).min(after.patience);
         let timeout = async {
             self.traffic.clock.sleep(limit).await;
@@ -87,16 +87,13 @@
             let until = self.traffic.withdrawals.of(self.digest).await;
             Err(Interruption::Withdrawn(until))
         };
-        let send = self
-            .traffic
-            .upstream
-            .send(&lease.grant, request, may_repeat);
+        let send = self.traffic.upstream.send(&lease.grant, request, may_retry);
         let answer = async { Ok(send.await) };
         let waited = answer.or(timeout).or(withdrawal).await;
-        self.judge(lease, waited)
+        self.record_outcome(lease, waited)
     }
 
-    fn judge(
+    fn record_outcome(
         &mut self,
         lease: &Lease,
         waited: Result<Answered, Interruption>,
@@ -109,18 +106,18 @@
             Ok(Err(_)) => {
                 self.attempts += 1;
                 self.may_have_run = true;
-                Err(Outcome::Broken)
+                Err(Outcome::IncompleteResponse)
             }
             Err(Interruption::TimedOut) => {
                 self.attempts += 1;
                 self.may_have_run = true;
-                Err(Outcome::Silent)
+                Err(Outcome::TimedOut)
             }
             Err(Interruption::Withdrawn(until)) => {
                 self.attempts += 1;
                 self.may_have_run = true;
                 self.withdrawn_until = Some(until);
-                Err(Outcome::Withdrawn)
+                Err(Outcome::Cancelled)
             }
             Ok(Ok((response, connection))) => {
                 self.attempts += 1;
@@ -139,7 +136,7 @@
         let id = response.headers().get(&vocabulary.request_id);
         let is_ours = id.is_some_and(|id| id.as_bytes() == self.head.id.as_bytes());
         if response.status() == StatusCode::MISDIRECTED_REQUEST {
-            return Err(Outcome::Replaced);
+            return Err(Outcome::InstanceReplaced);
         }
         let may_be_ours = id.is_none_or(|_| is_ours);
         let notice = if may_be_ours {
@@ -147,17 +144,17 @@
         } else {
             Notice::default()
         };
-        self.take_notice(lease, notice);
+        self.apply_notice(lease, notice);
         if response.headers().contains_key(&vocabulary.not_run) && may_be_ours {
             return Err(Outcome::Shed);
         }
         self.may_have_run = true;
         if !is_ours || response.headers().contains_key(header::CONTENT_ENCODING) {
-            return Err(Outcome::Broken);
+            return Err(Outcome::IncompleteResponse);
         }
         if lease.grant.has_limit && notice.limit == NamedLimit::Unnamed {
             // Unlike a refusal, the answer of a run that names no limit shows that it is over.
-            lease.note(Notice {
+            lease.record(Notice {
                 limit: NamedLimit::Over,
                 ..Notice::default()
             });
@@ -166,7 +163,7 @@
     }
 
     /// Takes in what an answer says of its back end.
-    fn take_notice(&self, lease: &Lease, notice: Notice) {
+    fn apply_notice(&self, lease: &Lease, notice: Notice) {
         if notice.is_empty() {
             return;
         }
@@ -180,7 +177,7 @@
         if matches!(notice.limit, NamedLimit::Named(_)) {
             metrics::notice("limit");
         }
-        lease.note(notice);
+        lease.record(notice);
     }
 
     /// Longest wait for the head: until the request's time is over, or shorter where
@@ -190,7 +187,7 @@
         let left = now.until(self.deadline);
         let route = &self.head.route;
         let is_last = self.attempts + 1 >= route.maximum_attempts;
-        if !route.may_repeat() || is_last {
+        if !route.may_retry() || is_last {
             return left;
         }
         let patience = match route.kind {
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::{CacheProtocol, Vocabulary};
 use eiderferry_dispatch::{ColdRateLimit, Features, RetryBudgetSettings};
-use eiderferry_routing::{NodeName, RegionOfZone, ZoneName};
+use eiderferry_routing::{NodeName, ZoneName, ZoneRegions};
 use eiderferry_types::Span;
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
     /// Bound of requests to a cold back end over all nodes.
     pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
-    pub regions: RegionOfZone,
+    pub regions: ZoneRegions,
     /// Parts of the dispatcher in use.
     pub features: Features,
     /// Most bytes held for callers and back ends; 0: nothing is bounded or read ahead.
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -70,14 +70,14 @@
         let first = match first.or(withdrawal).await {
             Ok(piece) => piece,
             Err(until) => {
-                relay.finish_source(Outcome::Withdrawn);
+                relay.finish_source(Outcome::Cancelled);
                 relay.exchange.withdrawn_until = Some(until);
-                return (Some(relay.exchange), AttemptEnd::None(Outcome::Withdrawn));
+                return (Some(relay.exchange), AttemptEnd::None(Outcome::Cancelled));
             }
         };
         match first {
             Piece::Events(events) => {
-                relay.note_first_event();
+                relay.record_first_event();
                 relay.ready = Some(events);
                 (None, AttemptEnd::Answer(relay.into_response(&parts)))
             }
@@ -91,13 +91,13 @@
                 (Some(relay.exchange), AttemptEnd::None(outcome))
             }
             Piece::TimedOut => {
-                relay.finish_source(Outcome::Silent);
-                (Some(relay.exchange), AttemptEnd::None(Outcome::Silent))
+                relay.finish_source(Outcome::TimedOut);
+                (Some(relay.exchange), AttemptEnd::None(Outcome::TimedOut))
             }
         }
     }
 
-    fn note_first_event(&self) {
+    fn record_first_event(&self) {
         let exchange = &self.exchange;
         let now = exchange.traffic.clock.now();
         let elapsed = now.since(exchange.started);
@@ -131,7 +131,7 @@
                     return Some((Err(BrokenAnswer::TimedOut), self));
                 }
                 Piece::Broken(outcome) => {
-                    self.note_break(outcome).await;
+                    self.record_break(outcome).await;
                     self.finish_source(outcome);
                     if !self.go_on().await {
                         self.exchange.end("broken_off");
@@ -148,7 +148,7 @@
             let limit = self.patience(is_first);
             let left = self.left();
             let Some(source) = &mut self.source else {
-                return Piece::Broken(Outcome::Broken);
+                return Piece::Broken(Outcome::IncompleteResponse);
             };
             let clock = self.exchange.traffic.clock;
             let timeout = async {
@@ -159,13 +159,13 @@
             match frame {
                 None if limit < left => {
                     if self.is_given_up().await {
-                        return Piece::Broken(Outcome::Silent);
+                        return Piece::Broken(Outcome::TimedOut);
                     }
                 }
                 None => return Piece::TimedOut,
-                Some(Some(Err(_))) => return Piece::Broken(Outcome::Broken),
+                Some(Some(Err(_))) => return Piece::Broken(Outcome::IncompleteResponse),
                 Some(None) if self.splitter.has_partial_event() => {
-                    return Piece::Broken(Outcome::Broken);
+                    return Piece::Broken(Outcome::IncompleteResponse);
                 }
                 Some(None) => return Piece::End,
                 Some(Some(Ok(frame))) => {
@@ -176,7 +176,9 @@
                     let events = self.splitter.push(&data);
                     if !events.is_empty() {
                         let count = self.splitter.handed_out() - before;
-                        source.pacing.note(count, self.exchange.traffic.clock.now());
+                        source
+                            .pacing
+                            .record(count, self.exchange.traffic.clock.now());
                         return Piece::Events(events);
                     }
                 }
@@ -222,7 +224,7 @@
             .await
     }
 
-    async fn note_break(&self, outcome: Outcome) {
+    async fn record_break(&self, outcome: Outcome) {
         let Some(source) = &self.source else {
             return;
         };
@@ -230,7 +232,7 @@
         let (back_end, address) = (&grant.instance, grant.address);
         let noted = self
             .exchange
-            .note_failed_attempt(back_end, address, outcome);
+            .record_failed_attempt(back_end, address, outcome);
         noted.await;
     }
 
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -70,11 +70,11 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             SendError::Unreachable(cause) if cause.kind() == ErrorKind::ConnectionRefused => {
-                Outcome::Refused
+                Outcome::ConnectionRefused
             }
             SendError::Unreachable(_) => Outcome::Unreachable,
             SendError::NoConnection | SendError::Backlog => Outcome::NotSent,
-            SendError::Broken(_) => Outcome::Broken,
+            SendError::Broken(_) => Outcome::IncompleteResponse,
         }
     }
 }
@@ -181,11 +181,11 @@
         &self,
         grant: &Grant,
         mut request: Request<Full<Bytes>>,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let key = (grant.address, grant.instance.clone());
         let body = self.reserve(&key, request.body().size_hint().lower())?;
-        while let Some(mut connection) = self.take_idle(&key, may_repeat).await {
+        while let Some(mut connection) = self.take_idle(&key, may_retry).await {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
                     connection.body = Some(body);
@@ -224,8 +224,8 @@
         })
     }
 
-    async fn take_idle(&self, key: &Key, may_repeat: bool) -> Option<Connection> {
-        let most = if may_repeat {
+    async fn take_idle(&self, key: &Key, may_retry: bool) -> Option<Connection> {
+        let most = if may_retry {
             MAXIMUM_REST
         } else {
             MAXIMUM_REST_UNREPEATABLE
--- a/crates/transport/relay/src/withdrawal.rs
+++ b/crates/transport/relay/src/withdrawal.rs
@@ -22,7 +22,7 @@
 
 impl Withdrawals {
     /// Takes over what changed with a request.
-    pub fn note(&self, change: &QuarantineChange, now: Timestamp) {
+    pub fn record(&self, change: &QuarantineChange, now: Timestamp) {
         let refused = self.shared.refused.lock();
         let mut refused = refused.unwrap_or_else(PoisonError::into_inner);
         match change {
--- a/crates/transport/relay/tests/logging.rs
+++ b/crates/transport/relay/tests/logging.rs
@@ -16,8 +16,8 @@
         admitted <= 20,
         "{admitted} lines; at most two seconds' worth"
     );
-    assert_eq!(queue.take_left_out(), 500 - admitted as u64);
-    assert_eq!(queue.take_left_out(), 0);
+    assert_eq!(queue.drain_dropped_count(), 500 - admitted as u64);
+    assert_eq!(queue.drain_dropped_count(), 0);
 }
 
 #[test]
@@ -35,6 +35,6 @@
         queue.push(b"line\n".to_vec());
     }
     assert!(begun.elapsed() < Duration::from_secs(5));
-    assert_eq!(queue.take_left_out(), 9_992);
+    assert_eq!(queue.drain_dropped_count(), 9_992);
     assert_eq!(lines.try_iter().count(), 8);
 }
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -2,7 +2,7 @@
 
 use super::{HOST, KEY};
 use eiderferry_dispatch::{
-    CacheEvent, CacheEvents, CacheListing, Change, Content, DocumentKey, PromptPart,
+    CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
 use eiderferry_relay::{CacheProtocol, UnreadableAnswer, Vocabulary};
 use eiderferry_routing::{
@@ -106,7 +106,7 @@
         kind,
         timeout: Span::from_milliseconds(4_000),
         target: Span::from_milliseconds(2_000),
-        pause_target: Some(Span::from_milliseconds(1_000)),
+        event_gap_target: Some(Span::from_milliseconds(1_000)),
         rank: 2,
         splits: vec![Split {
             pool: PoolName::from("pool"),
@@ -147,7 +147,7 @@
     let mut patient_read = route("patient-read", RouteKind::Repeatable, 1);
     patient_read.timeout = Span::from_milliseconds(60_000);
     let mut paced = route("paced", RouteKind::Streaming, 1);
-    paced.pause_target = Some(Span::from_milliseconds(100));
+    paced.event_gap_target = Some(Span::from_milliseconds(100));
     let pool = Pool {
         health_path: "/health".to_owned(),
         maximum_connections: 400,
@@ -197,13 +197,13 @@
             zone: ZoneName::from("a"),
             slots: 64,
             draining: true,
-            cold_for: Some(Span::ZERO),
+            cold_remaining: Some(Span::ZERO),
             started_unix_ms: None,
         };
         Change {
             key: DocumentKey::BackEnd(instance),
             revision: 2.into(),
-            content: Content::BackEnd(back_end),
+            content: DocumentContent::BackEnd(back_end),
         }
     });
     listed.collect()
@@ -216,14 +216,14 @@
         Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision: 2.into(),
-            content: Content::BackEnd(BackEnd {
+            content: DocumentContent::BackEnd(BackEnd {
                 instance,
                 pool: PoolName::from("pool"),
                 address: *address,
                 zone: ZoneName::from("a"),
                 slots: 64,
                 draining: false,
-                cold_for: Some(Span::ZERO),
+                cold_remaining: Some(Span::ZERO),
                 started_unix_ms: None,
             }),
         }
@@ -231,7 +231,7 @@
     let table = Change {
         key: DocumentKey::Table,
         revision: 1.into(),
-        content: Content::Table(table(engine)),
+        content: DocumentContent::Table(table(engine)),
     };
     listed.chain([table]).collect()
 }
