--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -56,8 +56,11 @@
         if !self.settings.features.quarantine {
             return None;
         }
-        let quarantined = self.quarantine.standing(demand.digest, now)?;
-        Some(Decision::Refuse(Reason::CrashesBackEnds, quarantined.lasts))
+        let quarantined = self.quarantine.status(demand.digest, now)?;
+        Some(Decision::Refuse(
+            Reason::CrashesBackEnds,
+            quarantined.remaining,
+        ))
     }
 
     pub(super) fn take_crashing_requests(
--- a/crates/coordination/dispatch/src/lib.rs
+++ b/crates/coordination/dispatch/src/lib.rs
@@ -24,9 +24,7 @@
     ApplyOutcome, Change, DocumentContent, DocumentKey, DocumentStore, TableStamp,
 };
 pub use documents::revision::{Revision, VersionVector};
-pub use eiderferry_quarantine::{
-    Change as QuarantineChange, Counts as QuarantineCounts, CrashReport, RequestReport,
-};
+pub use eiderferry_quarantine::{CrashReport, QuarantineChange, QuarantineCounts, RequestReport};
 pub use features::Features;
 pub use fleet::message::{
     ChangeBatch, Envelope, FleetSummary, Gossip, LoadReport, Member, Placement, ZoneAge, ZoneDigest,
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Message;
 use crate::node::Node;
-use eiderferry_quarantine::{Change, RequestReport};
+use eiderferry_quarantine::{QuarantineChange, RequestReport};
 use eiderferry_types::{BackEndId, NodeId, Reason, Refusal, RequestDigest, Verdict};
 use rand::seq::IndexedRandom;
 
@@ -14,7 +14,7 @@
     /// The refusal of a request under which back ends crash, if it is one. Coming again does not
     /// help.
     pub(crate) fn refusal_of_crashing(&self, request: RequestDigest) -> Option<Refusal> {
-        self.quarantine.standing(request, self.now)?;
+        self.quarantine.status(request, self.now)?;
         Some(Refusal {
             verdict: Verdict::NotRun,
             reason: Reason::CrashesBackEnds,
@@ -75,7 +75,7 @@
         }
     }
 
-    fn note_quarantine_change(&mut self, change: Option<Change>) {
+    fn note_quarantine_change(&mut self, change: Option<QuarantineChange>) {
         if let Some(change) = change {
             self.emit(crate::Output::QuarantineChanged(change));
         }
--- a/crates/coordination/node/src/output.rs
+++ b/crates/coordination/node/src/output.rs
@@ -67,7 +67,7 @@
         cache_cursor: u64,
     },
     /// A request is refused from now on because back ends crash under it, or no longer.
-    QuarantineChanged(eiderferry_quarantine::Change),
+    QuarantineChanged(eiderferry_quarantine::QuarantineChange),
     /// A decision for the log.
     Decided(Decision),
 }
--- a/crates/coordination/quarantine/src/change.rs
+++ b/crates/coordination/quarantine/src/change.rs
@@ -4,43 +4,43 @@
 
 /// From where a change was learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ChangeSource {
     /// A request of this node.
     Own,
     /// Another node's report.
     Peer,
 }
 
-impl Source {
+impl ChangeSource {
     /// The word used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Source::Own => "own",
-            Source::Peer => "peer",
+            ChangeSource::Own => "own",
+            ChangeSource::Peer => "peer",
         }
     }
 }
 
 /// What changed with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum QuarantineChange {
     /// It is refused from now on.
-    Began {
+    Quarantined {
         /// Which request.
         request: RequestDigest,
         /// Back ends that crashed under it, as far as they are kept.
         crashes: usize,
         /// Time for which it is refused.
-        lasts: Span,
+        remaining: Span,
         /// From where the last crash was learned.
-        source: Source,
+        source: ChangeSource,
     },
     /// It ended well somewhere, so it is served again.
     Cleared {
         /// Which request.
         request: RequestDigest,
         /// From where that was learned.
-        source: Source,
+        source: ChangeSource,
     },
     /// Its time is over; one crash more brings it back.
     Expired {
@@ -59,36 +59,36 @@
     /// Back ends that crashed under it, where it is refused from now on.
     pub crashes: u64,
     /// Time for which it is refused, in milliseconds.
-    pub for_ms: u64,
+    pub remaining_ms: u64,
     /// From where that was learned; empty where time alone changed it.
     pub source: &'static str,
 }
 
-impl Change {
+impl QuarantineChange {
     /// What a log line tells of it.
     pub fn details(&self) -> ChangeDetails {
         let details = |event, request, source| ChangeDetails {
             event,
             request,
             crashes: 0,
-            for_ms: 0,
+            remaining_ms: 0,
             source,
         };
         match *self {
-            Change::Began {
+            QuarantineChange::Quarantined {
                 request,
                 crashes,
-                lasts,
+                remaining,
                 source,
             } => ChangeDetails {
                 crashes: crashes as u64,
-                for_ms: lasts.milliseconds(),
+                remaining_ms: remaining.milliseconds(),
                 ..details("request_quarantined", request, source.as_str())
             },
-            Change::Cleared { request, source } => {
+            QuarantineChange::Cleared { request, source } => {
                 details("quarantine_cleared", request, source.as_str())
             }
-            Change::Expired { request } => details("quarantine_expired", request, ""),
+            QuarantineChange::Expired { request } => details("quarantine_expired", request, ""),
         }
     }
 }
--- a/crates/coordination/quarantine/src/lib.rs
+++ b/crates/coordination/quarantine/src/lib.rs
@@ -16,6 +16,6 @@
 mod record;
 mod report;
 
-pub use change::{Change, ChangeDetails, Source};
-pub use quarantine::{Counts, Quarantine, Quarantined};
+pub use change::{ChangeDetails, ChangeSource, QuarantineChange};
+pub use quarantine::{Quarantine, QuarantineCounts, Quarantined};
 pub use report::{CrashReport, RequestReport};
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! The requests under suspicion on one node, and what it tells others of them.
 
-use crate::change::{Change, Source};
+use crate::change::{ChangeSource, QuarantineChange};
 use crate::completions::Completions;
-use crate::record::{Record, Standing};
+use crate::record::{Record, RequestStatus};
 use crate::report::RequestReport;
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::HashMap;
@@ -27,18 +27,18 @@
     /// Back ends that crashed under it, as far as they are kept.
     pub crashes: usize,
     /// Time for which it is still refused.
-    pub lasts: Span,
+    pub remaining: Span,
 }
 
 /// Figures for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct QuarantineCounts {
     /// Requests under which back ends crashed, not refused.
     pub suspected: usize,
     /// Requests that are refused.
     pub quarantined: usize,
     /// Requests left out because too many were known, since the start.
-    pub crowded_out: u64,
+    pub evicted: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -57,7 +57,7 @@
     /// Those that are refused, in the order in which they are told.
     refused: Vec<RequestDigest>,
     turn: usize,
-    crowded_out: u64,
+    evicted: u64,
 }
 
 impl Quarantine {
@@ -67,43 +67,48 @@
         request: RequestDigest,
         back_end: u32,
         now: Timestamp,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         let completed = self.completions.of(request);
         let mut entry = self.entries.remove(&request).unwrap_or_default();
-        let mut is_news = completed.is_some_and(|completed| entry.record.add_completion(completed));
-        is_news |= entry.record.add_crash(back_end, now);
-        self.keep(request, entry, is_news, Source::Own, now)
+        let mut has_changed =
+            completed.is_some_and(|completed| entry.record.add_completion(completed));
+        has_changed |= entry.record.add_crash(back_end, now);
+        self.keep(request, entry, has_changed, ChangeSource::Own, now)
     }
 
     /// A request of this node ended well.
-    pub fn record_completed(&mut self, request: RequestDigest, now: Timestamp) -> Option<Change> {
+    pub fn record_completed(
+        &mut self,
+        request: RequestDigest,
+        now: Timestamp,
+    ) -> Option<QuarantineChange> {
         self.completions.record(request, now);
         let mut entry = self.entries.remove(&request)?;
-        let is_news = entry.record.add_completion(now);
-        self.keep(request, entry, is_news, Source::Own, now)
+        let has_changed = entry.record.add_completion(now);
+        self.keep(request, entry, has_changed, ChangeSource::Own, now)
     }
 
     /// Takes another node's reports in.
-    pub fn take(&mut self, reports: &[RequestReport], now: Timestamp) -> Vec<Change> {
+    pub fn take(&mut self, reports: &[RequestReport], now: Timestamp) -> Vec<QuarantineChange> {
         let changes = reports.iter();
         changes
             .filter_map(|report| self.apply_report(report, now))
             .collect()
     }
 
-    fn apply_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<Change> {
+    fn apply_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<QuarantineChange> {
         let moment = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
         let request = report.request;
         let mut entry = self.entries.remove(&request).unwrap_or_default();
-        let mut is_news = false;
+        let mut has_changed = false;
         let completions = report.completed_ms.map(moment);
         for completed in completions.into_iter().chain(self.completions.of(request)) {
-            is_news |= entry.record.add_completion(completed);
+            has_changed |= entry.record.add_completion(completed);
         }
         for crash in &report.crashes {
-            is_news |= entry.record.add_crash(crash.back_end, moment(crash.age_ms));
+            has_changed |= entry.record.add_crash(crash.back_end, moment(crash.age_ms));
         }
-        self.keep(request, entry, is_news, Source::Peer, now)
+        self.keep(request, entry, has_changed, ChangeSource::Peer, now)
     }
 
     /// Puts an entry back and says what changed with its request.
@@ -111,40 +116,40 @@
         &mut self,
         request: RequestDigest,
         mut entry: Entry,
-        is_news: bool,
-        source: Source,
+        has_changed: bool,
+        source: ChangeSource,
         now: Timestamp,
-    ) -> Option<Change> {
-        if entry.record.is_over(now) {
+    ) -> Option<QuarantineChange> {
+        if entry.record.is_expired(now) {
             self.refused.retain(|refused| *refused != request);
             return None;
         }
-        if is_news {
+        if has_changed {
             entry.told_until = now + TELLING_TIME;
         }
         let was_quarantined = entry.is_quarantined;
-        let standing = entry.record.standing(now);
-        entry.is_quarantined = matches!(standing, Standing::Quarantined(_));
+        let status = entry.record.status(now);
+        entry.is_quarantined = matches!(status, RequestStatus::Quarantined(_));
         let crashes = entry.record.crashes();
         if !self.make_room(&entry) {
             return None;
         }
         self.entries.insert(request, entry);
-        match (was_quarantined, standing) {
-            (false, Standing::Quarantined(until)) => {
+        match (was_quarantined, status) {
+            (false, RequestStatus::Quarantined(until)) => {
                 self.refused.push(request);
-                Some(Change::Began {
+                Some(QuarantineChange::Quarantined {
                     request,
                     crashes,
-                    lasts: now.until(until),
+                    remaining: now.until(until),
                     source,
                 })
             }
-            (true, Standing::Clear | Standing::Suspected) => {
+            (true, RequestStatus::Clear | RequestStatus::Suspected) => {
                 self.refused.retain(|refused| *refused != request);
                 Some(match crashes {
-                    0 => Change::Cleared { request, source },
-                    _ => Change::Expired { request },
+                    0 => QuarantineChange::Cleared { request, source },
+                    _ => QuarantineChange::Expired { request },
                 })
             }
             _ => None,
@@ -157,7 +162,7 @@
         if self.entries.len() < MOST_RECORDS {
             return true;
         }
-        self.crowded_out += 1;
+        self.evicted += 1;
         let weight = |entry: &Entry| (entry.record.crashes(), entry.record.last_crash());
         let least = self.entries.iter().min_by_key(|(_, entry)| weight(entry));
         let Some(least) = least.filter(|(_, entry)| weight(entry) <= weight(coming)) else {
@@ -170,30 +175,31 @@
     }
 
     /// Whether a request is refused, and why.
-    pub fn standing(&self, request: RequestDigest, now: Timestamp) -> Option<Quarantined> {
+    pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<Quarantined> {
         let entry = self.entries.get(&request)?;
-        match entry.record.standing(now) {
-            Standing::Quarantined(until) => Some(Quarantined {
+        match entry.record.status(now) {
+            RequestStatus::Quarantined(until) => Some(Quarantined {
                 crashes: entry.record.crashes(),
-                lasts: now.until(until),
+                remaining: now.until(until),
             }),
-            Standing::Clear | Standing::Suspected => None,
+            RequestStatus::Clear | RequestStatus::Suspected => None,
         }
     }
 
     /// Forgets what is too old. Returns the requests that are served again.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Change> {
-        self.entries.retain(|_, entry| !entry.record.is_over(now));
+    pub fn expire(&mut self, now: Timestamp) -> Vec<QuarantineChange> {
+        self.entries
+            .retain(|_, entry| !entry.record.is_expired(now));
         let mut changes = Vec::new();
         let entries = &mut self.entries;
         self.refused.retain(|request| {
             let Some(entry) = entries.get_mut(request) else {
                 return false;
             };
-            let is_refused = matches!(entry.record.standing(now), Standing::Quarantined(_));
+            let is_refused = matches!(entry.record.status(now), RequestStatus::Quarantined(_));
             if !is_refused {
                 entry.is_quarantined = false;
-                changes.push(Change::Expired { request: *request });
+                changes.push(QuarantineChange::Expired { request: *request });
             }
             is_refused
         });
@@ -256,13 +262,13 @@
     }
 
     /// Figures for metrics.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> QuarantineCounts {
         let crashed = self.entries.values();
         let crashed = crashed.filter(|entry| entry.record.crashes() > 0).count();
-        Counts {
+        QuarantineCounts {
             suspected: crashed - self.refused.len().min(crashed),
             quarantined: self.refused.len(),
-            crowded_out: self.crowded_out,
+            evicted: self.evicted,
         }
     }
 }
--- a/crates/coordination/quarantine/src/record.rs
+++ b/crates/coordination/quarantine/src/record.rs
@@ -42,7 +42,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum RequestStatus {
     /// Nothing counts against it.
     Clear,
     /// Back ends crashed under it, too few or too long ago to refuse it.
@@ -112,19 +112,19 @@
         self.crashes.last().map(|crash| crash.at)
     }
 
-    pub fn standing(&self, now: Timestamp) -> Standing {
+    pub fn status(&self, now: Timestamp) -> RequestStatus {
         let Some(last) = self.last_crash() else {
-            return Standing::Clear;
+            return RequestStatus::Clear;
         };
         let until = last + QUARANTINE_TIME;
         if self.crashes.len() >= CRASHES_TO_QUARANTINE && now < until {
-            return Standing::Quarantined(until);
+            return RequestStatus::Quarantined(until);
         }
-        Standing::Suspected
+        RequestStatus::Suspected
     }
 
     /// Whether it is too old to matter.
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    pub fn is_expired(&self, now: Timestamp) -> bool {
         let memory = match self.crashes.len() {
             0 => COMPLETED_MEMORY,
             count if count < CRASHES_TO_QUARANTINE => SUSPECTED_MEMORY,
--- a/crates/coordination/quarantine/tests/quarantine.rs
+++ b/crates/coordination/quarantine/tests/quarantine.rs
@@ -1,6 +1,8 @@
 //! When a request is quarantined, for how long, and what is told of it.
 
-use eiderferry_quarantine::{Change, CrashReport, Quarantine, RequestReport, Source};
+use eiderferry_quarantine::{
+    ChangeSource, CrashReport, Quarantine, QuarantineChange, RequestReport,
+};
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use rstest::rstest;
 
@@ -24,7 +26,7 @@
 }
 
 fn is_refused(subject: &Quarantine, at: Timestamp) -> bool {
-    subject.standing(REQUEST, at).is_some()
+    subject.status(REQUEST, at).is_some()
 }
 
 fn report(crashes: &[(u32, u32)], completed_ms: Option<u32>) -> RequestReport {
@@ -55,11 +57,11 @@
 fn the_third_crash_is_told_once() {
     let mut subject = crashed(0..2);
     let change = subject.record_crash(REQUEST, 2, after(2_000));
-    let expected = Change::Began {
+    let expected = QuarantineChange::Quarantined {
         request: REQUEST,
         crashes: 3,
-        lasts: Span::from_milliseconds(TEN_MINUTES_MS),
-        source: Source::Own,
+        remaining: Span::from_milliseconds(TEN_MINUTES_MS),
+        source: ChangeSource::Own,
     };
     assert_eq!(change, Some(expected));
     assert_eq!(subject.record_crash(REQUEST, 3, after(3_000)), None);
@@ -101,8 +103,8 @@
 fn a_request_that_ends_well_is_cleared() {
     let mut subject = crashed(0..3);
     let change = subject.record_completed(REQUEST, after(2_100));
-    let source = Source::Own;
-    let cleared = Change::Cleared {
+    let source = ChangeSource::Own;
+    let cleared = QuarantineChange::Cleared {
         request: REQUEST,
         source,
     };
@@ -153,7 +155,7 @@
     assert!(!is_refused(&subject, over));
     assert_eq!(
         subject.expire(over),
-        vec![Change::Expired { request: REQUEST }]
+        vec![QuarantineChange::Expired { request: REQUEST }]
     );
     subject.record_crash(REQUEST, 9, over);
     assert!(is_refused(&subject, over));
@@ -205,7 +207,7 @@
     let counts = subject.counts();
     assert!(counts.suspected + counts.quarantined <= MOST_RECORDS);
     assert_eq!(counts.quarantined, 1);
-    assert!(counts.crowded_out > 0);
+    assert!(counts.evicted > 0);
     assert!(is_refused(&subject, after(30_000)));
 }
 
--- a/crates/transport/entry/src/control_loop.rs
+++ b/crates/transport/entry/src/control_loop.rs
@@ -6,7 +6,7 @@
 use crate::{Clock, TrafficView};
 use arc_swap::ArcSwap;
 use eiderferry_node::{Node, Output};
-use eiderferry_quarantine::Change;
+use eiderferry_quarantine::QuarantineChange;
 use eiderferry_types::{RequestId, Timestamp};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -180,11 +180,11 @@
     }
 }
 
-fn log_quarantine(change: &Change) {
+fn log_quarantine(change: &QuarantineChange) {
     let details = change.details();
     log::warn!(
         event = details.event, digest:% = details.request, crashes = details.crashes,
-        for_ms = details.for_ms, source = details.source;
+        for_ms = details.remaining_ms, source = details.source;
         "quarantine of a request changed"
     );
 }
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -3,11 +3,11 @@
 use crate::answer::RelayBody;
 use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY, RunReplica, Traffic};
 use crate::forwarding::{
-    ForwardedRequest, answer, forwarded_headers, is_event_stream, path_and_query, read_answer,
-    read_body, request_id,
+    ForwardedRequest, answer, forwarded_headers, is_event_stream, path_and_query, read_body,
+    read_response, request_id,
 };
 use crate::lease::Lease;
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::stream::StreamRelay;
@@ -39,7 +39,7 @@
     match prepare(traffic, request, started, progress).await {
         Ok(exchange) => exchange.run().await,
         Err((id, answer)) => {
-            metrics::own_answer(answer.reason());
+            metrics::local_reply(answer.reason());
             events::answered_here(&id, &answer, Span::ZERO);
             answer.response()
         }
@@ -51,11 +51,11 @@
     request: Request<Incoming>,
     started: Timestamp,
     progress: Progress,
-) -> Result<Exchange, (String, OwnAnswer)> {
+) -> Result<Exchange, (String, LocalReply)> {
     let (parts, body) = request.into_parts();
     let id = request_id(&parts, &traffic.vocabulary);
     let Some(table) = first_table(&traffic).await else {
-        let answer = OwnAnswer::NotRun(Reason::NotReady, NOT_READY_RETRY);
+        let answer = LocalReply::NotRun(Reason::NotReady, NOT_READY_RETRY);
         return Err((id, answer));
     };
     let head = RequestHead::read(&parts, &table, &traffic.vocabulary)
@@ -90,7 +90,7 @@
         unreachable: 0,
         excluded: Vec::new(),
         may_have_run: false,
-        withdrawn_until: None,
+        cancelled_until: None,
         replica: None,
         status: 0,
         progress,
@@ -124,14 +124,16 @@
             let (next, end) = self.attempt(lease).await;
             let Some(exchange) = next else {
                 return match end {
-                    AttemptEnd::Answer(response) | AttemptEnd::FailedAnswer(response) => response,
-                    AttemptEnd::None(_) => OwnAnswer::AnswerLost.response(),
+                    AttemptEnd::Response(response) | AttemptEnd::FailedResponse(response) => {
+                        response
+                    }
+                    AttemptEnd::None(_) => LocalReply::AnswerLost.response(),
                 };
             };
             self = exchange;
             let outcome = match end {
-                AttemptEnd::Answer(response) => return self.pass_on(response),
-                AttemptEnd::FailedAnswer(response) => {
+                AttemptEnd::Response(response) => return self.forward(response),
+                AttemptEnd::FailedResponse(response) => {
                     fallback = Some(response);
                     Outcome::Failed
                 }
@@ -139,9 +141,9 @@
             };
             self.record_failed_attempt(&instance, address, outcome)
                 .await;
-            if let Some(until) = self.withdrawn_until {
+            if let Some(until) = self.cancelled_until {
                 let lasts = self.traffic.clock.now().until(until);
-                let answer = self.crashes_back_ends(lasts);
+                let answer = self.refuse_crashing(lasts);
                 return self.conclude(fallback, answer);
             }
             if !self.may_try_again() {
@@ -184,7 +186,7 @@
             self.traffic.clock.sleep(limit).await;
             Err(Outcome::TimedOut)
         };
-        let outcome = match read_answer(body, &self.progress.memory).or(timeout).await {
+        let outcome = match read_response(body, &self.progress.memory).or(timeout).await {
             Err(outcome) => outcome,
             Ok(bytes) => {
                 self.traffic.upstream.keep(connection, &parts.headers);
@@ -215,9 +217,9 @@
         metrics::attempt(outcome.as_str());
         lease.end(outcome);
         if is_failure && self.head.route.may_retry() {
-            AttemptEnd::FailedAnswer(response)
+            AttemptEnd::FailedResponse(response)
         } else {
-            AttemptEnd::Answer(response)
+            AttemptEnd::Response(response)
         }
     }
 }
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -32,7 +32,7 @@
 quick_error! {
     /// An answer whose shape is not the known one.
     #[derive(Debug)]
-    pub enum UnreadableAnswer {
+    pub enum MalformedResponse {
         /// A field makes no sense.
         Field(field: &'static str, found: String) {
             display("{field}: {found}")
@@ -40,7 +40,7 @@
     }
 }
 
-impl UnreadableAnswer {
+impl MalformedResponse {
     /// The field and what was found there.
     pub fn new(field: &'static str, found: &str) -> Self {
         const MOST_CHARACTERS: usize = 100;
@@ -94,9 +94,9 @@
     /// Milliseconds for which an engine may hold a call.
     pub wait: HeaderName,
     /// Reads an answer with events.
-    pub read_events: fn(&[u8]) -> Result<CacheEvents, UnreadableAnswer>,
+    pub read_events: fn(&[u8]) -> Result<CacheEvents, MalformedResponse>,
     /// Reads a listing.
-    pub read_listing: fn(&[u8]) -> Result<CacheListing, UnreadableAnswer>,
+    pub read_listing: fn(&[u8]) -> Result<CacheListing, MalformedResponse>,
 }
 
 struct Connection {
@@ -164,7 +164,7 @@
                 .borrow_mut()
                 .handle_cache_response(&order.instance, answer, now);
         if let Some(news) = news {
-            events::cache_told(&order.instance, &news);
+            events::cache_updated(&order.instance, &news);
         }
     }
 
--- a/crates/transport/relay/src/withdrawal.rs
+++ b/crates/transport/relay/src/cancellation.rs
@@ -9,7 +9,7 @@
 
 /// The quarantined requests, as the control thread tells them to those that wait for answers.
 #[derive(Clone, Default)]
-pub(crate) struct Withdrawals {
+pub(crate) struct Cancellations {
     shared: Arc<Shared>,
 }
 
@@ -20,14 +20,16 @@
     changed: Event,
 }
 
-impl Withdrawals {
+impl Cancellations {
     /// Takes over what changed with a request.
     pub fn record(&self, change: &QuarantineChange, now: Timestamp) {
         let refused = self.shared.refused.lock();
         let mut refused = refused.unwrap_or_else(PoisonError::into_inner);
         match change {
-            QuarantineChange::Began { request, lasts, .. } => {
-                refused.insert(*request, now + *lasts);
+            QuarantineChange::Quarantined {
+                request, remaining, ..
+            } => {
+                refused.insert(*request, now + *remaining);
                 self.shared.changed.notify(usize::MAX);
             }
             QuarantineChange::Cleared { request, .. } | QuarantineChange::Expired { request } => {
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -1,13 +1,13 @@
 //! The control thread: the one place that touches the dispatcher.
 
-use crate::awaited_decision::{AwaitedDecision, give_back};
 use crate::cache_follower::CacheFollower;
+use crate::cancellation::Cancellations;
 use crate::documents::FetchError;
 use crate::events;
 use crate::gossip::PeerSocket;
 use crate::metrics;
-use crate::notice::{NamedLimit, Notice};
-use crate::withdrawal::Withdrawals;
+use crate::notice::{Notice, StatedLimit};
+use crate::pending_decision::{PendingDecision, give_back};
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{
@@ -59,7 +59,7 @@
     /// A connection to a back end came up within so long.
     Connected(InstanceId, Span),
     /// Whether nothing shows that a back end still works.
-    IsUnheard {
+    IsPresumedDown {
         instance: InstanceId,
         reply: async_channel::Sender<bool>,
     },
@@ -81,7 +81,7 @@
     /// Asks for a back end; `None` if the control thread is gone.
     pub async fn ask(&self, demand: Demand, is_first: bool) -> Option<Decision> {
         let (reply, answer) = async_channel::bounded(1);
-        let answer = AwaitedDecision::new(answer, self.clone());
+        let answer = PendingDecision::new(answer, self.clone());
         let command = Command::Ask {
             demand: Box::new(demand),
             is_first,
@@ -94,7 +94,9 @@
     /// Whether nothing shows that a back end still works.
     pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
         let (reply, answer) = async_channel::bounded(1);
-        let asked = self.commands.send(Command::IsUnheard { instance, reply });
+        let asked = self
+            .commands
+            .send(Command::IsPresumedDown { instance, reply });
         asked.await.is_ok() && answer.recv().await.unwrap_or(false)
     }
 
@@ -134,7 +136,7 @@
     pub clock: Clock,
     table: SharedTable,
     socket: PeerSocket,
-    withdrawals: Withdrawals,
+    cancellations: Cancellations,
     /// Where this node answers other nodes.
     address: SocketAddr,
     fetching: Cell<bool>,
@@ -176,9 +178,9 @@
         dispatcher.record_backoff(source, rest, now);
     }
     match notice.limit {
-        NamedLimit::Named(limit) => dispatcher.record_limit(source, Some(limit), now),
-        NamedLimit::Over => dispatcher.record_limit(source, None, now),
-        NamedLimit::Unnamed | NamedLimit::Unreadable => {}
+        StatedLimit::Stated(limit) => dispatcher.record_limit(source, Some(limit), now),
+        StatedLimit::Lifted => dispatcher.record_limit(source, None, now),
+        StatedLimit::NotStated | StatedLimit::Unreadable => {}
     }
 }
 
@@ -188,7 +190,7 @@
         clock: Clock,
         table: SharedTable,
         socket: PeerSocket,
-        withdrawals: Withdrawals,
+        cancellations: Cancellations,
         address: SocketAddr,
     ) -> Self {
         Self {
@@ -196,7 +198,7 @@
             clock,
             table,
             socket,
-            withdrawals,
+            cancellations,
             address,
             fetching: Cell::new(false),
         }
@@ -251,7 +253,7 @@
             Command::Connected(instance, round_trip) => {
                 dispatcher.record_round_trip(&instance, round_trip);
             }
-            Command::IsUnheard { instance, reply } => {
+            Command::IsPresumedDown { instance, reply } => {
                 let _ = reply.try_send(dispatcher.is_presumed_down(&instance, now));
             }
             Command::Stop => dispatcher.stop(),
@@ -289,7 +291,7 @@
             events::peer(change);
         }
         for change in &output.warmup_changes {
-            events::warmup(change);
+            events::warmup_changed(change);
         }
         for change in &output.limit_changes {
             events::rate_limit(change);
@@ -299,7 +301,7 @@
         }
         self.note_quarantine(&output.quarantine_changes, now);
         for expired in &output.expired_leases {
-            events::place_expired(expired);
+            events::lease_expired(expired);
         }
         for envelope in &output.messages {
             self.send(envelope);
@@ -319,7 +321,7 @@
     ) {
         for change in changes {
             events::quarantine(change);
-            self.withdrawals.record(change, now);
+            self.cancellations.record(change, now);
         }
     }
 
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -3,11 +3,11 @@
 //! Every line names its `event`; docs/operations/LOGS.md explains each field. Keys,
 //! bodies and prompts never appear.
 
-use crate::cache_follower::UnreadableAnswer;
+use crate::cache_follower::MalformedResponse;
 use crate::documents::FetchError;
+use crate::local_reply::LocalReply;
 use crate::metrics;
 use crate::notice::Notice;
-use crate::own_answer::OwnAnswer;
 use crate::upstream::ConnectionCheck;
 use eiderferry_dispatch::{
     ApplyOutcome, CacheUpdate, ColdRole, DocumentKey, ExpiredLease, Grant, HealthChange,
@@ -50,12 +50,12 @@
 }
 
 /// The source of documents gives answers again.
-pub fn source_regained(silent_ms: u64) {
+pub fn source_recovered(silent_ms: u64) {
     log::info!(event = "source_regained", silent_ms = silent_ms; "the source of documents is back");
 }
 
 /// The source of documents refused a call because it has no history after the given revision.
-pub fn history_gone(after: Revision) {
+pub fn history_compacted(after: Revision) {
     log::warn!(
         event = "history_gone", after:% = after;
         "the source has no history after this revision"
@@ -107,7 +107,7 @@
 
 /// A back end turned cold or warm, or this node became, or no longer is, one of the few that
 /// send to it.
-pub(crate) fn warmup(change: &WarmupChange) {
+pub(crate) fn warmup_changed(change: &WarmupChange) {
     let event = match change.role {
         ColdRole::Warm => "back_end_warm",
         ColdRole::OtherNodes | ColdRole::Sender => "back_end_cold",
@@ -137,14 +137,14 @@
 
 /// A place was granted to a caller that had left meanwhile, and given back unused. Callers
 /// leave all the time: the count in the metrics tells more than the lines.
-pub(crate) fn place_unclaimed(instance: &InstanceId) {
-    metrics::place_unclaimed();
+pub(crate) fn lease_unclaimed(instance: &InstanceId) {
+    metrics::lease_unclaimed();
     log::debug!(event = "place_unclaimed", back_end = instance.as_str(); "place given back unused");
 }
 
 /// A place was not given back within its request's time: its holder lost it.
-pub(crate) fn place_expired(expired: &ExpiredLease) {
-    metrics::place_expired();
+pub(crate) fn lease_expired(expired: &ExpiredLease) {
+    metrics::lease_expired();
     log::warn!(
         event = "place_expired", back_end = expired.instance.as_str();
         "a place was not given back by its holder"
@@ -177,14 +177,14 @@
 }
 
 /// A document holds a value that makes no sense; the safe reading of it is in force.
-pub fn document_doubtful(key: &str, doubt: &str) {
-    metrics::document_doubtful("value");
+pub fn document_invalid(key: &str, doubt: &str) {
+    metrics::document_invalid("value");
     log::warn!(event = "document_doubtful", item = key, doubt = doubt; "document used with doubt");
 }
 
 /// A document names a zone or region that the settings don't know.
 fn unknown_name(news: &ReceivedChange, unknown: &UnknownName) {
-    metrics::document_doubtful(unknown.kind());
+    metrics::document_invalid(unknown.kind());
     log::warn!(
         event = "document_doubtful", item = news.key.kind(), revision:% = news.revision,
         names = unknown.kind(), name = unknown.as_str();
@@ -228,7 +228,7 @@
         HealthChange::Restored => ("back_end_restored", Span::ZERO),
     };
     log::warn!(
-        event = event, back_end = instance.as_str(), for_ms = span.milliseconds(),
+        event = event, back_end = instance.as_str(), remaining_ms = span.milliseconds(),
         after = outcome.as_str();
         "standing changed"
     );
@@ -239,7 +239,7 @@
 }
 
 /// What an engine told of its cache corrected what was believed, or has a gap.
-pub(crate) fn cache_told(instance: &InstanceId, news: &CacheUpdate) {
+pub(crate) fn cache_updated(instance: &InstanceId, news: &CacheUpdate) {
     let counts = &news.counts;
     if news.gone + news.kept == 0 && counts.listings > 0 && counts.answers > 0 {
         return;
@@ -262,7 +262,7 @@
 }
 
 /// An engine's word on what it keeps makes no sense; it is not used.
-pub(crate) fn cache_answer_doubtful(instance: &InstanceId, error: &UnreadableAnswer) {
+pub(crate) fn cache_answer_doubtful(instance: &InstanceId, error: &MalformedResponse) {
     metrics::cache_call_failed("shape");
     log::warn!(
         event = "cache_answer_doubtful", back_end = instance.as_str(), doubt:% = error;
@@ -339,7 +339,7 @@
 }
 
 /// The rate limit that a back end names can't be read; it is not kept.
-pub(crate) fn limit_unreadable(value: &HeaderValue) {
+pub(crate) fn invalid_limit(value: &HeaderValue) {
     log::warn!(
         event = "limit_unreadable", found:? = value;
         "the rate limit that a back end names is not kept"
@@ -347,7 +347,7 @@
 }
 
 /// The rest that a back end asks for can't be read; it is not kept.
-pub(crate) fn rest_unreadable(value: &HeaderValue) {
+pub(crate) fn invalid_backoff(value: &HeaderValue) {
     log::warn!(
         event = "rest_unreadable", found:? = value;
         "the rest that a back end asks for is not kept"
@@ -373,7 +373,7 @@
     let details = change.details();
     log::warn!(
         event = details.event, digest:% = details.request, crashes = details.crashes,
-        for_ms = details.for_ms, source = details.source;
+        for_ms = details.remaining_ms, source = details.source;
         "quarantine of a request changed"
     );
 }
@@ -417,7 +417,7 @@
 }
 
 /// A request was answered by this node itself.
-pub(crate) fn answered_here(id: &str, answer: &OwnAnswer, elapsed: Span) {
+pub(crate) fn answered_here(id: &str, answer: &LocalReply, elapsed: Span) {
     log::warn!(
         event = "answered_here", request = id, status = answer.status().as_u16(),
         reason = answer.reason(), verdict = answer.verdict().as_str(),
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -1,16 +1,16 @@
 //! One request from its head to its final answer.
 
 use crate::answer::RelayBody;
+use crate::cancellation::Cancellations;
 use crate::control::{ControlHandle, SharedTable};
 use crate::forwarding::ForwardedRequest;
 use crate::lease::Lease;
-use crate::own_answer::{CrashVerdict, OwnAnswer};
+use crate::local_reply::{CrashRefusal, LocalReply};
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::request_memory::Memory;
 use crate::upstream::Upstream;
 use crate::vocabulary::Vocabulary;
-use crate::withdrawal::Withdrawals;
 use crate::{events, metrics};
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{Decision, Demand, Outcome, ReplicaTarget};
@@ -34,7 +34,7 @@
     pub control: ControlHandle,
     pub table: SharedTable,
     pub vocabulary: Vocabulary,
-    pub withdrawals: Withdrawals,
+    pub cancellations: Cancellations,
     pub clock: Clock,
 }
 
@@ -48,9 +48,9 @@
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// With an answer for the caller.
-    Answer(Response<RelayBody>),
+    Response(Response<RelayBody>),
     /// With a back end's failure, which may be passed on or tried again.
-    FailedAnswer(Response<RelayBody>),
+    FailedResponse(Response<RelayBody>),
     /// Without an answer.
     None(Outcome),
 }
@@ -70,7 +70,7 @@
     pub excluded: Vec<InstanceId>,
     pub may_have_run: bool,
     /// Until when the request is refused, if it was taken back from a back end.
-    pub withdrawn_until: Option<Timestamp>,
+    pub cancelled_until: Option<Timestamp>,
     /// The replica of the run, until its holder has been asked for it.
     pub replica: Option<RunReplica>,
     pub status: u16,
@@ -79,7 +79,7 @@
 }
 
 impl Exchange {
-    pub fn pass_on(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
+    pub fn forward(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
         self.status = response.status().as_u16();
         self.end("whole");
         response
@@ -88,15 +88,15 @@
     pub fn conclude(
         mut self,
         fallback: Option<Response<RelayBody>>,
-        answer: OwnAnswer,
+        answer: LocalReply,
     ) -> Response<RelayBody> {
         if let Some(response) = fallback {
-            return self.pass_on(response);
+            return self.forward(response);
         }
         self.is_over = true;
         let elapsed = self.elapsed();
         events::answered_here(&self.head.id, &answer, elapsed);
-        metrics::own_answer(answer.reason());
+        metrics::local_reply(answer.reason());
         metrics::request(&self.head.route, self.head.rank, answer.reason(), elapsed);
         answer.response()
     }
@@ -115,19 +115,19 @@
         self.traffic.clock.now().since(self.started)
     }
 
-    pub fn final_answer(&self, outcome: Outcome) -> OwnAnswer {
+    pub fn final_answer(&self, outcome: Outcome) -> LocalReply {
         if self.may_have_run {
             return if self.traffic.clock.now() >= self.deadline {
-                OwnAnswer::TimedOut
+                LocalReply::TimedOut
             } else {
-                OwnAnswer::AnswerLost
+                LocalReply::AnswerLost
             };
         }
         let reason = match outcome {
             Outcome::Shed => Reason::QueueFull,
             _ => Reason::NoBackEnd,
         };
-        OwnAnswer::NotRun(reason, NOT_READY_RETRY)
+        LocalReply::NotRun(reason, NOT_READY_RETRY)
     }
 
     /// Whether another back end may be tried.
@@ -140,12 +140,12 @@
     }
 
     /// Asks for a place.
-    pub async fn ask(&mut self) -> Result<Lease, OwnAnswer> {
+    pub async fn ask(&mut self) -> Result<Lease, LocalReply> {
         self.ask_at(None).await
     }
 
     /// Asks for a place at any back end, or at one alone.
-    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, OwnAnswer> {
+    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, LocalReply> {
         let now = self.traffic.clock.now();
         let demand = Demand {
             digest: self.digest,
@@ -197,8 +197,8 @@
     }
 
     /// The answer to a request that is refused for so long because back ends crash under it.
-    pub fn crashes_back_ends(&self, lasts: Span) -> OwnAnswer {
-        OwnAnswer::CrashesBackEnds(CrashVerdict {
+    pub fn refuse_crashing(&self, lasts: Span) -> LocalReply {
+        LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
             lasts,
             verdict: self.verdict(),
@@ -220,14 +220,14 @@
         u32::try_from(total).unwrap_or(u32::MAX)
     }
 
-    fn refusal(&self, reason: Reason, retry_after: Span) -> OwnAnswer {
+    fn refusal(&self, reason: Reason, retry_after: Span) -> LocalReply {
         if reason == Reason::CrashesBackEnds {
-            return self.crashes_back_ends(retry_after);
+            return self.refuse_crashing(retry_after);
         }
         if self.may_have_run {
-            OwnAnswer::AnswerLost
+            LocalReply::AnswerLost
         } else {
-            OwnAnswer::NotRun(reason, retry_after)
+            LocalReply::NotRun(reason, retry_after)
         }
     }
 }
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -7,7 +7,7 @@
 use crate::exchange::{Exchange, RunReplica};
 use crate::forwarding::is_event_stream;
 use crate::lease::Lease;
-use crate::sending::After;
+use crate::sending::ResumePoint;
 use crate::stream::{Source, StreamRelay};
 use crate::upstream::Connection;
 use crate::{events, metrics};
@@ -34,7 +34,7 @@
 
 impl Exchange {
     /// Longest pause between two events before a stream goes on elsewhere.
-    pub(crate) fn pause_patience(&self) -> Span {
+    pub(crate) fn event_gap_timeout(&self) -> Span {
         let pause = self.head.route.event_gap_target.unwrap_or(MINIMUM_PAUSE);
         Span(pause.0 * PAUSE_TARGETS).max(MINIMUM_PAUSE)
     }
@@ -76,10 +76,10 @@
 
     async fn continue_at(&mut self, lease: Lease, last_id: u64) -> Result<Answering, &'static str> {
         let replica = format!("{}/{}", lease.grant.address, self.head.id);
-        let after = After {
+        let after = ResumePoint {
             last_event_id: Some(last_id),
             resume_from: Some(replica),
-            patience: self.pause_patience(),
+            response_timeout: self.event_gap_timeout(),
         };
         match self.send_after(&lease, after).await {
             Ok((response, connection))
@@ -131,9 +131,9 @@
                 return false;
             };
             let last_id = self.splitter.last_id();
-            let after = After {
+            let after = ResumePoint {
                 last_event_id: last_id,
-                ..After::default()
+                ..ResumePoint::default()
             };
             let sent = self.exchange.send_after(&lease, after).await;
             match sent {
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -2,8 +2,8 @@
 //! connection.
 
 use crate::answer::RelayBody;
-use crate::memory_budget::{HeldKind, MemoryFull};
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
+use crate::memory_budget::{MemoryFull, MemoryKind};
 use crate::request_memory::RequestMemory;
 use crate::vocabulary::Vocabulary;
 use bytes::{Bytes, BytesMut};
@@ -40,7 +40,7 @@
 }
 
 /// What one attempt tells its back end besides.
-pub(crate) struct Told<'a> {
+pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
     pub left: Span,
     pub urgency: u8,
@@ -52,7 +52,11 @@
 
 impl ForwardedRequest {
     /// The request for one attempt.
-    pub fn attempt(&self, vocabulary: &Vocabulary, told: &Told<'_>) -> Request<Full<Bytes>> {
+    pub fn attempt(
+        &self,
+        vocabulary: &Vocabulary,
+        told: &AttemptContext<'_>,
+    ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let mut set = |name: &HeaderName, value: &str| {
             if let Ok(value) = HeaderValue::from_str(value) {
@@ -107,26 +111,26 @@
     mut body: Incoming,
     limit: u64,
     memory: &RequestMemory,
-) -> Result<Bytes, OwnAnswer> {
+) -> Result<Bytes, LocalReply> {
     let announced = body.size_hint().lower();
     if announced > limit {
-        return Err(OwnAnswer::BodyTooLarge);
+        return Err(LocalReply::BodyTooLarge);
     }
-    let mut held = memory.nothing(HeldKind::Body);
+    let mut held = memory.nothing(MemoryKind::Body);
     let refused = |bytes: u64| {
         let retry_after = memory.shared.budget.retry_after(bytes);
-        move |MemoryFull| OwnAnswer::NoMemory(retry_after)
+        move |MemoryFull| LocalReply::NoMemory(retry_after)
     };
     // Counted before it is read, so that what does not fit is not read.
     held.grow(announced).map_err(refused(announced))?;
     let mut collected = BytesMut::with_capacity(announced as usize);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| OwnAnswer::BodyBroken)?;
+        let frame = frame.map_err(|_| LocalReply::BodyBroken)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() as u64 > limit {
-            return Err(OwnAnswer::BodyTooLarge);
+            return Err(LocalReply::BodyTooLarge);
         }
         let uncounted = (collected.len() as u64).saturating_sub(held.bytes());
         held.grow(uncounted).map_err(refused(uncounted))?;
@@ -183,11 +187,11 @@
 }
 
 /// The whole body of an answer.
-pub(crate) async fn read_answer(
+pub(crate) async fn read_response(
     mut body: Incoming,
     memory: &RequestMemory,
 ) -> Result<Bytes, Outcome> {
-    let mut held = memory.nothing(HeldKind::Answer);
+    let mut held = memory.nothing(MemoryKind::Response);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -9,9 +9,9 @@
 
 mod answer;
 mod attempts;
-mod awaited_decision;
 mod cache_follower;
 mod caller_socket;
+mod cancellation;
 mod control;
 mod crash;
 mod documents;
@@ -22,12 +22,13 @@
 mod forwarding;
 mod gossip;
 mod lease;
+mod local_reply;
 mod logging;
 mod memory_budget;
 mod metrics;
 mod node;
 mod notice;
-mod own_answer;
+mod pending_decision;
 mod progress;
 mod read_ahead;
 mod request_head;
@@ -39,17 +40,16 @@
 mod upstream;
 mod vocabulary;
 mod whole_body;
-mod withdrawal;
 
-pub use cache_follower::{CacheProtocol, UnreadableAnswer};
+pub use cache_follower::{CacheProtocol, MalformedResponse};
 pub use control::DocumentFeed;
 pub use eiderferry_clock::Clock;
 pub use event_stream::EventSplitter;
 pub use events::{
-    document_doubtful, history_gone, reloaded, source_lost, source_regained, source_restored,
+    document_invalid, history_compacted, reloaded, source_lost, source_recovered, source_restored,
 };
 pub use logging::{LogBudget, LogQueue, start as start_logging};
-pub use memory_budget::{HeldKind, MemoryBudget};
+pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
 pub use node::{Relay, Source, StartError};
 pub use settings::{RelaySettings, StopSettings};
--- a/crates/transport/relay/src/own_answer.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -7,7 +7,7 @@
 
 /// Why a request gets no back end's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum OwnAnswer {
+pub(crate) enum LocalReply {
     /// No route begins the path.
     NoRoute,
     /// The key is missing or unknown.
@@ -27,12 +27,12 @@
     /// The time of the request's route has passed; it may have run.
     TimedOut,
     /// Back ends crash under the request; it is not sent to any more of them.
-    CrashesBackEnds(CrashVerdict),
+    CrashesBackEnds(CrashRefusal),
 }
 
 /// What is said of a request that crashes back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct CrashVerdict {
+pub(crate) struct CrashRefusal {
     pub digest: RequestDigest,
     /// Time for which it is refused.
     pub lasts: Span,
@@ -40,41 +40,41 @@
     pub verdict: Verdict,
 }
 
-impl OwnAnswer {
+impl LocalReply {
     pub fn status(&self) -> StatusCode {
         match self {
-            OwnAnswer::NoRoute => StatusCode::NOT_FOUND,
-            OwnAnswer::UnknownKey => StatusCode::UNAUTHORIZED,
-            OwnAnswer::BadHeader(_) | OwnAnswer::BodyBroken => StatusCode::BAD_REQUEST,
-            OwnAnswer::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            OwnAnswer::NotRun(..) | OwnAnswer::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
-            OwnAnswer::AnswerLost => StatusCode::BAD_GATEWAY,
-            OwnAnswer::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            LocalReply::NoRoute => StatusCode::NOT_FOUND,
+            LocalReply::UnknownKey => StatusCode::UNAUTHORIZED,
+            LocalReply::BadHeader(_) | LocalReply::BodyBroken => StatusCode::BAD_REQUEST,
+            LocalReply::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            LocalReply::NotRun(..) | LocalReply::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
+            LocalReply::AnswerLost => StatusCode::BAD_GATEWAY,
+            LocalReply::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             // Neither 503, which asks the caller to come again, nor 4xx, which says that the
             // request breaks a rule of the interface.
-            OwnAnswer::CrashesBackEnds(_) => StatusCode::INTERNAL_SERVER_ERROR,
+            LocalReply::CrashesBackEnds(_) => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 
     pub fn reason(&self) -> &'static str {
         match self {
-            OwnAnswer::NoRoute => "no_route",
-            OwnAnswer::UnknownKey => "unknown_key",
-            OwnAnswer::BadHeader(name) => name,
-            OwnAnswer::BodyTooLarge => "body_too_large",
-            OwnAnswer::BodyBroken => "body_broken",
-            OwnAnswer::NotRun(reason, _) => reason.as_str(),
-            OwnAnswer::NoMemory(_) => "memory",
-            OwnAnswer::AnswerLost => "answer_lost",
-            OwnAnswer::TimedOut => "timed_out",
-            OwnAnswer::CrashesBackEnds(_) => Reason::CrashesBackEnds.as_str(),
+            LocalReply::NoRoute => "no_route",
+            LocalReply::UnknownKey => "unknown_key",
+            LocalReply::BadHeader(name) => name,
+            LocalReply::BodyTooLarge => "body_too_large",
+            LocalReply::BodyBroken => "body_broken",
+            LocalReply::NotRun(reason, _) => reason.as_str(),
+            LocalReply::NoMemory(_) => "memory",
+            LocalReply::AnswerLost => "answer_lost",
+            LocalReply::TimedOut => "timed_out",
+            LocalReply::CrashesBackEnds(_) => Reason::CrashesBackEnds.as_str(),
         }
     }
 
     pub fn verdict(&self) -> Verdict {
         match self {
-            OwnAnswer::AnswerLost | OwnAnswer::TimedOut => Verdict::MayHaveRun,
-            OwnAnswer::CrashesBackEnds(crashes) => crashes.verdict,
+            LocalReply::AnswerLost | LocalReply::TimedOut => Verdict::MayHaveRun,
+            LocalReply::CrashesBackEnds(crashes) => crashes.verdict,
             _ => Verdict::NotRun,
         }
     }
@@ -82,21 +82,21 @@
     fn closes_connection(&self) -> bool {
         matches!(
             self,
-            OwnAnswer::BodyTooLarge | OwnAnswer::BodyBroken | OwnAnswer::NoMemory(_)
+            LocalReply::BodyTooLarge | LocalReply::BodyBroken | LocalReply::NoMemory(_)
         )
     }
 
     /// What the request asks, where the answer is about that.
     pub fn digest(&self) -> Option<RequestDigest> {
         match self {
-            OwnAnswer::CrashesBackEnds(crashes) => Some(crashes.digest),
+            LocalReply::CrashesBackEnds(crashes) => Some(crashes.digest),
             _ => None,
         }
     }
 
     fn text(&self) -> String {
         match self {
-            OwnAnswer::CrashesBackEnds(crashes) => format!(
+            LocalReply::CrashesBackEnds(crashes) => format!(
                 "{}: back ends crashed each time that this request ran; it is refused for {:.0} s \
                  (digest {})\n",
                 self.reason(),
@@ -113,7 +113,7 @@
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let OwnAnswer::NotRun(_, span) | OwnAnswer::NoMemory(span) = self
+        if let LocalReply::NotRun(_, span) | LocalReply::NoMemory(span) = self
             && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", span.seconds()))
         {
             headers.insert(RETRY_AFTER, value);
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
     /// Lines about success.
-    pub information_per_second: u32,
+    pub info_per_second: u32,
     /// Lines about failures.
     pub warnings_per_second: u32,
 }
@@ -35,7 +35,7 @@
 impl Default for LogBudget {
     fn default() -> Self {
         Self {
-            information_per_second: 200,
+            info_per_second: 200,
             warnings_per_second: 400,
         }
     }
@@ -92,7 +92,7 @@
         let (used, most) = if is_warning {
             (&mut window.warnings, self.budget.warnings_per_second)
         } else {
-            (&mut window.information, self.budget.information_per_second)
+            (&mut window.information, self.budget.info_per_second)
         };
         let admits = *used < most;
         *used += u32::from(admits);
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -1,6 +1,6 @@
 //! What this process holds for callers and back ends, counted against a bound.
 //!
-//! Every holder has a [`Held`] that gives its bytes back when dropped; nothing is counted
+//! Every holder has a [`MemoryReservation`] that gives its bytes back when dropped; nothing is counted
 //! by hand. A bound of zero switches the counting's effects off, not the counting.
 
 use eiderferry_types::{Span, Timestamp};
@@ -27,25 +27,25 @@
 
 /// What is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldKind {
+pub enum MemoryKind {
     /// A request's body, until its exchange is over and no connection sends it any more.
     Body,
     /// A whole answer, until the caller's connection has taken it.
-    Answer,
+    Response,
     /// Events of a stream that were read ahead of the caller.
     Events,
 }
 
-impl HeldKind {
+impl MemoryKind {
     /// All of them, in the order of their figures.
-    pub const ALL: [HeldKind; 3] = [HeldKind::Body, HeldKind::Answer, HeldKind::Events];
+    pub const ALL: [MemoryKind; 3] = [MemoryKind::Body, MemoryKind::Response, MemoryKind::Events];
 
     /// The word used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            HeldKind::Body => "body",
-            HeldKind::Answer => "answer",
-            HeldKind::Events => "events",
+            MemoryKind::Body => "body",
+            MemoryKind::Response => "answer",
+            MemoryKind::Events => "events",
         }
     }
 }
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 struct Figures {
     all: AtomicU64,
-    highest: AtomicU64,
+    peak: AtomicU64,
     kinds: [AtomicU64; 3],
     cells: [[AtomicU64; ROUTE_LABELS.len()]; 3],
 }
@@ -110,18 +110,18 @@
     }
 
     /// Bytes of one kind held now.
-    pub fn held_of(&self, kind: HeldKind) -> u64 {
+    pub fn held_by_kind(&self, kind: MemoryKind) -> u64 {
         self.figures.kinds[kind as usize].load(Relaxed)
     }
 
     /// Most bytes that were ever held at once.
-    pub fn highest(&self) -> u64 {
-        self.figures.highest.load(Relaxed)
+    pub fn peak(&self) -> u64 {
+        self.figures.peak.load(Relaxed)
     }
 
     /// Bytes by kind and kind of route.
-    pub(crate) fn cells(&self) -> impl Iterator<Item = (HeldKind, &'static str, u64)> {
-        HeldKind::ALL.into_iter().flat_map(move |kind| {
+    pub(crate) fn cells(&self) -> impl Iterator<Item = (MemoryKind, &'static str, u64)> {
+        MemoryKind::ALL.into_iter().flat_map(move |kind| {
             let cells = self.figures.cells[kind as usize].iter();
             cells
                 .zip(ROUTE_LABELS)
@@ -144,32 +144,32 @@
     }
 
     /// Whether this much more of a kind may be held.
-    fn allows(&self, kind: HeldKind, bytes: u64) -> bool {
+    fn allows(&self, kind: MemoryKind, bytes: u64) -> bool {
         let all = self.held() + bytes;
         match kind {
             _ if !self.is_bounded() => true,
-            HeldKind::Body => all <= self.part(NEW_WORK_PART),
-            HeldKind::Answer => all <= self.bound,
-            HeldKind::Events => {
-                let events = self.held_of(kind) + bytes;
+            MemoryKind::Body => all <= self.part(NEW_WORK_PART),
+            MemoryKind::Response => all <= self.bound,
+            MemoryKind::Events => {
+                let events = self.held_by_kind(kind) + bytes;
                 events <= self.part(READ_AHEAD_PART) && all <= self.bound
             }
         }
     }
 
-    fn take(&self, kind: HeldKind, route: usize, bytes: u64) -> Result<(), MemoryFull> {
+    fn take(&self, kind: MemoryKind, route: usize, bytes: u64) -> Result<(), MemoryFull> {
         if !self.allows(kind, bytes) {
             return Err(MemoryFull);
         }
         let figures = &self.figures;
         let all = figures.all.fetch_add(bytes, Relaxed) + bytes;
-        figures.highest.fetch_max(all, Relaxed);
+        figures.peak.fetch_max(all, Relaxed);
         figures.kinds[kind as usize].fetch_add(bytes, Relaxed);
         figures.cells[kind as usize][route].fetch_add(bytes, Relaxed);
         Ok(())
     }
 
-    fn give_back(&self, kind: HeldKind, route: usize, bytes: u64) {
+    fn give_back(&self, kind: MemoryKind, route: usize, bytes: u64) {
         let figures = &self.figures;
         figures.all.fetch_sub(bytes, Relaxed);
         figures.kinds[kind as usize].fetch_sub(bytes, Relaxed);
@@ -206,16 +206,16 @@
 
 /// Bytes that are held; dropped, they are given back.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct MemoryReservation {
     budget: Arc<MemoryBudget>,
-    kind: HeldKind,
+    kind: MemoryKind,
     route: usize,
     bytes: u64,
 }
 
-impl Held {
+impl MemoryReservation {
     /// Holds nothing yet, for a route of this kind.
-    pub fn nothing(budget: &Arc<MemoryBudget>, kind: HeldKind, route: &'static str) -> Self {
+    pub fn nothing(budget: &Arc<MemoryBudget>, kind: MemoryKind, route: &'static str) -> Self {
         let label = ROUTE_LABELS.iter().position(|label| *label == route);
         Self {
             budget: Arc::clone(budget),
@@ -255,7 +255,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.budget.give_back(self.kind, self.route, self.bytes);
     }
@@ -263,7 +263,7 @@
 
 struct HeldContent {
     content: bytes::BytesMut,
-    _held: Held,
+    _held: MemoryReservation,
 }
 
 impl AsRef<[u8]> for HeldContent {
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -76,12 +76,12 @@
 }
 
 /// A place was granted to a caller that had left, and given back unused.
-pub(crate) fn place_unclaimed() {
+pub(crate) fn lease_unclaimed() {
     metrics::counter!("eiderferry_places_unclaimed_total").increment(1);
 }
 
 /// A place was not given back within its request's time.
-pub(crate) fn place_expired() {
+pub(crate) fn lease_expired() {
     metrics::counter!("eiderferry_places_expired_total").increment(1);
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// What an answer says of its back end can't be read.
-pub(crate) fn notice_doubtful() {
+pub(crate) fn invalid_notice() {
     metrics::counter!("eiderferry_back_end_notices_doubtful_total").increment(1);
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// A document held something that makes no sense here.
-pub(crate) fn document_doubtful(what: &'static str) {
+pub(crate) fn document_invalid(what: &'static str) {
     metrics::counter!("eiderferry_documents_doubtful_total", "what" => what).increment(1);
 }
 
@@ -160,7 +160,7 @@
 }
 
 /// This node answered a request by itself.
-pub(crate) fn own_answer(reason: &'static str) {
+pub(crate) fn local_reply(reason: &'static str) {
     metrics::counter!("eiderferry_own_answers_total", "reason" => reason).increment(1);
 }
 
@@ -178,7 +178,7 @@
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
             .set(bytes as f64);
     }
-    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.highest() as f64);
+    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.peak() as f64);
 }
 
 /// A request was ended for want of memory.
@@ -217,7 +217,7 @@
     let quarantine = &snapshot.quarantine;
     metrics::gauge!("eiderferry_requests_suspected").set(quarantine.suspected as f64);
     metrics::gauge!("eiderferry_requests_quarantined").set(quarantine.quarantined as f64);
-    metrics::counter!("eiderferry_requests_crowded_out_total").absolute(quarantine.crowded_out);
+    metrics::counter!("eiderferry_requests_crowded_out_total").absolute(quarantine.evicted);
     set_split_gauges(&snapshot.split);
 }
 
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -1,6 +1,7 @@
 //! Threads and sockets of a relay.
 
 use crate::cache_follower::CacheFollower;
+use crate::cancellation::Cancellations;
 use crate::control::{Control, ControlHandle, DocumentFeed, SharedTable};
 use crate::documents;
 use crate::exchange::Traffic;
@@ -10,7 +11,6 @@
 use crate::server::{Phase, Server};
 use crate::settings::{RelaySettings, StopSettings};
 use crate::upstream::Upstream;
-use crate::withdrawal::Withdrawals;
 use crate::{events, metrics};
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::{Clock, duration};
@@ -70,7 +70,7 @@
     control: ControlHandle,
     metrics: Option<PrometheusHandle>,
     memory: Arc<MemoryBudget>,
-    withdrawals: Withdrawals,
+    cancellations: Cancellations,
 }
 
 impl Relay {
@@ -96,8 +96,8 @@
             link_mbps: settings.link_mbps,
         });
         let shared = Arc::clone(&table);
-        let withdrawals = Withdrawals::default();
-        let told = withdrawals.clone();
+        let cancellations = Cancellations::default();
+        let told = cancellations.clone();
         let peer = settings.peer;
         let (cache_protocol, vocabulary) =
             (settings.cache_protocol.clone(), settings.vocabulary.clone());
@@ -112,7 +112,7 @@
         let memory = MemoryBudget::new(settings.memory_budget);
         Ok(Self {
             memory,
-            withdrawals,
+            cancellations,
             settings,
             clock,
             table,
@@ -142,7 +142,7 @@
             control: self.control.clone(),
             table: Arc::clone(&self.table),
             vocabulary: self.settings.vocabulary.clone(),
-            withdrawals: self.withdrawals.clone(),
+            cancellations: self.cancellations.clone(),
             clock: self.clock,
         });
         let server = Rc::new(Server {
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -10,7 +10,7 @@
 
 /// Longest rest that a back end is believed to ask for. A longer one would take it out of use
 /// after a slip of its own; one that still wants it then turns the next request away again.
-const LONGEST_REST: Span = Span::from_milliseconds(600_000);
+const MAX_BACKOFF: Span = Span::from_milliseconds(600_000);
 
 /// What one answer says of its back end, besides answering.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,30 +20,30 @@
     /// Time for which it wants nothing from this node.
     pub rest: Option<Span>,
     /// Requests that it takes from all nodes together.
-    pub limit: NamedLimit,
+    pub limit: StatedLimit,
 }
 
 /// What an answer says of its back end's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum NamedLimit {
+pub(crate) enum StatedLimit {
     /// It names none.
     #[default]
-    Unnamed,
+    NotStated,
     /// It names one that can't be read.
     Unreadable,
     /// It names this one.
-    Named(RateLimit),
+    Stated(RateLimit),
     /// It names none any more.
-    Over,
+    Lifted,
 }
 
-impl fmt::Display for NamedLimit {
+impl fmt::Display for StatedLimit {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unnamed => formatter.write_str("none"),
+            Self::NotStated => formatter.write_str("none"),
             Self::Unreadable => formatter.write_str("unreadable"),
-            Self::Named(limit) => limit.fmt(formatter),
-            Self::Over => formatter.write_str("over"),
+            Self::Stated(limit) => limit.fmt(formatter),
+            Self::Lifted => formatter.write_str("over"),
         }
     }
 }
@@ -60,10 +60,10 @@
         let rest = headers.get(RETRY_AFTER).filter(|_| turns_away);
         Self {
             is_leaving: leaving.is_some_and(|value| value.as_bytes() == b"1"),
-            rest: rest.and_then(read_rest),
+            rest: rest.and_then(read_backoff),
             limit: headers
                 .get(&vocabulary.rate_limit)
-                .map_or(NamedLimit::Unnamed, read_limit),
+                .map_or(StatedLimit::NotStated, read_limit),
         }
     }
 
@@ -79,25 +79,25 @@
 }
 
 /// A rest in seconds. Dates, the other form of the header, are of no use here: clocks differ.
-fn read_rest(value: &HeaderValue) -> Option<Span> {
+fn read_backoff(value: &HeaderValue) -> Option<Span> {
     let seconds = read_number(value);
     let Some(seconds) = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0) else {
-        metrics::notice_doubtful();
-        events::rest_unreadable(value);
+        metrics::invalid_notice();
+        events::invalid_backoff(value);
         return None;
     };
-    Some(Span::from_seconds(seconds).min(LONGEST_REST))
+    Some(Span::from_seconds(seconds).min(MAX_BACKOFF))
 }
 
 /// A limit in requests a second.
-fn read_limit(value: &HeaderValue) -> NamedLimit {
+fn read_limit(value: &HeaderValue) -> StatedLimit {
     let limit = read_number(value).and_then(RateLimit::from_requests_per_second);
     limit.map_or_else(
         || {
-            metrics::notice_doubtful();
-            events::limit_unreadable(value);
-            NamedLimit::Unreadable
+            metrics::invalid_notice();
+            events::invalid_limit(value);
+            StatedLimit::Unreadable
         },
-        NamedLimit::Named,
+        StatedLimit::Stated,
     )
 }
--- a/crates/transport/relay/src/awaited_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -9,12 +9,12 @@
 use eiderferry_dispatch::{Decision, LeaseId, Outcome, StreamPacing};
 
 /// A decision that is under way. Dropped before it was taken, it gives a granted place back.
-pub(crate) struct AwaitedDecision {
+pub(crate) struct PendingDecision {
     answer: Receiver<Decision>,
     control: ControlHandle,
 }
 
-impl AwaitedDecision {
+impl PendingDecision {
     pub fn new(answer: Receiver<Decision>, control: ControlHandle) -> Self {
         Self { answer, control }
     }
@@ -25,7 +25,7 @@
     }
 }
 
-impl Drop for AwaitedDecision {
+impl Drop for PendingDecision {
     fn drop(&mut self) {
         // Once closed, a decision is either here or returns to the control thread.
         self.answer.close();
@@ -46,6 +46,6 @@
     let Decision::Grant(grant) = unclaimed else {
         return;
     };
-    events::place_unclaimed(&grant.instance);
+    events::lease_unclaimed(&grant.instance);
     end(grant.lease);
 }
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -1,6 +1,6 @@
 //! How far a request has come, for those who have to answer it from outside.
 
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use crate::request_memory::RequestMemory;
 use eiderferry_types::{Reason, Span};
 use std::cell::Cell;
@@ -31,11 +31,11 @@
     }
 
     /// The answer to a request that this process can serve no longer.
-    pub fn last_answer(&self) -> OwnAnswer {
+    pub fn last_answer(&self) -> LocalReply {
         if self.was_sent.get() {
-            OwnAnswer::AnswerLost
+            LocalReply::AnswerLost
         } else {
-            OwnAnswer::NotRun(Reason::Draining, STOPPING_RETRY)
+            LocalReply::NotRun(Reason::Draining, STOPPING_RETRY)
         }
     }
 }
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -6,7 +6,7 @@
 //! stream has a task of its own.
 
 use crate::answer::{BrokenAnswer, Pieces};
-use crate::memory_budget::{Held, HeldKind, MemoryFull};
+use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
 use crate::request_memory::{RequestMemory, Worth};
 use bytes::Bytes;
 use futures_lite::Stream;
@@ -27,7 +27,7 @@
 pub(crate) struct ReadAhead {
     source: Option<Pieces>,
     ready: VecDeque<Bytes>,
-    held: Held,
+    held: MemoryReservation,
     /// How the source ended, until it is told.
     end: Option<Result<(), BrokenAnswer>>,
     /// The caller's connection has taken a piece and not asked for another one.
@@ -55,7 +55,7 @@
 
 impl ReadAhead {
     pub fn new(source: Pieces, memory: Rc<RequestMemory>) -> Rc<RefCell<Self>> {
-        let held = memory.nothing(HeldKind::Events);
+        let held = memory.nothing(MemoryKind::Events);
         Rc::new(RefCell::new(Self {
             source: Some(source),
             ready: VecDeque::new(),
@@ -135,7 +135,7 @@
     fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.is_lagging && self.end.is_none() {
             if self.held.bytes() >= self.memory.shared.budget.most_of_request() {
-                return self.poll_patience(context);
+                return self.poll_stall_timeout(context);
             }
             self.unread = None;
             let Some(source) = &mut self.source else {
@@ -166,7 +166,7 @@
     }
 
     /// Waits for the caller with as much as the request may hold.
-    fn poll_patience(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    fn poll_stall_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let timer = self
             .unread
             .get_or_insert_with(|| Timer::after(UNREAD_PATIENCE));
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -1,7 +1,7 @@
 //! What a request's head tells: route, tenant, time and prompt.
 
 use crate::Vocabulary;
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use eiderferry_dispatch::PromptPart;
 use eiderferry_routing::{AllowedRegions, PartId, Route, RouteMatch, RoutingTable, Tenant};
 use eiderferry_types::{RequestDigest, Span};
@@ -37,13 +37,13 @@
         parts: &Parts,
         table: &RoutingTable,
         vocabulary: &Vocabulary,
-    ) -> Result<Self, OwnAnswer> {
+    ) -> Result<Self, LocalReply> {
         let headers = &parts.headers;
         let route = find_route(parts, table)?;
         let tenant = find_tenant(headers, table, route)?;
         let id = text(headers, &vocabulary.request_id)
             .filter(|id| !id.is_empty())
-            .ok_or(OwnAnswer::BadHeader("request_id_missing"))?;
+            .ok_or(LocalReply::BadHeader("request_id_missing"))?;
         let remaining = remaining(headers, vocabulary, route)?;
         let usage = text(headers, &vocabulary.token_usage).unwrap_or_default();
         let (prompt_tokens, most_output) = token_usage(usage);
@@ -87,11 +87,11 @@
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, OwnAnswer> {
+fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, LocalReply> {
     let host = text(&parts.headers, &HOST).unwrap_or_default();
     match table.route(host, parts.uri.path()) {
         RouteMatch::Found(route) => Ok(route),
-        RouteMatch::Missing => Err(OwnAnswer::NoRoute),
+        RouteMatch::Missing => Err(LocalReply::NoRoute),
     }
 }
 
@@ -99,12 +99,12 @@
     headers: &HeaderMap,
     table: &'a RoutingTable,
     route: &Route,
-) -> Result<Option<&'a Tenant>, OwnAnswer> {
+) -> Result<Option<&'a Tenant>, LocalReply> {
     let key = text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER));
     let tenant = key.and_then(|key| table.tenant(key.trim()));
     let needs_key = !route.is_public && !table.document().tenants.is_empty();
     if needs_key && tenant.is_none() {
-        return Err(OwnAnswer::UnknownKey);
+        return Err(LocalReply::UnknownKey);
     }
     Ok(tenant)
 }
@@ -113,13 +113,13 @@
     headers: &HeaderMap,
     vocabulary: &Vocabulary,
     route: &Route,
-) -> Result<Span, OwnAnswer> {
+) -> Result<Span, LocalReply> {
     let Some(value) = text(headers, &vocabulary.remaining_ms) else {
         return Ok(route.timeout);
     };
     let milliseconds: f64 = value
         .parse()
-        .map_err(|_| OwnAnswer::BadHeader("remaining_time_unreadable"))?;
+        .map_err(|_| LocalReply::BadHeader("remaining_time_unreadable"))?;
     Ok(Span::from_seconds(milliseconds / 1_000.0).min(route.timeout))
 }
 
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -1,7 +1,7 @@
 //! What one request holds, and the readers that may be ended to make room.
 
 use crate::events;
-use crate::memory_budget::{Held, HeldKind, MemoryBudget, MemoryFull};
+use crate::memory_budget::{MemoryBudget, MemoryFull, MemoryKind, MemoryReservation};
 use crate::read_ahead::ReadAhead;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -91,12 +91,12 @@
         self.rank.set(rank);
     }
 
-    pub fn nothing(&self, kind: HeldKind) -> Held {
-        Held::nothing(&self.shared.budget, kind, self.route.get())
+    pub fn nothing(&self, kind: MemoryKind) -> MemoryReservation {
+        MemoryReservation::nothing(&self.shared.budget, kind, self.route.get())
     }
 
     /// Holds more of an answer that has run: streams of slower callers give way.
-    pub fn grow_answer(&self, held: &mut Held, bytes: u64) -> Result<(), MemoryFull> {
+    pub fn grow_answer(&self, held: &mut MemoryReservation, bytes: u64) -> Result<(), MemoryFull> {
         loop {
             match held.grow(bytes) {
                 Err(MemoryFull) if self.shared.end_least_worth(None) => {}
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -2,9 +2,9 @@
 //! answer.
 
 use crate::exchange::Exchange;
-use crate::forwarding::Told;
+use crate::forwarding::AttemptContext;
 use crate::lease::Lease;
-use crate::notice::{NamedLimit, Notice};
+use crate::notice::{Notice, StatedLimit};
 use crate::upstream::{Connection, SendError};
 use crate::{events, metrics};
 use eiderferry_dispatch::Outcome;
@@ -24,21 +24,21 @@
 const EXPECTED_TIMES: u64 = 2;
 
 /// How far a run had come elsewhere.
-pub(crate) struct After {
+pub(crate) struct ResumePoint {
     /// Number of the last event that was passed on.
     pub last_event_id: Option<u64>,
     /// Replica from which it is continued.
     pub resume_from: Option<String>,
     /// Longest wait for the head of the answer.
-    pub patience: Span,
+    pub response_timeout: Span,
 }
 
-impl Default for After {
+impl Default for ResumePoint {
     fn default() -> Self {
         Self {
             last_event_id: None,
             resume_from: None,
-            patience: Span(u64::MAX),
+            response_timeout: Span(u64::MAX),
         }
     }
 }
@@ -47,7 +47,7 @@
 enum Interruption {
     TimedOut,
     /// The request was quarantined meanwhile, until then.
-    Withdrawn(Timestamp),
+    Cancelled(Timestamp),
 }
 
 type Answered = Result<(Response<Incoming>, Connection), SendError>;
@@ -58,16 +58,16 @@
         &mut self,
         lease: &Lease,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        self.send_after(lease, After::default()).await
+        self.send_after(lease, ResumePoint::default()).await
     }
 
     /// The same for a run that has begun elsewhere.
     pub async fn send_after(
         &mut self,
         lease: &Lease,
-        after: After,
+        after: ResumePoint,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        let told = Told {
+        let told = AttemptContext {
             grant: &lease.grant,
             left: self.traffic.clock.now().until(self.deadline),
             urgency: self.head.urgency,
@@ -78,18 +78,18 @@
         let request = self.request.attempt(&self.traffic.vocabulary, &told);
         self.progress.record_sent();
         let may_retry = self.head.route.may_retry();
-        let limit = self.head_deadline(lease).min(after.patience);
+        let limit = self.head_deadline(lease).min(after.response_timeout);
         let timeout = async {
             self.traffic.clock.sleep(limit).await;
             Err(Interruption::TimedOut)
         };
-        let withdrawal = async {
-            let until = self.traffic.withdrawals.of(self.digest).await;
-            Err(Interruption::Withdrawn(until))
+        let cancellation = async {
+            let until = self.traffic.cancellations.of(self.digest).await;
+            Err(Interruption::Cancelled(until))
         };
         let send = self.traffic.upstream.send(&lease.grant, request, may_retry);
         let answer = async { Ok(send.await) };
-        let waited = answer.or(timeout).or(withdrawal).await;
+        let waited = answer.or(timeout).or(cancellation).await;
         self.record_outcome(lease, waited)
     }
 
@@ -113,10 +113,10 @@
                 self.may_have_run = true;
                 Err(Outcome::TimedOut)
             }
-            Err(Interruption::Withdrawn(until)) => {
+            Err(Interruption::Cancelled(until)) => {
                 self.attempts += 1;
                 self.may_have_run = true;
-                self.withdrawn_until = Some(until);
+                self.cancelled_until = Some(until);
                 Err(Outcome::Cancelled)
             }
             Ok(Ok((response, connection))) => {
@@ -152,10 +152,10 @@
         if !is_ours || response.headers().contains_key(header::CONTENT_ENCODING) {
             return Err(Outcome::IncompleteResponse);
         }
-        if lease.grant.has_limit && notice.limit == NamedLimit::Unnamed {
+        if lease.grant.has_limit && notice.limit == StatedLimit::NotStated {
             // Unlike a refusal, the answer of a run that names no limit shows that it is over.
             lease.record(Notice {
-                limit: NamedLimit::Over,
+                limit: StatedLimit::Lifted,
                 ..Notice::default()
             });
         }
@@ -174,7 +174,7 @@
         if notice.rest.is_some() {
             metrics::notice("rest");
         }
-        if matches!(notice.limit, NamedLimit::Named(_)) {
+        if matches!(notice.limit, StatedLimit::Stated(_)) {
             metrics::notice("limit");
         }
         lease.record(notice);
@@ -190,16 +190,16 @@
         if !route.may_retry() || is_last {
             return left;
         }
-        let patience = match route.kind {
-            RouteKind::Streaming => self.first_event_patience(lease.grant.candidate.first_event),
+        let response_timeout = match route.kind {
+            RouteKind::Streaming => self.first_event_timeout(lease.grant.candidate.first_event),
             _ => Span(route.target.0 * ATTEMPT_TARGETS),
         };
-        left.min(patience)
+        left.min(response_timeout)
     }
 
     /// Longest wait for the first event of a stream that may be asked for elsewhere. Where
     /// many are late the cause is load: asked for again, each prompt would be read twice.
-    pub fn first_event_patience(&self, expected: Span) -> Span {
+    pub fn first_event_timeout(&self, expected: Span) -> Span {
         Span(self.head.route.target.0 * FIRST_EVENT_TARGETS + expected.0 * EXPECTED_TIMES)
     }
 }
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -4,7 +4,7 @@
 use crate::attempts;
 use crate::caller_socket::{CallerSocket, Sending, SentBody};
 use crate::exchange::Traffic;
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use crate::progress::Progress;
 use crate::read_ahead::{CurrentStream, ReadAhead, SentStream, poll_current};
 use crate::request_memory::RequestMemory;
@@ -152,7 +152,7 @@
         current: &CurrentStream,
     ) -> Response<RelayBody> {
         if self.phase.get() == Phase::Refusing {
-            let answer = OwnAnswer::NotRun(Reason::Draining, STOPPING_RETRY);
+            let answer = LocalReply::NotRun(Reason::Draining, STOPPING_RETRY);
             return closing(answer.response());
         }
         let open = OpenRequest::new(Rc::clone(&self));
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -63,15 +63,15 @@
             splitter: EventSplitter::default(),
             ready: None,
         };
-        let withdrawals = relay.exchange.traffic.withdrawals.clone();
+        let cancellations = relay.exchange.traffic.cancellations.clone();
         let digest = relay.exchange.digest;
-        let withdrawal = async { Err(withdrawals.of(digest).await) };
+        let cancellation = async { Err(cancellations.of(digest).await) };
         let first = async { Ok(relay.next_piece(true).await) };
-        let first = match first.or(withdrawal).await {
+        let first = match first.or(cancellation).await {
             Ok(piece) => piece,
             Err(until) => {
                 relay.finish_source(Outcome::Cancelled);
-                relay.exchange.withdrawn_until = Some(until);
+                relay.exchange.cancelled_until = Some(until);
                 return (Some(relay.exchange), AttemptEnd::None(Outcome::Cancelled));
             }
         };
@@ -79,12 +79,12 @@
             Piece::Events(events) => {
                 relay.record_first_event();
                 relay.ready = Some(events);
-                (None, AttemptEnd::Answer(relay.into_response(&parts)))
+                (None, AttemptEnd::Response(relay.into_response(&parts)))
             }
             Piece::End => {
                 relay.finish_source(Outcome::Completed);
                 let response = answer(&parts, RelayBody::from(Bytes::new()));
-                (Some(relay.exchange), AttemptEnd::Answer(response))
+                (Some(relay.exchange), AttemptEnd::Response(response))
             }
             Piece::Broken(outcome) => {
                 relay.finish_source(outcome);
@@ -145,7 +145,7 @@
     /// The next whole events.
     async fn next_piece(&mut self, is_first: bool) -> Piece {
         loop {
-            let limit = self.patience(is_first);
+            let limit = self.response_timeout(is_first);
             let left = self.left();
             let Some(source) = &mut self.source else {
                 return Piece::Broken(Outcome::IncompleteResponse);
@@ -192,7 +192,7 @@
     }
 
     /// Longest silence before the stream goes on elsewhere.
-    fn patience(&self, is_first: bool) -> Span {
+    fn response_timeout(&self, is_first: bool) -> Span {
         let may_be_taken_over = !is_first && self.exchange.replica.is_some();
         if !self.exchange.may_try_again() && !may_be_taken_over {
             return Span(u64::MAX);
@@ -201,9 +201,9 @@
             source.lease.grant.candidate.first_event
         });
         if is_first {
-            return self.exchange.first_event_patience(expected);
+            return self.exchange.first_event_timeout(expected);
         }
-        self.exchange.pause_patience()
+        self.exchange.event_gap_timeout()
     }
 
     /// Whether a silent source is left. One whose run has a replica, and can't be asked for
--- a/crates/transport/relay/tests/logging.rs
+++ b/crates/transport/relay/tests/logging.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 const BUDGET: LogBudget = LogBudget {
-    information_per_second: 10,
+    info_per_second: 10,
     warnings_per_second: 20,
 };
 
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_relay::HeldKind;
+use eiderferry_relay::MemoryKind;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 
 /// Prints the most that was held; the table of docs/design/backpressure.md is made of it.
 fn tell_peak(what: &str, relay: &Running) {
-    println!("peak: {what}: {} bytes", relay.memory.highest());
+    println!("peak: {what}: {} bytes", relay.memory.peak());
 }
 
 fn long_event(id: u64) -> String {
@@ -101,7 +101,7 @@
     assert_eq!(begun, b"HTT");
     wait_for("the stream is still unread", || fates.over() == 1);
     assert_eq!(fates.taken.load(Ordering::SeqCst), 1, "cut off as unread");
-    assert!(relay.memory.held_of(HeldKind::Events) > 0);
+    assert!(relay.memory.held_by_kind(MemoryKind::Events) > 0);
     let answer = caller.answer_after(begun);
     assert!(answer.is_whole);
     assert!(is_whole_stream(&answer.body, LONG_STREAM_EVENTS));
@@ -117,7 +117,7 @@
     caller.send("POST", "/patient/1", "", "x");
     wait_for("neither taken nor cut", || fates.over() == 1);
     assert_eq!(fates.cut.load(Ordering::SeqCst), 1);
-    assert_eq!(relay.memory.held_of(HeldKind::Events), 0);
+    assert_eq!(relay.memory.held_by_kind(MemoryKind::Events), 0);
 }
 
 #[test]
@@ -137,7 +137,7 @@
         .collect();
     // Half of the budget is for events.
     wait_for("the budget does not fill", || {
-        relay.memory.highest() >= BUDGET * 45 / 100
+        relay.memory.peak() >= BUDGET * 45 / 100
     });
     let over = || all.iter().map(|(_, fates)| fates.over()).sum::<usize>();
     let sent = || {
@@ -166,7 +166,7 @@
     let right = answers.iter().filter(is_right).count();
     let refused = answers.iter().filter(|answer| answer.status == 503).count();
     let ended = answers.iter().filter(|answer| !answer.is_whole).count();
-    let peak = relay.memory.highest();
+    let peak = relay.memory.peak();
     tell_peak("a thousand slow callers of 600 kB", &relay);
     println!("{right} whole, {ended} ended, {refused} refused");
     assert_eq!(
@@ -188,7 +188,7 @@
     caller.send("POST", "/patient/1", "", "x");
     wait_for("the stream goes on", || fates.over() == 1);
     wait_for("bytes stay held", || relay.memory.held() == 0);
-    assert!(relay.memory.highest() <= MEBIBYTE / 4 + 64 * 1024);
+    assert!(relay.memory.peak() <= MEBIBYTE / 4 + 64 * 1024);
     assert!(!caller.answer().is_whole);
 }
 
@@ -243,7 +243,7 @@
     assert_eq!(whole(&mut urgent), URGENT, "an urgent one gave way");
     assert!(whole(&mut idle) < IDLE, "none gave way");
     let bodies = (IDLE + URGENT) as u64;
-    assert!(relay.memory.highest() <= 16 * MEBIBYTE + bodies);
+    assert!(relay.memory.peak() <= 16 * MEBIBYTE + bodies);
     tell_peak("seven slow callers of 3.5 MB, three less urgent", &relay);
 }
 
@@ -260,7 +260,7 @@
     let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
     let mut caller = relay.connect_slowly();
     caller.send("POST", "/patient/1", "", "x");
-    let held = || relay.memory.held_of(HeldKind::Events);
+    let held = || relay.memory.held_by_kind(MemoryKind::Events);
     wait_for("nothing is read ahead", || held() > MEBIBYTE);
     drop(caller);
     wait_for("the back end's connection stays open", || {
@@ -286,10 +286,7 @@
         begun.elapsed() < PATIENCE / 4,
         "only when the back end left"
     );
-    assert!(
-        relay.memory.highest() >= 290_000,
-        "the body was not counted"
-    );
+    assert!(relay.memory.peak() >= 290_000, "the body was not counted");
     wait_for("the body stays held", || relay.memory.held() == 0);
 }
 
@@ -313,7 +310,7 @@
     }
     let longest = 4 * MEBIBYTE;
     wait_for("answers are not held", || {
-        relay.memory.held_of(HeldKind::Answer) == longest * CALLERS as u64
+        relay.memory.held_by_kind(MemoryKind::Response) == longest * CALLERS as u64
     });
     for caller in &mut callers {
         let answer = caller.answer();
@@ -340,7 +337,7 @@
     let lost = answers.iter().filter(|answer| answer.status == 502);
     assert!(whole.clone().all(|answer| answer.is_whole));
     assert_eq!(whole.count() + lost.count(), CALLERS);
-    assert!(relay.memory.highest() <= BUDGET);
+    assert!(relay.memory.peak() <= BUDGET);
     tell_peak("four whole answers of 4 MiB", &relay);
 }
 
@@ -377,7 +374,7 @@
         .expect("a time to come back");
     assert!(retry_after > 0.0);
     assert_eq!(back_end.count(), 1);
-    assert!(relay.memory.highest() <= 300_000);
+    assert!(relay.memory.peak() <= 300_000);
     drop(first);
     wait_for("the body stays held", || relay.memory.held() == 0);
     let mut third = relay.connect();
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -4,7 +4,7 @@
 use eiderferry_dispatch::{
     CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
-use eiderferry_relay::{CacheProtocol, UnreadableAnswer, Vocabulary};
+use eiderferry_relay::{CacheProtocol, MalformedResponse, Vocabulary};
 use eiderferry_routing::{
     BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaOffer, Route,
     RouteKind, Split, TableDocument, Tenant, ZoneName,
@@ -45,21 +45,21 @@
     replicas: None,
 };
 
-fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, UnreadableAnswer> {
+fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
     let text = String::from_utf8_lossy(body);
     let lines = text.lines().map(|line| {
         let words = line.split(' ').map(str::parse);
         words
             .collect::<Result<Vec<u64>, _>>()
-            .map_err(|_| UnreadableAnswer::new("line", line))
+            .map_err(|_| MalformedResponse::new("line", line))
     });
     lines.collect()
 }
 
-fn read_cache_events(body: &[u8]) -> Result<CacheEvents, UnreadableAnswer> {
+fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
     let lines = numbers(body)?;
     let [epoch, next, lost] = lines[0][..] else {
-        return Err(UnreadableAnswer::new("head", "other fields"));
+        return Err(MalformedResponse::new("head", "other fields"));
     };
     let events = lines[1..].iter().map(|line| CacheEvent {
         number: line[0],
@@ -74,7 +74,7 @@
     })
 }
 
-fn read_cache_listing(body: &[u8]) -> Result<CacheListing, UnreadableAnswer> {
+fn read_cache_listing(body: &[u8]) -> Result<CacheListing, MalformedResponse> {
     let events = read_cache_events(body)?;
     let kept = events.events.iter().map(|event| PromptPart {
         id: event.part,
