--- a/crates/coordination/dispatch/benches/scale.rs
+++ b/crates/coordination/dispatch/benches/scale.rs
@@ -54,8 +54,8 @@
 fn request(subject: &mut Dispatcher, now: Timestamp) -> f64 {
     let begun = Instant::now();
     for prompt in 1..=REQUESTS {
-        if let Decision::Grant(grant) = subject.ask(&demand(prompt, 6_000, 500), now) {
-            subject.end(grant.lease, Outcome::Completed, now);
+        if let Decision::Grant(grant) = subject.dispatch(&demand(prompt, 6_000, 500), now) {
+            subject.release(grant.lease, Outcome::Completed, now);
         }
     }
     microseconds(begun, REQUESTS)
--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -77,7 +77,7 @@
     /// Number of this run.
     pub incarnation: u32,
     /// Bound of repeats over all nodes.
-    pub budget: RetryBudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
     /// Time within which a change that the platform has confirmed has to be in force.
@@ -119,7 +119,7 @@
     /// The sender knows newer documents, which have to be fetched.
     pub has_newer_documents: bool,
     /// Changes that the message carried.
-    pub taken: Vec<ReceivedChange>,
+    pub changes: Vec<ReceivedChange>,
     /// Requests that are refused from now on, or no longer.
     pub quarantine_changes: Vec<QuarantineChange>,
 }
@@ -134,9 +134,9 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What came of it.
-    pub applied: ApplyOutcome,
+    pub outcome: ApplyOutcome,
     /// Zones and regions that it names and the settings don't know.
-    pub unknown: Vec<UnknownName>,
+    pub unknown_names: Vec<UnknownName>,
 }
 
 /// Figures for metrics.
@@ -319,8 +319,8 @@
             key,
             kind,
             revision,
-            applied,
-            unknown,
+            outcome: applied,
+            unknown_names: unknown,
         }
     }
 
@@ -460,7 +460,7 @@
             .document_store
             .complete_to()
             .includes(&message.complete_to)
-            || (self.has_taken_all(message) && message.news.is_some());
+            || (self.has_taken_all(message) && message.recent_changes.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
@@ -471,19 +471,19 @@
             change,
             wants_reply: message.wants_reply,
             has_newer_documents: !knows_all,
-            taken,
+            changes: taken,
             quarantine_changes,
         }
     }
 
     /// Whether the news of a message follow on what is known.
     fn has_taken_all(&self, message: &Gossip) -> bool {
-        let news = message.news.as_ref();
-        news.is_some_and(|news| self.document_store.complete_to().includes(&news.after))
+        let news = message.recent_changes.as_ref();
+        news.is_some_and(|news| self.document_store.complete_to().includes(&news.base))
     }
 
     fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
-        let Some(news) = message.news.as_ref() else {
+        let Some(news) = message.recent_changes.as_ref() else {
             return Vec::new();
         };
         let changes = news.changes.iter().cloned();
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -298,7 +298,7 @@
             loads: self.loads_of_all(now),
             placements: self.aggregation.placements_to_tell(),
             zones: self.heard_zones(now),
-            next_ms: (TICK * period).milliseconds() as u16,
+            next_summary_ms: (TICK * period).milliseconds() as u16,
         });
         Some(Envelope {
             kind: MessageKind::Summary,
@@ -390,7 +390,7 @@
         summary: &FleetSummary,
         now: Timestamp,
     ) {
-        let next = Span::from_milliseconds(u64::from(summary.next_ms));
+        let next = Span::from_milliseconds(u64::from(summary.next_summary_ms));
         let until = now + next * MISSED_SUMMARIES + SILENCE_MARGIN;
         let watched = self.aggregation.watched.iter_mut();
         for watched in watched.filter(|watched| watched.address == address) {
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheUpdate {
     /// Parts believed kept that the engine doesn't keep.
-    pub gone: usize,
+    pub stale: usize,
     /// Parts that it keeps and that were not believed kept.
-    pub kept: usize,
+    pub missing: usize,
     /// The counts of the engine since it is followed.
     pub counts: FollowCounts,
     /// Time since it is followed.
@@ -210,7 +210,7 @@
     ) -> Option<CacheUpdate> {
         let index = self.cache_follows.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
-        if !index.take(answer, now) {
+        if !index.handle_response(answer, now) {
             let has_gap = index.counts().gaps > gaps;
             return has_gap.then(|| CacheUpdate::of(index, &[], now));
         }
@@ -259,7 +259,7 @@
                     continue;
                 };
                 let cache = &mut state.load.cache;
-                if !cache.keeps(part) {
+                if !cache.contains(part) {
                     cache.apply_observation(part, tokens, now);
                     recalled.push(fact(state.digest, part, tokens));
                 }
@@ -305,8 +305,8 @@
     fn of(index: &CacheIndex, facts: &[Placement], now: Timestamp) -> Self {
         let gone = facts.iter().filter(|fact| fact.tokens == 0).count();
         Self {
-            gone,
-            kept: facts.len() - gone,
+            stale: gone,
+            missing: facts.len() - gone,
             counts: index.counts(),
             followed_for: now.since(index.since()),
         }
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -91,7 +91,7 @@
 
 impl Dispatcher {
     fn budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
-        let settings = self.settings.budget;
+        let settings = self.settings.retry_budget;
         self.budgets
             .entry(pool.clone())
             .or_insert_with(|| RetryBudget::new(settings))
@@ -99,11 +99,11 @@
 
     /// Counts a caller's request for a pool.
     pub fn count_request(&mut self, pool: &PoolName, now: Timestamp) {
-        self.budget(pool).request(now);
+        self.budget(pool).record_request(now);
     }
 
     /// Chooses a back end for a request, or refuses it.
-    pub fn ask(&mut self, demand: &Demand, now: Timestamp) -> Decision {
+    pub fn dispatch(&mut self, demand: &Demand, now: Timestamp) -> Decision {
         if let Some(refusal) = self.refuse_crashing(demand, now) {
             return refusal;
         }
@@ -122,7 +122,7 @@
             costs_locality: self.settings.features.locality_costs,
             now,
         };
-        if let Some(holder) = &demand.only
+        if let Some(holder) = &demand.required_instance
             && !may_take_over(&self.back_ends, &view, demand, holder)
         {
             return Decision::Refuse(Reason::NoBackEnd, NO_BACK_END_RETRY);
@@ -139,13 +139,13 @@
         };
         let candidate = candidates[index];
         // An engine admits the request whose replica it holds before all others.
-        let is_takeover = demand.only.is_some();
+        let is_takeover = demand.required_instance.is_some();
         if !is_takeover && self.is_full(&plans[index].instance, &candidate, demand, now) {
             return Decision::Refuse(Reason::QueueFull, OVERLOAD_RETRY);
         }
         if demand.is_retry {
             let nodes = self.peers.max_known();
-            if !self.budget(&demand.pool).spend(now, nodes) {
+            if !self.budget(&demand.pool).try_spend(now, nodes) {
                 return Decision::Refuse(Reason::RetryBudget, NO_BACK_END_RETRY);
             }
         }
@@ -270,7 +270,7 @@
     }
 
     /// The first event, or the whole answer, of a request came.
-    pub fn first_event(&mut self, lease: LeaseId, now: Timestamp) {
+    pub fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
         if let Some(state) = self.state_of(lease) {
             state.load.first_event(lease, now);
         }
@@ -290,7 +290,7 @@
     }
 
     /// A place is given back.
-    pub fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> LeaseRelease {
+    pub fn release(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> LeaseRelease {
         let Some(record) = self.leases.remove(&lease) else {
             return LeaseRelease::default();
         };
@@ -319,7 +319,7 @@
             })
             .collect();
         for over in &expired {
-            self.end(over.lease, Outcome::Abandoned, now);
+            self.release(over.lease, Outcome::Abandoned, now);
         }
         expired
     }
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -250,7 +250,7 @@
             summary: None,
             placements: Vec::new(),
             members,
-            news: None,
+            recent_changes: None,
             crashing_requests: self.crashing_requests(now),
             limits: Vec::new(),
         }
@@ -278,7 +278,7 @@
         let mut peers = round_robin(&self.peers.same_zone_peers(), near, &mut self.near_turn);
         peers.extend(self.announced_beyond(is_first_hand, far));
         let mut message = self.bare_gossip(false, now);
-        message.news = self.news();
+        message.recent_changes = self.news();
         self.announced_to
             .clone_from(self.document_store.complete_to());
         Envelope {
@@ -311,7 +311,7 @@
     fn news(&self) -> Option<ChangeBatch> {
         let (count, has_table) = self.document_store.count_after(&self.announced_to);
         (count <= MOST_NEWS && !has_table).then(|| ChangeBatch {
-            after: self.announced_to.clone(),
+            base: self.announced_to.clone(),
             changes: self.document_store.changes_after(&self.announced_to),
         })
     }
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -59,7 +59,10 @@
                 let senders = senders(limit, max_known);
                 let place = nodes.place(digest, zone, senders);
                 let place = place.filter(|_| may_send)?;
-                Some(Share { place, senders })
+                Some(Share {
+                    index: place,
+                    senders,
+                })
             });
             let silent = state.limiter.stale_limit(now).filter(|_| has_turn);
             if let Some(limit) = silent
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -23,7 +23,7 @@
         now: Timestamp,
     ) -> Option<KeptReplica> {
         // A run that was taken over once is not replicated again.
-        if demand.only.is_some() || !self.settings.features.run_replicas {
+        if demand.required_instance.is_some() || !self.settings.features.run_replicas {
             return None;
         }
         if !self.keeps_replicas(&demand.pool) {
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -83,7 +83,7 @@
     /// The other zones that were heard.
     pub zones: Vec<ZoneAge>,
     /// Time until the receiver gets the sender's next summary, in milliseconds.
-    pub next_ms: u16,
+    pub next_summary_ms: u16,
 }
 
 /// How long ago anything was heard of a zone.
@@ -140,7 +140,7 @@
     /// Some other nodes.
     pub members: Vec<Member>,
     /// The latest changes, where they are few and small.
-    pub news: Option<ChangeBatch>,
+    pub recent_changes: Option<ChangeBatch>,
     /// Requests under which back ends crashed.
     pub crashing_requests: Vec<RequestReport>,
     /// What back ends said of their rate limits.
@@ -158,7 +158,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeBatch {
     /// Changes that the receiver must know.
-    pub after: VersionVector,
+    pub base: VersionVector,
     /// All changes from there to the sender's `complete_to`.
     pub changes: Vec<Change>,
 }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -72,12 +72,12 @@
     }
 
     /// Counts a caller's request.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
     /// Repeats that may still be sent now, in a fleet of at most `nodes` nodes.
-    pub fn left(&mut self, now: Timestamp, nodes: u32) -> f64 {
+    pub fn remaining(&mut self, now: Timestamp, nodes: u32) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
@@ -87,8 +87,8 @@
     }
 
     /// Spends one repeat if the budget allows it.
-    pub fn spend(&mut self, now: Timestamp, nodes: u32) -> bool {
-        if self.left(now, nodes) < 1.0 {
+    pub fn try_spend(&mut self, now: Timestamp, nodes: u32) -> bool {
+        if self.remaining(now, nodes) < 1.0 {
             return false;
         }
         self.bucket(now).repeats += 1;
--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -84,12 +84,12 @@
 
     /// Tokens at the beginning of the prompt that need not be read.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
-        let kept = parts.iter().take_while(|part| self.keeps(part.id));
+        let kept = parts.iter().take_while(|part| self.contains(part.id));
         kept.map(|part| part.tokens).sum()
     }
 
     /// The same of what has been read by now: what is still being read can't be copied.
-    pub fn read_tokens(&self, parts: &[PromptPart], now: Timestamp) -> u32 {
+    pub fn computed_tokens(&self, parts: &[PromptPart], now: Timestamp) -> u32 {
         let kept = parts
             .iter()
             .map_while(|part| self.parts.get(&part.id).map(|kept| (part, kept)));
@@ -98,7 +98,7 @@
     }
 
     /// Whether a part is kept.
-    pub fn keeps(&self, part: PartId) -> bool {
+    pub fn contains(&self, part: PartId) -> bool {
         self.parts.contains_key(&part)
     }
 
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -96,7 +96,7 @@
     /// Listings taken.
     pub listings: u64,
     /// Answers with events taken.
-    pub answers: u64,
+    pub responses: u64,
     /// Events taken.
     pub events: u64,
     /// Gaps, and restarts of the engine's cache.
@@ -104,7 +104,7 @@
     /// Beliefs that were corrected.
     pub corrections: u64,
     /// Calls that gave nothing.
-    pub vain: u64,
+    pub failed_calls: u64,
 }
 
 /// What an engine is known to hold of a part.
@@ -136,11 +136,11 @@
     /// Adds those of another engine.
     pub(crate) fn add(&mut self, other: Self) {
         self.listings += other.listings;
-        self.answers += other.answers;
+        self.responses += other.responses;
         self.events += other.events;
         self.gaps += other.gaps;
         self.corrections += other.corrections;
-        self.vain += other.vain;
+        self.failed_calls += other.failed_calls;
     }
 }
 
@@ -189,7 +189,7 @@
     }
 
     /// Takes an answer in; whether what the engine keeps is known by it.
-    pub fn take(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
+    pub fn handle_response(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
         self.is_asked = false;
         match answer {
             CacheResponse::Listing(listing) => self.apply_listing(listing, now),
@@ -228,7 +228,7 @@
             self.take_event(event);
         }
         self.next = self.next.max(report.next);
-        self.counts.answers += 1;
+        self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
         self.forget_dropped();
         self.record_heard(now);
@@ -268,7 +268,7 @@
     }
 
     fn record_failed_call(&mut self, now: Timestamp) {
-        self.counts.vain += 1;
+        self.counts.failed_calls += 1;
         let doublings = self.failures.min(MOST_DOUBLINGS);
         self.failures += 1;
         self.next_call = now + FAILURE_PAUSE * (1 << doublings);
@@ -313,7 +313,7 @@
         shared: &HashSet<PartId>,
     ) -> Vec<PromptPart> {
         let held = self.held.iter().filter(|(_, held)| held.tokens > 0);
-        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.keeps(**part));
+        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
         let mut unknown: Vec<PromptPart> = unknown
             .map(|(part, held)| PromptPart {
                 id: *part,
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -96,7 +96,7 @@
     pub fn cold_until(&self, start: &ColdStart) -> Timestamp {
         let told = self
             .cold_remaining
-            .unwrap_or(start.lasts)
+            .unwrap_or(start.duration)
             .min(MAX_COLD_PERIOD);
         let after_listing = if told == Span::ZERO {
             self.listed_at
@@ -104,7 +104,7 @@
             self.listed_at + told + ON_THE_WAY
         };
         let returned = self.returned_at;
-        let after_return = returned.map(|at| at + start.lasts.min(MAX_COLD_PERIOD) + ON_THE_WAY);
+        let after_return = returned.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + ON_THE_WAY);
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -43,7 +43,7 @@
     /// The back end.
     pub instance: InstanceId,
     /// The limit and this node's duty; `None` where there is no limit any more.
-    pub stands: Option<(RateLimit, LimitRole)>,
+    pub state: Option<(RateLimit, LimitRole)>,
 }
 
 /// What a back end said last of its limit.
@@ -145,7 +145,7 @@
         if before == LimitRole::OtherNodes {
             // Another sender may have sent what was answered last, so that it counts here. Those
             // that begin together are spread over the time between two requests.
-            let after = 1.0 + share.place as f64 / share.senders as f64;
+            let after = 1.0 + share.index as f64 / share.senders as f64;
             self.first_at = reported_at + interval.scaled(after);
         }
         self.role = LimitRole::Sender(interval);
@@ -177,7 +177,7 @@
         let before = std::mem::replace(&mut self.logged, stands);
         (before != stands).then(|| LimitChange {
             instance: instance.clone(),
-            stands,
+            state: stands,
         })
     }
 }
@@ -186,7 +186,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Share {
     /// Its place among the senders, from 0 on.
-    pub place: usize,
+    pub index: usize,
     /// Number of senders.
     pub senders: usize,
 }
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -52,7 +52,7 @@
     /// Whether it is answered by a stream of events.
     pub is_stream: bool,
     /// The only back end that can take it: the holder of its replica.
-    pub only: Option<InstanceId>,
+    pub required_instance: Option<InstanceId>,
 }
 
 /// The engine that holds a replica of a running request.
@@ -135,7 +135,10 @@
 impl Demand {
     /// Whether a back end has not failed it and is not ruled out.
     pub(crate) fn may_go_to(&self, instance: &InstanceId) -> bool {
-        let is_meant = self.only.as_ref().is_none_or(|only| only == instance);
+        let is_meant = self
+            .required_instance
+            .as_ref()
+            .is_none_or(|only| only == instance);
         is_meant && !self.excluded.contains(instance)
     }
 
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -33,7 +33,7 @@
         Some(Obstacle::Resting)
     } else if !state.limiter.may_send_request(view.now) {
         Some(Obstacle::Limited)
-    } else if !demand.allowed_regions.allow(zone, view.regions) {
+    } else if !demand.allowed_regions.allows(zone, view.regions) {
         Some(Obstacle::Region)
     } else if view.evacuated.contains(zone) {
         Some(Obstacle::Evacuated)
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -81,7 +81,7 @@
     let may_be_home =
         |state: &BackEndState| split.suits(state) && view.may_be_home(&state.back_end.zone);
     let examined = look_at(registry, view, demand, may_be_home, random);
-    let staying: Vec<&BackEndState> = examined.staying().collect();
+    let staying: Vec<&BackEndState> = examined.eligible().collect();
     let home = examined.home.map(|state| &state.back_end.instance);
     let compared = shortlist(&examined, &split, view, demand, random);
     let setting = Setting {
@@ -110,9 +110,12 @@
 ) -> Vec<&'a BackEndState> {
     let open = |state: &&BackEndState| demand.may_go_to(&state.back_end.instance);
     let healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
-    let is_any_healthy = examined.staying().filter(open).any(|state| healthy(&state));
+    let is_any_healthy = examined
+        .eligible()
+        .filter(open)
+        .any(|state| healthy(&state));
     let usable = |state: &&BackEndState| open(state) && (healthy(state) || !is_any_healthy);
-    let all: Vec<&BackEndState> = examined.staying().filter(usable).collect();
+    let all: Vec<&BackEndState> = examined.eligible().filter(usable).collect();
     if all.len() <= MOST_COMPARED {
         return all;
     }
@@ -240,7 +243,8 @@
             return Self { best: Vec::new() };
         }
         let sound = staying.iter().filter(|state| !state.health.is_ejected(now));
-        let kept = sound.map(|state| (state.load.cache.read_tokens(&demand.parts, now), *state));
+        let kept =
+            sound.map(|state| (state.load.cache.computed_tokens(&demand.parts, now), *state));
         let mut best: Vec<(u32, &BackEndState)> = kept
             .filter(|(kept, _)| *kept >= MINIMUM_COPIED_TOKENS)
             .collect();
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -53,7 +53,7 @@
 
 impl<'a> Examined<'a> {
     /// All that were looked at and may get the request.
-    pub fn staying(&self) -> impl Iterator<Item = &'a BackEndState> + Clone {
+    pub fn eligible(&self) -> impl Iterator<Item = &'a BackEndState> + Clone {
         self.preferable.iter().chain(&self.others).copied()
     }
 }
@@ -71,7 +71,7 @@
         return whole_pool(registry, view, demand, may_be_home);
     }
     let mut sample = Sample::new(registry, view, demand);
-    if let Some(only) = &demand.only {
+    if let Some(only) = &demand.required_instance {
         // A run is taken over where its replica is, which no draw would find.
         let holder = sample.look_up([only]);
         sample.examined.others.extend(holder);
@@ -80,7 +80,7 @@
     sample.look_at_homes(&may_be_home);
     sample.look_at_holders();
     sample.draw(random);
-    if sample.examined.staying().next().is_none() {
+    if sample.examined.eligible().next().is_none() {
         // Most may be evacuated, cold or not allowed: rather all than none.
         return whole_pool(registry, view, demand, may_be_home);
     }
--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -35,7 +35,7 @@
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
                 let thing = (tick * 31 + number * 7) as u64 % 3_000;
-                granted(node.ask(&demand(thing, 13_000, 900), now));
+                granted(node.dispatch(&demand(thing, 13_000, 900), now));
             }
         }
         fleet.run_with_platform(100, 1);
@@ -95,7 +95,7 @@
         }
         let node = &mut fleet.nodes[number];
         let asked: Vec<Decision> = (0..100)
-            .map(|own| node.ask(&demand(2, 13_000, own), now))
+            .map(|own| node.dispatch(&demand(2, 13_000, own), now))
             .collect();
         let granted = asked
             .iter()
@@ -108,7 +108,7 @@
 fn end_all(node: &mut Dispatcher, asked: &[Decision], now: eiderferry_types::Timestamp) {
     for decision in asked {
         if let Decision::Grant(grant) = decision {
-            node.end(grant.lease, Outcome::Abandoned, now);
+            node.release(grant.lease, Outcome::Abandoned, now);
         }
     }
 }
@@ -124,7 +124,7 @@
 fn place(fleet: &mut Fleet, number: usize, requests: u32) {
     let now = fleet.now;
     for own in 0..requests {
-        granted(fleet.nodes[number].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[number].dispatch(&demand(1, 13_000, own), now));
     }
 }
 
@@ -192,7 +192,7 @@
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
                 let thing = (1 + tick * count + number) as u64;
-                granted(node.ask(&demand(thing, 1_500, 100), now));
+                granted(node.dispatch(&demand(thing, 1_500, 100), now));
                 placed.push(thing);
             }
         }
@@ -204,8 +204,8 @@
     for (number, thing) in placed.iter().enumerate().step_by(7) {
         let asking = (number * 13 + 5) % count;
         let node = &mut fleet.nodes[asking];
-        let grant = granted(node.ask(&demand(*thing, 1_500, 100), now));
-        node.end(grant.lease, Outcome::Abandoned, now);
+        let grant = granted(node.dispatch(&demand(*thing, 1_500, 100), now));
+        node.release(grant.lease, Outcome::Abandoned, now);
         known += usize::from(grant.uncached_tokens <= 100);
         asked += 1;
     }
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/borders.rs
@@ -63,7 +63,7 @@
         for place in 0..PLACED_PER_TICK {
             let number = (tick * 17 + place * 7) % fleet.nodes.len();
             let thing = (tick * 31 + place * 11) as u64 % 3_000;
-            granted(fleet.nodes[number].ask(&demand(thing, 1_300, 90), now));
+            granted(fleet.nodes[number].dispatch(&demand(thing, 1_300, 90), now));
         }
         fleet.run_with_platform(100, 1);
     }
--- a/crates/coordination/dispatch/tests/cache.rs
+++ b/crates/coordination/dispatch/tests/cache.rs
@@ -32,9 +32,9 @@
     cache.insert(&[part(2, 400)], READ);
     cache.insert(&[part(1, 400)], READ);
     cache.insert(&[part(3, 400)], READ);
-    assert!(cache.keeps(PartId(1)));
-    assert!(!cache.keeps(PartId(2)));
-    assert!(cache.keeps(PartId(3)));
+    assert!(cache.contains(PartId(1)));
+    assert!(!cache.contains(PartId(2)));
+    assert!(cache.contains(PartId(3)));
 }
 
 #[test]
@@ -42,15 +42,15 @@
     let mut cache = PrefixCache::new(1_000);
     cache.insert(&[part(1, 400), part(2, 400)], READ);
     cache.insert(&[part(3, 300)], READ);
-    assert!(cache.keeps(PartId(1)));
-    assert!(!cache.keeps(PartId(2)));
+    assert!(cache.contains(PartId(1)));
+    assert!(!cache.contains(PartId(2)));
 }
 
 #[test]
 fn a_back_end_without_memory_keeps_nothing() {
     let mut cache = PrefixCache::new(0);
     cache.insert(&[part(1, 1)], READ);
-    assert!(!cache.keeps(PartId(1)));
+    assert!(!cache.contains(PartId(1)));
 }
 
 #[test]
@@ -58,14 +58,14 @@
     let mut cache = PrefixCache::new(1_000);
     cache.insert(&[part(1, 400)], READ);
     cache.insert_unshared(300);
-    assert!(cache.keeps(PartId(1)));
+    assert!(cache.contains(PartId(1)));
     cache.insert_unshared(300);
     assert!(
-        !cache.keeps(PartId(1)),
+        !cache.contains(PartId(1)),
         "700 of 850 usable tokens came after it"
     );
     cache.insert(&[part(2, 400)], READ);
-    assert!(cache.keeps(PartId(2)), "the older of the two made room");
+    assert!(cache.contains(PartId(2)), "the older of the two made room");
 }
 
 #[test]
@@ -76,6 +76,6 @@
     cache.insert(&[part(1, 1_000), part(2, 500)], later);
     let parts = [part(1, 1_000), part(2, 500)];
     assert_eq!(cache.cached_tokens(&parts), 1_500);
-    assert_eq!(cache.read_tokens(&parts, READ), 1_000);
-    assert_eq!(cache.read_tokens(&parts, later), 1_500);
+    assert_eq!(cache.computed_tokens(&parts, READ), 1_000);
+    assert_eq!(cache.computed_tokens(&parts, later), 1_500);
 }
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -37,7 +37,7 @@
 /// ago the engine told that it keeps it.
 fn asked(subject: &mut Dispatcher, thing: u64, now: Timestamp) -> (u32, Option<Span>) {
     let own = PROMPTS.fetch_add(1, Ordering::Relaxed);
-    let grant = granted(subject.ask(&demand(thing, SHARED, own), now));
+    let grant = granted(subject.dispatch(&demand(thing, SHARED, own), now));
     (grant.uncached_tokens - own, grant.cache_observation_age)
 }
 
@@ -100,7 +100,7 @@
 fn a_part_that_the_engine_dropped_is_not_expected_there() {
     let (mut subject, now) = believing();
     let news = answer(&mut subject, listing(&[]), now).expect("news");
-    assert_eq!((news.gone, news.kept), (1, 0));
+    assert_eq!((news.stale, news.missing), (1, 0));
     assert_eq!(uncached(&mut subject, now), SHARED);
 }
 
@@ -156,7 +156,7 @@
     let later = now + ms(20_000);
     asked(&mut subject, 8, later);
     let news = events(&mut subject, report(1, 10, &[]), later + ms(100)).expect("news");
-    assert_eq!(news.gone, 0);
+    assert_eq!(news.stale, 0);
     assert_eq!(asked(&mut subject, 8, later + ms(200)).0, 0);
 }
 
@@ -170,7 +170,7 @@
         ..report(1, 40, &[])
     };
     let news = events(&mut subject, lost, now).expect("news of a gap");
-    assert_eq!((news.gone, news.counts.gaps), (0, 1));
+    assert_eq!((news.stale, news.counts.gaps), (0, 1));
     assert_eq!(calls(&mut subject, now), [CacheCall::List]);
     subject.handle_cache_response(&engine(), listing(&[]), now);
     assert_eq!(uncached(&mut subject, now), SHARED);
@@ -211,7 +211,7 @@
         now = now + ms(pause);
     }
     let counts = subject.snapshot(now).cache_counts;
-    assert_eq!((counts.vain, counts.listings), (3, 0));
+    assert_eq!((counts.failed_calls, counts.listings), (3, 0));
     assert_eq!(uncached(&mut subject, now), 0);
 }
 
@@ -244,7 +244,7 @@
     let mut subject = with_engines(1);
     subject.tick(START);
     for thing in 100..140 {
-        granted(subject.ask(&demand(thing, 1_000, 10), START));
+        granted(subject.dispatch(&demand(thing, 1_000, 10), START));
         // Placements are told, and make room for further ones.
         (0..4).for_each(|_| drop(subject.tick(START)));
     }
@@ -256,7 +256,7 @@
             _ => CacheResponse::Events(report(1, 10, &[])),
         };
         let news = subject.handle_cache_response(&engine(), told, now);
-        let told = news.expect("news").gone;
+        let told = news.expect("news").stale;
         assert!(told <= 12, "{told} in one answer");
         gone += told;
         (0..4).for_each(|_| drop(subject.tick(now)));
@@ -335,7 +335,7 @@
     let woken = now + ms(5_000);
     subject.resume_after_pause(woken);
     let news = subject.handle_cache_response(&engine(), listing(&[(THING, SHARED)]), woken);
-    assert_eq!(news.expect("news").gone, 0);
+    assert_eq!(news.expect("news").stale, 0);
     assert_eq!(uncached(&mut subject, woken), 0);
 }
 
@@ -358,7 +358,7 @@
 #[test]
 fn an_engine_that_asked_for_a_rest_is_not_called_in_it() {
     let (mut subject, now) = believing();
-    let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
+    let lease = granted(subject.dispatch(&demand(THING, SHARED, 1), now)).lease;
     subject.record_backoff(lease, ms(1_000), now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
     assert_eq!(calls(&mut subject, now + ms(1_000)).len(), 1);
@@ -368,11 +368,11 @@
 #[test]
 fn an_engine_under_a_rate_limit_is_not_called_until_it_is_over() {
     let (mut subject, now) = believing();
-    let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
+    let lease = granted(subject.dispatch(&demand(THING, SHARED, 1), now)).lease;
     subject.record_limit(lease, RateLimit::from_requests_per_second(1.0), now);
     subject.tick(now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
-    let later = granted(subject.ask(&demand(THING, SHARED, 2), now + ms(1_000))).lease;
+    let later = granted(subject.dispatch(&demand(THING, SHARED, 2), now + ms(1_000))).lease;
     subject.record_limit(later, None, now + ms(1_050));
     assert_eq!(calls(&mut subject, now + ms(1_100)).len(), 1);
 }
@@ -419,7 +419,7 @@
         }
     }
     assert_eq!(asked.len(), 3);
-    let first = granted(fleet.nodes[3].ask(&demand(THING, SHARED, 1), fleet.now));
+    let first = granted(fleet.nodes[3].dispatch(&demand(THING, SHARED, 1), fleet.now));
     for _ in 0..8 {
         fleet.step();
         for node in &mut fleet.nodes {
@@ -429,7 +429,7 @@
     for node in &mut fleet.nodes {
         let mut elsewhere = demand(THING, SHARED, 2);
         elsewhere.excluded = vec![first.instance.clone()];
-        let grant = granted(node.ask(&elsewhere, fleet.now));
+        let grant = granted(node.dispatch(&elsewhere, fleet.now));
         assert_eq!((grant.uncached_tokens, grant.copy_from), (2, None));
     }
 }
@@ -438,6 +438,6 @@
 fn nothing_is_refused_for_lack_of_word_from_engines() {
     let (mut subject, now) = believing();
     answer(&mut subject, CacheResponse::Failed, now);
-    let decision = subject.ask(&demand(THING, SHARED, 1), now);
+    let decision = subject.dispatch(&demand(THING, SHARED, 1), now);
     assert!(matches!(decision, Decision::Grant(_)));
 }
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -13,7 +13,7 @@
 };
 
 const COLD_START: ColdStart = ColdStart {
-    lasts: Span::from_milliseconds(3_000),
+    duration: Span::from_milliseconds(3_000),
     requests_per_second: 5.2,
 };
 /// What all nodes together may send to one cold engine in a second.
@@ -38,7 +38,7 @@
     revision: u64,
 ) -> eiderferry_dispatch::Change {
     let mut engine = back_end(name, number, zone);
-    engine.cold_remaining = Some(COLD_START.lasts);
+    engine.cold_remaining = Some(COLD_START.duration);
     back_end_change(engine, revision)
 }
 
@@ -60,25 +60,25 @@
 #[test]
 fn a_sender_spaces_its_requests_to_a_cold_engine() {
     let (mut subject, now) = alone_with_a_cold_engine(Span::from_milliseconds(5_000));
-    granted(subject.ask(&demand(1, 1_000, 100), now));
+    granted(subject.dispatch(&demand(1, 1_000, 100), now));
     for milliseconds in [0, 500, 1_200] {
         let later = now + Span::from_milliseconds(milliseconds);
-        let refused = subject.ask(&demand(1, 1_000, 101), later);
+        let refused = subject.dispatch(&demand(1, 1_000, 101), later);
         assert!(matches!(refused, Decision::Refuse(Reason::ColdBackEnds, _)));
     }
-    granted(subject.ask(&demand(1, 1_000, 102), now + Span::from_milliseconds(1_300)));
+    granted(subject.dispatch(&demand(1, 1_000, 102), now + Span::from_milliseconds(1_300)));
 }
 
 #[test]
 fn a_warm_engine_takes_all_and_one_that_was_cold_does_later() {
     let (mut subject, now) = alone_with_a_cold_engine(Span::from_milliseconds(5_000));
-    let warm = now + COLD_START.lasts + Span::from_milliseconds(200);
+    let warm = now + COLD_START.duration + Span::from_milliseconds(200);
     for own in 0..20 {
-        granted(subject.ask(&demand(1, 1_000, own), warm));
+        granted(subject.dispatch(&demand(1, 1_000, own), warm));
     }
     subject.apply(back_end_change(back_end("engine-1", 1, 0), 3), now);
     for own in 0..20 {
-        let grant = granted(subject.ask(&demand(2, 1_000, 100 + own), now));
+        let grant = granted(subject.dispatch(&demand(2, 1_000, 100 + own), now));
         assert_eq!(grant.instance.as_str(), "engine-1");
     }
 }
@@ -93,14 +93,14 @@
     silent.cold_remaining = None;
     subject.apply(back_end_change(silent, 2), now);
     subject.tick(now);
-    let asked = (0..10).map(|own| subject.ask(&demand(1, 1_000, own), now));
+    let asked = (0..10).map(|own| subject.dispatch(&demand(1, 1_000, own), now));
     assert_eq!(asked.filter(is_granted).count(), 1);
 }
 
 #[test]
 fn a_node_that_has_just_started_sends_nothing_to_cold_engines() {
     let (mut subject, now) = alone_with_a_cold_engine(Span::from_milliseconds(500));
-    let refused = subject.ask(&demand(1, 1_000, 1), now);
+    let refused = subject.dispatch(&demand(1, 1_000, 1), now);
     assert!(matches!(refused, Decision::Refuse(Reason::ColdBackEnds, _)));
 }
 
@@ -112,7 +112,7 @@
     subject.apply(cold_engine("engine-0", 0, 0, 2), now);
     subject.apply(table_with_cold_starts(3), now);
     subject.tick(now);
-    let asked = (0..10).map(|own| subject.ask(&demand(1, 1_000, own), now));
+    let asked = (0..10).map(|own| subject.dispatch(&demand(1, 1_000, own), now));
     assert_eq!(asked.filter(is_granted).count(), 1);
 }
 
@@ -146,11 +146,11 @@
             }
             for own in 0..ASKED_PER_TICK {
                 let thing = u64::from(own) * 31 + number as u64;
-                let decision = fleet.nodes[number].ask(&demand(thing, 1_000, 100), now);
+                let decision = fleet.nodes[number].dispatch(&demand(thing, 1_000, 100), now);
                 let Decision::Grant(grant) = decision else {
                     continue;
                 };
-                fleet.nodes[number].end(grant.lease, Outcome::Completed, now);
+                fleet.nodes[number].release(grant.lease, Outcome::Completed, now);
                 let engine = grant.instance.as_str().to_owned();
                 arrivals.entry(engine).or_default().push(now);
             }
--- a/crates/coordination/dispatch/tests/crashing_requests.rs
+++ b/crates/coordination/dispatch/tests/crashing_requests.rs
@@ -62,9 +62,9 @@
         let mut fatal = demand(FATAL, 2_000, 100);
         fatal.excluded.clone_from(&self.down);
         let node = &mut self.fleet.nodes[node];
-        match node.ask(&fatal, now) {
+        match node.dispatch(&fatal, now) {
             Decision::Grant(grant) => {
-                node.end(grant.lease, Outcome::IncompleteResponse, now);
+                node.release(grant.lease, Outcome::IncompleteResponse, now);
                 node.record_crash(fatal.digest, &grant.instance, now);
                 self.down.push(grant.instance);
                 if self.down.len() > DOWN {
@@ -198,10 +198,10 @@
             day.fleet.nodes[thing as usize % 8].record_crash(digest, &crashed, now);
             if round == 1 {
                 let node = &mut day.fleet.nodes[(thing as usize + 1) % 8];
-                let grant = granted(node.ask(&demand(thing, 2_000, 100), now));
-                node.first_event(grant.lease, now);
+                let grant = granted(node.dispatch(&demand(thing, 2_000, 100), now));
+                node.record_first_event(grant.lease, now);
                 node.record_pacing(grant.lease, &one_event(now));
-                node.end(grant.lease, Outcome::Completed, now);
+                node.release(grant.lease, Outcome::Completed, now);
             }
         }
         day.run(500);
@@ -210,7 +210,7 @@
     let now = day.fleet.now;
     for thing in 0..20 {
         for node in &mut day.fleet.nodes {
-            granted(node.ask(&demand(thing, 2_000, 100), now));
+            granted(node.dispatch(&demand(thing, 2_000, 100), now));
         }
     }
     assert_eq!(day.sends_by_all(), 0);
@@ -249,7 +249,7 @@
     let node = &mut day.fleet.nodes[0];
     let mut fatal = demand(FATAL, 2_000, 100);
     fatal.is_stream = false;
-    let lease = granted(node.ask(&fatal, now)).lease;
+    let lease = granted(node.dispatch(&fatal, now)).lease;
     for number in 0..3 {
         node.record_crash(
             fatal.digest,
@@ -257,9 +257,9 @@
             now,
         );
     }
-    node.end(lease, Outcome::Rejected, now);
+    node.release(lease, Outcome::Rejected, now);
     assert!(matches!(
-        node.ask(&fatal, now),
+        node.dispatch(&fatal, now),
         Decision::Refuse(Reason::CrashesBackEnds, _)
     ));
 }
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -52,8 +52,8 @@
 fn zones_used_by(things: Range<u64>, subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
     let mut zones = Vec::new();
     for thing in things {
-        let grant = granted(subject.ask(&demand(thing, 2_000, 100), now));
-        subject.end(grant.lease, Outcome::Completed, now);
+        let grant = granted(subject.dispatch(&demand(thing, 2_000, 100), now));
+        subject.release(grant.lease, Outcome::Completed, now);
         let number = engine_number(&grant);
         zones.push(number % 3);
     }
@@ -85,7 +85,7 @@
         let change = evacuation(zone(number), 7 + number as u64, DocumentContent::Evacuated);
         subject.apply(change, START);
     }
-    let decision = subject.ask(&demand(1, 2_000, 100), START);
+    let decision = subject.dispatch(&demand(1, 2_000, 100), START);
     assert!(matches!(
         decision,
         Decision::Refuse(Reason::ZoneEvacuated, _)
@@ -96,9 +96,9 @@
 fn a_second_attempt_and_a_copy_stay_out_of_an_evacuated_zone() {
     let mut subject = with_three_zones();
     let prompt = demand(5, 13_000, 100);
-    let first = granted(subject.ask(&prompt, START));
-    subject.first_event(first.lease, START);
-    subject.end(first.lease, Outcome::IncompleteResponse, START);
+    let first = granted(subject.dispatch(&prompt, START));
+    subject.record_first_event(first.lease, START);
+    subject.release(first.lease, Outcome::IncompleteResponse, START);
     let number = engine_number(&first);
     let its_zone = number % 3;
     subject.apply(
@@ -117,14 +117,14 @@
         subject.count_request(&again.pool, later);
     }
     for _ in 0..3 {
-        let grant = granted(subject.ask(&again, later));
+        let grant = granted(subject.dispatch(&again, later));
         let number = engine_number(&grant);
         assert_ne!(number % 3, its_zone);
         assert_eq!(
             grant.copy_from, None,
             "the only engine that keeps it is there"
         );
-        subject.end(grant.lease, Outcome::Abandoned, later);
+        subject.release(grant.lease, Outcome::Abandoned, later);
     }
 }
 
@@ -136,7 +136,7 @@
     if let DocumentContent::Table(table) = &mut table.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
         pool.expect("the pool").cold_start = Some(ColdStart {
-            lasts: Span::from_milliseconds(3_000),
+            duration: Span::from_milliseconds(3_000),
             requests_per_second: 5.2,
         });
     }
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -211,7 +211,7 @@
     fleet.run(500);
     let now = fleet.now;
     for own in 0..requests {
-        granted(fleet.nodes[0].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[0].dispatch(&demand(1, 13_000, own), now));
     }
     fleet.run(milliseconds);
     fleet
@@ -229,7 +229,7 @@
     let mut fleet = busy_fleet(count, zones, 70, milliseconds);
     let now = fleet.now;
     for number in 1..count {
-        let asked = (0..100).map(|own| fleet.nodes[number].ask(&demand(2, 13_000, own), now));
+        let asked = (0..100).map(|own| fleet.nodes[number].dispatch(&demand(2, 13_000, own), now));
         let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
         assert_eq!(granted.count(), MOST_AT_ENGINE - 70, "node {number}");
     }
@@ -246,14 +246,14 @@
     fleet.run_with_platform(2_500, 2);
     let now = fleet.now;
     for own in 0..70 {
-        granted(fleet.nodes[reporter].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[reporter].dispatch(&demand(1, 13_000, own), now));
     }
     fleet.run(900);
     let now = fleet.now;
     let other = (0..71)
         .find(|number| fleet.zones[*number] == 0 && !fleet.dark.contains(number))
         .expect("one");
-    let asked = (0..100).map(|own| fleet.nodes[other].ask(&demand(2, 13_000, own), now));
+    let asked = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
     let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
     assert_eq!(granted.count(), MOST_AT_ENGINE - 70);
 }
@@ -270,7 +270,7 @@
     let mut fleet = busy_fleet(count, zones, 30, milliseconds);
     let now = fleet.now;
     let knows = |node: &mut Dispatcher| {
-        let grant = granted(node.ask(&demand(1, 13_000, 500), now));
+        let grant = granted(node.dispatch(&demand(1, 13_000, 500), now));
         grant.uncached_tokens < 1_000
     };
     let knowing = fleet.nodes.iter_mut().map(knows);
@@ -348,8 +348,8 @@
 /// Zone of the engine that a demand of a node goes to, without leaving it there.
 fn zone_chosen(fleet: &mut Fleet, node: usize, thing: u64) -> usize {
     let now = fleet.now;
-    let grant = granted(fleet.nodes[node].ask(&demand(thing, 600, 100), now));
-    fleet.nodes[node].end(grant.lease, Outcome::Abandoned, now);
+    let grant = granted(fleet.nodes[node].dispatch(&demand(thing, 600, 100), now));
+    fleet.nodes[node].release(grant.lease, Outcome::Abandoned, now);
     engine_number(&grant) % 3
 }
 
--- a/crates/coordination/dispatch/tests/leases.rs
+++ b/crates/coordination/dispatch/tests/leases.rs
@@ -13,7 +13,7 @@
 fn full() -> Dispatcher {
     let mut subject = with_engines(1);
     for number in 0..MOST_AT_ENGINE {
-        granted(subject.ask(&demand(number as u64 + 1, 100, 10), START));
+        granted(subject.dispatch(&demand(number as u64 + 1, 100, 10), START));
     }
     subject
 }
@@ -32,14 +32,14 @@
 fn places_that_nobody_gives_back_count_no_longer_than_their_requests() {
     let mut subject = full();
     let late = demand(1_000, 100, 10);
-    let refused = subject.ask(&late, START);
+    let refused = subject.dispatch(&late, START);
     assert!(matches!(refused, Decision::Refuse(Reason::QueueFull, _)));
     let request_time = late.remaining;
     let margin = Span::from_milliseconds(6_000);
     let expired = tick_until(&mut subject, request_time + margin);
     assert_eq!(expired, vec![MOST_AT_ENGINE]);
     let now = START + request_time + margin;
-    granted(subject.ask(&late, now));
+    granted(subject.dispatch(&late, now));
 }
 
 #[test]
@@ -49,6 +49,6 @@
     let expired = tick_until(&mut subject, late.remaining);
     assert_eq!(expired, Vec::<usize>::new());
     let now = START + late.remaining;
-    let refused = subject.ask(&late, now);
+    let refused = subject.dispatch(&late, now);
     assert!(matches!(refused, Decision::Refuse(Reason::QueueFull, _)));
 }
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -43,13 +43,13 @@
 /// Sends requests until one is at the engine that leaves, and notes its word.
 fn hear(subject: &mut Dispatcher, now: Timestamp) {
     for thing in 0..200 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
         let is_told = grant.instance == leaving();
         if is_told {
             assert_eq!(subject.record_leaving(grant.lease), Some(leaving()));
             assert_eq!(subject.record_leaving(grant.lease), None, "told once more");
         }
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
         if is_told {
             return;
         }
@@ -59,10 +59,10 @@
 
 fn is_asked(subject: &mut Dispatcher, now: Timestamp) -> bool {
     (0..60).any(|thing| {
-        let Decision::Grant(grant) = subject.ask(&demand(thing, 1_000, 100), now) else {
+        let Decision::Grant(grant) = subject.dispatch(&demand(thing, 1_000, 100), now) else {
             return false;
         };
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
         grant.instance == leaving()
     })
 }
@@ -74,12 +74,12 @@
     let mut subject = before(engines);
     let mut told = Vec::new();
     for thing in 0..4_000 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), START));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
         if grant.instance == leaving() {
             subject.record_leaving(grant.lease);
             told.push(thing);
         }
-        subject.end(grant.lease, Outcome::Completed, START);
+        subject.release(grant.lease, Outcome::Completed, START);
     }
     assert_eq!(told.len(), 1, "requests that got its word");
 }
@@ -88,7 +88,7 @@
 fn where_all_have_said_so_requests_are_refused_with_a_time() {
     let mut subject = before(1);
     hear(&mut subject, START);
-    match subject.ask(&demand(1, 1_000, 100), after(1)) {
+    match subject.dispatch(&demand(1, 1_000, 100), after(1)) {
         Decision::Refuse(reason, retry_after) => {
             assert_eq!(reason, Reason::NoBackEnd);
             assert!(retry_after > Span::ZERO);
@@ -117,7 +117,7 @@
         subject.apply(change, after(1_000));
     }
     let taken = subject.apply(back_end_change(engine(LEAVING, 0), 21), after(5_000));
-    assert_eq!(taken.applied, ApplyOutcome::Applied);
+    assert_eq!(taken.outcome, ApplyOutcome::Applied);
     assert!(!is_asked(&mut subject, after(6_000)));
     assert!(!is_asked(&mut subject, after(600_000)));
 }
@@ -138,7 +138,7 @@
 #[test]
 fn the_word_of_the_run_before_says_nothing_of_the_next() {
     let mut subject = before(1);
-    let lease = granted(subject.ask(&demand(1, 1_000, 100), START)).lease;
+    let lease = granted(subject.dispatch(&demand(1, 1_000, 100), START)).lease;
     let mut another = engine(LEAVING, 0);
     another.started_unix_ms = Some(FIRST_START + 9_000);
     subject.apply(back_end_change(another, 9), after(9_000));
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -60,10 +60,10 @@
     let now = fleet.now;
     for number in 0..MANY {
         let mut demand = demand(number as u64, 1_000, 100);
-        demand.only = Some(format!("engine-{number}").as_str().into());
-        let lease = granted(fleet.nodes[0].ask(&demand, now)).lease;
+        demand.required_instance = Some(format!("engine-{number}").as_str().into());
+        let lease = granted(fleet.nodes[0].dispatch(&demand, now)).lease;
         fleet.nodes[0].record_limit(lease, named, now);
-        fleet.nodes[0].end(lease, Outcome::Completed, now);
+        fleet.nodes[0].release(lease, Outcome::Completed, now);
     }
     let first = bytes_a_second(&mut fleet, KNOWN_WITHIN);
     let knowing = fleet.nodes.iter();
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -90,7 +90,7 @@
                 self.asked += 1;
                 let demand = demand(self.asked, 1_000, 100);
                 let now = self.fleet.now;
-                if let Decision::Grant(grant) = self.fleet.nodes[node].ask(&demand, now) {
+                if let Decision::Grant(grant) = self.fleet.nodes[node].dispatch(&demand, now) {
                     sent.push((node, grant.lease));
                 }
             }
@@ -104,7 +104,7 @@
         let zone = self.fleet.zones[node];
         let is_cut = self.fleet.cut.contains(&(zone, 1)) || self.fleet.cut.contains(&(1, zone));
         if is_cut {
-            self.fleet.nodes[node].end(lease, Outcome::Unreachable, now);
+            self.fleet.nodes[node].release(lease, Outcome::Unreachable, now);
             return;
         }
         let told = self.told.get(&node);
@@ -118,7 +118,7 @@
             self.told.entry(node).or_insert(now);
         }
         self.fleet.nodes[node].record_limit(lease, self.limit.map(limit), now);
-        self.fleet.nodes[node].end(lease, Outcome::Completed, now);
+        self.fleet.nodes[node].release(lease, Outcome::Completed, now);
     }
 
     /// The engine falls into need, or its need changes.
--- a/crates/coordination/dispatch/tests/limits_at_one_node.rs
+++ b/crates/coordination/dispatch/tests/limits_at_one_node.rs
@@ -32,9 +32,9 @@
     let (mut subject, now) = alone(2);
     answer_with(&mut subject, 1, Some(1.0), now);
     for thing in 0..40 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
         assert_eq!(engine_number(&grant), 0);
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
     }
 }
 
@@ -52,7 +52,7 @@
         let lease = lease_at(&mut subject, number, now);
         subject.record_limit(lease, Some(limit(rate)), now);
     }
-    match subject.ask(&demand(7, 1_000, 100), now) {
+    match subject.dispatch(&demand(7, 1_000, 100), now) {
         Decision::Refuse(reason, retry_after) => {
             assert_eq!(reason, Reason::BackEndsLimited);
             assert_eq!(retry_after.milliseconds(), milliseconds);
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -20,9 +20,9 @@
     for thing in 1..20 {
         let mut engines = BTreeSet::new();
         for own in 0..5 {
-            let grant = granted(subject.ask(&demand(thing, 13_000, 400 + own), START));
-            subject.first_event(grant.lease, START);
-            subject.end(grant.lease, Outcome::Completed, START);
+            let grant = granted(subject.dispatch(&demand(thing, 13_000, 400 + own), START));
+            subject.record_first_event(grant.lease, START);
+            subject.release(grant.lease, Outcome::Completed, START);
             engines.insert(grant.instance);
         }
         assert_eq!(engines.len(), 1, "thing {thing}");
@@ -33,21 +33,21 @@
 fn two_nodes_that_never_spoke_choose_the_same_engine() {
     let (mut one, mut two) = (with_engines(9), with_engines(9));
     for thing in 1..50 {
-        let first = granted(one.ask(&demand(thing, 13_000, 400), START));
-        let second = granted(two.ask(&demand(thing, 13_000, 800), START));
+        let first = granted(one.dispatch(&demand(thing, 13_000, 400), START));
+        let second = granted(two.dispatch(&demand(thing, 13_000, 800), START));
         assert_eq!(first.instance, second.instance, "thing {thing}");
-        one.end(first.lease, Outcome::Completed, START);
-        two.end(second.lease, Outcome::Completed, START);
+        one.release(first.lease, Outcome::Completed, START);
+        two.release(second.lease, Outcome::Completed, START);
     }
 }
 
 #[test]
 fn a_beginning_is_not_copied_from_an_engine_that_still_reads_it() {
     let mut subject = with_engines(3);
-    let first = granted(subject.ask(&demand(1, 13_000, 400), START));
+    let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let before = START + Span(first.candidate.first_event.0 - 1);
     for own in 0..40 {
-        let grant = granted(subject.ask(&demand(1, 13_000, 6_000 + own), before));
+        let grant = granted(subject.dispatch(&demand(1, 13_000, 6_000 + own), before));
         assert_eq!(grant.copy_from, None);
     }
 }
@@ -55,11 +55,11 @@
 #[test]
 fn a_beginning_asked_for_too_often_spreads_and_is_copied() {
     let mut subject = with_engines(3);
-    let first = granted(subject.ask(&demand(1, 13_000, 400), START));
+    let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let now = START + first.candidate.first_event;
     let mut copies = 0;
     for own in 0..40 {
-        let grant = granted(subject.ask(&demand(1, 13_000, 6_000 + own), now));
+        let grant = granted(subject.dispatch(&demand(1, 13_000, 6_000 + own), now));
         if let Some(source) = grant.copy_from {
             assert_ne!(grant.instance, first.instance);
             assert_eq!(source, first.address);
@@ -75,11 +75,11 @@
 #[test]
 fn a_short_beginning_is_copied_too() {
     let mut subject = with_engines(2);
-    let first = granted(subject.ask(&demand(1, 300, 400), START));
+    let first = granted(subject.dispatch(&demand(1, 300, 400), START));
     let mut elsewhere = demand(1, 300, 500);
     elsewhere.excluded = vec![first.instance];
     let later = START + Span::from_milliseconds(2_000);
-    let second = granted(subject.ask(&elsewhere, later));
+    let second = granted(subject.dispatch(&elsewhere, later));
     assert_eq!(second.copy_from, Some(first.address));
     assert_eq!(second.uncached_tokens, 500);
 }
@@ -89,12 +89,12 @@
     let mut subject = with_engines(1);
     subject.tick(START);
     subject.apply(lapsed_change("engine-0", 3), START);
-    granted(subject.ask(&demand(1, 13_000, 400), START));
+    granted(subject.dispatch(&demand(1, 13_000, 400), START));
     subject.tick(START + Span::from_milliseconds(1_900));
-    granted(subject.ask(&demand(1, 13_000, 500), START));
+    granted(subject.dispatch(&demand(1, 13_000, 500), START));
     let overdue = START + Span::from_milliseconds(2_000);
     subject.tick(overdue);
-    let decision = subject.ask(&demand(1, 13_000, 600), overdue);
+    let decision = subject.dispatch(&demand(1, 13_000, 600), overdue);
     assert!(matches!(decision, Decision::Refuse(Reason::NoBackEnd, _)));
 }
 
@@ -107,7 +107,7 @@
     subject.apply(change, START);
     let later = START + Span::from_milliseconds(500);
     subject.tick(later);
-    let decision = subject.ask(&demand(1, 13_000, 600), later);
+    let decision = subject.dispatch(&demand(1, 13_000, 600), later);
     assert!(matches!(decision, Decision::Refuse(Reason::NoBackEnd, _)));
 }
 
@@ -115,12 +115,12 @@
 fn a_back_end_that_is_listed_again_keeps_what_is_known_of_its_cache() {
     let mut subject = with_engines(1);
     subject.tick(START);
-    granted(subject.ask(&demand(1, 13_000, 400), START));
+    granted(subject.dispatch(&demand(1, 13_000, 400), START));
     subject.apply(lapsed_change("engine-0", 3), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 4), START);
     let later = START + Span::from_milliseconds(5_000);
     subject.tick(later);
-    let grant = granted(subject.ask(&demand(1, 13_000, 500), later));
+    let grant = granted(subject.dispatch(&demand(1, 13_000, 500), later));
     assert!(grant.uncached_tokens < 1_000, "{}", grant.uncached_tokens);
 }
 
@@ -132,7 +132,7 @@
         START,
     );
     for thing in 0..30 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), START));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
         assert_eq!(grant.instance, InstanceId::from("engine-0-restarted"));
     }
 }
@@ -144,7 +144,7 @@
     other.pool = eiderferry_routing::PoolName::from("app");
     subject.apply(back_end_change(other, 9), START);
     for thing in 0..30 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), START));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
         assert_eq!(grant.address, back_end_address(1));
     }
 }
@@ -152,18 +152,18 @@
 #[test]
 fn a_run_that_was_replaced_never_gets_work_again() {
     let mut subject = with_engines(2);
-    let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
+    let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     let gone = grant.instance.clone();
     let change = subject
-        .end(grant.lease, Outcome::InstanceReplaced, START)
+        .release(grant.lease, Outcome::InstanceReplaced, START)
         .health_changes;
     assert!(matches!(change[..], [(_, HealthChange::Ejected(_))]));
     for minute in 0..20 {
         let now = START + Span::from_milliseconds(minute * 60_000);
         for thing in 0..10 {
-            let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
+            let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
             assert_ne!(grant.instance, gone);
-            subject.end(grant.lease, Outcome::Completed, now);
+            subject.release(grant.lease, Outcome::Completed, now);
         }
     }
 }
@@ -175,7 +175,7 @@
     leaving.draining = true;
     subject.apply(back_end_change(leaving, 9), START);
     for thing in 0..30 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), START));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
         assert_eq!(grant.instance, InstanceId::from("engine-1"));
     }
 }
@@ -186,7 +186,7 @@
     let mut leaving = back_end("engine-0", 0, 0);
     leaving.draining = true;
     subject.apply(back_end_change(leaving, 9), START);
-    match subject.ask(&demand(1, 1_000, 100), START) {
+    match subject.dispatch(&demand(1, 1_000, 100), START) {
         Decision::Refuse(reason, retry_after) => {
             assert_eq!(reason, Reason::NoBackEnd);
             assert!(retry_after > Span::ZERO);
@@ -202,20 +202,20 @@
     repeat.is_retry = true;
     let mut granted_repeats = 0;
     for _ in 0..40 {
-        if let Decision::Grant(grant) = subject.ask(&repeat, START) {
-            subject.end(grant.lease, Outcome::Completed, START);
+        if let Decision::Grant(grant) = subject.dispatch(&repeat, START) {
+            subject.release(grant.lease, Outcome::Completed, START);
             granted_repeats += 1;
         }
     }
     assert_eq!(granted_repeats, 5);
-    granted(subject.ask(&demand(1, 1_000, 100), START));
+    granted(subject.dispatch(&demand(1, 1_000, 100), START));
 }
 
 #[test]
 fn load_that_peers_report_is_avoided_and_forgotten_when_they_fall_silent() {
     let mut subject = with_engines(2);
-    let home = granted(subject.ask(&demand(1, 1_000, 100), START));
-    subject.end(home.lease, Outcome::Completed, START);
+    let home = granted(subject.dispatch(&demand(1, 1_000, 100), START));
+    subject.release(home.lease, Outcome::Completed, START);
     let mut peer = with_engines(2);
     for _ in 0..60 {
         let mut same = demand(1, 1_000, 20_000);
@@ -224,16 +224,16 @@
         } else {
             "engine-0"
         })];
-        granted(peer.ask(&same, START));
+        granted(peer.dispatch(&same, START));
     }
     let message = peer.gossip(false, START);
     let mut later = with_engines(2);
     later.receive(support::node_address(5), &message, START);
     subject.receive(support::node_address(5), &message, START);
-    let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
+    let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     assert_ne!(grant.instance, home.instance);
     let after = START + Span::from_milliseconds(3_000);
-    let grant = granted(later.ask(&demand(1, 1_000, 100), after));
+    let grant = granted(later.dispatch(&demand(1, 1_000, 100), after));
     assert_eq!(grant.instance, home.instance);
 }
 
@@ -241,16 +241,16 @@
 fn a_table_without_the_pool_gives_no_back_end() {
     let mut subject = support::dispatcher(0, 0, Vec::new());
     subject.apply(table_change(1), START);
-    let decision = subject.ask(&demand(1, 1_000, 100), START);
+    let decision = subject.dispatch(&demand(1, 1_000, 100), START);
     assert!(matches!(decision, Decision::Refuse(Reason::NoBackEnd, _)));
 }
 
 /// Lets a node see streams at its engines whose longest pauses are so long.
 fn see_pauses(subject: &mut Dispatcher, longest: Span) {
     for thing in 0..200 {
-        let grant = granted(subject.ask(&demand(1_000 + thing, 300, 100), START));
+        let grant = granted(subject.dispatch(&demand(1_000 + thing, 300, 100), START));
         subject.record_pacing(grant.lease, &stream_with_pause(longest));
-        subject.end(grant.lease, Outcome::Completed, START);
+        subject.release(grant.lease, Outcome::Completed, START);
     }
 }
 
@@ -279,11 +279,11 @@
     for number in 0..12 {
         let mut stream = demand(100 + number, 300, 1_000);
         stream.event_gap_target = Some(Span::from_milliseconds(300));
-        let grant = granted(subject.ask(&stream, START));
-        subject.first_event(grant.lease, START);
+        let grant = granted(subject.dispatch(&stream, START));
+        subject.record_first_event(grant.lease, START);
         engines_of_streams.insert(grant.instance);
-        let grant = granted(subject.ask(&demand(200 + number % 3, 13_000, 4_000), START));
-        subject.first_event(grant.lease, START);
+        let grant = granted(subject.dispatch(&demand(200 + number % 3, 13_000, 4_000), START));
+        subject.record_first_event(grant.lease, START);
         engines_of_prompts.insert(grant.instance);
     }
     let both: Vec<_> = engines_of_streams
@@ -301,7 +301,7 @@
     see_pauses(&mut subject, Span::from_milliseconds(120));
     let mut stream = demand(1, 300, 1_000);
     stream.event_gap_target = Some(Span::from_milliseconds(300));
-    granted(subject.ask(&stream, START));
+    granted(subject.dispatch(&stream, START));
     let told = subject.gossip(false, START);
     let loads = told.loads.expect("loads");
     assert_eq!(loads[0].running, 1);
@@ -314,8 +314,8 @@
     let large = demand(1, 100, 55_000);
     let mut counts: BTreeMap<InstanceId, u32> = BTreeMap::new();
     for _ in 0..14 {
-        let grant = granted(subject.ask(&large, START));
-        subject.first_event(grant.lease, START);
+        let grant = granted(subject.dispatch(&large, START));
+        subject.record_first_event(grant.lease, START);
         *counts.entry(grant.instance).or_default() += 1;
     }
     let most = counts.values().max().expect("granted");
@@ -326,21 +326,21 @@
 fn what_other_nodes_place_at_an_engine_pushes_shared_parts_out_of_the_believed_cache() {
     let (mut subject, mut peer) = (with_engines(1), with_engines(1));
     let shared = demand(1, 13_000, 400);
-    let first = granted(subject.ask(&shared, START));
-    subject.end(first.lease, Outcome::Completed, START);
-    let again = granted(subject.ask(&shared, START));
+    let first = granted(subject.dispatch(&shared, START));
+    subject.release(first.lease, Outcome::Completed, START);
+    let again = granted(subject.dispatch(&shared, START));
     assert_eq!(again.uncached_tokens, 0);
-    subject.end(again.lease, Outcome::Completed, START);
+    subject.release(again.lease, Outcome::Completed, START);
     for round in 0..2 {
         for thing in 0..30 {
-            let grant = granted(peer.ask(&demand(100 + thing, 500, 20_000 + round), START));
-            peer.end(grant.lease, Outcome::Completed, START);
+            let grant = granted(peer.dispatch(&demand(100 + thing, 500, 20_000 + round), START));
+            peer.release(grant.lease, Outcome::Completed, START);
         }
         let mut message = peer.gossip(false, START);
         message.placements.clear();
         subject.receive(support::node_address(5), &message, START);
     }
-    let grant = granted(subject.ask(&demand(1, 13_000, 500), START));
+    let grant = granted(subject.dispatch(&demand(1, 13_000, 500), START));
     assert_eq!(
         grant.uncached_tokens, 13_500,
         "603,000 tokens came since, of 520,000"
@@ -389,7 +389,7 @@
     let mut refused = [0, 0];
     for number in 0..400 {
         let rank = number % 2;
-        let decision = subject.ask(&of_rank(rank as u8), START);
+        let decision = subject.dispatch(&of_rank(rank as u8), START);
         match decision {
             Decision::Grant(_) => assert_eq!(refused[0], 0, "rank {rank} was granted"),
             Decision::Refuse(reason, retry_after) => {
@@ -410,10 +410,10 @@
         subject.apply(back_end_change(back_end(&name, number, 0), 2), START);
     }
     subject.apply(table_change(3), START);
-    let first = granted(subject.ask(&demand(1, 13_000, 400), START));
+    let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     assert_eq!(first.uncached_tokens, 13_400);
-    subject.first_event(first.lease, START);
-    let second = granted(subject.ask(&demand(1, 13_000, 500), START));
+    subject.record_first_event(first.lease, START);
+    let second = granted(subject.dispatch(&demand(1, 13_000, 500), START));
     assert_eq!(second.uncached_tokens, 500);
 }
 
@@ -421,12 +421,12 @@
 fn in_a_large_pool_a_prompt_still_goes_where_its_beginning_is_kept() {
     let mut subject = with_engines(400);
     for thing in 1..30 {
-        let first = granted(subject.ask(&demand(thing, 13_000, 400), START));
-        subject.first_event(first.lease, START);
-        subject.end(first.lease, Outcome::Completed, START);
-        let second = granted(subject.ask(&demand(thing, 13_000, 500), START));
-        subject.first_event(second.lease, START);
-        subject.end(second.lease, Outcome::Completed, START);
+        let first = granted(subject.dispatch(&demand(thing, 13_000, 400), START));
+        subject.record_first_event(first.lease, START);
+        subject.release(first.lease, Outcome::Completed, START);
+        let second = granted(subject.dispatch(&demand(thing, 13_000, 500), START));
+        subject.record_first_event(second.lease, START);
+        subject.release(second.lease, Outcome::Completed, START);
         assert_eq!(second.instance, first.instance, "thing {thing}");
     }
 }
@@ -435,16 +435,16 @@
 /// well at both.
 fn witness_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
     let mut peer = with_engines(2);
-    let home = granted(peer.ask(&demand(1, 1_000, 100), START));
-    peer.end(home.lease, Outcome::IncompleteResponse, START);
+    let home = granted(peer.dispatch(&demand(1, 1_000, 100), START));
+    peer.release(home.lease, Outcome::IncompleteResponse, START);
     for _ in 1..count {
-        let grant = granted(peer.ask(&demand(1, 1_000, 100), START));
+        let grant = granted(peer.dispatch(&demand(1, 1_000, 100), START));
         let outcome = if grant.instance == home.instance {
             Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
-        peer.end(grant.lease, outcome, START);
+        peer.release(grant.lease, outcome, START);
     }
     let mut message = peer.gossip(false, START);
     message.placements.clear();
@@ -458,7 +458,7 @@
     subject.receive(support::node_address(5), &message, START);
     let mut unrepeatable = demand(1, 1_000, 100);
     unrepeatable.may_retry = false;
-    let grant = granted(subject.ask(&unrepeatable, START));
+    let grant = granted(subject.dispatch(&unrepeatable, START));
     assert_ne!(grant.instance, failing);
 }
 
@@ -470,7 +470,7 @@
     let later = START + Span::from_milliseconds(10_000);
     let mut unrepeatable = demand(1, 1_000, 100);
     unrepeatable.may_retry = false;
-    let grant = granted(subject.ask(&unrepeatable, later));
+    let grant = granted(subject.dispatch(&unrepeatable, later));
     assert_eq!(grant.instance, failing);
 }
 
@@ -492,18 +492,18 @@
     let mut thing = 0;
     while lost.len() < 2 {
         thing += 1;
-        let grant = granted(subject.ask(&demand(thing, 5_000, 400), START));
+        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
         let is_missed = support::engine_number(&grant) % 3 == 1;
         if is_missed {
             lost.insert(grant.instance.clone());
         }
-        subject.first_event(grant.lease, START);
+        subject.record_first_event(grant.lease, START);
         let outcome = if is_missed {
             outcome
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     subject
 }
@@ -512,9 +512,9 @@
 fn engines_used(subject: &mut Dispatcher) -> BTreeSet<usize> {
     let mut used = BTreeSet::new();
     for thing in 0..60 {
-        let grant = granted(subject.ask(&demand(thing, 5_000, 400), START));
+        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
         used.insert(support::engine_number(&grant));
-        subject.end(grant.lease, Outcome::Completed, START);
+        subject.release(grant.lease, Outcome::Completed, START);
     }
     used
 }
@@ -541,19 +541,19 @@
     let mut subject = with_engines_in_three_zones(12, support::HOMES_ANYWHERE);
     let mut crashed = BTreeSet::new();
     for thing in 0..200 {
-        let grant = granted(subject.ask(&demand(thing, 5_000, 400), START));
+        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
         let number = support::engine_number(&grant);
         let crashes = number % 3 == 1 && (crashed.len() < 2 || crashed.contains(&number));
         if crashes {
             crashed.insert(number);
         }
-        subject.first_event(grant.lease, START);
+        subject.record_first_event(grant.lease, START);
         let outcome = if crashes {
             Outcome::ConnectionRefused
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     assert_eq!(crashed.len(), 2);
     let used = engines_used(&mut subject);
@@ -566,7 +566,7 @@
     let mut subject = with_engines(6);
     let mut lost = BTreeSet::new();
     for thing in 0..40 {
-        let grant = granted(subject.ask(&demand(thing, 5_000, 400), START));
+        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
         let is_lost = lost.len() < 2 || lost.contains(&grant.instance);
         if is_lost {
             lost.insert(grant.instance.clone());
@@ -576,7 +576,7 @@
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     assert_eq!(lost.len(), 2);
 }
--- a/crates/coordination/dispatch/tests/places.rs
+++ b/crates/coordination/dispatch/tests/places.rs
@@ -35,8 +35,8 @@
 /// Zones in which prompts with such a shared part are placed, one after the other.
 fn zones_used(subject: &mut Dispatcher, things: Range<u64>, shared: u32) -> BTreeSet<usize> {
     let placed = things.map(|thing| {
-        let grant = granted(subject.ask(&demand(thing, shared, 100), START));
-        subject.end(grant.lease, Outcome::Completed, START);
+        let grant = granted(subject.dispatch(&demand(thing, shared, 100), START));
+        subject.release(grant.lease, Outcome::Completed, START);
         engine_number(&grant) % ZONES
     });
     placed.collect()
@@ -86,7 +86,7 @@
     }
     let later = START + Span::from_milliseconds(2_500);
     subject.tick(later);
-    let grant = granted(subject.ask(&demand(1, LONG, 100), later));
+    let grant = granted(subject.dispatch(&demand(1, LONG, 100), later));
     assert!(grant.candidate.is_home);
     assert_eq!(engine_number(&grant) % ZONES, 1);
 }
@@ -94,7 +94,7 @@
 #[test]
 fn a_full_zone_sends_requests_over_its_border() {
     let mut subject = with_engines(4, Features::ALL);
-    let grants = (0..400).map(|own| granted(subject.ask(&demand(1, 1_000, own), START)));
+    let grants = (0..400).map(|own| granted(subject.dispatch(&demand(1, 1_000, own), START)));
     let used: BTreeSet<usize> = grants.map(|grant| engine_number(&grant) % ZONES).collect();
     assert!(used.len() > 1, "only zones {used:?}");
 }
@@ -108,13 +108,13 @@
         .collect();
     let mut request = demand(1, 1_000, 100);
     request.excluded = near;
-    let before = granted(subject.ask(&request, START));
+    let before = granted(subject.dispatch(&request, START));
     let round_trip = Span::from_milliseconds(250);
     for _ in 0..50 {
         subject.record_round_trip(&InstanceId::from("engine-2"), round_trip);
     }
-    subject.end(before.lease, Outcome::Completed, START);
-    let after = granted(subject.ask(&request, START));
+    subject.release(before.lease, Outcome::Completed, START);
+    let after = granted(subject.dispatch(&request, START));
     assert!(before.candidate.first_event < round_trip);
     assert!(after.candidate.first_event >= round_trip.scaled(0.95));
 }
@@ -151,8 +151,8 @@
 /// Zones to which requests with different prompts go, without leaving them there.
 fn zones_chosen(node: &mut Dispatcher, things: Range<u64>, now: Timestamp) -> BTreeSet<usize> {
     let chosen = things.map(|thing| {
-        let grant = granted(node.ask(&demand(thing, 600, 100), now));
-        node.end(grant.lease, Outcome::Abandoned, now);
+        let grant = granted(node.dispatch(&demand(thing, 600, 100), now));
+        node.release(grant.lease, Outcome::Abandoned, now);
         engine_number(&grant) % ZONES
     });
     chosen.collect()
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -79,7 +79,7 @@
         let mut other = node(number);
         let share = (running + number - 1) / OTHERS;
         for _ in 0..share {
-            granted(other.ask(&call(), now));
+            granted(other.dispatch(&call(), now));
         }
         let report = other.gossip(false, now);
         subject.receive(node_address(number), &report, now);
@@ -99,9 +99,9 @@
     for number in 0..reports {
         let now = Timestamp(from.0 + REPORTED_EACH.0 * number as u64);
         hear(subject, counts[number % counts.len()], now);
-        match subject.ask(&call(), now) {
+        match subject.dispatch(&call(), now) {
             Decision::Grant(grant) => {
-                subject.end(grant.lease, Outcome::Completed, now + took);
+                subject.release(grant.lease, Outcome::Completed, now + took);
             }
             Decision::Refuse(reason, _) => {
                 assert_eq!(reason, Reason::QueueFull);
@@ -151,7 +151,9 @@
 fn calls_of_this_node_count_as_they_are() {
     let mut subject = node(0);
     let calls = 2 * SLOTS as usize;
-    let decisions: Vec<Decision> = (0..calls).map(|_| subject.ask(&call(), START)).collect();
+    let decisions: Vec<Decision> = (0..calls)
+        .map(|_| subject.dispatch(&call(), START))
+        .collect();
     let granted = decisions.iter();
     let granted = granted.filter(|decision| matches!(decision, Decision::Grant(_)));
     assert_eq!(granted.count(), 8, "1.3 times the slots");
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -213,7 +213,7 @@
             .filter(|node| !self.fleet.dark.contains(node))
             .collect();
         let node = living[self.random.random_range(0..living.len())];
-        let decision = self.fleet.nodes[node].ask(&demand, at(now));
+        let decision = self.fleet.nodes[node].dispatch(&demand, at(now));
         if kind == Kind::Question {
             self.tally.questions += 1;
         }
@@ -268,7 +268,7 @@
             if !running.has_begun && running.first_event_at <= now {
                 running.has_begun = true;
                 let node = &mut self.fleet.nodes[running.node];
-                node.first_event(running.grant.lease, at(now));
+                node.record_first_event(running.grant.lease, at(now));
             }
         }
         let ended = self
@@ -279,7 +279,7 @@
             self.tally.late += u64::from(running.is_late && is_question);
             let node = &mut self.fleet.nodes[running.node];
             node.record_pacing(running.grant.lease, &pacing(&running));
-            node.end(running.grant.lease, Outcome::Completed, at(now));
+            node.release(running.grant.lease, Outcome::Completed, at(now));
         }
     }
 
@@ -296,13 +296,13 @@
         let node = &mut self.fleet.nodes[0];
         let mut homes = BTreeMap::new();
         for thing in 1_000_000..1_000_400 {
-            let Decision::Grant(grant) = node.ask(&demand(thing, 13_000, 900), now) else {
+            let Decision::Grant(grant) = node.dispatch(&demand(thing, 13_000, 900), now) else {
                 continue;
             };
             if grant.candidate.is_home {
                 homes.insert(thing, grant.instance.as_str().to_owned());
             }
-            node.end(grant.lease, Outcome::Abandoned, now);
+            node.release(grant.lease, Outcome::Abandoned, now);
         }
         homes
     }
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -40,8 +40,8 @@
     for thing in 0..60 {
         let mut request = demand(thing, 2_000, 100);
         request.allowed_regions = allowed.clone();
-        let grant = granted(subject.ask(&request, START));
-        subject.end(grant.lease, Outcome::Completed, START);
+        let grant = granted(subject.dispatch(&request, START));
+        subject.release(grant.lease, Outcome::Completed, START);
         let number = engine_number(&grant);
         zones.insert(number % 4);
     }
@@ -67,12 +67,12 @@
     let mut subject = subject();
     let mut request = demand(3, 13_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(&["east"]), &[]);
-    let grant = granted(subject.ask(&request, START));
-    subject.first_event(grant.lease, START);
-    subject.end(grant.lease, Outcome::Completed, START);
+    let grant = granted(subject.dispatch(&request, START));
+    subject.record_first_event(grant.lease, START);
+    subject.release(grant.lease, Outcome::Completed, START);
     request.allowed_regions = AllowedRegions::of(&regions(&["west"]), &[]);
     let later = START + Span::from_milliseconds(3_000);
-    let grant = granted(subject.ask(&request, later));
+    let grant = granted(subject.dispatch(&request, later));
     assert_eq!(grant.copy_from, None);
 }
 
@@ -86,7 +86,7 @@
     let mut subject = subject();
     let mut request = demand(1, 2_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(route), &regions(tenant));
-    let decision = subject.ask(&request, START);
+    let decision = subject.dispatch(&request, START);
     let Decision::Refuse(reason, retry_after) = decision else {
         panic!("expected a refusal, got {decision:?}");
     };
@@ -102,14 +102,14 @@
     let mut subject = subject();
     let mut request = demand(1, 2_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(&["east"]), &[]);
-    let first = granted(subject.ask(&request, START));
+    let first = granted(subject.dispatch(&request, START));
     let second = {
         request.excluded.push(first.instance.clone());
-        granted(subject.ask(&request, START))
+        granted(subject.dispatch(&request, START))
     };
     assert_ne!(first.instance, second.instance);
     request.excluded.push(second.instance);
-    let decision = subject.ask(&request, START);
+    let decision = subject.dispatch(&request, START);
     assert!(matches!(
         decision,
         Decision::Refuse(Reason::RegionNotAllowed, _)
@@ -126,7 +126,7 @@
         content: DocumentContent::Evacuated,
     };
     let taken = subject.apply(change, START);
-    assert_eq!(taken.unknown, [UnknownName::Zone(nowhere)]);
+    assert_eq!(taken.unknown_names, [UnknownName::Zone(nowhere)]);
     let mut change = table_change(9);
     if let DocumentContent::Table(table) = &mut change.content {
         table.tenants.push(eiderferry_routing::Tenant {
@@ -138,7 +138,7 @@
     }
     let taken = subject.apply(change, START);
     assert_eq!(
-        taken.unknown,
+        taken.unknown_names,
         [UnknownName::Region(RegionName::from("north"))]
     );
 }
--- a/crates/coordination/dispatch/tests/restarted_back_ends.rs
+++ b/crates/coordination/dispatch/tests/restarted_back_ends.rs
@@ -28,9 +28,9 @@
 
 /// Tokens of a prompt that the engine is expected to read.
 fn uncached(subject: &mut Dispatcher, now: Timestamp) -> u32 {
-    let grant = granted(subject.ask(&demand(1, 8_000, 100), now));
-    subject.first_event(grant.lease, now);
-    subject.end(grant.lease, Outcome::Completed, now);
+    let grant = granted(subject.dispatch(&demand(1, 8_000, 100), now));
+    subject.record_first_event(grant.lease, now);
+    subject.release(grant.lease, Outcome::Completed, now);
     grant.uncached_tokens
 }
 
@@ -57,24 +57,24 @@
 #[test]
 fn it_gets_work_again_after_the_run_before_was_replaced() {
     let mut subject = with_one_engine();
-    let grant = granted(subject.ask(&demand(1, 1_000, 100), START));
-    subject.end(grant.lease, Outcome::InstanceReplaced, START);
-    let refused = subject.ask(&demand(1, 1_000, 100), after(60_000));
+    let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
+    subject.release(grant.lease, Outcome::InstanceReplaced, START);
+    let refused = subject.dispatch(&demand(1, 1_000, 100), after(60_000));
     assert!(matches!(refused, eiderferry_dispatch::Decision::Refuse(..)));
     list(&mut subject, Some(FIRST_START + 60_000), 6, after(60_000));
-    granted(subject.ask(&demand(1, 1_000, 100), after(60_100)));
+    granted(subject.dispatch(&demand(1, 1_000, 100), after(60_100)));
 }
 
 #[test]
 fn how_requests_of_the_run_before_end_says_nothing_of_it() {
     let mut subject = with_one_engine();
     let leases: Vec<_> = (0..6)
-        .map(|thing| granted(subject.ask(&demand(thing, 1_000, 100), START)).lease)
+        .map(|thing| granted(subject.dispatch(&demand(thing, 1_000, 100), START)).lease)
         .collect();
     list(&mut subject, Some(FIRST_START + 4_000), 6, after(4_000));
     for lease in leases {
-        let ended = subject.end(lease, Outcome::IncompleteResponse, after(4_100));
+        let ended = subject.release(lease, Outcome::IncompleteResponse, after(4_100));
         assert!(ended.health_changes.is_empty());
     }
-    granted(subject.ask(&demand(9, 1_000, 100), after(4_200)));
+    granted(subject.dispatch(&demand(9, 1_000, 100), after(4_200)));
 }
--- a/crates/coordination/dispatch/tests/resting_back_ends.rs
+++ b/crates/coordination/dispatch/tests/resting_back_ends.rs
@@ -19,10 +19,10 @@
 /// Whether the resting engine gets one of some requests.
 fn is_asked(subject: &mut Dispatcher, now: Timestamp) -> bool {
     (0..60).any(|thing| {
-        let Decision::Grant(grant) = subject.ask(&demand(thing, 1_000, 100), now) else {
+        let Decision::Grant(grant) = subject.dispatch(&demand(thing, 1_000, 100), now) else {
             return false;
         };
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
         grant.instance == InstanceId::from(RESTING)
     })
 }
@@ -30,13 +30,13 @@
 /// Sends requests until one is at the engine; it turns that one away and asks for a rest.
 fn turn_away(subject: &mut Dispatcher, rest_ms: u64, now: Timestamp) {
     for thing in 0..200 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
         if grant.instance == InstanceId::from(RESTING) {
             subject.record_backoff(grant.lease, Span::from_milliseconds(rest_ms), now);
-            subject.end(grant.lease, Outcome::Shed, now);
+            subject.release(grant.lease, Outcome::Shed, now);
             return;
         }
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
     }
     panic!("no request was sent to {RESTING}");
 }
@@ -62,8 +62,8 @@
 #[test]
 fn of_two_rests_the_longer_counts() {
     let mut subject = with_engines(1);
-    let first = granted(subject.ask(&demand(1, 1_000, 100), START));
-    let second = granted(subject.ask(&demand(2, 1_000, 100), START));
+    let first = granted(subject.dispatch(&demand(1, 1_000, 100), START));
+    let second = granted(subject.dispatch(&demand(2, 1_000, 100), START));
     subject.record_backoff(first.lease, Span::from_milliseconds(REST_MS), START);
     subject.record_backoff(second.lease, Span::from_milliseconds(100), after(10));
     assert!(!is_asked(&mut subject, after(REST_MS - 1)));
@@ -71,7 +71,7 @@
 }
 
 fn refusal(subject: &mut Dispatcher, now: Timestamp) -> (Reason, Span) {
-    match subject.ask(&demand(1, 1_000, 100), now) {
+    match subject.dispatch(&demand(1, 1_000, 100), now) {
         Decision::Refuse(reason, retry_after) => (reason, retry_after),
         granted => panic!("expected a refusal, got {granted:?}"),
     }
--- a/crates/coordination/dispatch/tests/retry_budget.rs
+++ b/crates/coordination/dispatch/tests/retry_budget.rs
@@ -13,7 +13,7 @@
 
 fn spend_all(budget: &mut RetryBudget, now: Timestamp, nodes: u32) -> u32 {
     let mut spent = 0;
-    while budget.spend(now, nodes) {
+    while budget.try_spend(now, nodes) {
         spent += 1;
     }
     spent
@@ -29,7 +29,7 @@
     for _ in 0..nodes {
         let mut budget = RetryBudget::new(SETTINGS);
         for _ in 0..requests_per_node {
-            budget.request(START);
+            budget.record_request(START);
         }
         total += spend_all(&mut budget, START, nodes);
     }
@@ -59,8 +59,8 @@
     let mut spent: Vec<u64> = Vec::new();
     for step in 0..600_u64 {
         let now = START + Span::from_milliseconds(step * 100);
-        budget.request(now);
-        while budget.spend(now, 8) {
+        budget.record_request(now);
+        while budget.try_spend(now, 8) {
             spent.push(step);
         }
     }
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -80,7 +80,7 @@
 fn a_stream_that_no_other_attempt_mends_is_replicated_in_another_zone_of_its_region() {
     let mut subject = with_zones(30);
     for thing in 0..40 {
-        let grant = granted(subject.ask(&stream(thing), START));
+        let grant = granted(subject.dispatch(&stream(thing), START));
         let holder = holder(&grant).expect("a replica");
         let (source, held) = (zone_of(&grant.instance), zone_of(&holder));
         let far = zone(2);
@@ -102,7 +102,10 @@
     let mut not_offered = with_table(30, table_change(1), Features::ALL);
     for thing in 0..20 {
         for subject in [&mut switched_off, &mut not_offered] {
-            assert_eq!(granted(subject.ask(&stream(thing), START)).replica, None);
+            assert_eq!(
+                granted(subject.dispatch(&stream(thing), START)).replica,
+                None
+            );
         }
     }
 }
@@ -120,22 +123,25 @@
         ..stream(3)
     };
     for demand in [may_retry, no_stream, short] {
-        assert_eq!(granted(subject.ask(&demand, START)).replica, None);
+        assert_eq!(granted(subject.dispatch(&demand, START)).replica, None);
     }
 }
 
 #[test]
 fn a_longer_stream_is_replicated_while_streams_are_lost_and_some_seconds_longer() {
     let mut subject = with_zones(12);
-    assert_eq!(granted(subject.ask(&longer_stream(0), START)).replica, None);
+    assert_eq!(
+        granted(subject.dispatch(&longer_stream(0), START)).replica,
+        None
+    );
     for thing in 1..=60 {
-        let grant = granted(subject.ask(&longer_stream(thing), START));
+        let grant = granted(subject.dispatch(&longer_stream(thing), START));
         let outcome = if thing % 5 == 0 {
             Outcome::IncompleteResponse
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     let mut now = START;
     let mut is_replicated_after = |subject: &mut Dispatcher, ticks: u64| {
@@ -143,8 +149,8 @@
             now = now + TICK;
             subject.tick(now);
         }
-        let grant = granted(subject.ask(&longer_stream(100), now));
-        subject.end(grant.lease, Outcome::Abandoned, now);
+        let grant = granted(subject.dispatch(&longer_stream(100), now));
+        subject.release(grant.lease, Outcome::Abandoned, now);
         grant.replica.is_some()
     };
     assert!(is_replicated_after(&mut subject, 10));
@@ -167,7 +173,7 @@
             ),
             ..stream(thing)
         };
-        let grant = granted(subject.ask(&demand, START));
+        let grant = granted(subject.dispatch(&demand, START));
         let holder = holder(&grant).expect("a replica");
         assert_eq!(
             (zone_of(&grant.instance), zone_of(&holder)),
@@ -187,15 +193,15 @@
     };
     // A loss is certain enough that bytes don't matter.
     for thing in 0..30 {
-        let grant = granted(subject.ask(&stream(thing), START));
-        subject.end(grant.lease, Outcome::IncompleteResponse, START);
+        let grant = granted(subject.dispatch(&stream(thing), START));
+        subject.release(grant.lease, Outcome::IncompleteResponse, START);
     }
     let now = START + Span::from_milliseconds(500);
     for _ in 0..5 {
         subject.tick(now);
     }
     let replicas = (100..110).filter(|thing| {
-        let decision = subject.ask(&large(*thing), now);
+        let decision = subject.dispatch(&large(*thing), now);
         matches!(decision, Decision::Grant(grant) if grant.replica.is_some())
     });
     let count = replicas.count();
@@ -206,23 +212,23 @@
 fn a_replica_is_released_with_its_run() {
     let mut subject = with_zones(2);
     for thing in 0..3_000 {
-        let grant = granted(subject.ask(&stream(thing), START));
+        let grant = granted(subject.dispatch(&stream(thing), START));
         assert!(grant.replica.is_some(), "{thing}");
-        subject.end(grant.lease, Outcome::Completed, START);
+        subject.release(grant.lease, Outcome::Completed, START);
     }
 }
 
 fn takeover(holder: &InstanceId) -> Demand {
     Demand {
-        only: Some(holder.clone()),
+        required_instance: Some(holder.clone()),
         is_retry: true,
         ..stream(1)
     }
 }
 
 fn lost(subject: &mut Dispatcher, now: Timestamp) -> InstanceId {
-    let grant = granted(subject.ask(&stream(1), now));
-    subject.end(grant.lease, Outcome::IncompleteResponse, now);
+    let grant = granted(subject.dispatch(&stream(1), now));
+    subject.release(grant.lease, Outcome::IncompleteResponse, now);
     holder(&grant).expect("a replica")
 }
 
@@ -230,14 +236,17 @@
 fn the_holder_takes_a_lost_run_over_and_is_not_replicated_again() {
     let mut subject = with_zones(30);
     let holder = lost(&mut subject, START);
-    let grant = granted(subject.ask(&takeover(&holder), START));
+    let grant = granted(subject.dispatch(&takeover(&holder), START));
     assert_eq!((grant.instance, grant.replica), (holder, None));
 }
 
 #[test]
 fn a_holder_that_is_gone_leaving_or_ejected_takes_nothing_over() {
     let refused = |subject: &mut Dispatcher, holder: &InstanceId| {
-        matches!(subject.ask(&takeover(holder), START), Decision::Refuse(..))
+        matches!(
+            subject.dispatch(&takeover(holder), START),
+            Decision::Refuse(..)
+        )
     };
     let mut subject = with_zones(30);
     let holder = lost(&mut subject, START);
@@ -251,8 +260,8 @@
 
     let mut subject = with_zones(30);
     let holder = lost(&mut subject, START);
-    let grant = granted(subject.ask(&takeover(&holder), START));
-    subject.end(grant.lease, Outcome::Unreachable, START);
+    let grant = granted(subject.dispatch(&takeover(&holder), START));
+    subject.release(grant.lease, Outcome::Unreachable, START);
     assert!(refused(&mut subject, &holder), "ejected");
 
     let mut subject = with_zones(30);
@@ -262,10 +271,10 @@
 #[test]
 fn an_engine_is_unheard_once_it_is_ejected_or_not_listed() {
     let mut subject = with_zones(30);
-    let grant = granted(subject.ask(&stream(1), START));
+    let grant = granted(subject.dispatch(&stream(1), START));
     let instance = grant.instance.clone();
     assert!(!subject.is_presumed_down(&instance, START));
-    subject.end(grant.lease, Outcome::Unreachable, START);
+    subject.release(grant.lease, Outcome::Unreachable, START);
     assert!(subject.is_presumed_down(&instance, START));
     assert!(subject.is_presumed_down(&InstanceId::from("engine-99"), START));
 }
@@ -277,10 +286,10 @@
     for number in 0..60 {
         let engine = InstanceId::from(format!("engine-{}", number % 6));
         let only = Demand {
-            only: Some(engine.clone()),
+            required_instance: Some(engine.clone()),
             ..stream(number)
         };
-        let Decision::Grant(grant) = subject.ask(&only, START) else {
+        let Decision::Grant(grant) = subject.dispatch(&only, START) else {
             continue;
         };
         let outcome = if engine == dead {
@@ -288,14 +297,14 @@
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     // Its ejection is over, and it looks empty.
     let later = START + Span::from_milliseconds(1_500);
     let holders = (400..440).filter_map(|thing| {
-        let grant = granted(subject.ask(&stream(thing), later));
+        let grant = granted(subject.dispatch(&stream(thing), later));
         let found = holder(&grant);
-        subject.end(grant.lease, Outcome::Completed, later);
+        subject.release(grant.lease, Outcome::Completed, later);
         found
     });
     let holders: Vec<InstanceId> = holders.collect();
@@ -312,10 +321,10 @@
     for number in 0..120 {
         let engine = InstanceId::from(format!("engine-{}", number % 6));
         let only = Demand {
-            only: Some(engine.clone()),
+            required_instance: Some(engine.clone()),
             ..stream(number)
         };
-        let Decision::Grant(grant) = subject.ask(&only, START) else {
+        let Decision::Grant(grant) = subject.dispatch(&only, START) else {
             continue;
         };
         let outcome = if engine == dead && number >= 60 {
@@ -323,12 +332,12 @@
         } else {
             Outcome::Completed
         };
-        subject.end(grant.lease, outcome, START);
+        subject.release(grant.lease, outcome, START);
     }
     // Its ejection is over, the others have work, and it looks empty.
     let later = START + Span::from_milliseconds(1_500);
     let holders = (400..440).map(|thing| {
-        let grant = granted(subject.ask(&stream(thing), later));
+        let grant = granted(subject.dispatch(&stream(thing), later));
         holder(&grant).expect("a replica")
     });
     assert!(!holders.collect::<Vec<_>>().contains(&dead));
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -23,8 +23,8 @@
 fn place(subject: &mut Dispatcher, requests: u64) -> Vec<usize> {
     let prompts = 1..=requests;
     let place = |prompt| {
-        let grant = granted(subject.ask(&demand(prompt, SHARED, 100), START));
-        subject.end(grant.lease, eiderferry_dispatch::Outcome::Completed, START);
+        let grant = granted(subject.dispatch(&demand(prompt, SHARED, 100), START));
+        subject.release(grant.lease, eiderferry_dispatch::Outcome::Completed, START);
         engine_number(&grant)
     };
     prompts.map(place).collect()
@@ -98,7 +98,11 @@
 
 fn place_at(subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
     let prompts = 1..=REQUESTS;
-    let place = |prompt| engine_number(&granted(subject.ask(&demand(prompt, SHARED, 100), now)));
+    let place = |prompt| {
+        engine_number(&granted(
+            subject.dispatch(&demand(prompt, SHARED, 100), now),
+        ))
+    };
     prompts.map(place).collect()
 }
 
@@ -108,10 +112,10 @@
 fn an_engine_that_holds_a_prompt_is_found_in_a_large_pool() {
     let mut subject = with_engines(MANY);
     let prompt = demand(7, SHARED, 100);
-    let home = granted(subject.ask(&prompt, START));
+    let home = granted(subject.dispatch(&prompt, START));
     let mut elsewhere = prompt.clone();
     elsewhere.excluded.push(home.instance.clone());
-    let holder = granted(subject.ask(&elsewhere, START));
+    let holder = granted(subject.dispatch(&elsewhere, START));
     let gone = Change {
         key: DocumentKey::BackEnd(home.instance.clone()),
         revision: 3.into(),
@@ -119,7 +123,7 @@
     };
     subject.apply(gone, START);
     let later = START + Span::from_milliseconds(5_000);
-    let third = granted(subject.ask(&prompt, later));
+    let third = granted(subject.dispatch(&prompt, later));
     let is_kept = third.instance == holder.instance || third.copy_from == Some(holder.address);
     assert!(is_kept, "{third:?} does not use {holder:?}");
 }
@@ -130,8 +134,8 @@
     let mut subject = with_engines(MANY);
     for number in 0..REQUESTS as usize {
         let mut takeover = demand(1 + number as u64, SHARED, 100);
-        takeover.only = Some(InstanceId::from(format!("engine-{number}")));
-        let grant = granted(subject.ask(&takeover, START));
+        takeover.required_instance = Some(InstanceId::from(format!("engine-{number}")));
+        let grant = granted(subject.dispatch(&takeover, START));
         assert_eq!(engine_number(&grant), number);
     }
 }
@@ -146,7 +150,7 @@
     subject.confirm(&known(3), START);
     let counted = allocation_counter::measure(|| {
         let announcement = subject.announce(true, START);
-        let news = announcement.message.news.expect("the change");
+        let news = announcement.message.recent_changes.expect("the change");
         assert_eq!(news.changes.len(), 1);
     });
     counted.count_total
@@ -169,7 +173,7 @@
         subject.apply(back_end_change(back_end(&name, number, 0), 3), START);
     }
     subject.confirm(&known(3), START);
-    let news = subject.announce(true, START).message.news?;
+    let news = subject.announce(true, START).message.recent_changes?;
     Some(news.changes.into_iter().map(|change| change.key).collect())
 }
 
--- a/crates/coordination/dispatch/tests/streams_apart.rs
+++ b/crates/coordination/dispatch/tests/streams_apart.rs
@@ -26,7 +26,7 @@
 
 /// Places so many streams.
 fn place_streams(subject: &mut Dispatcher, streams: u64, now: Timestamp) -> Vec<Grant> {
-    let placed = (0..streams).map(|thing| granted(subject.ask(&sensitive(thing), now)));
+    let placed = (0..streams).map(|thing| granted(subject.dispatch(&sensitive(thing), now)));
     placed.collect()
 }
 
@@ -38,13 +38,13 @@
         subject.tick(START + TICK * tick);
     }
     for grant in placed {
-        subject.end(grant.lease, Outcome::Completed, START + TICK * 20);
+        subject.release(grant.lease, Outcome::Completed, START + TICK * 20);
     }
     subject
 }
 
 fn engine_of(subject: &mut Dispatcher, demand: &Demand, now: Timestamp) -> String {
-    match subject.ask(demand, now) {
+    match subject.dispatch(demand, now) {
         Decision::Grant(grant) => grant.instance.as_str().to_owned(),
         refused => panic!("{refused:?}"),
     }
--- a/crates/coordination/dispatch/tests/support/limits.rs
+++ b/crates/coordination/dispatch/tests/support/limits.rs
@@ -32,17 +32,17 @@
 pub fn answer_with(subject: &mut Dispatcher, number: usize, rate: Option<f64>, now: Timestamp) {
     let lease = lease_at(subject, number, now);
     subject.record_limit(lease, rate.map(limit), now);
-    subject.end(lease, Outcome::Completed, now);
+    subject.release(lease, Outcome::Completed, now);
 }
 
 /// A place at the engine of that number.
 pub fn lease_at(subject: &mut Dispatcher, number: usize, now: Timestamp) -> LeaseId {
     for thing in 0..200 {
-        let grant = granted(subject.ask(&demand(thing, 1_000, 100), now));
+        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
         if engine_number(&grant) == number {
             return grant.lease;
         }
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
     }
     panic!("engine {number} got nothing");
 }
@@ -52,11 +52,11 @@
     let ticks = (0..milliseconds / 100).filter(|tick| {
         let now = from + Span::from_milliseconds(tick * 100);
         subject.tick(now);
-        let decision = subject.ask(&demand(*tick, 1_000, 100), now);
+        let decision = subject.dispatch(&demand(*tick, 1_000, 100), now);
         let Decision::Grant(grant) = decision else {
             return false;
         };
-        subject.end(grant.lease, Outcome::Completed, now);
+        subject.release(grant.lease, Outcome::Completed, now);
         true
     });
     ticks.map(|tick| tick * 100).collect()
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -185,7 +185,7 @@
         address: node_address(number),
         seeds,
         incarnation: 1,
-        budget: BUDGET,
+        retry_budget: BUDGET,
         regions,
         features: Features::ALL,
     }
@@ -252,7 +252,7 @@
         may_retry: true,
         is_retry: false,
         is_stream: true,
-        only: None,
+        required_instance: None,
     }
 }
 
@@ -520,9 +520,9 @@
             self.fetch_wanted(to, Some(node_address(from)));
         }
         let known = self.nodes[to].document_store().complete_to();
-        let is_taken = |news: &ReceivedChange| news.applied == ApplyOutcome::Applied;
+        let is_taken = |news: &ReceivedChange| news.outcome == ApplyOutcome::Applied;
         let is_covered = |news: &ReceivedChange| known.covers(news.revision);
-        let changes = &received.taken;
+        let changes = &received.changes;
         // A change that stays uncovered would be announced back and forth without end.
         let is_new = changes.iter().any(is_taken);
         if is_new || !changes.is_empty() && changes.iter().all(is_covered) {
--- a/crates/state/routing/src/regions.rs
+++ b/crates/state/routing/src/regions.rs
@@ -31,7 +31,7 @@
 
     /// Whether a request may run in a zone. Where the zone's region is not known, only one
     /// that may run anywhere does.
-    pub fn allow(&self, zone: &ZoneName, regions: &ZoneRegions) -> bool {
+    pub fn allows(&self, zone: &ZoneName, regions: &ZoneRegions) -> bool {
         match self {
             Self::Any => true,
             Self::Only(allowed) => regions
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -182,7 +182,7 @@
     /// A route.
     Found(&'a Route),
     /// No route begins the path.
-    Missing,
+    NoRoute,
 }
 
 impl RoutingTable {
@@ -239,7 +239,7 @@
         let mut routes = candidates.map(|index| &self.document.routes[*index]);
         match routes.find(|route| path.starts_with(&route.path_prefix)) {
             Some(route) => RouteMatch::Found(route),
-            None => RouteMatch::Missing,
+            None => RouteMatch::NoRoute,
         }
     }
 
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -58,7 +58,7 @@
 fn name_of(found: RouteMatch<'_>) -> Option<String> {
     match found {
         RouteMatch::Found(route) => Some(route.name.clone()),
-        RouteMatch::Missing => None,
+        RouteMatch::NoRoute => None,
     }
 }
 
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -94,7 +94,7 @@
         replica: None,
         status: 0,
         progress,
-        is_over: false,
+        is_finished: false,
     })
 }
 
@@ -127,7 +127,7 @@
                     AttemptEnd::Response(response) | AttemptEnd::FailedResponse(response) => {
                         response
                     }
-                    AttemptEnd::None(_) => LocalReply::AnswerLost.response(),
+                    AttemptEnd::None(_) => LocalReply::ResponseLost.response(),
                 };
             };
             self = exchange;
@@ -161,7 +161,7 @@
         match self.send(&lease).await {
             Err(outcome) => {
                 metrics::attempt(outcome.as_str());
-                lease.end(outcome);
+                lease.release(outcome);
                 (Some(self), AttemptEnd::None(outcome))
             }
             Ok((response, connection)) if is_event_stream(&response) => {
@@ -197,7 +197,7 @@
             }
         };
         metrics::attempt(outcome.as_str());
-        lease.end(outcome);
+        lease.release(outcome);
         AttemptEnd::None(outcome)
     }
 
@@ -215,7 +215,7 @@
             _ => Outcome::Completed,
         };
         metrics::attempt(outcome.as_str());
-        lease.end(outcome);
+        lease.release(outcome);
         if is_failure && self.head.route.may_retry() {
             AttemptEnd::FailedResponse(response)
         } else {
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -79,7 +79,7 @@
     }
 
     /// Asks for a back end; `None` if the control thread is gone.
-    pub async fn ask(&self, demand: Demand, is_first: bool) -> Option<Decision> {
+    pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
         let (reply, answer) = async_channel::bounded(1);
         let answer = PendingDecision::new(answer, self.clone());
         let command = Command::Ask {
@@ -100,7 +100,7 @@
         asked.await.is_ok() && answer.recv().await.unwrap_or(false)
     }
 
-    pub fn first_event(&self, lease: LeaseId) {
+    pub fn record_first_event(&self, lease: LeaseId) {
         self.tell(Command::FirstEvent(lease));
     }
 
@@ -108,7 +108,7 @@
         self.tell(Command::Noticed(lease, notice));
     }
 
-    pub fn end(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
+    pub fn release(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
         self.tell(Command::End(lease, outcome, pacing));
     }
 
@@ -174,7 +174,7 @@
     {
         events::back_end_leaving(&instance);
     }
-    if let Some(rest) = notice.rest {
+    if let Some(rest) = notice.backoff {
         dispatcher.record_backoff(source, rest, now);
     }
     match notice.limit {
@@ -223,20 +223,20 @@
                 if is_first {
                     dispatcher.count_request(&demand.pool, now);
                 }
-                let decision = dispatcher.ask(&demand, now);
+                let decision = dispatcher.dispatch(&demand, now);
                 if let Err(unheard) = reply.try_send(decision) {
                     give_back(unheard.into_inner(), |lease| {
-                        dispatcher.end(lease, Outcome::NotSent, now);
+                        dispatcher.release(lease, Outcome::NotSent, now);
                     });
                 }
             }
-            Command::FirstEvent(lease) => dispatcher.first_event(lease, now),
+            Command::FirstEvent(lease) => dispatcher.record_first_event(lease, now),
             Command::Noticed(lease, notice) => {
                 apply_notice(&mut dispatcher, lease.into(), notice, now);
             }
             Command::End(lease, outcome, pacing) => {
                 dispatcher.record_pacing(lease, &pacing);
-                let ended = dispatcher.end(lease, outcome, now);
+                let ended = dispatcher.release(lease, outcome, now);
                 for (instance, change) in &ended.health_changes {
                     events::back_end_standing(instance, *change, outcome);
                 }
@@ -350,7 +350,7 @@
             if let Some(change) = &received.change {
                 events::peer(change);
             }
-            self.follow_news(&received.taken);
+            self.follow_news(&received.changes);
             self.note_quarantine(&received.quarantine_changes, now);
             if received.wants_reply {
                 let message = self.dispatcher.borrow_mut().answer(from, now);
@@ -436,7 +436,7 @@
         for change in changes {
             let now = self.clock.now();
             let taken = self.dispatcher.borrow_mut().apply(change, now);
-            is_news |= taken.applied == ApplyOutcome::Applied;
+            is_news |= taken.outcome == ApplyOutcome::Applied;
             events::document(&taken, source);
         }
         if !is_news {
@@ -470,7 +470,7 @@
         }
         if taken
             .iter()
-            .any(|news| news.applied == ApplyOutcome::Applied)
+            .any(|news| news.outcome == ApplyOutcome::Applied)
         {
             self.announce(false);
         }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -90,7 +90,7 @@
 /// to it.
 pub(crate) fn rate_limit(change: &LimitChange) {
     let back_end = change.instance.as_str();
-    let Some((limit, role)) = change.stands else {
+    let Some((limit, role)) = change.state else {
         log::info!(event = "back_end_unlimited", back_end = back_end; "a rate limit is over");
         return;
     };
@@ -194,7 +194,7 @@
 
 /// A document was taken, or refused.
 pub(crate) fn document(news: &ReceivedChange, source: &'static str) {
-    for unknown in &news.unknown {
+    for unknown in &news.unknown_names {
         unknown_name(news, unknown);
     }
     let (kind, revision) = (news.kind, news.revision);
@@ -203,7 +203,7 @@
         DocumentKey::BackEnd(instance) => instance.as_str(),
         DocumentKey::Evacuation(zone) => zone.as_str(),
     };
-    match &news.applied {
+    match &news.outcome {
         ApplyOutcome::AlreadyKnown => {}
         ApplyOutcome::Withheld => log::info!(
             event = "document_withheld", item = item, revision:% = revision, source = source;
@@ -228,7 +228,7 @@
         HealthChange::Restored => ("back_end_restored", Span::ZERO),
     };
     log::warn!(
-        event = event, back_end = instance.as_str(), remaining_ms = span.milliseconds(),
+        event = event, back_end = instance.as_str(), for_ms = span.milliseconds(),
         after = outcome.as_str();
         "standing changed"
     );
@@ -241,13 +241,13 @@
 /// What an engine told of its cache corrected what was believed, or has a gap.
 pub(crate) fn cache_updated(instance: &InstanceId, news: &CacheUpdate) {
     let counts = &news.counts;
-    if news.gone + news.kept == 0 && counts.listings > 0 && counts.answers > 0 {
+    if news.stale + news.missing == 0 && counts.listings > 0 && counts.responses > 0 {
         return;
     }
     log::info!(
-        event = "cache_told", back_end = instance.as_str(), gone = news.gone, kept = news.kept,
+        event = "cache_told", back_end = instance.as_str(), gone = news.stale, kept = news.missing,
         followed_ms = news.followed_for.milliseconds(), listings = counts.listings,
-        answers = counts.answers, gaps = counts.gaps, vain = counts.vain;
+        answers = counts.responses, gaps = counts.gaps, vain = counts.failed_calls;
         "an engine told what it keeps"
     );
 }
@@ -324,7 +324,7 @@
 pub(crate) fn back_end_notice(id: &str, back_end: &InstanceId, notice: Notice) {
     log::info!(
         event = "back_end_notice", request = id, back_end = back_end.as_str(),
-        leaving = notice.is_leaving, rest_ms = notice.rest.unwrap_or_default().milliseconds(),
+        leaving = notice.is_leaving, rest_ms = notice.backoff.unwrap_or_default().milliseconds(),
         limit:% = notice.limit;
         "an answer says something of its back end"
     );
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -75,7 +75,7 @@
     pub replica: Option<RunReplica>,
     pub status: u16,
     pub progress: Progress,
-    pub is_over: bool,
+    pub is_finished: bool,
 }
 
 impl Exchange {
@@ -93,7 +93,7 @@
         if let Some(response) = fallback {
             return self.forward(response);
         }
-        self.is_over = true;
+        self.is_finished = true;
         let elapsed = self.elapsed();
         events::answered_here(&self.head.id, &answer, elapsed);
         metrics::local_reply(answer.reason());
@@ -103,7 +103,7 @@
 
     /// Notes how the request ended.
     pub fn end(&mut self, how: &'static str) {
-        if std::mem::replace(&mut self.is_over, true) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let elapsed = self.elapsed();
@@ -120,7 +120,7 @@
             return if self.traffic.clock.now() >= self.deadline {
                 LocalReply::TimedOut
             } else {
-                LocalReply::AnswerLost
+                LocalReply::ResponseLost
             };
         }
         let reason = match outcome {
@@ -163,10 +163,10 @@
             may_retry: self.head.route.may_retry(),
             is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
-            only,
+            required_instance: only,
         };
         let is_first = self.attempts == 0 && self.unreachable == 0;
-        let decision = self.traffic.control.ask(demand, is_first).await;
+        let decision = self.traffic.control.dispatch(demand, is_first).await;
         match decision {
             Some(Decision::Grant(grant)) => {
                 let head = &self.head;
@@ -200,7 +200,7 @@
     pub fn refuse_crashing(&self, lasts: Span) -> LocalReply {
         LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
-            lasts,
+            duration: lasts,
             verdict: self.verdict(),
         })
     }
@@ -225,7 +225,7 @@
             return self.refuse_crashing(retry_after);
         }
         if self.may_have_run {
-            LocalReply::AnswerLost
+            LocalReply::ResponseLost
         } else {
             LocalReply::NotRun(reason, retry_after)
         }
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -69,7 +69,7 @@
     /// Gives the place of an attempt back that got no answer.
     async fn end_failed(&self, lease: Lease, outcome: Outcome) {
         let (back_end, address) = (lease.grant.instance.clone(), lease.grant.address);
-        lease.end(outcome);
+        lease.release(outcome);
         self.record_failed_attempt(&back_end, address, outcome)
             .await;
     }
@@ -88,12 +88,12 @@
                 Ok((lease, response, connection))
             }
             Ok(_) => {
-                lease.end(Outcome::Failed);
+                lease.release(Outcome::Failed);
                 Err(Outcome::Failed.as_str())
             }
             Err(Outcome::Shed) => {
                 // It has no replica, which says nothing of its health.
-                lease.end(Outcome::Abandoned);
+                lease.release(Outcome::Abandoned);
                 Err("no_replica")
             }
             Err(outcome) => {
@@ -143,7 +143,7 @@
                     self.take_source(lease, response, connection);
                     return true;
                 }
-                Ok(_) => lease.end(Outcome::Failed),
+                Ok(_) => lease.release(Outcome::Failed),
                 Err(outcome) => self.exchange.end_failed(lease, outcome).await,
             }
         }
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -38,18 +38,18 @@
 
     /// The whole answer came.
     pub fn first_event(&self) {
-        self.control.first_event(self.grant.lease);
+        self.control.record_first_event(self.grant.lease);
     }
 
     /// Gives the place back.
-    pub fn end(self, outcome: Outcome) {
+    pub fn release(self, outcome: Outcome) {
         self.end_stream(outcome, StreamPacing::default());
     }
 
     /// Gives the place of a stream back, with how its events came.
     pub fn end_stream(mut self, outcome: Outcome, pacing: StreamPacing) {
         self.is_over = true;
-        self.control.end(self.grant.lease, outcome, pacing);
+        self.control.release(self.grant.lease, outcome, pacing);
     }
 }
 
@@ -57,7 +57,7 @@
     fn drop(&mut self) {
         if !self.is_over {
             let (lease, pacing) = (self.grant.lease, StreamPacing::default());
-            self.control.end(lease, Outcome::Abandoned, pacing);
+            self.control.release(lease, Outcome::Abandoned, pacing);
         }
     }
 }
--- a/crates/transport/relay/src/local_reply.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -23,7 +23,7 @@
     /// What the request needs does not fit in memory; nothing of it has run.
     NoMemory(Span),
     /// The request may have run; its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// The time of the request's route has passed; it may have run.
     TimedOut,
     /// Back ends crash under the request; it is not sent to any more of them.
@@ -35,7 +35,7 @@
 pub(crate) struct CrashRefusal {
     pub digest: RequestDigest,
     /// Time for which it is refused.
-    pub lasts: Span,
+    pub duration: Span,
     /// Whether this attempt of the caller's had reached a back end before.
     pub verdict: Verdict,
 }
@@ -48,7 +48,7 @@
             LocalReply::BadHeader(_) | LocalReply::BodyBroken => StatusCode::BAD_REQUEST,
             LocalReply::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             LocalReply::NotRun(..) | LocalReply::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
-            LocalReply::AnswerLost => StatusCode::BAD_GATEWAY,
+            LocalReply::ResponseLost => StatusCode::BAD_GATEWAY,
             LocalReply::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             // Neither 503, which asks the caller to come again, nor 4xx, which says that the
             // request breaks a rule of the interface.
@@ -65,7 +65,7 @@
             LocalReply::BodyBroken => "body_broken",
             LocalReply::NotRun(reason, _) => reason.as_str(),
             LocalReply::NoMemory(_) => "memory",
-            LocalReply::AnswerLost => "answer_lost",
+            LocalReply::ResponseLost => "answer_lost",
             LocalReply::TimedOut => "timed_out",
             LocalReply::CrashesBackEnds(_) => Reason::CrashesBackEnds.as_str(),
         }
@@ -73,7 +73,7 @@
 
     pub fn verdict(&self) -> Verdict {
         match self {
-            LocalReply::AnswerLost | LocalReply::TimedOut => Verdict::MayHaveRun,
+            LocalReply::ResponseLost | LocalReply::TimedOut => Verdict::MayHaveRun,
             LocalReply::CrashesBackEnds(crashes) => crashes.verdict,
             _ => Verdict::NotRun,
         }
@@ -100,7 +100,7 @@
                 "{}: back ends crashed each time that this request ran; it is refused for {:.0} s \
                  (digest {})\n",
                 self.reason(),
-                crashes.lasts.seconds(),
+                crashes.duration.seconds(),
                 crashes.digest
             ),
             _ => format!("{}\n", self.reason()),
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -204,7 +204,7 @@
     metrics::gauge!("eiderferry_caches_followed").set(snapshot.caches_followed as f64);
     let counts = &snapshot.cache_counts;
     metrics::counter!("eiderferry_cache_listings_total").absolute(counts.listings);
-    metrics::counter!("eiderferry_cache_answers_total").absolute(counts.answers);
+    metrics::counter!("eiderferry_cache_answers_total").absolute(counts.responses);
     metrics::counter!("eiderferry_cache_events_total").absolute(counts.events);
     metrics::counter!("eiderferry_cache_gaps_total").absolute(counts.gaps);
     metrics::counter!("eiderferry_cache_corrections_total").absolute(counts.corrections);
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -88,7 +88,7 @@
             address: settings.peer,
             seeds: settings.seeds.clone(),
             incarnation: rand::random(),
-            budget: settings.budget,
+            retry_budget: settings.retry_budget,
             propagation_deadline: settings.propagation_deadline,
             cold_rate_limit: settings.cold_rate_limit,
             regions: settings.regions.clone(),
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -18,7 +18,7 @@
     /// It is leaving.
     pub is_leaving: bool,
     /// Time for which it wants nothing from this node.
-    pub rest: Option<Span>,
+    pub backoff: Option<Span>,
     /// Requests that it takes from all nodes together.
     pub limit: StatedLimit,
 }
@@ -60,7 +60,7 @@
         let rest = headers.get(RETRY_AFTER).filter(|_| turns_away);
         Self {
             is_leaving: leaving.is_some_and(|value| value.as_bytes() == b"1"),
-            rest: rest.and_then(read_backoff),
+            backoff: rest.and_then(read_backoff),
             limit: headers
                 .get(&vocabulary.rate_limit)
                 .map_or(StatedLimit::NotStated, read_limit),
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -34,7 +34,7 @@
         };
         give_back(unclaimed, |lease| {
             self.control
-                .end(lease, Outcome::NotSent, StreamPacing::default());
+                .release(lease, Outcome::NotSent, StreamPacing::default());
         });
     }
 }
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -33,7 +33,7 @@
     /// The answer to a request that this process can serve no longer.
     pub fn last_answer(&self) -> LocalReply {
         if self.was_sent.get() {
-            LocalReply::AnswerLost
+            LocalReply::ResponseLost
         } else {
             LocalReply::NotRun(Reason::Draining, STOPPING_RETRY)
         }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -91,7 +91,7 @@
     let host = text(&parts.headers, &HOST).unwrap_or_default();
     match table.route(host, parts.uri.path()) {
         RouteMatch::Found(route) => Ok(route),
-        RouteMatch::Missing => Err(LocalReply::NoRoute),
+        RouteMatch::NoRoute => Err(LocalReply::NoRoute),
     }
 }
 
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -171,7 +171,7 @@
         if notice.is_leaving {
             metrics::notice("leaving");
         }
-        if notice.rest.is_some() {
+        if notice.backoff.is_some() {
             metrics::notice("rest");
         }
         if matches!(notice.limit, StatedLimit::Stated(_)) {
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -35,7 +35,7 @@
     /// Other nodes' addresses, perhaps out of date.
     pub seeds: Vec<SocketAddr>,
     /// Bound of repeats over all nodes.
-    pub budget: RetryBudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
     /// Time within which a change that the platform has confirmed has to be in force.
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/running.rs
@@ -185,7 +185,7 @@
             metrics: None,
             peer,
             seeds: options.seeds,
-            budget: RetryBudgetSettings {
+            retry_budget: RetryBudgetSettings {
                 ratio: 0.2,
                 allowance: 400.0,
                 window: Span::from_milliseconds(10_000),
