--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -36,12 +36,12 @@
 use crate::load::registry::Registry;
 use crate::placement::locality::RoundTrips;
 use crate::placement::pool_split::PersistentSilence;
-use crate::placement::replication::LossChances;
+use crate::placement::replication::LossProbabilities;
 use crate::{
     ApplyOutcome, Change, ColdRateLimit, ColdRole, Distance, DocumentContent, DocumentKey,
     DocumentStore, Envelope, Features, Gossip, LeaseId, LimitChange, PeerChange, Peers, Placement,
     QuarantineChange, QuarantineCounts, RetryBudget, RetryBudgetSettings, Revision, SplitChange,
-    SplitFigures, VersionVector, WarmupChange,
+    SplitStats, VersionVector, WarmupChange,
 };
 use eiderferry_quarantine::Quarantine;
 use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, ZoneName, ZoneRegions};
@@ -151,11 +151,11 @@
     /// Back ends that are cold.
     pub cold: usize,
     /// Cold back ends to which this node may send.
-    pub cold_sender_for: usize,
+    pub cold_sending_to: usize,
     /// Back ends that have named a rate limit.
     pub limited: usize,
     /// Those of them to which this node sends.
-    pub limit_sender_for: usize,
+    pub limited_sending_to: usize,
     /// Whether this node aggregates for its zone.
     pub is_aggregator: bool,
     /// Other zones held to be cut off.
@@ -171,9 +171,9 @@
     /// Age of the youngest confirmation in seconds; infinite without any.
     pub confirmed_age_seconds: f64,
     /// The split of the largest pool that is split.
-    pub split: SplitFigures,
+    pub split: SplitStats,
     /// Engines whose caches this node follows.
-    pub caches_followed: usize,
+    pub followed_caches: usize,
     /// What following caches came to since the start.
     pub cache_counts: FollowCounts,
     /// Requests under which back ends crashed.
@@ -222,7 +222,7 @@
     /// Zones whose back ends get nothing new.
     evacuated: BTreeSet<ZoneName>,
     /// How likely a stream of each pool is to be lost.
-    losses: LossChances,
+    losses: LossProbabilities,
     quarantine: Quarantine,
     crash_news: CrashNews,
     /// Whether some back end was cold at the last tick.
@@ -273,7 +273,7 @@
             home_scopes: HomeScopes::default(),
             long_silent: PersistentSilence::default(),
             evacuated: BTreeSet::new(),
-            losses: LossChances::default(),
+            losses: LossProbabilities::default(),
             quarantine: Quarantine::default(),
             crash_news: CrashNews::default(),
             has_cold: false,
@@ -406,7 +406,7 @@
     /// A back end that started again holds nothing of what is known of the run before.
     fn forget_previous_run(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
-        if known.is_some_and(|known| back_end.is_other_run(&known.back_end)) {
+        if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
             self.cache_follows.forget(&back_end.instance);
             self.ended_lately.remove(&back_end.instance);
         }
@@ -518,11 +518,11 @@
             .map_or(Span::ZERO, |started| now.since(started))
     }
 
-    fn largest_split(&self) -> SplitFigures {
+    fn largest_split(&self) -> SplitStats {
         let splits = self.back_ends.splits().filter(|split| split.is_on());
-        let figures = splits.map(|split| split.figures());
-        figures
-            .max_by_key(|figures| figures.ranked_engines)
+        let stats = splits.map(|split| split.stats());
+        stats
+            .max_by_key(|stats| stats.ranked_engines)
             .unwrap_or_default()
     }
 
@@ -534,9 +534,9 @@
             let states = self.back_ends.all();
             states.filter(|state| state.warmup.role() == role).count()
         };
-        let cold_sender_for = count(ColdRole::Sender);
-        let (limited, limit_sender_for) = self.limit_counts();
-        let (caches_followed, cache_counts) = self.cache_counts();
+        let cold_sending_to = count(ColdRole::Sender);
+        let (limited, limited_sending_to) = self.limit_counts();
+        let (followed_caches, cache_counts) = self.cache_counts();
         Snapshot {
             live_peers: self.peers.live_count(),
             back_ends: self.back_ends.all().count(),
@@ -545,10 +545,10 @@
                 .all()
                 .filter(|state| state.health.is_ejected(now))
                 .count(),
-            cold: cold_sender_for + count(ColdRole::OtherNodes),
-            cold_sender_for,
+            cold: cold_sending_to + count(ColdRole::OtherNodes),
+            cold_sending_to,
             limited,
-            limit_sender_for,
+            limited_sending_to,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
             evacuated_zones: self.evacuated.len(),
@@ -561,7 +561,7 @@
             table_version: table.map_or(0, |table| table.version()),
             confirmed_age_seconds: age.map_or(f64::INFINITY, |age| age.seconds()),
             split: self.largest_split(),
-            caches_followed,
+            followed_caches,
             cache_counts,
             quarantine: self.quarantine.counts(),
             examined: self.examined,
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -109,7 +109,7 @@
     pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
         self.update_cache_follows(now);
         let placed = self.back_ends.drain_recent_placements();
-        self.recall_kept(placed.into_iter(), now);
+        self.restore_cached(placed.into_iter(), now);
         let follows = &mut self.cache_follows.indices;
         let due = follows.iter_mut().filter_map(|(instance, index)| {
             let state = self.back_ends.get(instance)?;
@@ -223,7 +223,7 @@
         cache.confirm(|part| index.holds(part).is_some(), now);
         index.record_corrections(facts.len(), now);
         let news = CacheUpdate::of(index, &facts, now);
-        self.tell_facts(&facts);
+        self.queue_observations(&facts);
         Some(news)
     }
 
@@ -245,7 +245,7 @@
     /// Parts turn out to be shared: the followed engines that hold them are known to keep them
     /// from now on. So the caches are known again with the first requests after a loss of all
     /// nodes, though no word of an engine tells which of its parts are shared.
-    pub(super) fn recall_kept(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
+    pub(super) fn restore_cached(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
         if self.cache_follows.indices.is_empty() {
             return;
         }
@@ -265,7 +265,7 @@
                 }
             }
         }
-        self.tell_facts(&recalled);
+        self.queue_observations(&recalled);
     }
 
     /// Looks at which engines to follow since the start.
@@ -283,15 +283,15 @@
     }
 
     /// Tells what engines themselves told, in place of what was said of these parts before.
-    fn tell_facts(&mut self, facts: &[Placement]) {
+    fn queue_observations(&mut self, facts: &[Placement]) {
         let key = |placement: &Placement| (placement.back_end, placement.part);
         self.placements
             .retain(|known| !facts.iter().any(|fact| key(fact) == key(known)));
-        self.tell_placements(facts);
+        self.queue_placements(facts);
     }
 
     /// Tells other nodes of parts with the next messages.
-    pub(super) fn tell_placements(&mut self, told: &[Placement]) {
+    pub(super) fn queue_placements(&mut self, told: &[Placement]) {
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
         let told = &told[..told.len().min(room)];
         self.placements.extend_from_slice(told);
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -108,7 +108,7 @@
             return refusal;
         }
         let shared = demand.shared_parts().iter().map(|part| part.id);
-        self.recall_kept(shared, now);
+        self.restore_cached(shared, now);
         let cold_start = self.cold_start(&demand.pool);
         let home_scope = self.home_scope(&demand.pool);
         let view = View {
@@ -168,7 +168,7 @@
         let Some(state) = self.back_ends.get_mut(instance) else {
             return false;
         };
-        let rounds = state.load.rounds_within(demand.target);
+        let rounds = state.load.batches_within(demand.target);
         let most = most.max(rounds * f64::from(candidate.slots));
         state.load.crowd(candidate.running, now) >= most
     }
@@ -212,7 +212,7 @@
         let digest = state.digest;
         let placements = placements(digest, demand.shared_parts());
         self.back_ends.record_holder(demand.shared_parts(), digest);
-        self.tell_placements(&placements);
+        self.queue_placements(&placements);
         let kept = self.replicate(demand, &plan.instance, now);
         let replica = kept.as_ref().map(|kept| Box::new(kept.target.clone()));
         let record = Lease {
@@ -388,7 +388,7 @@
         there
             .into_iter()
             .filter_map(|state| {
-                let change = state.health.suspect(now)?;
+                let change = state.health.eject_if_active(now)?;
                 Some((state.back_end.instance.clone(), change))
             })
             .collect()
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatcher, TICK};
 use crate::load::limit_notices::{Audience, NoticeOrigin};
-use crate::load::limiter::{PROBING_TURN, Share, probing_chance, senders};
+use crate::load::limiter::{PROBING_TURN, SenderShare, probing_probability, senders};
 use crate::{Gossip, LimitChange, LimitReport, LimitRole};
 use eiderferry_types::{Span, Timestamp};
 use rand::Rng;
@@ -35,7 +35,7 @@
     /// nothing is heard. Returns what has changed.
     pub(super) fn update_limit_roles(&mut self, now: Timestamp) -> Vec<LimitChange> {
         self.back_ends.expire_limits(now);
-        let limited = self.back_ends.with_limits();
+        let limited = self.back_ends.rate_limited();
         if limited.is_empty() {
             return Vec::new();
         }
@@ -59,14 +59,16 @@
                 let senders = senders(limit, max_known);
                 let place = nodes.place(digest, zone, senders);
                 let place = place.filter(|_| may_send)?;
-                Some(Share {
+                Some(SenderShare {
                     index: place,
                     senders,
                 })
             });
             let silent = state.limiter.stale_limit(now).filter(|_| has_turn);
             if let Some(limit) = silent
-                && self.random.random_bool(probing_chance(limit, max_known))
+                && self
+                    .random
+                    .random_bool(probing_probability(limit, max_known))
             {
                 state.limiter.begin_probing(now);
             }
@@ -77,7 +79,7 @@
 
     /// Back ends with a limit, and those of them to which this node sends.
     pub(super) fn limit_counts(&self) -> (usize, usize) {
-        let known = self.back_ends.with_limits();
+        let known = self.back_ends.rate_limited();
         let states = known
             .iter()
             .filter_map(|instance| self.back_ends.get(instance));
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -1,7 +1,7 @@
 //! Replicas of running streams: begun with a place, released with it.
 
 use super::Dispatcher;
-use crate::placement::replication::{holder, is_worth_replica, replica_tokens};
+use crate::placement::replication::{holder, replica_tokens, should_replicate};
 use crate::placement::view::View;
 use crate::{Demand, LeaseId, ReplicaTarget};
 use eiderferry_routing::{InstanceId, PoolName};
@@ -43,7 +43,7 @@
             now,
         };
         let state = self.back_ends.get(source)?;
-        if !is_worth_replica(demand, state.load.failure_share(now), &self.losses) {
+        if !should_replicate(demand, state.load.failure_share(now), &self.losses) {
             return None;
         }
         let target = holder(&self.back_ends, &view, demand, state, &mut self.random)?;
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -183,7 +183,7 @@
     /// What all nodes of this zone have at the back ends, as far as this one knows.
     fn loads_of_zone(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
-        let loads = states.map(|state| state.load.report_of_nodes(state.digest, now));
+        let loads = states.map(|state| state.load.report_of_zone(state.digest, now));
         busiest(loads.collect(), MOST_LOADS)
     }
 
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -501,7 +501,7 @@
     if revision.epoch == known_revision.epoch {
         return (revision > known_revision).then_some(new);
     }
-    if new.is_other_run(known) {
+    if new.is_different_run(known) {
         return (new.started_unix_ms > known.started_unix_ms).then_some(new);
     }
     // Draining is final for a run of a back end, so the draining entry is the newer one.
--- a/crates/coordination/dispatch/src/lib.rs
+++ b/crates/coordination/dispatch/src/lib.rs
@@ -47,4 +47,4 @@
 pub use load::rate_limit::RateLimit;
 pub use placement::candidate::{Candidate, choose};
 pub use placement::demand::{Decision, Demand, Grant, LeaseId, Outcome, PromptPart, ReplicaTarget};
-pub use placement::pool_split::{EngineNeed, PoolLoad, SplitChange, SplitFigures};
+pub use placement::pool_split::{EngineNeed, PoolLoad, SplitChange, SplitStats};
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -283,11 +283,11 @@
     }
 
     /// Times its slots that may be at a plain back end for a call to come within a target.
-    pub(crate) fn rounds_within(&self, target: Span) -> f64 {
+    pub(crate) fn batches_within(&self, target: Span) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return 1.0;
         }
-        self.crowding.rounds_within(target)
+        self.crowding.batches_within(target)
     }
 
     /// Prompt tokens of this node's requests that are still to be read there.
@@ -410,7 +410,7 @@
     }
 
     /// What the nodes have there that report to this one, and it itself, as one report.
-    pub(crate) fn report_of_nodes(&self, back_end: u32, now: Timestamp) -> LoadReport {
+    pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|counted| matches!(counted, Counted::Node(_)), now)
             .to_message(back_end, self.own_placed + self.placed_by_nodes)
     }
--- a/crates/coordination/dispatch/src/load/crowding.rs
+++ b/crates/coordination/dispatch/src/load/crowding.rs
@@ -49,7 +49,7 @@
     /// second that take 15 ms at the back end and 30 ms in all are 6.5 at once of 6 slots, and
     /// with 1.3 times the slots as the bound some 16 in 100 were refused though the back end was
     /// half idle. Where it is not, answers take longer and the bound falls.
-    pub fn rounds_within(&self, target: Span) -> f64 {
+    pub fn batches_within(&self, target: Span) -> f64 {
         let Some(answer_time) = self.answer_time.filter(|time| *time > Span::ZERO) else {
             return 1.0;
         };
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -179,16 +179,16 @@
     }
 
     /// The same for prompts so long that no longer one would make a difference.
-    pub fn chance_beside_long_prompts(&self, speed: &EngineSpeed, target: Span) -> f64 {
+    pub fn delay_probability_beside_long_prompts(&self, speed: &EngineSpeed, target: Span) -> f64 {
         self.chance_of_late_event(speed, target, Span(u64::MAX))
     }
 
     /// Part of the streams that the longest reading would make late which one of this
     /// length makes late, 0 to 1. Their targets are taken to lie at the longest pause:
     /// of those far above none is late, and far below there are few.
-    pub fn share_made_late(&self, speed: &EngineSpeed, reading: Span) -> f64 {
+    pub fn delayed_share(&self, speed: &EngineSpeed, reading: Span) -> f64 {
         let target = self.prefill_pause(speed).scaled(MIDDLE_OF_PAUSES);
-        let longest = self.chance_beside_long_prompts(speed, target);
+        let longest = self.delay_probability_beside_long_prompts(speed, target);
         self.chance_of_late_event(speed, target, reading) / longest
     }
 
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -119,7 +119,7 @@
     }
 
     /// Gives no work for a while on other evidence than an answer.
-    pub fn suspect(&mut self, now: Timestamp) -> Option<HealthChange> {
+    pub fn eject_if_active(&mut self, now: Timestamp) -> Option<HealthChange> {
         (!self.is_ejected(now)).then(|| self.eject(now))
     }
 }
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -153,7 +153,7 @@
 
 /// A run of a back end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Run {
+pub(crate) struct BackEndRun {
     /// Digest of its instance.
     pub back_end: u32,
     pub started_unix_ms: Option<u64>,
@@ -183,7 +183,7 @@
     /// back end whose notice gave way to it.
     pub fn record(
         &mut self,
-        run: Run,
+        run: BackEndRun,
         notice: LimitNotice,
         heard_from: NoticeOrigin,
         now: Timestamp,
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -79,7 +79,7 @@
 }
 
 /// Chance of each of so many nodes to have a turn at a back end of which nothing is heard.
-pub(crate) fn probing_chance(limit: RateLimit, nodes: usize) -> f64 {
+pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
     let turns = rate(limit) * PROBING_PART * PROBING_TURN.seconds();
     (turns / nodes.max(1) as f64).min(1.0)
 }
@@ -133,7 +133,7 @@
     }
 
     /// Renews this node's part in the limit; `share` tells it by the limit.
-    pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<Share>) {
+    pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<SenderShare>) {
         let before = std::mem::take(&mut self.role);
         let Some((limit, reported_at)) = self.limit_and_time() else {
             return;
@@ -184,7 +184,7 @@
 
 /// A sender's part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Share {
+pub(crate) struct SenderShare {
     /// Its place among the senders, from 0 on.
     pub index: usize,
     /// Number of senders.
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -10,7 +10,7 @@
 use crate::load::limiter::Limiter;
 use crate::load::notices::{Notice, Notices};
 use crate::load::pool_index::{HashGroups, PoolIndex};
-use crate::placement::planning::SENSITIVE_CHANCE;
+use crate::placement::planning::SENSITIVE_PROBABILITY;
 use crate::placement::pool_split::{PoolLoad, PoolSplit, RankedEngine, SplitChange};
 use crate::placement::stream_isolation::should_isolate_streams;
 use crate::{
@@ -234,7 +234,7 @@
             state.back_end.pool != back_end.pool
                 || state.back_end.address != back_end.address
                 || state.back_end.zone != back_end.zone
-                || back_end.is_other_run(&state.back_end)
+                || back_end.is_different_run(&state.back_end)
         });
         if starts_anew {
             self.remove(&instance);
@@ -346,7 +346,7 @@
 
     /// Notes the exposure of a request that was placed.
     pub fn record_exposure(&mut self, pool: &PoolName, exposure: f64) {
-        if exposure < SENSITIVE_CHANCE {
+        if exposure < SENSITIVE_PROBABILITY {
             return;
         }
         if let Some(split) = self.splits.get_mut(pool) {
@@ -386,7 +386,7 @@
             if split.update(&ranked, load, placed, seconds) {
                 changes.push(SplitChange {
                     pool: pool.clone(),
-                    figures: split.figures(),
+                    stats: split.stats(),
                 });
             }
         }
@@ -409,7 +409,7 @@
         }
         state.load.speed.learn(pacing);
         let split = self.splits.get(pool).filter(|split| split.is_on());
-        let was_apart = split.map(|split| split.is_for_streams(state.digest));
+        let was_apart = split.map(|split| split.serves_streams(state.digest));
         if let Some(model) = self.models.get_mut(pool) {
             match was_apart {
                 None => model.learn(pacing),
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -2,7 +2,7 @@
 
 use super::{Registry, instance_digest};
 use crate::LimitReport;
-use crate::load::limit_notices::{LimitNotices, NoticeOrigin, Run};
+use crate::load::limit_notices::{BackEndRun, LimitNotices, NoticeOrigin};
 use crate::load::limiter::{LimitNotice, interval_of};
 use crate::load::notices::Notice;
 use eiderferry_routing::{InstanceId, PoolName};
@@ -63,7 +63,7 @@
         notice: LimitNotice,
         now: Timestamp,
     ) {
-        let run = Run {
+        let run = BackEndRun {
             back_end: instance_digest(instance),
             started_unix_ms,
         };
@@ -83,7 +83,7 @@
                 limit: report.limit,
                 reported_at: now - age,
             };
-            let run = Run {
+            let run = BackEndRun {
                 back_end: report.back_end,
                 started_unix_ms: report.started_unix_ms,
             };
@@ -93,7 +93,7 @@
 
     fn record_limit_of(
         &mut self,
-        run: Run,
+        run: BackEndRun,
         notice: LimitNotice,
         heard_from: NoticeOrigin,
         now: Timestamp,
@@ -122,7 +122,7 @@
     }
 
     /// Back ends that have, or had lately, a limit, as far as they are listed.
-    pub fn with_limits(&self) -> Vec<InstanceId> {
+    pub fn rate_limited(&self) -> Vec<InstanceId> {
         let known = self.limit_notices.back_ends();
         let listed = known.filter_map(|digest| self.by_digest.get(&digest));
         listed.cloned().collect()
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -45,7 +45,7 @@
 /// Seed of the hash that chooses them.
 const STREAMING_SEED: u64 = 0x5354_5245_414d;
 /// Chance to come late beside long prompts from which on a stream is placed apart.
-pub(crate) const SENSITIVE_CHANCE: f64 = 0.15;
+pub(crate) const SENSITIVE_PROBABILITY: f64 = 0.15;
 /// Part of the streams that the longest reading makes late up to which a single reading counts
 /// as harmless to them: the prompt may be read beside streams.
 const HARMLESS_SHARE: f64 = 0.1;
@@ -166,7 +166,8 @@
         let by_load = registry.split(&demand.pool);
         let chance = registry.model(&demand.pool).zip(demand.event_gap_target);
         let is_exposed = chance.is_some_and(|(model, target)| {
-            model.chance_beside_long_prompts(&model.engine_speed(), target) >= SENSITIVE_CHANCE
+            model.delay_probability_beside_long_prompts(&model.engine_speed(), target)
+                >= SENSITIVE_PROBABILITY
         });
         let has_fixed_part =
             registry.isolates_streams(&demand.pool) || by_load.is_some_and(|split| split.is_full());
@@ -174,7 +175,7 @@
         let is_short = match (by_load, registry.model(&demand.pool)) {
             (Some(split), Some(model)) => {
                 let reading = split.prefill_time(demand.prompt_tokens);
-                model.share_made_late(&model.engine_speed(), reading) < HARMLESS_SHARE
+                model.delayed_share(&model.engine_speed(), reading) < HARMLESS_SHARE
             }
             _ => demand.prompt_tokens < SHORT_PROMPT_TOKENS,
         };
@@ -189,22 +190,22 @@
         }
     }
 
-    fn is_for_streams(&self, state: &BackEndState) -> Option<bool> {
+    fn serves_streams(&self, state: &BackEndState) -> Option<bool> {
         match self.rule {
             Rule::None => None,
             Rule::FixedPart => Some(is_in_fixed_part(state)),
-            Rule::ByLoad(split) => Some(split.is_for_streams(state.digest)),
+            Rule::ByLoad(split) => Some(split.serves_streams(state.digest)),
         }
     }
 
     /// Whether an engine is kept for requests like this.
     fn suits(&self, state: &BackEndState) -> bool {
-        self.is_for_streams(state)
-            .is_none_or(|is_for_streams| is_for_streams == self.is_sensitive)
+        self.serves_streams(state)
+            .is_none_or(|serves_streams| serves_streams == self.is_sensitive)
     }
 
     fn expected_long_readings(&self, state: &BackEndState) -> u32 {
-        match self.is_for_streams(state) {
+        match self.serves_streams(state) {
             Some(false) => EXPECTED_AT_HOMES,
             _ => 0,
         }
@@ -349,7 +350,7 @@
         uncached_tokens: uncached,
         unshared_tokens: demand.unshared_tokens(),
         exposure: exposure.map_or(0.0, |(model, target)| {
-            model.chance_beside_long_prompts(speed, target)
+            model.delay_probability_beside_long_prompts(speed, target)
         }),
         is_long_prefill: setting
             .model
@@ -395,8 +396,8 @@
     /// Streams that the newcomer's prompt makes late, in expectation.
     fn delayed_streams(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
         let together = Span(self.waiting.0 + self.own.0);
-        let after = model.share_made_late(&state.load.speed, together);
-        let before = model.share_made_late(&state.load.speed, self.waiting);
+        let after = model.delayed_share(&state.load.speed, together);
+        let before = model.delayed_share(&state.load.speed, self.waiting);
         exposed * (after - before).max(0.0)
     }
 }
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -126,7 +126,7 @@
 
 /// Figures of a split, for metrics and logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SplitFigures {
+pub struct SplitStats {
     /// Engines for long prompts; 0 while the pool is not split.
     pub prompt_engines: u32,
     /// All engines that are ranked.
@@ -170,7 +170,7 @@
     /// The pool.
     pub pool: PoolName,
     /// How they are split now.
-    pub figures: SplitFigures,
+    pub stats: SplitStats,
 }
 
 /// An engine in the ranking.
@@ -192,7 +192,7 @@
     rates_seen: u32,
     /// Exposure of a stream that is placed apart, on average.
     usual_exposure: Option<f64>,
-    figures: SplitFigures,
+    stats: SplitStats,
 }
 
 impl PoolSplit {
@@ -207,19 +207,19 @@
     ) -> bool {
         self.record_placed(placed, seconds);
         let exposure = self.usual_exposure.unwrap_or(1.0);
-        let need = EngineNeed::of(&load, self.figures.placed_rate, exposure);
+        let need = EngineNeed::of(&load, self.stats.placed_rate, exposure);
         let before = self.border;
         self.border = self.next_border(&load, &need);
         self.prompt_engines = match self.border {
             Some(steps) => first_of_ranking(engines, f64::from(steps) * STEP),
             None => HashSet::new(),
         };
-        self.figures = SplitFigures {
+        self.stats = SplitStats {
             prompt_engines: self.prompt_engines.len() as u32,
             ranked_engines: engines.len() as u32,
             need,
             load,
-            placed_rate: self.figures.placed_rate,
+            placed_rate: self.stats.placed_rate,
         };
         self.border != before
     }
@@ -232,7 +232,7 @@
             // split for the seconds in which the figure grows.
             self.rates_seen = self.rates_seen.saturating_add(u32::from(rate > 0.0));
             let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rates_seen.max(1)));
-            self.figures.placed_rate += weight * (rate - self.figures.placed_rate);
+            self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
         }
         self.placed_before = Some(placed);
     }
@@ -299,27 +299,25 @@
     }
 
     /// Whether an engine is kept for streams.
-    pub fn is_for_streams(&self, digest: u32) -> bool {
+    pub fn serves_streams(&self, digest: u32) -> bool {
         !self.prompt_engines.contains(&digest)
     }
 
     /// Time in which an engine of the pool reads so many tokens.
     pub fn prefill_time(&self, tokens: u32) -> Span {
-        let rate = self.figures.load.prefill_rate.max(1.0);
+        let rate = self.stats.load.prefill_rate.max(1.0);
         Span::from_seconds(f64::from(tokens) / rate)
     }
 
     /// Exposed streams that an engine for streams has on average.
     pub fn exposed_at_streams(&self) -> f64 {
-        let figures = &self.figures;
-        let engines = figures
-            .ranked_engines
-            .saturating_sub(figures.prompt_engines);
-        figures.load.exposed / f64::from(engines.max(1))
+        let stats = &self.stats;
+        let engines = stats.ranked_engines.saturating_sub(stats.prompt_engines);
+        stats.load.exposed / f64::from(engines.max(1))
     }
 
-    pub fn figures(&self) -> SplitFigures {
-        self.figures
+    pub fn stats(&self) -> SplitStats {
+        self.stats
     }
 }
 
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -40,11 +40,11 @@
 
 /// How likely a stream of each pool is to be lost, by what failed there lately at all nodes.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LossChances {
+pub(crate) struct LossProbabilities {
     chances: HashMap<PoolName, f64>,
 }
 
-impl LossChances {
+impl LossProbabilities {
     /// Takes in how requests ended lately; to be called twice a second.
     pub fn update(&mut self, registry: &Registry, now: Timestamp) {
         for pool in registry.pool_names() {
@@ -65,7 +65,11 @@
 
 /// Whether a request's run is worth a replica: a stream that no other attempt mends, and
 /// whose loss, by its chance, costs more than the replica's bytes.
-pub(crate) fn is_worth_replica(demand: &Demand, source_share: f64, chances: &LossChances) -> bool {
+pub(crate) fn should_replicate(
+    demand: &Demand,
+    source_share: f64,
+    chances: &LossProbabilities,
+) -> bool {
     let is_lost_for_good = demand.is_stream && !demand.may_retry;
     if !is_lost_for_good || demand.output_tokens < MINIMUM_OUTPUT_TOKENS {
         return false;
--- a/crates/coordination/dispatch/tests/engine_model.rs
+++ b/crates/coordination/dispatch/tests/engine_model.rs
@@ -32,7 +32,7 @@
 }
 
 fn chance(model: &PoolModel, speed: &EngineSpeed, target: u64) -> f64 {
-    model.chance_beside_long_prompts(speed, milliseconds(target))
+    model.delay_probability_beside_long_prompts(speed, milliseconds(target))
 }
 
 #[test]
@@ -88,7 +88,7 @@
 fn a_short_prompt_makes_fewer_streams_late_than_a_long_one() {
     let model = PoolModel::new(Some(&specification(3)));
     let speed = model.engine_speed();
-    let share = |reading| model.share_made_late(&speed, milliseconds(reading));
+    let share = |reading| model.delayed_share(&speed, milliseconds(reading));
     assert!(share(40) < 0.05);
     assert!(share(120) < 0.7);
     assert!((share(5_000) - 1.0).abs() < 0.001);
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{Decision, Demand, Features, Grant, Outcome, SplitFigures, StreamPacing};
+use eiderferry_dispatch::{Decision, Demand, Features, Grant, Outcome, SplitStats, StreamPacing};
 use eiderferry_types::{Span, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -283,7 +283,7 @@
         }
     }
 
-    fn splits(&self) -> Vec<SplitFigures> {
+    fn splits(&self) -> Vec<SplitStats> {
         let living = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
         living
             .map(|node| self.fleet.nodes[node].snapshot(self.fleet.now).split)
--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -31,7 +31,7 @@
 
 impl BackEnd {
     /// Whether this is another run than one listed before under the same name.
-    pub fn is_other_run(&self, before: &BackEnd) -> bool {
+    pub fn is_different_run(&self, before: &BackEnd) -> bool {
         !self.may_have_started(before.started_unix_ms)
     }
 
--- a/crates/state/routing/src/identity.rs
+++ b/crates/state/routing/src/identity.rs
@@ -55,7 +55,7 @@
     PoolName
 );
 text_identifier!(
-    /// Name of a back end. It may start again under its name: see `BackEnd::is_other_run`.
+    /// Name of a back end. It may start again under its name: see `BackEnd::is_different_run`.
     InstanceId
 );
 text_identifier!(
--- a/crates/state/routing/src/lib.rs
+++ b/crates/state/routing/src/lib.rs
@@ -9,17 +9,17 @@
 mod cold_start;
 mod error;
 mod identity;
+mod priority;
 mod regions;
 mod table;
-mod urgency;
 
 pub use back_end::{BackEnd, may_be_same_start};
 pub use cold_start::ColdStart;
 pub use error::TableError;
 pub use identity::{InstanceId, NodeName, PartId, PoolName, RegionName, ZoneName};
+pub use priority::PRIORITY_LEVELS;
 pub use regions::{AllowedRegions, ZoneRegions};
 pub use table::{
     EngineSpecification, Limits, Pool, ReplicaOffer, Route, RouteKind, RouteMatch, RoutingTable,
     Split, TableDocument, Tenant,
 };
-pub use urgency::URGENCY_LEVELS;
--- a/crates/state/routing/src/urgency.rs
+++ b/crates/state/routing/src/priority.rs
@@ -9,21 +9,21 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Levels that engines tell apart.
-pub const URGENCY_LEVELS: u8 = 10;
+pub const PRIORITY_LEVELS: u8 = 10;
 
 /// Places the ranks of routes, and those of tenants between them, on the levels.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct UrgencyScale {
+pub(crate) struct PriorityScale {
     levels_per_rank: u8,
 }
 
-impl UrgencyScale {
+impl PriorityScale {
     /// A scale that tells all ranks of these routes apart.
     pub fn of(routes: &[Route]) -> Self {
         let least_urgent = routes.iter().map(|route| route.rank).max().unwrap_or(0);
         let ranks = least_urgent.saturating_add(1);
         Self {
-            levels_per_rank: (URGENCY_LEVELS / ranks).max(1),
+            levels_per_rank: (PRIORITY_LEVELS / ranks).max(1),
         }
     }
 
@@ -33,7 +33,7 @@
         let level = route_rank
             .saturating_mul(self.levels_per_rank)
             .saturating_add(within);
-        level.min(URGENCY_LEVELS - 1)
+        level.min(PRIORITY_LEVELS - 1)
     }
 }
 
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -1,6 +1,6 @@
 //! The routing table: which request goes to which pool, and for whom.
 
-use crate::urgency::{PoolTiers, UrgencyScale};
+use crate::priority::{PoolTiers, PriorityScale};
 use crate::{AllowedRegions, ColdStart, PoolName, RegionName, TableError};
 use eiderferry_types::Span;
 use serde::{Deserialize, Serialize};
@@ -172,7 +172,7 @@
     document: TableDocument,
     routes_by_host: HashMap<String, Vec<usize>>,
     tenants_by_key: HashMap<String, usize>,
-    urgency: UrgencyScale,
+    priority: PriorityScale,
     tiers: PoolTiers,
 }
 
@@ -193,13 +193,13 @@
         }
         let tenants_by_key = index_keys(&document.tenants)?;
         let routes_by_host = index_routes(&document.routes);
-        let urgency = UrgencyScale::of(&document.routes);
+        let priority = PriorityScale::of(&document.routes);
         let tiers = PoolTiers::of(&document.routes);
         Ok(Self {
             document,
             routes_by_host,
             tenants_by_key,
-            urgency,
+            priority,
             tiers,
         })
     }
@@ -244,8 +244,8 @@
     }
 
     /// How urgent a request is to an engine; 0 is the most urgent.
-    pub fn urgency(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
-        self.urgency
+    pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
+        self.priority
             .level(route.rank, tenant.and_then(|tenant| tenant.rank))
     }
 
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -1,8 +1,8 @@
 //! Routes, splits, tenants and checks of a routing table.
 
 use eiderferry_routing::{
-    Limits, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable, Split, TableDocument,
-    TableError, Tenant, URGENCY_LEVELS,
+    Limits, PRIORITY_LEVELS, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable, Split,
+    TableDocument, TableError, Tenant,
 };
 use eiderferry_types::Span;
 use rstest::rstest;
@@ -194,14 +194,14 @@
 fn engines_learn_the_tier_of_the_route_first_and_of_the_tenant_second() {
     let routes = vec![ranked("chat", 0), ranked("terms", 1), ranked("notice", 2)];
     let table = RoutingTable::new(document(routes.clone())).expect("a table");
-    let level = |index: usize, rank| table.urgency(&routes[index], Some(&tenant(rank)));
+    let level = |index: usize, rank| table.priority(&routes[index], Some(&tenant(rank)));
     assert!(level(0, Some(0)) < level(0, Some(1)));
     assert!(
         level(0, Some(9)) < level(1, Some(0)),
         "the route comes first"
     );
     assert!(level(1, Some(9)) < level(2, None));
-    assert!(level(2, Some(9)) < URGENCY_LEVELS);
+    assert!(level(2, Some(9)) < PRIORITY_LEVELS);
 }
 
 #[test]
@@ -209,10 +209,10 @@
     let routes: Vec<Route> = (0..12).map(|rank| ranked("r", rank)).collect();
     let scale = RoutingTable::new(document(vec![ranked("a", 0), ranked("b", 11)]));
     let scale = scale.expect("a table");
-    let levels = routes.iter().map(|route| scale.urgency(route, None));
+    let levels = routes.iter().map(|route| scale.priority(route, None));
     let levels: Vec<u8> = levels.collect();
     assert!(levels.is_sorted());
-    assert!(levels.iter().all(|level| *level < URGENCY_LEVELS));
+    assert!(levels.iter().all(|level| *level < PRIORITY_LEVELS));
 }
 
 #[test]
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -53,12 +53,12 @@
     progress: Progress,
 ) -> Result<Exchange, (String, LocalReply)> {
     let (parts, body) = request.into_parts();
-    let id = request_id(&parts, &traffic.vocabulary);
+    let id = request_id(&parts, &traffic.header_names);
     let Some(table) = first_table(&traffic).await else {
         let answer = LocalReply::NotRun(Reason::NotReady, NOT_READY_RETRY);
         return Err((id, answer));
     };
-    let head = RequestHead::read(&parts, &table, &traffic.vocabulary)
+    let head = RequestHead::read(&parts, &table, &traffic.header_names)
         .map_err(|answer| (id.clone(), answer))?;
     let deadline = started + head.remaining;
     let limit = table.limits().maximum_body_bytes;
@@ -71,7 +71,7 @@
     let point = rand::random::<f64>();
     let pool = head.route.pool(point).cloned();
     let pool = pool.unwrap_or_else(|| PoolName::from(""));
-    let headers = forwarded_headers(&parts.headers, &traffic.vocabulary);
+    let headers = forwarded_headers(&parts.headers, &traffic.header_names);
     let digest = head.digest(&parts, &body);
     Ok(Exchange {
         traffic,
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -3,8 +3,8 @@
 
 use crate::control::Control;
 use crate::events;
+use crate::header_names::HeaderNames;
 use crate::notice::Notice;
-use crate::vocabulary::Vocabulary;
 use bytes::Bytes;
 use eiderferry_clock::duration;
 use eiderferry_dispatch::{CacheCall, CacheEvents, CacheListing, CacheResponse, DueCacheCall};
@@ -115,7 +115,7 @@
 /// Carries out the calls of this node.
 pub(crate) struct CacheFollower {
     protocol: CacheProtocol,
-    vocabulary: Vocabulary,
+    header_names: HeaderNames,
     executor: Rc<LocalExecutor<'static>>,
     /// One connection to each engine that is followed.
     resting: RefCell<HashMap<InstanceId, Connection>>,
@@ -124,12 +124,12 @@
 impl CacheFollower {
     pub fn new(
         protocol: CacheProtocol,
-        vocabulary: Vocabulary,
+        header_names: HeaderNames,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         Self {
             protocol,
-            vocabulary,
+            header_names,
             executor,
             resting: RefCell::default(),
         }
@@ -219,7 +219,7 @@
         let request = self.request(order)?;
         let response = connection.sender.send_request(request).await?;
         let status = response.status();
-        let notice = Notice::read(&response, &self.vocabulary);
+        let notice = Notice::read(&response, &self.header_names);
         let body = Limited::new(response.into_body(), MOST_BYTES);
         let body = body.collect().await?.to_bytes();
         self.resting
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -123,14 +123,14 @@
 /// The engines of a pool are split in another way than before. At most one line a pool and
 /// look at it, of two a second, and none while the load stays within a step.
 pub(crate) fn pool_split(change: &SplitChange) {
-    let figures = &change.figures;
+    let stats = &change.stats;
     log::info!(
         event = "pool_split", pool = change.pool.as_str(),
-        prompt_engines = figures.prompt_engines, engines = figures.ranked_engines,
-        usable = figures.load.engines, needed_prompts = figures.need.prompts,
-        needed_streams = figures.need.streams, running = figures.load.running,
-        exposed = figures.load.exposed, long_requests = figures.load.long_requests,
-        placed_per_s = figures.placed_rate, read_per_s = figures.load.prefill_rate;
+        prompt_engines = stats.prompt_engines, engines = stats.ranked_engines,
+        usable = stats.load.engines, needed_prompts = stats.need.prompts,
+        needed_streams = stats.need.streams, running = stats.load.running,
+        exposed = stats.load.exposed, long_requests = stats.load.long_requests,
+        placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
         "engines split between long prompts and streams"
     );
 }
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -4,13 +4,13 @@
 use crate::cancellation::Cancellations;
 use crate::control::{ControlHandle, SharedTable};
 use crate::forwarding::ForwardedRequest;
+use crate::header_names::HeaderNames;
 use crate::lease::Lease;
 use crate::local_reply::{CrashRefusal, LocalReply};
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::request_memory::Memory;
 use crate::upstream::Upstream;
-use crate::vocabulary::Vocabulary;
 use crate::{events, metrics};
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{Decision, Demand, Outcome, ReplicaTarget};
@@ -33,7 +33,7 @@
     pub memory: Rc<Memory>,
     pub control: ControlHandle,
     pub table: SharedTable,
-    pub vocabulary: Vocabulary,
+    pub header_names: HeaderNames,
     pub cancellations: Cancellations,
     pub clock: Clock,
 }
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -2,10 +2,10 @@
 //! connection.
 
 use crate::answer::RelayBody;
+use crate::header_names::HeaderNames;
 use crate::local_reply::LocalReply;
 use crate::memory_budget::{MemoryFull, MemoryKind};
 use crate::request_memory::RequestMemory;
-use crate::vocabulary::Vocabulary;
 use bytes::{Bytes, BytesMut};
 use eiderferry_dispatch::{Grant, Outcome};
 use eiderferry_types::Span;
@@ -43,7 +43,7 @@
 pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
     pub left: Span,
-    pub urgency: u8,
+    pub priority: u8,
     pub tenant: Option<&'a str>,
     pub last_event_id: Option<u64>,
     /// Replica from which the run is continued.
@@ -54,7 +54,7 @@
     /// The request for one attempt.
     pub fn attempt(
         &self,
-        vocabulary: &Vocabulary,
+        header_names: &HeaderNames,
         told: &AttemptContext<'_>,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
@@ -64,25 +64,28 @@
             }
         };
         set(
-            &vocabulary.remaining_ms,
+            &header_names.remaining_ms,
             &told.left.milliseconds().max(1).to_string(),
         );
-        set(&vocabulary.expected_instance, told.grant.instance.as_str());
-        set(&vocabulary.urgency, &told.urgency.to_string());
+        set(
+            &header_names.expected_instance,
+            told.grant.instance.as_str(),
+        );
+        set(&header_names.priority, &told.priority.to_string());
         if let Some(tenant) = told.tenant {
-            set(&vocabulary.tenant, tenant);
+            set(&header_names.tenant, tenant);
         }
         if let Some(address) = told.grant.copy_from {
-            set(&vocabulary.copy_from, &address.to_string());
+            set(&header_names.copy_from, &address.to_string());
         }
         if let Some(replica) = &told.grant.replica {
-            set(&vocabulary.replica_at, &replica.address.to_string());
+            set(&header_names.replica_at, &replica.address.to_string());
         }
         if let Some(replica) = &told.resume_from {
-            set(&vocabulary.resume_from, replica);
+            set(&header_names.resume_from, replica);
         }
         if let Some(id) = told.last_event_id {
-            set(&vocabulary.last_event_id, &id.to_string());
+            set(&header_names.last_event_id, &id.to_string());
         }
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -93,8 +96,8 @@
 }
 
 /// The request's identity, or nothing.
-pub(crate) fn request_id(parts: &Parts, vocabulary: &Vocabulary) -> String {
-    let value = parts.headers.get(&vocabulary.request_id);
+pub(crate) fn request_id(parts: &Parts, header_names: &HeaderNames) -> String {
+    let value = parts.headers.get(&header_names.request_id);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
@@ -140,12 +143,12 @@
 
 /// Headers passed on to back ends: without those that belong to the connection, and
 /// without those that this node alone sets.
-pub(crate) fn forwarded_headers(headers: &HeaderMap, vocabulary: &Vocabulary) -> HeaderMap {
-    let keeps = |name: &HeaderName| vocabulary.describes_request(name);
+pub(crate) fn forwarded_headers(headers: &HeaderMap, header_names: &HeaderNames) -> HeaderMap {
+    let keeps = |name: &HeaderName| header_names.describes_request(name);
     let mut forwarded = without_connection_headers(headers, keeps);
     forwarded.remove(header::AUTHORIZATION);
     forwarded.remove(header::CONTENT_LENGTH);
-    for name in vocabulary.set_by_node() {
+    for name in header_names.set_by_node() {
         forwarded.remove(name);
     }
     forwarded
--- a/crates/transport/relay/src/vocabulary.rs
+++ b/crates/transport/relay/src/header_names.rs
@@ -5,7 +5,7 @@
 
 /// Header names.
 #[derive(Clone, Debug)]
-pub struct Vocabulary {
+pub struct HeaderNames {
     /// Identity of a request; echoed by back ends.
     pub request_id: HeaderName,
     /// Milliseconds that remain to the caller, or to the back end.
@@ -15,7 +15,7 @@
     /// Tenant, as told to back ends.
     pub tenant: HeaderName,
     /// Level of urgency, as told to back ends; 0 is the most urgent.
-    pub urgency: HeaderName,
+    pub priority: HeaderName,
     /// A back end's word that it has not run the request.
     pub not_run: HeaderName,
     /// A back end's word, in any of its answers, that it is leaving.
@@ -44,14 +44,14 @@
     pub commands: Vec<HeaderName>,
 }
 
-impl Vocabulary {
+impl HeaderNames {
     /// Headers that this node alone sets on a request to a back end.
     pub(crate) fn set_by_node(&self) -> impl Iterator<Item = &HeaderName> {
         let told = [
             &self.tenant,
             &self.remaining_ms,
             &self.expected_instance,
-            &self.urgency,
+            &self.priority,
             &self.copy_from,
             &self.replica_at,
             &self.resume_from,
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! One control thread holds the dispatcher, talks to the other nodes and runs the
 //! source of documents; the traffic thread serves callers. What header names mean
-//! is told by a [`Vocabulary`], so that no platform's names stand here.
+//! is told by a [`HeaderNames`], so that no platform's names stand here.
 
 #![forbid(unsafe_code)]
 
@@ -21,6 +21,7 @@
 mod failover;
 mod forwarding;
 mod gossip;
+mod header_names;
 mod lease;
 mod local_reply;
 mod logging;
@@ -38,7 +39,6 @@
 mod settings;
 mod stream;
 mod upstream;
-mod vocabulary;
 mod whole_body;
 
 pub use cache_follower::{CacheProtocol, MalformedResponse};
@@ -48,9 +48,9 @@
 pub use events::{
     document_invalid, history_compacted, reloaded, source_lost, source_recovered, source_restored,
 };
+pub use header_names::HeaderNames;
 pub use logging::{LogBudget, LogQueue, start as start_logging};
 pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
 pub use node::{Relay, Source, StartError};
 pub use settings::{RelaySettings, StopSettings};
-pub use vocabulary::Vocabulary;
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -4,7 +4,7 @@
 //! routes, tenants or requests.
 
 use crate::memory_budget::MemoryBudget;
-use eiderferry_dispatch::{Distance, MessageKind, Snapshot, SplitFigures};
+use eiderferry_dispatch::{Distance, MessageKind, Snapshot, SplitStats};
 use eiderferry_routing::{Route, RouteKind};
 use eiderferry_types::Span;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
@@ -194,14 +194,14 @@
     metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected as f64);
     metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold as f64);
     metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited as f64);
-    metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limit_sender_for as f64);
-    metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sender_for as f64);
+    metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limited_sending_to as f64);
+    metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sending_to as f64);
     let aggregates = f64::from(u8::from(snapshot.is_aggregator));
     metrics::gauge!("eiderferry_aggregates").set(aggregates);
     metrics::gauge!("eiderferry_silent_zones").set(snapshot.silent_zones as f64);
     metrics::gauge!("eiderferry_evacuated_zones").set(snapshot.evacuated_zones as f64);
     metrics::gauge!("eiderferry_places").set(snapshot.leases as f64);
-    metrics::gauge!("eiderferry_caches_followed").set(snapshot.caches_followed as f64);
+    metrics::gauge!("eiderferry_caches_followed").set(snapshot.followed_caches as f64);
     let counts = &snapshot.cache_counts;
     metrics::counter!("eiderferry_cache_listings_total").absolute(counts.listings);
     metrics::counter!("eiderferry_cache_answers_total").absolute(counts.responses);
@@ -222,7 +222,7 @@
 }
 
 /// How the engines of the largest split pool are split, and what that rests on.
-fn set_split_gauges(split: &SplitFigures) {
+fn set_split_gauges(split: &SplitStats) {
     let stream_engines = split.ranked_engines.saturating_sub(split.prompt_engines);
     for (side, engines, needed) in [
         ("prompts", split.prompt_engines, split.need.prompts),
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -99,13 +99,16 @@
         let cancellations = Cancellations::default();
         let told = cancellations.clone();
         let peer = settings.peer;
-        let (cache_protocol, vocabulary) =
-            (settings.cache_protocol.clone(), settings.vocabulary.clone());
+        let (cache_protocol, header_names) = (
+            settings.cache_protocol.clone(),
+            settings.header_names.clone(),
+        );
         let thread = std::thread::Builder::new().name("control".to_owned());
         thread
             .spawn(move || {
                 let control = Control::new(dispatcher, clock, shared, socket, told, peer);
-                let follower = |executor| CacheFollower::new(cache_protocol, vocabulary, executor);
+                let follower =
+                    |executor| CacheFollower::new(cache_protocol, header_names, executor);
                 run_control(Rc::new(control), commands, listener, follower, source);
             })
             .map_err(StartError::Thread)?;
@@ -141,7 +144,7 @@
             memory: Memory::new(Arc::clone(&self.memory)),
             control: self.control.clone(),
             table: Arc::clone(&self.table),
-            vocabulary: self.settings.vocabulary.clone(),
+            header_names: self.settings.header_names.clone(),
             cancellations: self.cancellations.clone(),
             clock: self.clock,
         });
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -1,6 +1,6 @@
 //! What a back end says of itself in the head of an answer.
 
-use crate::vocabulary::Vocabulary;
+use crate::header_names::HeaderNames;
 use crate::{events, metrics};
 use eiderferry_dispatch::RateLimit;
 use eiderferry_types::Span;
@@ -50,9 +50,9 @@
 
 impl Notice {
     /// Reads the head of an answer.
-    pub fn read<B>(response: &Response<B>, vocabulary: &Vocabulary) -> Self {
+    pub fn read<B>(response: &Response<B>, header_names: &HeaderNames) -> Self {
         let headers = response.headers();
-        let leaving = headers.get(&vocabulary.leaving);
+        let leaving = headers.get(&header_names.leaving);
         let turns_away = matches!(
             response.status(),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -62,7 +62,7 @@
             is_leaving: leaving.is_some_and(|value| value.as_bytes() == b"1"),
             backoff: rest.and_then(read_backoff),
             limit: headers
-                .get(&vocabulary.rate_limit)
+                .get(&header_names.rate_limit)
                 .map_or(StatedLimit::NotStated, read_limit),
         }
     }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -1,6 +1,6 @@
 //! What a request's head tells: route, tenant, time and prompt.
 
-use crate::Vocabulary;
+use crate::HeaderNames;
 use crate::local_reply::LocalReply;
 use eiderferry_dispatch::PromptPart;
 use eiderferry_routing::{AllowedRegions, PartId, Route, RouteMatch, RoutingTable, Tenant};
@@ -23,7 +23,7 @@
     pub tenant: Option<String>,
     pub rank: u8,
     /// Level at which engines admit it; 0 is the most urgent.
-    pub urgency: u8,
+    pub priority: u8,
     pub remaining: Span,
     pub allowed_regions: AllowedRegions,
     pub parts: Vec<PromptPart>,
@@ -36,28 +36,28 @@
     pub fn read(
         parts: &Parts,
         table: &RoutingTable,
-        vocabulary: &Vocabulary,
+        header_names: &HeaderNames,
     ) -> Result<Self, LocalReply> {
         let headers = &parts.headers;
         let route = find_route(parts, table)?;
         let tenant = find_tenant(headers, table, route)?;
-        let id = text(headers, &vocabulary.request_id)
+        let id = text(headers, &header_names.request_id)
             .filter(|id| !id.is_empty())
             .ok_or(LocalReply::BadHeader("request_id_missing"))?;
-        let remaining = remaining(headers, vocabulary, route)?;
-        let usage = text(headers, &vocabulary.token_usage).unwrap_or_default();
+        let remaining = remaining(headers, header_names, route)?;
+        let usage = text(headers, &header_names.token_usage).unwrap_or_default();
         let (prompt_tokens, most_output) = token_usage(usage);
-        let hint = text(headers, &vocabulary.length_hint).and_then(|hint| hint.parse().ok());
+        let hint = text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
         let rank = tenant.and_then(|tenant| tenant.rank).unwrap_or(route.rank);
         Ok(Self {
             id: id.to_owned(),
             route: route.clone(),
             tenant: tenant.map(|tenant| tenant.name.clone()),
             rank,
-            urgency: table.urgency(route, tenant),
+            priority: table.priority(route, tenant),
             remaining,
             allowed_regions: route.regions_for(tenant),
-            parts: prompt_parts(text(headers, &vocabulary.prompt_parts).unwrap_or_default()),
+            parts: prompt_parts(text(headers, &header_names.prompt_parts).unwrap_or_default()),
             prompt_tokens,
             output_tokens: hint.or(most_output).unwrap_or(ASSUMED_OUTPUT_TOKENS),
         })
@@ -111,10 +111,10 @@
 
 fn remaining(
     headers: &HeaderMap,
-    vocabulary: &Vocabulary,
+    header_names: &HeaderNames,
     route: &Route,
 ) -> Result<Span, LocalReply> {
-    let Some(value) = text(headers, &vocabulary.remaining_ms) else {
+    let Some(value) = text(headers, &header_names.remaining_ms) else {
         return Ok(route.timeout);
     };
     let milliseconds: f64 = value
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -70,12 +70,12 @@
         let told = AttemptContext {
             grant: &lease.grant,
             left: self.traffic.clock.now().until(self.deadline),
-            urgency: self.head.urgency,
+            priority: self.head.priority,
             tenant: self.head.tenant.as_deref(),
             last_event_id: after.last_event_id,
             resume_from: after.resume_from,
         };
-        let request = self.request.attempt(&self.traffic.vocabulary, &told);
+        let request = self.request.attempt(&self.traffic.header_names, &told);
         self.progress.record_sent();
         let may_retry = self.head.route.may_retry();
         let limit = self.head_deadline(lease).min(after.response_timeout);
@@ -132,20 +132,20 @@
         response: Response<Incoming>,
         connection: Connection,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        let vocabulary = &self.traffic.vocabulary;
-        let id = response.headers().get(&vocabulary.request_id);
+        let header_names = &self.traffic.header_names;
+        let id = response.headers().get(&header_names.request_id);
         let is_ours = id.is_some_and(|id| id.as_bytes() == self.head.id.as_bytes());
         if response.status() == StatusCode::MISDIRECTED_REQUEST {
             return Err(Outcome::InstanceReplaced);
         }
         let may_be_ours = id.is_none_or(|_| is_ours);
         let notice = if may_be_ours {
-            Notice::read(&response, vocabulary)
+            Notice::read(&response, header_names)
         } else {
             Notice::default()
         };
         self.apply_notice(lease, notice);
-        if response.headers().contains_key(&vocabulary.not_run) && may_be_ours {
+        if response.headers().contains_key(&header_names.not_run) && may_be_ours {
             return Err(Outcome::Shed);
         }
         self.may_have_run = true;
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a relay is told at its start.
 
-use crate::{CacheProtocol, Vocabulary};
+use crate::{CacheProtocol, HeaderNames};
 use eiderferry_dispatch::{ColdRateLimit, Features, RetryBudgetSettings};
 use eiderferry_routing::{NodeName, ZoneName, ZoneRegions};
 use eiderferry_types::Span;
@@ -53,5 +53,5 @@
     /// How engines are asked for what they keep of prompts.
     pub cache_protocol: CacheProtocol,
     /// Header names.
-    pub vocabulary: Vocabulary,
+    pub header_names: HeaderNames,
 }
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -4,7 +4,7 @@
 use eiderferry_dispatch::{
     CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
-use eiderferry_relay::{CacheProtocol, MalformedResponse, Vocabulary};
+use eiderferry_relay::{CacheProtocol, HeaderNames, MalformedResponse};
 use eiderferry_routing::{
     BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaOffer, Route,
     RouteKind, Split, TableDocument, Tenant, ZoneName,
@@ -14,13 +14,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub fn vocabulary() -> Vocabulary {
-    Vocabulary {
+pub fn header_names() -> HeaderNames {
+    HeaderNames {
         request_id: HeaderName::from_static("request-id"),
         remaining_ms: HeaderName::from_static("remaining-ms"),
         expected_instance: HeaderName::from_static("expected-instance"),
         tenant: HeaderName::from_static("tenant"),
-        urgency: HeaderName::from_static("urgency"),
+        priority: HeaderName::from_static("urgency"),
         not_run: HeaderName::from_static("not-run"),
         leaving: HeaderName::from_static("leaving"),
         rate_limit: HeaderName::from_static("rate-limit"),
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -14,7 +14,7 @@
     wait_for_close, whole, with_line, write,
 };
 pub use caller::{Answer, Caller};
-pub use documents::{cache_protocol, vocabulary};
+pub use documents::{cache_protocol, header_names};
 pub use fragile::Fragile;
 pub use running::Running;
 
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/running.rs
@@ -1,6 +1,6 @@
 //! Relays in threads of their own.
 
-use super::documents::{ENGINE, cache_protocol, changes, engine, leaving, vocabulary};
+use super::documents::{ENGINE, cache_protocol, changes, engine, header_names, leaving};
 use super::{AMPLE_MEMORY, Answer, Caller, PATIENCE, SMALL_BUFFER, StandIn, write};
 use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
 use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, Source, StopSettings};
@@ -204,7 +204,7 @@
                 end_after: Span::from_milliseconds(1_500),
             },
             cache_protocol: cache_protocol(),
-            vocabulary: vocabulary(),
+            header_names: header_names(),
         };
         let source: Source = Box::new(move |feed| {
             Box::pin(async move {
