--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -147,13 +147,13 @@
     /// Listed back ends.
     pub back_ends: usize,
     /// Back ends that get no work for now.
-    pub ejected: usize,
+    pub ejected_back_ends: usize,
     /// Back ends that are cold.
-    pub cold: usize,
+    pub cold_back_ends: usize,
     /// Cold back ends to which this node may send.
     pub cold_sending_to: usize,
     /// Back ends that have named a rate limit.
-    pub limited: usize,
+    pub limited_back_ends: usize,
     /// Those of them to which this node sends.
     pub limited_sending_to: usize,
     /// Whether this node aggregates for its zone.
@@ -171,7 +171,7 @@
     /// Age of the youngest confirmation in seconds; infinite without any.
     pub confirmed_age_seconds: f64,
     /// The split of the largest pool that is split.
-    pub split: SplitStats,
+    pub largest_split: SplitStats,
     /// Engines whose caches this node follows.
     pub followed_caches: usize,
     /// What following caches came to since the start.
@@ -179,7 +179,7 @@
     /// Requests under which back ends crashed.
     pub quarantine: QuarantineCounts,
     /// Back ends that were looked at for requests since the start.
-    pub examined: u64,
+    pub examined_back_ends: u64,
     /// Looks at which engines' caches to follow since the start.
     pub follow_evaluations: u64,
 }
@@ -333,7 +333,7 @@
                 self.withheld.remove(&back_end.instance);
                 self.forget_previous_run(&back_end);
                 let table = table.as_deref();
-                self.back_ends.list(back_end, change.revision, table, now);
+                self.back_ends.upsert(back_end, change.revision, table, now);
             }
             (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
                 self.lapsed.remove(&DocumentKey::Evacuation(zone.clone()));
@@ -458,14 +458,14 @@
         self.take_limits(message, now);
         let knows_all = self
             .document_store
-            .complete_to()
-            .includes(&message.complete_to)
+            .version_vector()
+            .includes(&message.version_vector)
             || (self.has_taken_all(message) && message.recent_changes.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
             let at = now - Span::from_milliseconds(u64::from(age));
-            self.document_store.confirm(&message.complete_to, at);
+            self.document_store.confirm(&message.version_vector, at);
         }
         ReceiveOutput {
             change,
@@ -479,7 +479,7 @@
     /// Whether the news of a message follow on what is known.
     fn has_taken_all(&self, message: &Gossip) -> bool {
         let news = message.recent_changes.as_ref();
-        news.is_some_and(|news| self.document_store.complete_to().includes(&news.base))
+        news.is_some_and(|news| self.document_store.version_vector().includes(&news.base))
     }
 
     fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
@@ -519,7 +519,7 @@
     }
 
     fn largest_split(&self) -> SplitStats {
-        let splits = self.back_ends.splits().filter(|split| split.is_on());
+        let splits = self.back_ends.splits().filter(|split| split.is_active());
         let stats = splits.map(|split| split.stats());
         stats
             .max_by_key(|stats| stats.ranked_engines)
@@ -540,14 +540,14 @@
         Snapshot {
             live_peers: self.peers.live_count(),
             back_ends: self.back_ends.all().count(),
-            ejected: self
+            ejected_back_ends: self
                 .back_ends
                 .all()
                 .filter(|state| state.health.is_ejected(now))
                 .count(),
-            cold: cold_sending_to + count(ColdRole::OtherNodes),
+            cold_back_ends: cold_sending_to + count(ColdRole::OtherNodes),
             cold_sending_to,
-            limited,
+            limited_back_ends: limited,
             limited_sending_to,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
@@ -555,16 +555,16 @@
             leases: self.leases.len(),
             complete_to: self
                 .document_store
-                .complete_to()
+                .version_vector()
                 .newest()
                 .unwrap_or_default(),
             table_version: table.map_or(0, |table| table.version()),
             confirmed_age_seconds: age.map_or(f64::INFINITY, |age| age.seconds()),
-            split: self.largest_split(),
+            largest_split: self.largest_split(),
             followed_caches,
             cache_counts,
             quarantine: self.quarantine.counts(),
-            examined: self.examined,
+            examined_back_ends: self.examined,
             follow_evaluations: self.follow_evaluations(),
         }
     }
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -220,7 +220,7 @@
             cache.apply_observation(fact.part, fact.tokens, now);
         }
         let index = self.cache_follows.indices.get_mut(instance)?;
-        cache.confirm(|part| index.holds(part).is_some(), now);
+        cache.confirm(|part| index.stored_tokens(part).is_some(), now);
         index.record_corrections(facts.len(), now);
         let news = CacheUpdate::of(index, &facts, now);
         self.queue_observations(&facts);
@@ -252,7 +252,7 @@
         let mut recalled = Vec::new();
         for part in parts {
             for (instance, index) in &self.cache_follows.indices {
-                let Some(tokens) = index.holds(part) else {
+                let Some(tokens) = index.stored_tokens(part) else {
                     continue;
                 };
                 let Some(state) = self.back_ends.get_mut(instance) else {
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -73,7 +73,7 @@
         if !self.settings.features.zone_representatives {
             return told_by;
         }
-        let known = self.document_store.complete_to();
+        let known = self.document_store.version_vector();
         let informed = self.peers.peers_ahead_of(known);
         if informed.is_empty() {
             self.wanted.lacking = None;
@@ -119,7 +119,7 @@
     /// nearly all documents. This is also the case after its start.
     fn lacks_newest_epoch(&self) -> bool {
         let newest = self.peers.newest_known_revision();
-        newest.is_some_and(|newest| !self.document_store.complete_to().has_epoch(newest.epoch))
+        newest.is_some_and(|newest| !self.document_store.version_vector().has_epoch(newest.epoch))
     }
 
     /// Notes which table another node has.
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -170,7 +170,7 @@
         };
         let rounds = state.load.batches_within(demand.target);
         let most = most.max(rounds * f64::from(candidate.slots));
-        state.load.crowd(candidate.running, now) >= most
+        state.load.smoothed_concurrency(candidate.running, now) >= most
     }
 
     /// Requests at a back end beyond which this one is not added.
@@ -190,7 +190,7 @@
         let connections = self.connection_limit(&demand.pool);
         let revision = self
             .document_store
-            .complete_to()
+            .version_vector()
             .newest()
             .unwrap_or_default();
         let list_age = self.document_store.confirmed_age(now).unwrap_or(Span::ZERO);
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -82,7 +82,7 @@
             }
             self.placements.clear();
         }
-        if self.document_store.complete_to().is_empty() && self.is_time_to_ask_seeds() {
+        if self.document_store.version_vector().is_empty() && self.is_time_to_ask_seeds() {
             let seeds = self.peers.other_seeds();
             messages.extend(self.question(seeds, now));
         }
@@ -202,7 +202,7 @@
     }
 
     /// The answer to a node that wants one: it names others.
-    pub fn answer(&mut self, to: SocketAddr, now: Timestamp) -> Gossip {
+    pub fn reply(&mut self, to: SocketAddr, now: Timestamp) -> Gossip {
         let mut answer = self.gossip(false, now);
         let zone = self.peers.zone_of(to).cloned();
         if self.settings.features.quarantine {
@@ -238,7 +238,7 @@
             link_mbps: self.settings.link_mbps,
             is_stopping: self.is_stopping,
             wants_reply,
-            complete_to: self.document_store.complete_to().clone(),
+            version_vector: self.document_store.version_vector().clone(),
             table_stamp: self.document_store.table_stamp(),
             confirmed_ms: self
                 .document_store
@@ -280,7 +280,7 @@
         let mut message = self.bare_gossip(false, now);
         message.recent_changes = self.news();
         self.announced_to
-            .clone_from(self.document_store.complete_to());
+            .clone_from(self.document_store.version_vector());
         Envelope {
             kind: MessageKind::Announcement,
             to: peers,
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -71,7 +71,8 @@
         if !self.settings.features.quarantine {
             return Vec::new();
         }
-        self.quarantine.take(&message.crashing_requests, now)
+        self.quarantine
+            .merge_reports(&message.crashing_requests, now)
     }
 
     pub(super) fn crashing_requests(&mut self, now: Timestamp) -> Vec<RequestReport> {
--- a/crates/coordination/dispatch/src/documents/document_service.rs
+++ b/crates/coordination/dispatch/src/documents/document_service.rs
@@ -56,7 +56,7 @@
     /// of an epoch is always admitted: what it lacks has to be in force soon, and is small
     /// beside all of them. (With the limit for it too, a change was in force on the last of 300
     /// nodes after 1,049 ms in place of 319.)
-    pub fn ask(
+    pub fn admit(
         &mut self,
         from: SocketAddr,
         wants_whole_epoch: bool,
@@ -84,7 +84,7 @@
     }
 
     /// A transfer is over: its receiver can pass the documents on.
-    pub fn end(&mut self, id: TransferId) {
+    pub fn finish(&mut self, id: TransferId) {
         let position = self.transfers.iter().position(|transfer| transfer.id == id);
         let Some(position) = position else {
             return;
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -155,7 +155,7 @@
     }
 
     /// The known changes.
-    pub fn complete_to(&self) -> &VersionVector {
+    pub fn version_vector(&self) -> &VersionVector {
         &self.complete_to
     }
 
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -116,7 +116,7 @@
     Peer {
         name: None,
         zone: member.zone.clone(),
-        complete_to: VersionVector::default(),
+        version_vector: VersionVector::default(),
         rank: RolePriority::new(member.address, 0),
         incarnation: 0,
         heard,
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -122,7 +122,7 @@
     /// Whether an answer is wanted at once.
     pub wants_reply: bool,
     /// The changes that the sender knows.
-    pub complete_to: VersionVector,
+    pub version_vector: VersionVector,
     /// Stamp of the routing table in force at the sender.
     pub table_stamp: TableStamp,
     /// How long ago the platform confirmed that, in milliseconds.
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -49,7 +49,7 @@
     pub(super) name: Option<NodeName>,
     pub(super) zone: ZoneName,
     /// The changes that it knows, by its last message.
-    pub(super) complete_to: VersionVector,
+    pub(super) version_vector: VersionVector,
     /// Place in the order in which the nodes of a zone take duties over.
     pub(super) rank: RolePriority,
     pub(super) incarnation: u32,
@@ -165,7 +165,7 @@
             && peer.incarnation == message.incarnation
         {
             peer.heard = now;
-            peer.complete_to.clone_from(&message.complete_to);
+            peer.version_vector.clone_from(&message.version_vector);
             let was_stopping = std::mem::replace(&mut peer.is_stopping, message.is_stopping);
             if was_stopping != message.is_stopping {
                 self.recount();
@@ -175,7 +175,7 @@
         let peer = Peer {
             name: Some(message.from.clone()),
             zone: message.zone.clone(),
-            complete_to: message.complete_to.clone(),
+            version_vector: message.version_vector.clone(),
             rank: RolePriority::new(address, message.link_mbps),
             incarnation: message.incarnation,
             heard: now,
@@ -419,13 +419,13 @@
 
     /// Living peers that know changes beyond `known`.
     pub fn peers_ahead_of(&self, known: &VersionVector) -> Vec<SocketAddr> {
-        self.living(|peer| !known.includes(&peer.complete_to))
+        self.living(|peer| !known.includes(&peer.version_vector))
     }
 
     /// The newest revision that a living peer knows.
     pub fn newest_known_revision(&self) -> Option<Revision> {
         let living = self.peers.values().filter(|peer| !peer.is_lost);
-        living.filter_map(|peer| peer.complete_to.newest()).max()
+        living.filter_map(|peer| peer.version_vector.newest()).max()
     }
 
     /// Zone of a node, as far as it was heard or others tell.
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -75,7 +75,7 @@
     /// Requests.
     pub running: u32,
     /// Streams that a long prompt would make late, in expectation.
-    pub exposed: f64,
+    pub exposed_streams: f64,
     /// Requests whose own prompts take long to read.
     pub long_prefills: u32,
     /// Tokens of memory at their ends that only one request has.
@@ -88,7 +88,7 @@
     fn plus(self, other: Self) -> Self {
         Self {
             running: self.running + other.running,
-            exposed: self.exposed + other.exposed,
+            exposed_streams: self.exposed_streams + other.exposed_streams,
             long_prefills: self.long_prefills + other.long_prefills,
             unshared_tokens: self.unshared_tokens + other.unshared_tokens,
             pending_tokens: self.pending_tokens + other.pending_tokens,
@@ -98,7 +98,7 @@
     fn minus(self, part: Self) -> Self {
         Self {
             running: self.running.saturating_sub(part.running),
-            exposed: (self.exposed - part.exposed).max(0.0),
+            exposed_streams: (self.exposed_streams - part.exposed_streams).max(0.0),
             long_prefills: self.long_prefills.saturating_sub(part.long_prefills),
             unshared_tokens: self.unshared_tokens.saturating_sub(part.unshared_tokens),
             pending_tokens: self.pending_tokens.saturating_sub(part.pending_tokens),
@@ -107,7 +107,7 @@
 
     fn add(&mut self, footprint: &Footprint, has_begun: bool) {
         self.running += 1;
-        self.exposed += footprint.exposure;
+        self.exposed_streams += footprint.exposure;
         self.long_prefills += u32::from(footprint.is_long_prefill);
         self.unshared_tokens += u64::from(footprint.unshared_tokens);
         if !has_begun {
@@ -128,7 +128,7 @@
         Self {
             occupancy: Occupancy {
                 running: u32::from(report.running),
-                exposed: f64::from(report.exposed_hundredths) / HUNDRED as f64,
+                exposed_streams: f64::from(report.exposed_hundredths) / HUNDRED as f64,
                 long_prefills: u32::from(report.long_prefills),
                 unshared_tokens: u64::from(report.unshared_hundreds) * HUNDRED,
                 pending_tokens: u64::from(report.pending_hundreds) * HUNDRED,
@@ -149,7 +149,7 @@
         LoadReport {
             back_end,
             running: saturate(u64::from(self.occupancy.running)),
-            exposed_hundredths: saturate((self.occupancy.exposed * HUNDRED as f64) as u64),
+            exposed_hundredths: saturate((self.occupancy.exposed_streams * HUNDRED as f64) as u64),
             long_prefills: saturate(u64::from(self.occupancy.long_prefills)),
             unshared_hundreds: saturate(self.occupancy.unshared_tokens / HUNDRED),
             pending_hundreds: saturate(self.occupancy.pending_tokens / HUNDRED),
@@ -274,7 +274,7 @@
     /// Requests there by which it is judged to be full; `running` is the latest count. Streams at
     /// an engine run for seconds, so that the count stands; of calls to a plain back end only this
     /// node's own are known as they are.
-    pub(crate) fn crowd(&mut self, running: u32, now: Timestamp) -> f64 {
+    pub(crate) fn smoothed_concurrency(&mut self, running: u32, now: Timestamp) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return f64::from(running);
         }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -291,7 +291,7 @@
         }
     }
 
-    pub fn holds(&self, part: PartId) -> Option<u32> {
+    pub fn stored_tokens(&self, part: PartId) -> Option<u32> {
         let held = self.held.get(&part)?;
         (held.tokens > 0).then_some(held.tokens)
     }
@@ -300,7 +300,9 @@
     pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
         let settled = self.heard - EVENT_DELAY;
         let parts = believed.read_before(settled);
-        let mut wrong: Vec<PartId> = parts.filter(|part| self.holds(*part).is_none()).collect();
+        let mut wrong: Vec<PartId> = parts
+            .filter(|part| self.stored_tokens(*part).is_none())
+            .collect();
         wrong.sort_unstable();
         wrong
     }
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -82,7 +82,7 @@
 
 impl WarmupState {
     /// Takes over what the back end's entry tells.
-    pub fn list(&mut self, cold_remaining: Option<Span>, now: Timestamp) {
+    pub fn set_listed(&mut self, cold_remaining: Option<Span>, now: Timestamp) {
         self.listed_at = now;
         self.cold_remaining = cold_remaining;
     }
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -23,7 +23,7 @@
 
 impl Notice {
     /// It wants nothing from this node until then, or for longer if it said so before.
-    pub fn rest(&mut self, until: Timestamp) {
+    pub fn back_off_until(&mut self, until: Timestamp) {
         self.rests_until = self.rests_until.max(Some(until));
     }
 
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -104,7 +104,7 @@
         load.slots += state.back_end.slots;
         load.memory_tokens += state.load.cache.engine_tokens();
         load.running += there.running;
-        load.exposed += there.exposed;
+        load.exposed_streams += there.exposed_streams;
         load.long_requests += there.long_prefills;
         load.unshared_tokens += there.unshared_tokens;
         rates += READING_SAMPLE as f64 / state.load.prefill_time(READING_SAMPLE).seconds();
@@ -209,7 +209,7 @@
 
     /// Adds or changes a back end that was listed at a revision and is heard of now. One that
     /// started again under its name is added anew.
-    pub fn list(
+    pub fn upsert(
         &mut self,
         back_end: BackEnd,
         revision: Revision,
@@ -246,7 +246,7 @@
             None => self.add(back_end, table),
         }
         if let Some(state) = self.states.get_mut(&instance) {
-            state.warmup.list(cold_remaining, now);
+            state.warmup.set_listed(cold_remaining, now);
         }
     }
 
@@ -318,7 +318,7 @@
                 .filter_map(|instance| self.states.get(instance));
             let (mut exposed, mut slots) = (0.0, 0);
             for state in states {
-                exposed += state.load.occupancy(now).exposed;
+                exposed += state.load.occupancy(now).exposed_streams;
                 slots += state.back_end.slots;
             }
             let before = self.stream_isolation.get(pool).copied().unwrap_or(false);
@@ -408,7 +408,7 @@
             state.load.speed = model.engine_speed();
         }
         state.load.speed.learn(pacing);
-        let split = self.splits.get(pool).filter(|split| split.is_on());
+        let split = self.splits.get(pool).filter(|split| split.is_active());
         let was_apart = split.map(|split| split.serves_streams(state.digest));
         if let Some(model) = self.models.get_mut(pool) {
             match was_apart {
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -24,7 +24,9 @@
         started_unix_ms: Option<u64>,
         until: Timestamp,
     ) {
-        self.record(instance, started_unix_ms, |notice| notice.rest(until));
+        self.record(instance, started_unix_ms, |notice| {
+            notice.back_off_until(until)
+        });
     }
 
     /// Time until the first of a pool's back ends that rest wants requests again.
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -50,7 +50,7 @@
     /// Whether it is the one that all nodes prefer for the request's prompt.
     pub is_home: bool,
     /// Shared prompt tokens that it would have to copy from another.
-    pub copied: u32,
+    pub copied_tokens: u32,
     /// Chance that prompts read there make the request's own events late.
     pub own_delay_probability: f64,
     /// Streams there that its prompt would make late, in expectation.
@@ -60,7 +60,7 @@
     /// Requests that run there at once.
     pub slots: u32,
     /// Part of its memory that is taken with the request; 0 where it has none.
-    pub memory: f64,
+    pub memory_fraction: f64,
     /// What the bytes on the way there cost, as a time.
     pub network_cost: Span,
     /// By how much its share of failures exceeds that of its pool.
@@ -110,13 +110,13 @@
     }
 
     fn memory_cost(&self) -> Span {
-        let excess = (self.memory - MEMORY_PRESSURE_FROM) / (1.0 - MEMORY_PRESSURE_FROM);
+        let excess = (self.memory_fraction - MEMORY_PRESSURE_FROM) / (1.0 - MEMORY_PRESSURE_FROM);
         FULL_MEMORY.scaled(excess.max(0.0))
     }
 
     fn prefill_cost(&self) -> Span {
         let recomputed_tokens = u64::from(self.recomputed_tokens) * READ_AGAIN_PER_TOKEN;
-        let copied = u64::from(self.copied) * COPY_PER_TOKEN;
+        let copied = u64::from(self.copied_tokens) * COPY_PER_TOKEN;
         Span(recomputed_tokens + copied)
     }
 
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -169,9 +169,9 @@
             model.delay_probability_beside_long_prompts(&model.engine_speed(), target)
                 >= SENSITIVE_PROBABILITY
         });
-        let has_fixed_part =
-            registry.isolates_streams(&demand.pool) || by_load.is_some_and(|split| split.is_full());
-        let by_load = by_load.filter(|split| split.is_on());
+        let has_fixed_part = registry.isolates_streams(&demand.pool)
+            || by_load.is_some_and(|split| split.is_saturated());
+        let by_load = by_load.filter(|split| split.is_active());
         let is_short = match (by_load, registry.model(&demand.pool)) {
             (Some(split), Some(model)) => {
                 let reading = split.prefill_time(demand.prompt_tokens);
@@ -311,10 +311,10 @@
         target: demand.target,
         recomputed_tokens,
         is_home,
-        copied,
+        copied_tokens: copied,
         running: there.running,
         slots: state.back_end.slots,
-        memory: memory_part(state, &there, &footprint),
+        memory_fraction: memory_part(state, &there, &footprint),
         network_cost: network_path.transfer_cost,
         excess_failures: excess_failures(state, setting),
         may_retry: demand.may_retry,
@@ -325,7 +325,7 @@
         let expected = setting.split.expected_long_readings(state);
         candidate.own_delay_probability = readings.own_delay_probability(&footprint, expected);
         candidate.delayed_streams = {
-            let exposed = setting.split.expected_exposed(state, there.exposed);
+            let exposed = setting.split.expected_exposed(state, there.exposed_streams);
             readings.delayed_streams(model, state, exposed)
         };
     }
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -71,7 +71,7 @@
     /// Requests that run there.
     pub running: u32,
     /// Streams that a long prompt would make late, in expectation.
-    pub exposed: f64,
+    pub exposed_streams: f64,
     /// Requests that read long there.
     pub long_requests: u32,
     /// Tokens of memory that only one request has.
@@ -97,7 +97,7 @@
         let memory = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
         let reading = placed_rate / load.prefill_rate.max(1.0) / READING_UTILISATION;
         let running = f64::from(load.running);
-        let streams = (load.exposed / usual_exposure).min(running);
+        let streams = (load.exposed_streams / usual_exposure).min(running);
         let others = running - streams;
         // Nearly all of what only one request has belongs to long prompts.
         let remembered = load.unshared_tokens as f64 / memory;
@@ -274,7 +274,7 @@
         } else {
             SPLIT_FROM
         };
-        load.exposed > limit * f64::from(load.slots)
+        load.exposed_streams > limit * f64::from(load.slots)
     }
 
     fn has_room(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
@@ -289,12 +289,12 @@
     }
 
     /// Whether the pool is split now.
-    pub fn is_on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.border.is_some()
     }
 
     /// Whether both kinds need more engines than there are, so that the load splits nothing.
-    pub fn is_full(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.is_full
     }
 
@@ -313,7 +313,7 @@
     pub fn exposed_at_streams(&self) -> f64 {
         let stats = &self.stats;
         let engines = stats.ranked_engines.saturating_sub(stats.prompt_engines);
-        stats.load.exposed / f64::from(engines.max(1))
+        stats.load.exposed_streams / f64::from(engines.max(1))
     }
 
     pub fn stats(&self) -> SplitStats {
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/borders.rs
@@ -127,7 +127,7 @@
         fleet.restart(number);
     }
     let waited = until(&mut fleet, |node| {
-        !node.document_store().complete_to().is_empty()
+        !node.document_store().version_vector().is_empty()
     });
     println!("{count} nodes have documents after {waited} ms");
     assert!(waited <= 2_000, "{waited} ms");
@@ -148,7 +148,7 @@
     while fleet
         .nodes
         .iter()
-        .any(|node| node.document_store().complete_to().is_empty())
+        .any(|node| node.document_store().version_vector().is_empty())
         && waited < 5_000
     {
         fleet.run(100);
@@ -235,7 +235,7 @@
     fleet.run_with_platform(3_000, 1);
     fleet.read_change(1, back_end_change(back_end("engine-0", 0, 0), 5), 5);
     let change = until(&mut fleet, |node| {
-        *node.document_store().complete_to() == known(5)
+        *node.document_store().version_vector() == known(5)
     });
     [cut, over, change]
 }
@@ -301,7 +301,7 @@
     change.draining = true;
     fleet.read_change(1, back_end_change(change, 5), 5);
     let waited = until(&mut fleet, |node| {
-        *node.document_store().complete_to() == known(5)
+        *node.document_store().version_vector() == known(5)
     });
     println!("{count} nodes: a change is known after {waited} ms");
     assert!(waited <= 500, "{waited} ms");
--- a/crates/coordination/dispatch/tests/document_service.rs
+++ b/crates/coordination/dispatch/tests/document_service.rs
@@ -25,13 +25,13 @@
     let mut service = DocumentService::default();
     let now = Timestamp(0);
     let transfers: Vec<TransferId> = (1..3)
-        .map(|number| admitted(service.ask(address(number), true, &mut random, now)))
+        .map(|number| admitted(service.admit(address(number), true, &mut random, now)))
         .collect();
-    let nobody = service.ask(address(5), true, &mut random, now);
+    let nobody = service.admit(address(5), true, &mut random, now);
     assert_eq!(nobody, Admission::SentOn(Vec::new()));
-    service.end(transfers[0]);
-    admitted(service.ask(address(5), true, &mut random, now));
-    let sent_on = service.ask(address(6), true, &mut random, now);
+    service.finish(transfers[0]);
+    admitted(service.admit(address(5), true, &mut random, now));
+    let sent_on = service.admit(address(6), true, &mut random, now);
     assert_eq!(sent_on, Admission::SentOn(vec![address(1)]));
 }
 
@@ -40,10 +40,10 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut service = DocumentService::default();
     for number in 1..20 {
-        let admission = service.ask(address(number), false, &mut random, Timestamp(0));
+        let admission = service.admit(address(number), false, &mut random, Timestamp(0));
         assert_eq!(admission, Admission::Admitted(None));
     }
-    admitted(service.ask(address(20), true, &mut random, Timestamp(0)));
+    admitted(service.admit(address(20), true, &mut random, Timestamp(0)));
 }
 
 #[test]
@@ -51,10 +51,10 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut service = DocumentService::default();
     for number in 1..3 {
-        admitted(service.ask(address(number), true, &mut random, Timestamp(0)));
+        admitted(service.admit(address(number), true, &mut random, Timestamp(0)));
     }
     let later = Timestamp(0) + Span::from_milliseconds(2_000);
-    admitted(service.ask(address(5), true, &mut random, later));
+    admitted(service.admit(address(5), true, &mut random, later));
 }
 
 /// Link of every node, in bytes a millisecond: 10 Mbit/s.
@@ -93,7 +93,7 @@
                 let Some(service) = services.get_mut(&source) else {
                     break;
                 };
-                match service.ask(address(node), true, &mut random, now) {
+                match service.admit(address(node), true, &mut random, now) {
                     Admission::Admitted(id) => {
                         let id = id.expect("a transfer that counts");
                         begun = Some(Transfer {
@@ -132,7 +132,10 @@
             .partition(|one: &Transfer| one.left <= 0.0);
         transfers = running;
         for transfer in ended {
-            services.entry(transfer.from).or_default().end(transfer.id);
+            services
+                .entry(transfer.from)
+                .or_default()
+                .finish(transfer.id);
             services.insert(transfer.to, DocumentService::default());
         }
         if services.len() == nodes {
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -143,7 +143,7 @@
     fleet.read_change(2, change, 2);
     fleet.run(1_000);
     for node in &fleet.nodes {
-        assert_eq!(node.document_store().complete_to(), &known(2));
+        assert_eq!(node.document_store().version_vector(), &known(2));
         assert_eq!(node.document_store().back_ends().count(), 1);
     }
     assert_eq!(fleet.fetches, before);
@@ -161,7 +161,7 @@
     let change = support::back_end_change(support::back_end("engine-2", 2, 0), 3);
     fleet.read_change(2, change, 3);
     fleet.run(1_000);
-    assert_eq!(fleet.nodes[6].document_store().complete_to(), &known(3));
+    assert_eq!(fleet.nodes[6].document_store().version_vector(), &known(3));
     assert_eq!(fleet.nodes[6].document_store().back_ends().count(), 2);
 }
 
--- a/crates/coordination/dispatch/tests/knowledge.rs
+++ b/crates/coordination/dispatch/tests/knowledge.rs
@@ -192,7 +192,7 @@
     document_store.confirm(&known(10), now);
     let later = now + Span::from_milliseconds(900);
     document_store.confirm(&known(9), later);
-    assert_eq!(document_store.complete_to(), &known(10));
+    assert_eq!(document_store.version_vector(), &known(10));
     assert_eq!(
         document_store.confirmed_age(later),
         Some(Span::from_milliseconds(900))
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -21,7 +21,7 @@
 fn a_node_that_hears_of_a_limit_before_the_engine_is_listed_keeps_it() {
     let (mut reporter, now) = alone(1);
     answer_with(&mut reporter, 0, Some(1.0), now);
-    let answer = reporter.answer(node_address(1), now);
+    let answer = reporter.reply(node_address(1), now);
     let mut starting = dispatcher(1, 0, vec![node_address(0)]);
     starting.receive(node_address(0), &answer, now);
     starting.apply(table_change(1), now);
@@ -67,7 +67,7 @@
     }
     let first = bytes_a_second(&mut fleet, KNOWN_WITHIN);
     let knowing = fleet.nodes.iter();
-    let knowing = knowing.filter(|node| node.snapshot(fleet.now).limited == MANY);
+    let knowing = knowing.filter(|node| node.snapshot(fleet.now).limited_back_ends == MANY);
     let expected = if named.is_some() { nodes } else { 0 };
     assert_eq!(knowing.count(), expected, "nodes that know all limits");
     fleet.run(3_000);
@@ -123,13 +123,13 @@
         now,
     );
     // The other node was heard only now: who sends is settled a second later.
-    assert_eq!(subject.snapshot(now).limited, 1);
+    assert_eq!(subject.snapshot(now).limited_back_ends, 1);
     let settled = now + Span::from_milliseconds(1_500);
     subject.tick(settled);
     let later = settled + Span::from_milliseconds(1_500);
     subject.tick(later);
     answer_with(&mut subject, 0, None, later);
-    assert_eq!(subject.snapshot(later).limited, 0);
+    assert_eq!(subject.snapshot(later).limited_back_ends, 0);
 }
 
 /// Only so many notices are kept; an engine whose notice gave way is not limited for good.
@@ -140,8 +140,8 @@
     let later = now + Span::from_milliseconds(100);
     let flood = (0..5_000).map(|number| report(&format!("other-{number}"), None, Some(1.0)));
     hear(&mut subject, flood.collect(), later);
-    assert_eq!(subject.snapshot(later).limited, 0);
-    let told = subject.answer(node_address(1), later).limits.len();
+    assert_eq!(subject.snapshot(later).limited_back_ends, 0);
+    let told = subject.reply(node_address(1), later).limits.len();
     assert!(told <= 64, "{told} limits in one message");
     assert_eq!(sent_at(&mut subject, later, 300), [0, 100, 200]);
 }
@@ -159,5 +159,5 @@
     subject.apply(gone, now);
     let later = now + Span::from_milliseconds(70_000);
     subject.tick(later);
-    assert_eq!(subject.answer(node_address(1), later).limits, []);
+    assert_eq!(subject.reply(node_address(1), later).limits, []);
 }
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -244,7 +244,7 @@
     let now = day.fleet.now;
     let limited = day.fleet.nodes.iter();
     let limited = limited
-        .filter(|node| node.snapshot(now).limited > 0)
+        .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
     assert_eq!(limited, 0, "nodes still hold it to be limited");
 }
@@ -357,7 +357,7 @@
     let now = day.fleet.now;
     let limited = day.fleet.nodes.iter();
     let limited = limited
-        .filter(|node| node.snapshot(now).limited > 0)
+        .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
     assert_eq!(limited, 0, "nodes still hold it to be limited");
 }
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -286,7 +286,11 @@
     fn splits(&self) -> Vec<SplitStats> {
         let living = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
         living
-            .map(|node| self.fleet.nodes[node].snapshot(self.fleet.now).split)
+            .map(|node| {
+                self.fleet.nodes[node]
+                    .snapshot(self.fleet.now)
+                    .largest_split
+            })
             .collect()
     }
 
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -34,7 +34,7 @@
 fn examined(engines: usize) -> f64 {
     let mut subject = with_engines(engines);
     place(&mut subject, REQUESTS);
-    subject.snapshot(START).examined as f64 / REQUESTS as f64
+    subject.snapshot(START).examined_back_ends as f64 / REQUESTS as f64
 }
 
 #[test]
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -507,7 +507,7 @@
         };
         let received = self.nodes[to].receive(node_address(from), message, self.now);
         if received.wants_reply {
-            let answer = self.nodes[to].answer(node_address(from), self.now);
+            let answer = self.nodes[to].reply(node_address(from), self.now);
             let to_asker = vec![node_address(from)];
             let envelope = Envelope {
                 kind: MessageKind::Reply,
@@ -519,7 +519,7 @@
         if received.has_newer_documents {
             self.fetch_wanted(to, Some(node_address(from)));
         }
-        let known = self.nodes[to].document_store().complete_to();
+        let known = self.nodes[to].document_store().version_vector();
         let is_taken = |news: &ReceivedChange| news.outcome == ApplyOutcome::Applied;
         let is_covered = |news: &ReceivedChange| known.covers(news.revision);
         let changes = &received.changes;
@@ -549,7 +549,7 @@
         at: Timestamp,
         is_first_hand: bool,
     ) {
-        let before = self.nodes[number].document_store().complete_to().clone();
+        let before = self.nodes[number].document_store().version_vector().clone();
         self.nodes[number].confirm(known, at);
         if !before.includes(known) {
             self.announce(number, is_first_hand);
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -86,7 +86,7 @@
 
     /// Lets a node watch for changes, or list all documents if it does not know the epoch.
     fn read(&self, fleet: &mut Fleet, node: usize) {
-        let known = fleet.nodes[node].document_store().complete_to().newest();
+        let known = fleet.nodes[node].document_store().version_vector().newest();
         let watched = known.filter(|known| known.epoch == self.epoch);
         let number = watched.map_or(0, |known| known.number);
         let changes = self.changes_after(number);
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -70,7 +70,7 @@
 
     fn fetch(&mut self, to: usize, from: usize) {
         self.fetches += 1;
-        let known = self.nodes[to].document_store().complete_to().clone();
+        let known = self.nodes[to].document_store().version_vector().clone();
         let source: DocumentStore = self.nodes[from].document_store().clone();
         let changes = source.changes_after(&known);
         if self.measures_bytes {
@@ -81,6 +81,6 @@
             self.nodes[to].apply(change, self.now);
         }
         let age = source.confirmed_age(self.now).unwrap_or(Span::ZERO);
-        self.confirm(to, source.complete_to(), self.now - age, false);
+        self.confirm(to, source.version_vector(), self.now - age, false);
     }
 }
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing.rs
@@ -63,7 +63,7 @@
     }
 
     pub(crate) fn handle_crashing_requests(&mut self, reports: &[RequestReport]) {
-        for change in self.quarantine.take(reports, self.now) {
+        for change in self.quarantine.merge_reports(reports, self.now) {
             self.note_quarantine_change(Some(change));
         }
     }
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -89,7 +89,11 @@
     }
 
     /// Takes another node's reports in.
-    pub fn take(&mut self, reports: &[RequestReport], now: Timestamp) -> Vec<QuarantineChange> {
+    pub fn merge_reports(
+        &mut self,
+        reports: &[RequestReport],
+        now: Timestamp,
+    ) -> Vec<QuarantineChange> {
         let changes = reports.iter();
         changes
             .filter_map(|report| self.apply_report(report, now))
--- a/crates/coordination/quarantine/tests/quarantine.rs
+++ b/crates/coordination/quarantine/tests/quarantine.rs
@@ -70,7 +70,7 @@
 #[test]
 fn one_crash_that_several_nodes_saw_counts_once() {
     let mut subject = crashed(0..2);
-    subject.take(&[report(&[(1, 300), (0, 1_400)], None)], after(1_500));
+    subject.merge_reports(&[report(&[(1, 300), (0, 1_400)], None)], after(1_500));
     subject.record_crash(REQUEST, 1, after(1_900));
     assert!(!is_refused(&subject, after(2_000)));
 }
@@ -93,7 +93,7 @@
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [1, 0, 2]] {
         let mut subject = Quarantine::default();
         for number in order {
-            subject.take(&[reports[number].clone()], START);
+            subject.merge_reports(&[reports[number].clone()], START);
         }
         assert!(is_refused(&subject, START), "order {order:?}");
     }
@@ -115,9 +115,9 @@
 #[test]
 fn that_it_ended_well_elsewhere_clears_it_too_and_outlasts_late_reports() {
     let mut subject = crashed(0..3);
-    subject.take(&[report(&[], Some(100))], after(3_000));
+    subject.merge_reports(&[report(&[], Some(100))], after(3_000));
     assert!(!is_refused(&subject, after(3_000)));
-    subject.take(
+    subject.merge_reports(
         &[report(&[(4, 1_500), (5, 1_500), (6, 1_500)], None)],
         after(3_500),
     );
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -189,7 +189,9 @@
         let outcome = match read_response(body, &self.progress.memory).or(timeout).await {
             Err(outcome) => outcome,
             Ok(bytes) => {
-                self.traffic.upstream.keep(connection, &parts.headers);
+                self.traffic
+                    .upstream
+                    .return_connection(connection, &parts.headers);
                 let elapsed = self.elapsed();
                 metrics::first_event(&self.head.route, self.head.rank, elapsed);
                 lease.first_event();
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -43,7 +43,7 @@
 /// What the control thread is told by others.
 pub(crate) enum Command {
     /// A request wants a back end.
-    Ask {
+    Dispatch {
         demand: Box<Demand>,
         is_first: bool,
         reply: async_channel::Sender<Decision>,
@@ -51,13 +51,13 @@
     /// The first event of a request came.
     FirstEvent(LeaseId),
     /// The back end of a place says something of itself.
-    Noticed(LeaseId, Notice),
+    Notice(LeaseId, Notice),
     /// A place is given back.
-    End(LeaseId, Outcome, StreamPacing),
+    Release(LeaseId, Outcome, StreamPacing),
     /// A back end crashed under a request.
-    Crashed(RequestDigest, InstanceId),
+    Crash(RequestDigest, InstanceId),
     /// A connection to a back end came up within so long.
-    Connected(InstanceId, Span),
+    RoundTrip(InstanceId, Span),
     /// Whether nothing shows that a back end still works.
     IsPresumedDown {
         instance: InstanceId,
@@ -82,7 +82,7 @@
     pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
         let (reply, answer) = async_channel::bounded(1);
         let answer = PendingDecision::new(answer, self.clone());
-        let command = Command::Ask {
+        let command = Command::Dispatch {
             demand: Box::new(demand),
             is_first,
             reply,
@@ -104,20 +104,20 @@
         self.tell(Command::FirstEvent(lease));
     }
 
-    pub fn noticed(&self, lease: LeaseId, notice: Notice) {
-        self.tell(Command::Noticed(lease, notice));
+    pub fn record_notice(&self, lease: LeaseId, notice: Notice) {
+        self.tell(Command::Notice(lease, notice));
     }
 
     pub fn release(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
-        self.tell(Command::End(lease, outcome, pacing));
+        self.tell(Command::Release(lease, outcome, pacing));
     }
 
-    pub fn crashed(&self, request: RequestDigest, instance: InstanceId) {
-        self.tell(Command::Crashed(request, instance));
+    pub fn record_crash(&self, request: RequestDigest, instance: InstanceId) {
+        self.tell(Command::Crash(request, instance));
     }
 
-    pub fn connected(&self, instance: InstanceId, round_trip: Span) {
-        self.tell(Command::Connected(instance, round_trip));
+    pub fn record_round_trip(&self, instance: InstanceId, round_trip: Span) {
+        self.tell(Command::RoundTrip(instance, round_trip));
     }
 
     pub fn stop(&self) {
@@ -215,7 +215,7 @@
         let now = self.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         match command {
-            Command::Ask {
+            Command::Dispatch {
                 demand,
                 is_first,
                 reply,
@@ -231,10 +231,10 @@
                 }
             }
             Command::FirstEvent(lease) => dispatcher.record_first_event(lease, now),
-            Command::Noticed(lease, notice) => {
+            Command::Notice(lease, notice) => {
                 apply_notice(&mut dispatcher, lease.into(), notice, now);
             }
-            Command::End(lease, outcome, pacing) => {
+            Command::Release(lease, outcome, pacing) => {
                 dispatcher.record_pacing(lease, &pacing);
                 let ended = dispatcher.release(lease, outcome, now);
                 for (instance, change) in &ended.health_changes {
@@ -242,7 +242,7 @@
                 }
                 self.note_quarantine(&ended.quarantine_change, now);
             }
-            Command::Crashed(request, instance) => {
+            Command::Crash(request, instance) => {
                 self.note_quarantine(&dispatcher.record_crash(request, &instance, now), now);
                 let announcement = dispatcher.crash_announcement(now);
                 drop(dispatcher);
@@ -250,7 +250,7 @@
                     self.send(&announcement);
                 }
             }
-            Command::Connected(instance, round_trip) => {
+            Command::RoundTrip(instance, round_trip) => {
                 dispatcher.record_round_trip(&instance, round_trip);
             }
             Command::IsPresumedDown { instance, reply } => {
@@ -353,7 +353,7 @@
             self.follow_news(&received.changes);
             self.note_quarantine(&received.quarantine_changes, now);
             if received.wants_reply {
-                let message = self.dispatcher.borrow_mut().answer(from, now);
+                let message = self.dispatcher.borrow_mut().reply(from, now);
                 self.send(&Envelope {
                     kind: MessageKind::Reply,
                     to: vec![from],
@@ -417,7 +417,7 @@
                 let age = package.confirmed_ms.map(Span::from_milliseconds);
                 self.take(package.changes, "peer");
                 let at = age.map(|age| heard - age);
-                self.confirm(&package.complete_to, at.unwrap_or_default(), false);
+                self.confirm(&package.version_vector, at.unwrap_or_default(), false);
             }
             Err(FetchError::Busy(peer)) => log::debug!("documents: {peer} is busy"),
             Err(error) => events::fetch_failed(from, &error),
@@ -451,7 +451,7 @@
         self.dispatcher
             .borrow()
             .document_store()
-            .complete_to()
+            .version_vector()
             .clone()
     }
 
@@ -514,7 +514,7 @@
     /// Last known revision of the newest epoch, from the source or from peers.
     pub fn complete_to(&self) -> Option<Revision> {
         let dispatcher = self.control.dispatcher.borrow();
-        dispatcher.document_store().complete_to().newest()
+        dispatcher.document_store().version_vector().newest()
     }
 
     /// Whether no node heard a confirmation for so long that the platform was probably away.
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -67,6 +67,6 @@
         }
         metrics::crashed_run(check.as_str());
         events::crashed_run(&self.request_id, &self.back_end, self.digest, check);
-        self.control.crashed(self.digest, self.back_end);
+        self.control.record_crash(self.digest, self.back_end);
     }
 }
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Package {
     pub changes: Vec<Change>,
-    pub complete_to: VersionVector,
+    pub version_vector: VersionVector,
     pub confirmed_ms: Option<u64>,
 }
 
@@ -202,7 +202,7 @@
     while let Ok(request) = requests.recv().await {
         let now = clock.now();
         match request {
-            DocumentRequest::Ended(transfer) => service.end(transfer),
+            DocumentRequest::Ended(transfer) => service.finish(transfer),
             DocumentRequest::Ask {
                 known,
                 caller,
@@ -212,7 +212,7 @@
                     let dispatcher = control.dispatcher.borrow();
                     dispatcher.document_store().peer_lacks_newest_epoch(&known)
                 };
-                let admission = service.ask(caller, wants_whole_epoch, &mut rand::rng(), now);
+                let admission = service.admit(caller, wants_whole_epoch, &mut rand::rng(), now);
                 let (answer, transfer) = match admission {
                     Admission::Admitted(transfer) => {
                         let package = package(&control, &known, now);
@@ -239,7 +239,7 @@
     let age = document_store.confirmed_age(now);
     Package {
         changes: document_store.changes_after(known),
-        complete_to: document_store.complete_to().clone(),
+        version_vector: document_store.version_vector().clone(),
         confirmed_ms: age.map(|age| age.milliseconds()),
     }
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -129,7 +129,7 @@
         prompt_engines = stats.prompt_engines, engines = stats.ranked_engines,
         usable = stats.load.engines, needed_prompts = stats.need.prompts,
         needed_streams = stats.need.streams, running = stats.load.running,
-        exposed = stats.load.exposed, long_requests = stats.load.long_requests,
+        exposed = stats.load.exposed_streams, long_requests = stats.load.long_requests,
         placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
         "engines split between long prompts and streams"
     );
@@ -284,12 +284,12 @@
         event = "granted", request = id, route = route, rank = rank, attempt = attempt, digest:% = digest,
         back_end = grant.instance.as_str(), expected_ms = candidate.first_event.milliseconds(),
         uncached = grant.uncached_tokens, read_again = candidate.recomputed_tokens,
-        copied = candidate.copied, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
+        copied = candidate.copied_tokens, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
         cache_age_ms = grant.cache_observation_age.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
         running = candidate.running,
         own_late_percent = percent(candidate.own_delay_probability),
         others_late_percent = percent(candidate.delayed_streams),
-        memory_percent = percent(candidate.memory), revision:% = grant.revision,
+        memory_percent = percent(candidate.memory_fraction), revision:% = grant.revision,
         list_age_ms = grant.list_age.milliseconds(),
         replica_at = grant.replica.as_ref().map_or("", |replica| replica.instance.as_str());
         "granted"
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -81,7 +81,7 @@
 impl Exchange {
     pub fn forward(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
         self.status = response.status().as_u16();
-        self.end("whole");
+        self.finish("whole");
         response
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes how the request ended.
-    pub fn end(&mut self, how: &'static str) {
+    pub fn finish(&mut self, how: &'static str) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
@@ -234,6 +234,6 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.end(self.progress.memory.end_of_dropped());
+        self.finish(self.progress.memory.end_of_dropped());
     }
 }
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -42,7 +42,7 @@
 /// What one attempt tells its back end besides.
 pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
-    pub left: Span,
+    pub remaining: Span,
     pub priority: u8,
     pub tenant: Option<&'a str>,
     pub last_event_id: Option<u64>,
@@ -65,7 +65,7 @@
         };
         set(
             &header_names.remaining_ms,
-            &told.left.milliseconds().max(1).to_string(),
+            &told.remaining.milliseconds().max(1).to_string(),
         );
         set(
             &header_names.expected_instance,
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -33,7 +33,7 @@
 
     /// Its back end says something of itself.
     pub fn record(&self, notice: Notice) {
-        self.control.noticed(self.grant.lease, notice);
+        self.control.record_notice(self.grant.lease, notice);
     }
 
     /// The whole answer came.
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -191,9 +191,9 @@
 pub(crate) fn set_gauges(snapshot: &Snapshot) {
     metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
-    metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected as f64);
-    metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold as f64);
-    metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited as f64);
+    metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected_back_ends as f64);
+    metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold_back_ends as f64);
+    metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited_back_ends as f64);
     metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limited_sending_to as f64);
     metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sending_to as f64);
     let aggregates = f64::from(u8::from(snapshot.is_aggregator));
@@ -212,13 +212,13 @@
     metrics::gauge!("eiderferry_documents_revision").set(snapshot.complete_to.number as f64);
     metrics::gauge!("eiderferry_table_version").set(snapshot.table_version as f64);
     metrics::gauge!("eiderferry_confirmation_age_seconds").set(snapshot.confirmed_age_seconds);
-    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.examined);
+    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.examined_back_ends);
     metrics::counter!("eiderferry_cache_follow_looks_total").absolute(snapshot.follow_evaluations);
     let quarantine = &snapshot.quarantine;
     metrics::gauge!("eiderferry_requests_suspected").set(quarantine.suspected as f64);
     metrics::gauge!("eiderferry_requests_quarantined").set(quarantine.quarantined as f64);
     metrics::counter!("eiderferry_requests_crowded_out_total").absolute(quarantine.evicted);
-    set_split_gauges(&snapshot.split);
+    set_split_gauges(&snapshot.largest_split);
 }
 
 /// How the engines of the largest split pool are split, and what that rests on.
@@ -231,7 +231,7 @@
         metrics::gauge!("eiderferry_split_engines", "side" => side).set(f64::from(engines));
         metrics::gauge!("eiderferry_split_needed_engines", "side" => side).set(needed);
     }
-    metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed);
+    metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed_streams);
     metrics::gauge!("eiderferry_split_long_requests").set(f64::from(split.load.long_requests));
     metrics::gauge!("eiderferry_split_placed_tokens_per_second").set(split.placed_rate);
     metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.prefill_rate);
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -154,7 +154,7 @@
             phase: Cell::new(Phase::Serving),
             open_requests: Cell::new(0),
             closing,
-            ending,
+            force_stop: ending,
         });
         let signals = StopSignals { close, end };
         smol::block_on(executor.run(self.serve_until(server, stop, signals)))
@@ -242,7 +242,7 @@
 
 async fn stop_server(server: &Server, settings: StopSettings, signals: StopSignals, clock: Clock) {
     let begun = clock.now();
-    server.phase.set(Phase::Leaving);
+    server.phase.set(Phase::NotReady);
     events::stopping("leaving", server.open_requests.get());
     Timer::after(duration(settings.refuse_after)).await;
     server.phase.set(Phase::Refusing);
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -69,7 +69,7 @@
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
         let told = AttemptContext {
             grant: &lease.grant,
-            left: self.traffic.clock.now().until(self.deadline),
+            remaining: self.traffic.clock.now().until(self.deadline),
             priority: self.head.priority,
             tenant: self.head.tenant.as_deref(),
             last_event_id: after.last_event_id,
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -44,7 +44,7 @@
     /// No stop.
     Serving,
     /// Not ready for new callers; all requests are served.
-    Leaving,
+    NotReady,
     /// New requests are refused, kept connections closed.
     Refusing,
 }
@@ -58,7 +58,7 @@
     /// Closed when kept connections are to be closed.
     pub closing: async_channel::Receiver<Infallible>,
     /// Closed when requests without an answer get one from here.
-    pub ending: async_channel::Receiver<Infallible>,
+    pub force_stop: async_channel::Receiver<Infallible>,
 }
 
 struct OpenRequest {
@@ -159,7 +159,7 @@
         let memory = RequestMemory::new(Rc::clone(&self.traffic.memory));
         let progress = Progress::new(Rc::clone(&memory));
         let ending = async {
-            let _ = self.ending.recv().await;
+            let _ = self.force_stop.recv().await;
             progress.last_answer().response()
         };
         let traffic = Rc::clone(&self.traffic);
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -122,19 +122,19 @@
                 Piece::Events(events) => return Some((Ok(events), self)),
                 Piece::End => {
                     self.finish_source(Outcome::Completed);
-                    self.exchange.end("whole");
+                    self.exchange.finish("whole");
                     return None;
                 }
                 Piece::TimedOut => {
                     self.finish_source(Outcome::Abandoned);
-                    self.exchange.end("timed_out");
+                    self.exchange.finish("timed_out");
                     return Some((Err(BrokenAnswer::TimedOut), self));
                 }
                 Piece::Broken(outcome) => {
                     self.record_break(outcome).await;
                     self.finish_source(outcome);
                     if !self.go_on().await {
-                        self.exchange.end("broken_off");
+                        self.exchange.finish("broken_off");
                         return Some((Err(BrokenAnswer::BackEnd), self));
                     }
                 }
@@ -243,7 +243,7 @@
         metrics::attempt(outcome.as_str());
         if outcome == Outcome::Completed {
             let upstream = &self.exchange.traffic.upstream;
-            upstream.keep(source.connection, &source.headers);
+            upstream.return_connection(source.connection, &source.headers);
         }
         let exchange = &self.exchange;
         events::stream_paced(&exchange.head.id, &source.pacing, exchange.started);
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -246,7 +246,7 @@
             .await
             .map_err(SendError::Unreachable)?;
         let round_trip = Span::from_seconds(begun.elapsed().as_secs_f64());
-        self.control.connected(key.1.clone(), round_trip);
+        self.control.record_round_trip(key.1.clone(), round_trip);
         let socket = stream.clone().into();
         let handshake = http1::Builder::new()
             .handshake(FuturesIo::new(stream))
@@ -281,7 +281,7 @@
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub fn keep(&self, mut connection: Connection, headers: &HeaderMap) {
+    pub fn return_connection(&self, mut connection: Connection, headers: &HeaderMap) {
         connection.body = None;
         let Some(limit) = allowed_rest(headers) else {
             return;
