--- a/crates/coordination/dispatch/benches/scale.rs
+++ b/crates/coordination/dispatch/benches/scale.rs
@@ -32,7 +32,7 @@
         let back_end = back_end(&name, number, number % zones);
         subject.apply(back_end_change(back_end, 2), START);
     }
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     meet(&mut subject, nodes, zones, START);
     subject.announce(true, START);
     subject
@@ -78,7 +78,7 @@
         let name = format!("engine-{number}");
         let back_end = back_end(&name, number as usize, 0);
         subject.apply(back_end_change(back_end, revision), now);
-        subject.confirm(&known(revision), now);
+        subject.record_confirmation(&known(revision), now);
         subject.announce(false, now);
     }
     microseconds(begun, CHANGES)
--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -165,7 +165,7 @@
     /// Granted places.
     pub leases: usize,
     /// Last known revision of the newest epoch.
-    pub complete_to: Revision,
+    pub newest_revision: Revision,
     /// Version of the routing table.
     pub table_version: u64,
     /// Age of the youngest confirmation in seconds; infinite without any.
@@ -386,7 +386,7 @@
         let due: Vec<InstanceId> = due.map(|(instance, _)| instance.clone()).collect();
         for instance in due {
             self.withheld.remove(&instance);
-            if let Some(change) = self.document_store.release(&instance) {
+            if let Some(change) = self.document_store.release_withheld(&instance) {
                 self.take(change, now);
             }
         }
@@ -435,8 +435,8 @@
 
     /// Notes that the platform confirmed, to this node or to a peer, that no change is newer than
     /// the known ones.
-    pub fn confirm(&mut self, known: &VersionVector, at: Timestamp) {
-        self.document_store.confirm(known, at);
+    pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
+        self.document_store.record_confirmation(known, at);
     }
 
     /// Takes a peer's message in.
@@ -465,7 +465,8 @@
             && knows_all
         {
             let at = now - Span::from_milliseconds(u64::from(age));
-            self.document_store.confirm(&message.version_vector, at);
+            self.document_store
+                .record_confirmation(&message.version_vector, at);
         }
         ReceiveOutput {
             change,
@@ -496,7 +497,7 @@
     }
 
     /// Zones whose back ends get nothing new.
-    pub fn evacuated(&self) -> &BTreeSet<ZoneName> {
+    pub fn evacuated_zones(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
@@ -553,7 +554,7 @@
             silent_zones: self.silent_zones.len(),
             evacuated_zones: self.evacuated.len(),
             leases: self.leases.len(),
-            complete_to: self
+            newest_revision: self
                 .document_store
                 .version_vector()
                 .newest()
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct Lacking {
     /// What this node knew all the while.
-    complete_to: VersionVector,
+    version_vector: VersionVector,
     since: Timestamp,
 }
 
@@ -49,11 +49,11 @@
 impl WantedDocuments {
     /// Since when others have been known to have more than this node, which has learned nothing
     /// since.
-    fn lacking_since(&mut self, complete_to: &VersionVector, now: Timestamp) -> Timestamp {
+    fn lacking_since(&mut self, version_vector: &VersionVector, now: Timestamp) -> Timestamp {
         let lacking = self.lacking.take();
-        let same = lacking.filter(|lacking| lacking.complete_to == *complete_to);
+        let same = lacking.filter(|lacking| lacking.version_vector == *version_vector);
         let lacking = same.unwrap_or_else(|| Lacking {
-            complete_to: complete_to.clone(),
+            version_vector: version_vector.clone(),
             since: now,
         });
         let since = lacking.since;
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -59,7 +59,7 @@
     request: RequestDigest,
     /// Whether anything of its answer has come, as far as it comes in pieces.
     has_events: bool,
-    pub(super) granted: Timestamp,
+    pub(super) granted_at: Timestamp,
     /// When it is given back, whoever holds it.
     expires: Timestamp,
 }
@@ -115,7 +115,7 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated: &self.evacuated,
+            evacuated_zones: &self.evacuated,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
@@ -221,7 +221,7 @@
             replica: kept,
             request: demand.digest,
             has_events: !demand.is_stream,
-            granted: now,
+            granted_at: now,
             expires: now + demand.remaining + LEASE_MARGIN,
         };
         self.leases.insert(lease, record);
--- a/crates/coordination/dispatch/src/dispatcher/noticing.rs
+++ b/crates/coordination/dispatch/src/dispatcher/noticing.rs
@@ -93,7 +93,7 @@
                 AnsweringRun {
                     instance: lease.instance.clone(),
                     started_unix_ms: lease.started_unix_ms,
-                    requested: Some(lease.granted),
+                    requested: Some(lease.granted_at),
                 }
             }
             NoticeSource::Call(order) => AnsweringRun {
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -35,7 +35,7 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated: &self.evacuated,
+            evacuated_zones: &self.evacuated,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -133,7 +133,7 @@
     /// copied all of 6,000 entries for each change it passed on.
     by_revision: BTreeSet<(Revision, InstanceId)>,
     evacuations: BTreeMap<ZoneName, Evacuation>,
-    complete_to: VersionVector,
+    version_vector: VersionVector,
     confirmed_at: Option<Timestamp>,
 }
 
@@ -156,7 +156,7 @@
 
     /// The known changes.
     pub fn version_vector(&self) -> &VersionVector {
-        &self.complete_to
+        &self.version_vector
     }
 
     /// Age of the youngest confirmation by the platform.
@@ -166,9 +166,9 @@
 
     /// Records the platform's confirmation at `at` that no change is newer than `known`. All of
     /// `known` must have been applied.
-    pub fn confirm(&mut self, known: &VersionVector, at: Timestamp) {
-        let is_latest = known.newest() >= self.complete_to.newest();
-        self.complete_to.merge(known);
+    pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
+        let is_latest = known.newest() >= self.version_vector.newest();
+        self.version_vector.merge(known);
         if is_latest {
             self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
         }
@@ -219,7 +219,7 @@
     }
 
     /// Zones whose back ends get nothing new, with the revision since which that is so.
-    pub fn evacuated(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         let evacuations = self.evacuations.iter();
         let evacuated =
             evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::On);
@@ -313,7 +313,7 @@
     }
 
     /// Lists a withheld back end whose removal was not written again in time.
-    pub fn release(&mut self, instance: &InstanceId) -> Option<Change> {
+    pub fn release_withheld(&mut self, instance: &InstanceId) -> Option<Change> {
         let (revision, back_end) = self.withheld.get(instance).cloned()?;
         self.forget_removal(instance);
         self.list(instance.clone(), revision, back_end.clone());
@@ -398,7 +398,7 @@
             (key, *known)
         });
         let evacuations = self
-            .evacuated()
+            .evacuated_zones()
             .map(|(zone, known)| (DocumentKey::Evacuation(zone.clone()), known));
         back_ends
             .chain(evacuations)
@@ -455,7 +455,7 @@
     /// Whether a peer that knows `known` lacks this node's newest epoch, and so nearly all
     /// documents.
     pub fn peer_lacks_newest_epoch(&self, known: &VersionVector) -> bool {
-        let newest = self.complete_to.newest();
+        let newest = self.version_vector.newest();
         newest.is_none_or(|newest| !known.has_epoch(newest.epoch))
     }
 
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -24,8 +24,8 @@
     /// heard counts as well for nodes of its zone, and if it is of the own zone for all.
     pub(super) fn apply_members(&mut self, message: &Gossip, is_near: bool, now: Timestamp) {
         let members = message.members.iter();
-        for member in members.filter(|member| member.address != self.own) {
-            let silent = Span::from_milliseconds(u64::from(member.silence_ms));
+        for member in members.filter(|member| member.address != self.own_address) {
+            let silent = Span::from_milliseconds(u64::from(member.silent_ms));
             let heard = now - silent;
             let is_known = self.peers.contains_key(&member.address);
             if !is_known && self.takes_by_word(member, message, is_near) {
@@ -50,7 +50,7 @@
     /// Whether a node that wasn't heard counts as known because others name it.
     fn takes_by_word(&self, member: &Member, message: &Gossip, is_near: bool) -> bool {
         let is_trusted = is_near || member.zone == message.zone;
-        let silent = Span::from_milliseconds(u64::from(member.silence_ms));
+        let silent = Span::from_milliseconds(u64::from(member.silent_ms));
         let is_fresh = silent < TOLD_SILENCE;
         is_trusted && is_fresh && member.zone != self.zone && self.has_met(&member.zone)
     }
@@ -106,7 +106,7 @@
         living.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silence_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
+            silent_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
         })
     }
 }
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -69,7 +69,7 @@
     /// Its zone.
     pub zone: ZoneName,
     /// How long ago it was heard, in milliseconds, by whoever heard it last.
-    pub silence_ms: u32,
+    pub silent_ms: u32,
 }
 
 /// What all nodes of the fleet have at back ends and placed there, as an aggregator tells
@@ -122,6 +122,7 @@
     /// Whether an answer is wanted at once.
     pub wants_reply: bool,
     /// The changes that the sender knows.
+    #[serde(rename = "complete_to")]
     pub version_vector: VersionVector,
     /// Stamp of the routing table in force at the sender.
     pub table_stamp: TableStamp,
@@ -158,7 +159,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeBatch {
     /// Changes that the receiver must know.
+    #[serde(rename = "after")]
     pub base: VersionVector,
-    /// All changes from there to the sender's `complete_to`.
+    /// All changes from there to the sender's `version_vector`.
     pub changes: Vec<Change>,
 }
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// Its name, once it was heard: before that it is known from others only.
+    /// Its name, once it was last_heard: before that it is known from others only.
     pub(super) name: Option<NodeName>,
     pub(super) zone: ZoneName,
     /// The changes that it knows, by its last message.
@@ -61,7 +61,7 @@
 /// What is known of the other nodes.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    pub(super) own: SocketAddr,
+    pub(super) own_address: SocketAddr,
     own_hash: u64,
     pub(super) zone: ZoneName,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
@@ -111,7 +111,7 @@
     /// Nothing but the seeds is known.
     pub fn new(own: SocketAddr, zone: ZoneName, seeds: Vec<SocketAddr>) -> Self {
         Self {
-            own,
+            own_address: own,
             own_hash: address_hash(own),
             zone,
             peers: BTreeMap::new(),
@@ -135,13 +135,13 @@
 
     /// Whether this node is a seed itself.
     pub fn is_seed(&self) -> bool {
-        self.seeds.contains(&self.own)
+        self.seeds.contains(&self.own_address)
     }
 
     /// The seeds, but for this node.
     pub fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
-        seeds.filter(|seed| *seed != self.own).collect()
+        seeds.filter(|seed| *seed != self.own_address).collect()
     }
 
     /// The largest number of nodes ever known at once, this one included.
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -1,6 +1,6 @@
 //! How loaded a back end is, as this node knows it.
 
-use crate::load::crowding::Crowding;
+use crate::load::crowding::ConcurrencyEstimate;
 use crate::{
     EngineSpeed, LeaseId, LoadReport, Outcome, OutcomeCounts, PrefixCache, RecentOutcomes,
 };
@@ -238,7 +238,7 @@
     sum: Option<Report>,
     slowness: f64,
     outcomes: RecentOutcomes,
-    crowding: Crowding,
+    concurrency: ConcurrencyEstimate,
     /// Its speed against its pool.
     pub speed: EngineSpeed,
     /// Prompts it is believed to keep.
@@ -259,7 +259,7 @@
             sum: None,
             slowness: 1.0,
             outcomes: RecentOutcomes::default(),
-            crowding: Crowding::default(),
+            concurrency: ConcurrencyEstimate::default(),
             speed,
             cache: PrefixCache::new(engine_tokens),
         }
@@ -278,7 +278,7 @@
         if self.cache.engine_tokens() > 0 {
             return f64::from(running);
         }
-        let mean = self.crowding.record(running, now);
+        let mean = self.concurrency.record(running, now);
         mean.max(f64::from(self.own_running()))
     }
 
@@ -287,7 +287,7 @@
         if self.cache.engine_tokens() > 0 {
             return 1.0;
         }
-        self.crowding.batches_within(target)
+        self.concurrency.batches_within(target)
     }
 
     /// Prompt tokens of this node's requests that are still to be read there.
@@ -530,7 +530,7 @@
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let ended = self.running.remove(&lease);
         if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
-            self.crowding.record_answer(now.since(call.started));
+            self.concurrency.record_answer(now.since(call.started));
         }
         self.outcomes.record(outcome, now);
     }
--- a/crates/coordination/dispatch/src/load/crowding.rs
+++ b/crates/coordination/dispatch/src/load/crowding.rs
@@ -22,13 +22,13 @@
 
 /// Mean number of requests at a back end, and how long it usually takes to answer one.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Crowding {
+pub(crate) struct ConcurrencyEstimate {
     mean: f64,
     noted_at: Timestamp,
     answer_time: Option<Span>,
 }
 
-impl Crowding {
+impl ConcurrencyEstimate {
     /// Takes a count in. Returns the mean with it.
     pub fn record(&mut self, running: u32, now: Timestamp) -> f64 {
         let part = now.since(self.noted_at).0 as f64 / MEMORY.0 as f64;
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -44,7 +44,7 @@
     /// Regions in which it may run.
     pub allowed_regions: AllowedRegions,
     /// Back ends that have failed it already.
-    pub excluded: Vec<InstanceId>,
+    pub excluded_back_ends: Vec<InstanceId>,
     /// Whether it may be sent again after it has reached a back end.
     pub may_retry: bool,
     /// Whether an earlier attempt of the same request has reached a back end.
@@ -139,7 +139,7 @@
             .required_instance
             .as_ref()
             .is_none_or(|only| only == instance);
-        is_meant && !self.excluded.contains(instance)
+        is_meant && !self.excluded_back_ends.contains(instance)
     }
 
     /// The parts of the prompt that other requests may share: all but the last.
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -35,7 +35,7 @@
         Some(Obstacle::Limited)
     } else if !demand.allowed_regions.allows(zone, view.regions) {
         Some(Obstacle::Region)
-    } else if view.evacuated.contains(zone) {
+    } else if view.evacuated_zones.contains(zone) {
         Some(Obstacle::Evacuated)
     } else if cold_start.is_some_and(|start| !state.warmup.may_send_request(start, view.now)) {
         Some(Obstacle::Cold)
@@ -54,7 +54,7 @@
 pub(crate) fn refusal(registry: &Registry, view: &View<'_>, demand: &Demand) -> Reason {
     let open = registry
         .pool(&demand.pool)
-        .filter(|state| !demand.excluded.contains(&state.back_end.instance));
+        .filter(|state| !demand.excluded_back_ends.contains(&state.back_end.instance));
     let obstacles: Vec<Obstacle> = open
         .filter_map(|state| obstacle(state, view, demand))
         .collect();
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -16,7 +16,7 @@
     /// Region of each zone.
     pub regions: &'a ZoneRegions,
     /// Zones whose back ends get nothing new.
-    pub evacuated: &'a BTreeSet<ZoneName>,
+    pub evacuated_zones: &'a BTreeSet<ZoneName>,
     /// How the back ends of the request's pool start, if they start cold.
     pub cold_start: Option<ColdStart>,
     /// Round trips to other zones.
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -270,7 +270,7 @@
     let mut second = dispatcher(1, 0, vec![node_address(0)]);
     second.apply(table_change(1), START);
     second.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    second.confirm(&known(2), START);
+    second.record_confirmation(&known(2), START);
     second.tick(START);
     uncached(&mut second, START);
     second
@@ -428,7 +428,7 @@
     }
     for node in &mut fleet.nodes {
         let mut elsewhere = demand(THING, SHARED, 2);
-        elsewhere.excluded = vec![first.instance.clone()];
+        elsewhere.excluded_back_ends = vec![first.instance.clone()];
         let grant = granted(node.dispatch(&elsewhere, fleet.now));
         assert_eq!((grant.uncached_tokens, grant.copy_from), (2, None));
     }
--- a/crates/coordination/dispatch/tests/crashing_requests.rs
+++ b/crates/coordination/dispatch/tests/crashing_requests.rs
@@ -60,7 +60,7 @@
     fn send_fatal(&mut self, node: usize) -> bool {
         let now = self.fleet.now;
         let mut fatal = demand(FATAL, 2_000, 100);
-        fatal.excluded.clone_from(&self.down);
+        fatal.excluded_back_ends.clone_from(&self.down);
         let node = &mut self.fleet.nodes[node];
         match node.dispatch(&fatal, now) {
             Decision::Grant(grant) => {
--- a/crates/coordination/dispatch/tests/document_source.rs
+++ b/crates/coordination/dispatch/tests/document_source.rs
@@ -26,7 +26,7 @@
     let mut other = dispatcher(number, zone, Vec::new());
     if revision > 0 {
         other.apply(table_change(revision), now);
-        other.confirm(&known(revision), now);
+        other.record_confirmation(&known(revision), now);
     }
     let message = other.gossip(false, now);
     subject.receive(node_address(number), &message, now);
@@ -147,9 +147,9 @@
     hears(&mut subject, 2, 1, 9, START);
     assert_eq!(source(&mut subject, 0), Some(node_address(1)));
     subject.apply(table_change(5), START);
-    subject.confirm(&known(5), START);
+    subject.record_confirmation(&known(5), START);
     assert_eq!(source(&mut subject, 0), Some(node_address(2)));
-    subject.confirm(&known(9), START);
+    subject.record_confirmation(&known(9), START);
     assert_eq!(source(&mut subject, 0), None);
 }
 
@@ -157,7 +157,7 @@
 fn a_node_that_lacks_little_does_not_wait_for_its_zone() {
     let mut subject = subject();
     subject.apply(table_change(5), START);
-    subject.confirm(&known(5), START);
+    subject.record_confirmation(&known(5), START);
     for number in 1..40 {
         hears(&mut subject, number, 0, 5, START);
     }
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -108,7 +108,7 @@
     let later = START + Span::from_milliseconds(3_000);
     let mut again = prompt.clone();
     again.is_retry = true;
-    again.excluded = vec![first.instance];
+    again.excluded_back_ends = vec![first.instance];
     again.parts[1] = PromptPart {
         id: again.parts[1].id,
         tokens: 90,
@@ -178,6 +178,6 @@
     fleet.restart(dead);
     fleet.run_with_platform(EVACUATED_WITHIN_MS - 500, 5);
     for (number, node) in fleet.nodes.iter().enumerate() {
-        assert!(node.evacuated().contains(&zone(1)), "node {number}");
+        assert!(node.evacuated_zones().contains(&zone(1)), "node {number}");
     }
 }
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -74,7 +74,7 @@
     let mut fleet = Fleet::new(71, 3);
     fleet.run_with_platform(20_000, 1);
     fleet.nodes[5].apply(table_change(2), support::START);
-    fleet.nodes[5].confirm(&known(2), fleet.now);
+    fleet.nodes[5].record_confirmation(&known(2), fleet.now);
     fleet.run(2_000);
     let behind = fleet
         .nodes
@@ -123,7 +123,7 @@
     fleet.run(5_000);
     for number in (0..9).filter(|number| fleet.zones[*number] != 0) {
         fleet.nodes[number].apply(table_change(2), support::START);
-        fleet.nodes[number].confirm(&known(2), fleet.now);
+        fleet.nodes[number].record_confirmation(&known(2), fleet.now);
     }
     fleet.run(1_000);
     assert!(fleet.nodes[0].document_store().table_stamp().revision == 1.into());
@@ -285,7 +285,7 @@
     let mut now = support::START;
     for node in [&mut one, &mut two] {
         node.apply(table_change(1), support::START);
-        node.confirm(&known(1), now);
+        node.record_confirmation(&known(1), now);
     }
     for _ in 0..500 {
         let message = one.gossip(false, now);
--- a/crates/coordination/dispatch/tests/knowledge.rs
+++ b/crates/coordination/dispatch/tests/knowledge.rs
@@ -189,9 +189,9 @@
 fn a_confirmation_of_an_older_revision_says_nothing() {
     let mut document_store = DocumentStore::default();
     let now = Timestamp(50_000_000);
-    document_store.confirm(&known(10), now);
+    document_store.record_confirmation(&known(10), now);
     let later = now + Span::from_milliseconds(900);
-    document_store.confirm(&known(9), later);
+    document_store.record_confirmation(&known(9), later);
     assert_eq!(document_store.version_vector(), &known(10));
     assert_eq!(
         document_store.confirmed_age(later),
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -6,7 +6,7 @@
     Change, Decision, Demand, Dispatcher, DocumentContent, Features, HealthChange, Outcome,
     StreamPacing,
 };
-use eiderferry_routing::{InstanceId, PoolName, Route, RouteKind, Split};
+use eiderferry_routing::{InstanceId, PoolName, Route, RouteKind, TrafficSplit};
 use eiderferry_types::{Reason, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use support::{
@@ -77,7 +77,7 @@
     let mut subject = with_engines(2);
     let first = granted(subject.dispatch(&demand(1, 300, 400), START));
     let mut elsewhere = demand(1, 300, 500);
-    elsewhere.excluded = vec![first.instance];
+    elsewhere.excluded_back_ends = vec![first.instance];
     let later = START + Span::from_milliseconds(2_000);
     let second = granted(subject.dispatch(&elsewhere, later));
     assert_eq!(second.copy_from, Some(first.address));
@@ -219,7 +219,7 @@
     let mut peer = with_engines(2);
     for _ in 0..60 {
         let mut same = demand(1, 1_000, 20_000);
-        same.excluded = vec![InstanceId::from(if home.instance.as_str() == "engine-0" {
+        same.excluded_back_ends = vec![InstanceId::from(if home.instance.as_str() == "engine-0" {
             "engine-1"
         } else {
             "engine-0"
@@ -367,7 +367,7 @@
         target: Span::from_milliseconds(600),
         event_gap_target: None,
         rank,
-        splits: vec![Split {
+        traffic_splits: vec![TrafficSplit {
             pool: PoolName::from(support::ENGINES),
             weight: 1.0,
         }],
--- a/crates/coordination/dispatch/tests/places.rs
+++ b/crates/coordination/dispatch/tests/places.rs
@@ -107,7 +107,7 @@
         .map(|number| InstanceId::from(format!("engine-{number}")))
         .collect();
     let mut request = demand(1, 1_000, 100);
-    request.excluded = near;
+    request.excluded_back_ends = near;
     let before = granted(subject.dispatch(&request, START));
     let round_trip = Span::from_milliseconds(250);
     for _ in 0..50 {
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -56,7 +56,7 @@
     };
     subject.apply(table(), START);
     subject.apply(back_end_change(back_end, 2), START);
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -127,7 +127,7 @@
                     START,
                 );
             }
-            node.confirm(&known(2), START);
+            node.record_confirmation(&known(2), START);
         }
         fleet.run(1_000);
         Self {
@@ -444,7 +444,7 @@
         let gone = lapsed_change(&format!("engine-{number}"), 3);
         for node in &mut play.fleet.nodes {
             node.apply(gone.clone(), play.fleet.now);
-            node.confirm(&known(3), play.fleet.now);
+            node.record_confirmation(&known(3), play.fleet.now);
         }
     }
     play.run(USUAL, 3_000);
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -104,11 +104,11 @@
     request.allowed_regions = AllowedRegions::of(&regions(&["east"]), &[]);
     let first = granted(subject.dispatch(&request, START));
     let second = {
-        request.excluded.push(first.instance.clone());
+        request.excluded_back_ends.push(first.instance.clone());
         granted(subject.dispatch(&request, START))
     };
     assert_ne!(first.instance, second.instance);
-    request.excluded.push(second.instance);
+    request.excluded_back_ends.push(second.instance);
     let decision = subject.dispatch(&request, START);
     assert!(matches!(
         decision,
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -191,7 +191,7 @@
     source.run(&mut fleet, 1_500);
     let is_evacuated = |fleet: &Fleet| {
         let mut nodes = fleet.nodes.iter();
-        nodes.all(|node| node.evacuated().contains(&support::zone(0)))
+        nodes.all(|node| node.evacuated_zones().contains(&support::zone(0)))
     };
     assert!(is_evacuated(&fleet));
     source.write(key, DocumentContent::Evacuated);
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -5,7 +5,7 @@
 use eiderferry_dispatch::{
     Change, Decision, Demand, Dispatcher, DocumentContent, Features, Grant, Outcome, TICK,
 };
-use eiderferry_routing::{InstanceId, PoolName, RegionName, ReplicaOffer, ZoneName};
+use eiderferry_routing::{InstanceId, PoolName, RegionName, ReplicaSpecification, ZoneName};
 use eiderferry_types::{Span, Timestamp};
 use support::{
     ENGINES, START, back_end, back_end_change, demand, dispatcher_with_features, granted, known,
@@ -18,7 +18,7 @@
     if let DocumentContent::Table(table) = &mut change.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
         let engine = pool.and_then(|pool| pool.engine.as_mut());
-        engine.expect("a pool of engines").replicas = Some(ReplicaOffer {
+        engine.expect("a pool of engines").replicas = Some(ReplicaSpecification {
             lifetime: Span::from_milliseconds(5_000),
             bytes_per_token: 163_840,
         });
@@ -38,7 +38,7 @@
             START,
         );
     }
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -114,7 +114,7 @@
     let prompt = demand(7, SHARED, 100);
     let home = granted(subject.dispatch(&prompt, START));
     let mut elsewhere = prompt.clone();
-    elsewhere.excluded.push(home.instance.clone());
+    elsewhere.excluded_back_ends.push(home.instance.clone());
     let holder = granted(subject.dispatch(&elsewhere, START));
     let gone = Change {
         key: DocumentKey::BackEnd(home.instance.clone()),
@@ -147,7 +147,7 @@
     subject.announce(true, START);
     let change = back_end_change(back_end("engine-0", 0, 0), 3);
     subject.apply(change, START);
-    subject.confirm(&known(3), START);
+    subject.record_confirmation(&known(3), START);
     let counted = allocation_counter::measure(|| {
         let announcement = subject.announce(true, START);
         let news = announcement.message.recent_changes.expect("the change");
@@ -172,7 +172,7 @@
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 3), START);
     }
-    subject.confirm(&known(3), START);
+    subject.record_confirmation(&known(3), START);
     let news = subject.announce(true, START).message.recent_changes?;
     Some(news.changes.into_iter().map(|change| change.key).collect())
 }
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -211,7 +211,7 @@
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 2), START);
     }
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
@@ -221,7 +221,7 @@
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_with(1, cache_event_calls), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
@@ -248,7 +248,7 @@
         event_gap_target: None,
         remaining: Span::from_milliseconds(12_000),
         allowed_regions: AllowedRegions::Any,
-        excluded: Vec::new(),
+        excluded_back_ends: Vec::new(),
         may_retry: true,
         is_retry: false,
         is_stream: true,
@@ -550,7 +550,7 @@
         is_first_hand: bool,
     ) {
         let before = self.nodes[number].document_store().version_vector().clone();
-        self.nodes[number].confirm(known, at);
+        self.nodes[number].record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(number, is_first_hand);
         }
--- a/crates/state/routing/src/cold_start.rs
+++ b/crates/state/routing/src/cold_start.rs
@@ -7,6 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
     /// Time for which a back end is cold after its start.
+    #[serde(rename = "lasts")]
     pub duration: Span,
     /// Requests a second that a cold back end bears; at well above that it fails.
     pub requests_per_second: f64,
--- a/crates/state/routing/src/lib.rs
+++ b/crates/state/routing/src/lib.rs
@@ -20,6 +20,6 @@
 pub use priority::PRIORITY_LEVELS;
 pub use regions::{AllowedRegions, ZoneRegions};
 pub use table::{
-    EngineSpecification, Limits, Pool, ReplicaOffer, Route, RouteKind, RouteMatch, RoutingTable,
-    Split, TableDocument, Tenant,
+    EngineSpecification, Limits, Pool, ReplicaSpecification, Route, RouteKind, RouteMatch,
+    RoutingTable, TableDocument, Tenant, TrafficSplit,
 };
--- a/crates/state/routing/src/priority.rs
+++ b/crates/state/routing/src/priority.rs
@@ -48,7 +48,7 @@
     pub fn of(routes: &[Route]) -> Self {
         let mut ranks: HashMap<PoolName, BTreeSet<u8>> = HashMap::new();
         for route in routes {
-            for split in &route.splits {
+            for split in &route.traffic_splits {
                 ranks
                     .entry(split.pool.clone())
                     .or_default()
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -19,7 +19,7 @@
 
 /// A part of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Split {
+pub struct TrafficSplit {
     /// Pool that gets the part.
     pub pool: PoolName,
     /// Its weight among the route's parts.
@@ -46,7 +46,7 @@
     /// Rank; 0 is the most urgent.
     pub rank: u8,
     /// Where its requests go.
-    pub splits: Vec<Split>,
+    pub traffic_splits: Vec<TrafficSplit>,
     /// Back ends that one request may be sent to.
     pub maximum_attempts: u32,
     /// Whether callers need no key.
@@ -75,9 +75,16 @@
 
     /// The pool for a request; `point` is a number in 0..1 drawn for it.
     pub fn pool(&self, point: f64) -> Option<&PoolName> {
-        let total: f64 = self.splits.iter().map(|split| split.weight.max(0.0)).sum();
+        let total: f64 = self
+            .traffic_splits
+            .iter()
+            .map(|split| split.weight.max(0.0))
+            .sum();
         let mut remaining = point * total;
-        let mut weighted = self.splits.iter().filter(|split| split.weight > 0.0);
+        let mut weighted = self
+            .traffic_splits
+            .iter()
+            .filter(|split| split.weight > 0.0);
         for split in weighted.clone() {
             remaining -= split.weight;
             if remaining < 0.0 {
@@ -100,12 +107,12 @@
     /// Calls for cache events that one engine holds at once; 0 where it tells none.
     pub cache_event_calls: u32,
     /// Replicas of running requests that engines keep for each other, where they do.
-    pub replicas: Option<ReplicaOffer>,
+    pub replicas: Option<ReplicaSpecification>,
 }
 
 /// How the engines of a pool keep replicas of each other's running requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaOffer {
+pub struct ReplicaSpecification {
     /// Time after its last growth for which a replica that nobody uses is kept.
     pub lifetime: Span,
     /// Bytes that one token takes on the way.
@@ -277,11 +284,11 @@
     if route.timeout == Span::ZERO {
         return Err(TableError::NoTime(name()));
     }
-    if route.splits.iter().all(|split| split.weight <= 0.0) {
+    if route.traffic_splits.iter().all(|split| split.weight <= 0.0) {
         return Err(TableError::NoPool(name()));
     }
     let unknown = route
-        .splits
+        .traffic_splits
         .iter()
         .find(|split| !pools.contains_key(&split.pool));
     match unknown {
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -1,8 +1,8 @@
 //! Routes, splits, tenants and checks of a routing table.
 
 use eiderferry_routing::{
-    Limits, PRIORITY_LEVELS, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable, Split,
-    TableDocument, TableError, Tenant,
+    Limits, PRIORITY_LEVELS, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable,
+    TableDocument, TableError, Tenant, TrafficSplit,
 };
 use eiderferry_types::Span;
 use rstest::rstest;
@@ -18,7 +18,7 @@
         target: Span::from_milliseconds(150),
         event_gap_target: None,
         rank: 2,
-        splits: vec![Split {
+        traffic_splits: vec![TrafficSplit {
             pool: PoolName::from("app"),
             weight: 1.0,
         }],
@@ -94,16 +94,16 @@
 #[test]
 fn a_split_gives_each_pool_its_part() {
     let mut split = route("split", "a.example", "/x/");
-    split.splits = vec![
-        Split {
+    split.traffic_splits = vec![
+        TrafficSplit {
             pool: PoolName::from("one"),
             weight: 90.0,
         },
-        Split {
+        TrafficSplit {
             pool: PoolName::from("none"),
             weight: 0.0,
         },
-        Split {
+        TrafficSplit {
             pool: PoolName::from("two"),
             weight: 10.0,
         },
@@ -117,7 +117,7 @@
 #[test]
 fn a_split_without_weights_gives_no_pool() {
     let mut split = route("split", "a.example", "/x/");
-    split.splits[0].weight = 0.0;
+    split.traffic_splits[0].weight = 0.0;
     assert_eq!(split.pool(0.5), None);
 }
 
@@ -152,7 +152,7 @@
     assert_eq!(error, TableError::NoAttempts("r".to_owned()));
     let error = error_of(|document| document.routes[0].timeout = Span::ZERO);
     assert_eq!(error, TableError::NoTime("r".to_owned()));
-    let error = error_of(|document| document.routes[0].splits.clear());
+    let error = error_of(|document| document.routes[0].traffic_splits.clear());
     assert_eq!(error, TableError::NoPool("r".to_owned()));
     let error = error_of(|document| document.pools.clear());
     assert_eq!(
@@ -218,7 +218,7 @@
 #[test]
 fn the_tiers_of_a_pool_are_those_of_its_routes() {
     let mut elsewhere = ranked("other", 9);
-    elsewhere.splits[0].pool = PoolName::from("second");
+    elsewhere.traffic_splits[0].pool = PoolName::from("second");
     let mut both = document(vec![
         ranked("a", 0),
         ranked("b", 1),
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -88,7 +88,7 @@
         deadline,
         attempts: 0,
         unreachable: 0,
-        excluded: Vec::new(),
+        excluded_back_ends: Vec::new(),
         may_have_run: false,
         cancelled_until: None,
         replica: None,
@@ -114,20 +114,20 @@
     async fn run(mut self) -> Response<RelayBody> {
         let mut fallback = None;
         loop {
-            let lease = match self.ask().await {
+            let lease = match self.request_lease().await {
                 Ok(lease) => lease,
                 Err(answer) => return self.conclude(fallback, answer),
             };
             let instance = lease.grant.instance.clone();
             let address = lease.grant.address;
-            self.excluded.push(instance.clone());
+            self.excluded_back_ends.push(instance.clone());
             let (next, end) = self.attempt(lease).await;
             let Some(exchange) = next else {
                 return match end {
                     AttemptEnd::Response(response) | AttemptEnd::FailedResponse(response) => {
                         response
                     }
-                    AttemptEnd::None(_) => LocalReply::ResponseLost.response(),
+                    AttemptEnd::NoResponse(_) => LocalReply::ResponseLost.response(),
                 };
             };
             self = exchange;
@@ -137,7 +137,7 @@
                     fallback = Some(response);
                     Outcome::Failed
                 }
-                AttemptEnd::None(outcome) => outcome,
+                AttemptEnd::NoResponse(outcome) => outcome,
             };
             self.record_failed_attempt(&instance, address, outcome)
                 .await;
@@ -157,12 +157,15 @@
     async fn attempt(mut self, lease: Lease) -> (Option<Self>, AttemptEnd) {
         let since = self.traffic.clock.now();
         let holder = lease.grant.replica.clone();
-        self.replica = holder.map(|holder| RunReplica { holder, since });
+        self.replica = holder.map(|holder| RunReplica {
+            holder,
+            sent_at: since,
+        });
         match self.send(&lease).await {
             Err(outcome) => {
                 metrics::attempt(outcome.as_str());
                 lease.release(outcome);
-                (Some(self), AttemptEnd::None(outcome))
+                (Some(self), AttemptEnd::NoResponse(outcome))
             }
             Ok((response, connection)) if is_event_stream(&response) => {
                 StreamRelay::start(self, lease, response, connection).await
@@ -200,7 +203,7 @@
         };
         metrics::attempt(outcome.as_str());
         lease.release(outcome);
-        AttemptEnd::None(outcome)
+        AttemptEnd::NoResponse(outcome)
     }
 
     fn judge_answer(
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -154,10 +154,10 @@
             events::aggregating(after.is_aggregator);
         }
         for zone in after.silent_zones.difference(&self.silent_zones) {
-            events::zone(zone.as_str(), true);
+            events::zone_reachability(zone.as_str(), true);
         }
         for zone in self.silent_zones.difference(&after.silent_zones) {
-            events::zone(zone.as_str(), false);
+            events::zone_reachability(zone.as_str(), false);
         }
     }
 }
@@ -437,7 +437,7 @@
             let now = self.clock.now();
             let taken = self.dispatcher.borrow_mut().apply(change, now);
             is_news |= taken.outcome == ApplyOutcome::Applied;
-            events::document(&taken, source);
+            events::document_received(&taken, source);
         }
         if !is_news {
             return;
@@ -457,7 +457,7 @@
 
     fn confirm(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
         let before = self.known_changes();
-        self.dispatcher.borrow_mut().confirm(known, at);
+        self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(is_first_hand);
         }
@@ -466,7 +466,7 @@
     /// Notes changes that came with a message, and passes them on.
     fn follow_news(&self, taken: &[ReceivedChange]) {
         for news in taken {
-            events::document(news, "peer");
+            events::document_received(news, "peer");
         }
         if taken
             .iter()
@@ -501,7 +501,7 @@
             if self.control.dispatcher.borrow().reader_role(now) == ReaderRole::Reader {
                 return;
             }
-            let knows_nothing = self.complete_to().is_none();
+            let knows_nothing = self.newest_revision().is_none();
             let pause = if knows_nothing {
                 START_CHECK
             } else {
@@ -512,7 +512,7 @@
     }
 
     /// Last known revision of the newest epoch, from the source or from peers.
-    pub fn complete_to(&self) -> Option<Revision> {
+    pub fn newest_revision(&self) -> Option<Revision> {
         let dispatcher = self.control.dispatcher.borrow();
         dispatcher.document_store().version_vector().newest()
     }
@@ -527,7 +527,7 @@
     }
 
     /// Hands changes over; `revision` is the one up to which all is then known.
-    pub fn take(&self, changes: Vec<Change>, revision: Revision) {
+    pub fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         self.control.take(changes, "store");
         let now = self.control.clock.now();
         self.control.confirm(&revision.into(), now, true);
@@ -549,7 +549,7 @@
                 .document_store()
                 .missing_from_listing(listed, revision, grace_period)
         };
-        self.take(missing, revision);
+        self.apply_changes(missing, revision);
     }
 
     /// Takes over new addresses of other nodes.
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -61,6 +61,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Package {
     pub changes: Vec<Change>,
+    #[serde(rename = "complete_to")]
     pub version_vector: VersionVector,
     pub confirmed_ms: Option<u64>,
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -157,7 +157,7 @@
 }
 
 /// Nothing is heard of a zone, or it is heard again.
-pub(crate) fn zone(zone: &str, is_silent: bool) {
+pub(crate) fn zone_reachability(zone: &str, is_silent: bool) {
     if is_silent {
         log::warn!(event = "zone_silent", zone = zone; "nothing is heard of a zone");
     } else {
@@ -193,7 +193,7 @@
 }
 
 /// A document was taken, or refused.
-pub(crate) fn document(news: &ReceivedChange, source: &'static str) {
+pub(crate) fn document_received(news: &ReceivedChange, source: &'static str) {
     for unknown in &news.unknown_names {
         unknown_name(news, unknown);
     }
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -42,7 +42,7 @@
 pub(crate) struct RunReplica {
     pub holder: Box<ReplicaTarget>,
     /// When the run was sent.
-    pub since: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// How an attempt ended.
@@ -52,7 +52,7 @@
     /// With a back end's failure, which may be passed on or tried again.
     FailedResponse(Response<RelayBody>),
     /// Without an answer.
-    None(Outcome),
+    NoResponse(Outcome),
 }
 
 /// A request and what has become of it.
@@ -67,7 +67,7 @@
     pub deadline: Timestamp,
     pub attempts: u32,
     pub unreachable: u32,
-    pub excluded: Vec<InstanceId>,
+    pub excluded_back_ends: Vec<InstanceId>,
     pub may_have_run: bool,
     /// Until when the request is refused, if it was taken back from a back end.
     pub cancelled_until: Option<Timestamp>,
@@ -140,7 +140,7 @@
     }
 
     /// Asks for a place.
-    pub async fn ask(&mut self) -> Result<Lease, LocalReply> {
+    pub async fn request_lease(&mut self) -> Result<Lease, LocalReply> {
         self.ask_at(None).await
     }
 
@@ -159,7 +159,7 @@
             event_gap_target: self.head.route.event_gap_target,
             remaining: now.until(self.deadline),
             allowed_regions: self.head.allowed_regions.clone(),
-            excluded: self.excluded.clone(),
+            excluded_back_ends: self.excluded_back_ends.clone(),
             may_retry: self.head.route.may_retry(),
             is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -41,9 +41,9 @@
 
     /// Continues a lost run at the engine that holds its replica, if there is one.
     async fn take_over(&mut self, last_id: u64) -> Option<Answering> {
-        let RunReplica { holder, since } = self.replica.take()?;
+        let RunReplica { holder, sent_at } = self.replica.take()?;
         let begun = self.traffic.clock.now();
-        if begun >= self.deadline || begun.since(since) < REPLICA_AGE {
+        if begun >= self.deadline || begun.since(sent_at) < REPLICA_AGE {
             return None;
         }
         let result = match self.ask_at(Some(holder.instance.clone())).await {
@@ -127,7 +127,7 @@
     /// Takes the stream up at another back end.
     async fn resume(&mut self) -> bool {
         while self.exchange.may_try_again() {
-            let Ok(lease) = self.exchange.ask().await else {
+            let Ok(lease) = self.exchange.request_lease().await else {
                 return false;
             };
             let last_id = self.splitter.last_id();
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -119,7 +119,7 @@
     if announced > limit {
         return Err(LocalReply::BodyTooLarge);
     }
-    let mut held = memory.nothing(MemoryKind::Body);
+    let mut held = memory.empty(MemoryKind::Body);
     let refused = |bytes: u64| {
         let retry_after = memory.shared.budget.retry_after(bytes);
         move |MemoryFull| LocalReply::NoMemory(retry_after)
@@ -194,7 +194,7 @@
     mut body: Incoming,
     memory: &RequestMemory,
 ) -> Result<Bytes, Outcome> {
-    let mut held = memory.nothing(MemoryKind::Response);
+    let mut held = memory.empty(MemoryKind::Response);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -53,4 +53,4 @@
 pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
 pub use node::{Relay, Source, StartError};
-pub use settings::{RelaySettings, StopSettings};
+pub use settings::{RelaySettings, ShutdownSettings};
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -120,7 +120,9 @@
     }
 
     /// Bytes by kind and kind of route.
-    pub(crate) fn cells(&self) -> impl Iterator<Item = (MemoryKind, &'static str, u64)> {
+    pub(crate) fn by_kind_and_route(
+        &self,
+    ) -> impl Iterator<Item = (MemoryKind, &'static str, u64)> {
         MemoryKind::ALL.into_iter().flat_map(move |kind| {
             let cells = self.figures.cells[kind as usize].iter();
             cells
@@ -215,7 +217,7 @@
 
 impl MemoryReservation {
     /// Holds nothing yet, for a route of this kind.
-    pub fn nothing(budget: &Arc<MemoryBudget>, kind: MemoryKind, route: &'static str) -> Self {
+    pub fn empty(budget: &Arc<MemoryBudget>, kind: MemoryKind, route: &'static str) -> Self {
         let label = ROUTE_LABELS.iter().position(|label| *label == route);
         Self {
             budget: Arc::clone(budget),
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -174,7 +174,7 @@
 
 /// What is held for callers and back ends.
 pub(crate) fn held(budget: &MemoryBudget) {
-    for (kind, route, bytes) in budget.cells() {
+    for (kind, route, bytes) in budget.by_kind_and_route() {
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
             .set(bytes as f64);
     }
@@ -208,8 +208,8 @@
     metrics::counter!("eiderferry_cache_events_total").absolute(counts.events);
     metrics::counter!("eiderferry_cache_gaps_total").absolute(counts.gaps);
     metrics::counter!("eiderferry_cache_corrections_total").absolute(counts.corrections);
-    metrics::gauge!("eiderferry_documents_epoch").set(snapshot.complete_to.epoch as f64);
-    metrics::gauge!("eiderferry_documents_revision").set(snapshot.complete_to.number as f64);
+    metrics::gauge!("eiderferry_documents_epoch").set(snapshot.newest_revision.epoch as f64);
+    metrics::gauge!("eiderferry_documents_revision").set(snapshot.newest_revision.number as f64);
     metrics::gauge!("eiderferry_table_version").set(snapshot.table_version as f64);
     metrics::gauge!("eiderferry_confirmation_age_seconds").set(snapshot.confirmed_age_seconds);
     metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.examined_back_ends);
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -9,7 +9,7 @@
 use crate::memory_budget::MemoryBudget;
 use crate::request_memory::Memory;
 use crate::server::{Phase, Server};
-use crate::settings::{RelaySettings, StopSettings};
+use crate::settings::{RelaySettings, ShutdownSettings};
 use crate::upstream::Upstream;
 use crate::{events, metrics};
 use arc_swap::ArcSwapOption;
@@ -79,13 +79,13 @@
         let clock = Clock::start(HEAD_START);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
         let (sender, commands) = async_channel::unbounded();
-        let socket = bind_datagrams(settings.peer)?;
-        let listener = std::net::TcpListener::bind(settings.peer)
-            .map_err(|cause| StartError::Bind("documents", settings.peer, cause))?;
+        let socket = bind_datagrams(settings.peer_address)?;
+        let listener = std::net::TcpListener::bind(settings.peer_address)
+            .map_err(|cause| StartError::Bind("documents", settings.peer_address, cause))?;
         let dispatcher = Dispatcher::new(DispatcherSettings {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
-            address: settings.peer,
+            address: settings.peer_address,
             seeds: settings.seeds.clone(),
             incarnation: rand::random(),
             retry_budget: settings.retry_budget,
@@ -98,7 +98,7 @@
         let shared = Arc::clone(&table);
         let cancellations = Cancellations::default();
         let told = cancellations.clone();
-        let peer = settings.peer;
+        let peer = settings.peer_address;
         let (cache_protocol, header_names) = (
             settings.cache_protocol.clone(),
             settings.header_names.clone(),
@@ -169,10 +169,10 @@
         self.open(&server).await?;
         let settings = &self.settings;
         let (node, zone) = (settings.node.as_str(), settings.zone.as_str());
-        events::started(node, zone, settings.listen);
+        events::started(node, zone, settings.listen_address);
         stop.await;
         self.control.stop();
-        stop_server(&server, settings.stop, signals, self.clock).await;
+        stop_server(&server, settings.shutdown, signals, self.clock).await;
         events::stopped(server.open_requests.get());
         Timer::after(LAST_LINES).await;
         Ok(())
@@ -181,18 +181,18 @@
     async fn open(&self, server: &Rc<Server>) -> Result<(), StartError> {
         let settings = &self.settings;
         let executor = &server.executor;
-        let ready = bind("readiness", settings.ready).await?;
-        let path = settings.ready_path.clone();
+        let ready = bind("readiness", settings.readiness_address).await?;
+        let path = settings.readiness_path.clone();
         executor
             .spawn(Rc::clone(server).accept_readiness(ready, path))
             .detach();
-        if let (Some(address), Some(handle)) = (settings.metrics, self.metrics.clone()) {
+        if let (Some(address), Some(handle)) = (settings.metrics_address, self.metrics.clone()) {
             let listener = bind("metrics", address).await?;
             executor
                 .spawn(Rc::clone(server).accept_metrics(listener, handle))
                 .detach();
         }
-        let callers = bind("callers", settings.listen).await?;
+        let callers = bind("callers", settings.listen_address).await?;
         if self.memory.is_bounded() {
             bound_send_buffers(&callers);
         }
@@ -240,7 +240,12 @@
     end: async_channel::Sender<Infallible>,
 }
 
-async fn stop_server(server: &Server, settings: StopSettings, signals: StopSignals, clock: Clock) {
+async fn stop_server(
+    server: &Server,
+    settings: ShutdownSettings,
+    signals: StopSignals,
+    clock: Clock,
+) {
     let begun = clock.now();
     server.phase.set(Phase::NotReady);
     events::stopping("leaving", server.open_requests.get());
@@ -248,7 +253,7 @@
     server.phase.set(Phase::Refusing);
     signals.close.close();
     events::stopping("refusing", server.open_requests.get());
-    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.end_after {
+    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.terminate_after {
         Timer::after(END_CHECK).await;
     }
     signals.end.close();
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -55,7 +55,7 @@
 
 impl ReadAhead {
     pub fn new(source: Pieces, memory: Rc<RequestMemory>) -> Rc<RefCell<Self>> {
-        let held = memory.nothing(MemoryKind::Events);
+        let held = memory.empty(MemoryKind::Events);
         Rc::new(RefCell::new(Self {
             source: Some(source),
             ready: VecDeque::new(),
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -91,8 +91,8 @@
         self.rank.set(rank);
     }
 
-    pub fn nothing(&self, kind: MemoryKind) -> MemoryReservation {
-        MemoryReservation::nothing(&self.shared.budget, kind, self.route.get())
+    pub fn empty(&self, kind: MemoryKind) -> MemoryReservation {
+        MemoryReservation::empty(&self.shared.budget, kind, self.route.get())
     }
 
     /// Holds more of an answer that has run: streams of slower callers give way.
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -8,11 +8,11 @@
 
 /// Times of a planned stop, from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopSettings {
+pub struct ShutdownSettings {
     /// When kept connections are closed and new requests refused.
     pub refuse_after: Span,
     /// When the process ends whatever still runs.
-    pub end_after: Span,
+    pub terminate_after: Span,
 }
 
 /// Settings of one relay.
@@ -23,15 +23,15 @@
     /// Its zone.
     pub zone: ZoneName,
     /// Address for callers.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Address that answers whether this node wants callers.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Path asked there.
-    pub ready_path: String,
+    pub readiness_path: String,
     /// Address that tells metrics, if any.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// Address for messages of other nodes: datagrams, and documents over TCP.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Other nodes' addresses, perhaps out of date.
     pub seeds: Vec<SocketAddr>,
     /// Bound of repeats over all nodes.
@@ -49,7 +49,7 @@
     /// Most bytes held for callers and back ends; 0: nothing is bounded or read ahead.
     pub memory_budget: u64,
     /// Planned stops.
-    pub stop: StopSettings,
+    pub shutdown: ShutdownSettings,
     /// How engines are asked for what they keep of prompts.
     pub cache_protocol: CacheProtocol,
     /// Header names.
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -72,7 +72,10 @@
             Err(until) => {
                 relay.finish_source(Outcome::Cancelled);
                 relay.exchange.cancelled_until = Some(until);
-                return (Some(relay.exchange), AttemptEnd::None(Outcome::Cancelled));
+                return (
+                    Some(relay.exchange),
+                    AttemptEnd::NoResponse(Outcome::Cancelled),
+                );
             }
         };
         match first {
@@ -88,11 +91,14 @@
             }
             Piece::Broken(outcome) => {
                 relay.finish_source(outcome);
-                (Some(relay.exchange), AttemptEnd::None(outcome))
+                (Some(relay.exchange), AttemptEnd::NoResponse(outcome))
             }
             Piece::TimedOut => {
                 relay.finish_source(Outcome::TimedOut);
-                (Some(relay.exchange), AttemptEnd::None(Outcome::TimedOut))
+                (
+                    Some(relay.exchange),
+                    AttemptEnd::NoResponse(Outcome::TimedOut),
+                )
             }
         }
     }
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -6,8 +6,8 @@
 };
 use eiderferry_relay::{CacheProtocol, HeaderNames, MalformedResponse};
 use eiderferry_routing::{
-    BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaOffer, Route,
-    RouteKind, Split, TableDocument, Tenant, ZoneName,
+    BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaSpecification,
+    Route, RouteKind, TableDocument, Tenant, TrafficSplit, ZoneName,
 };
 use eiderferry_types::Span;
 use http::HeaderName;
@@ -108,7 +108,7 @@
         target: Span::from_milliseconds(2_000),
         event_gap_target: Some(Span::from_milliseconds(1_000)),
         rank: 2,
-        splits: vec![Split {
+        traffic_splits: vec![TrafficSplit {
             pool: PoolName::from("pool"),
             weight: 1.0,
         }],
@@ -126,7 +126,7 @@
         cache_tokens: 400_000,
         tokens_per_event: 4,
         cache_event_calls: 0,
-        replicas: Some(ReplicaOffer {
+        replicas: Some(ReplicaSpecification {
             lifetime: Span::from_milliseconds(5_000),
             bytes_per_token: 163_840,
         }),
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/running.rs
@@ -3,7 +3,7 @@
 use super::documents::{ENGINE, cache_protocol, changes, engine, header_names, leaving};
 use super::{AMPLE_MEMORY, Answer, Caller, PATIENCE, SMALL_BUFFER, StandIn, write};
 use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
-use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, Source, StopSettings};
+use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, ShutdownSettings, Source};
 use eiderferry_routing::{EngineSpecification, NodeName, ZoneName};
 use eiderferry_types::Span;
 use std::collections::BTreeMap;
@@ -179,11 +179,11 @@
         let settings = RelaySettings {
             node: NodeName::from(format!("node-{}", options.number)),
             zone: ZoneName::from("a"),
-            listen,
-            ready,
-            ready_path: "/ready".to_owned(),
-            metrics: None,
-            peer,
+            listen_address: listen,
+            readiness_address: ready,
+            readiness_path: "/ready".to_owned(),
+            metrics_address: None,
+            peer_address: peer,
             seeds: options.seeds,
             retry_budget: RetryBudgetSettings {
                 ratio: 0.2,
@@ -199,9 +199,9 @@
                 overage: 1.5,
                 slack: 5.0,
             },
-            stop: StopSettings {
+            shutdown: ShutdownSettings {
                 refuse_after: Span::from_milliseconds(300),
-                end_after: Span::from_milliseconds(1_500),
+                terminate_after: Span::from_milliseconds(1_500),
             },
             cache_protocol: cache_protocol(),
             header_names: header_names(),
@@ -210,7 +210,7 @@
             Box::pin(async move {
                 if let Some(documents) = documents {
                     smol::Timer::after(options.delay).await;
-                    feed.take(documents, 2.into());
+                    feed.apply_changes(documents, 2.into());
                 }
                 std::future::pending::<()>().await;
             })
