--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -28,9 +28,9 @@
 use aggregation::Aggregation;
 use cache_index::CacheFollows;
 use document_source::WantedDocuments;
-use granting::{Lease, Miss};
+use granting::{FailedConnection, Lease};
 use home_scopes::HomeScopes;
-use quarantining::CrashNews;
+use quarantining::PendingCrashReports;
 
 use crate::load::cache_index::FollowCounts;
 use crate::load::registry::Registry;
@@ -194,7 +194,7 @@
     budgets: HashMap<PoolName, RetryBudget>,
     leases: HashMap<LeaseId, Lease>,
     ended_lately: HashMap<InstanceId, Timestamp>,
-    missed: HashMap<ZoneName, HashMap<InstanceId, Miss>>,
+    failed_connections: HashMap<ZoneName, HashMap<InstanceId, FailedConnection>>,
     next_lease: u64,
     placements: Vec<Placement>,
     ticks: u64,
@@ -224,7 +224,7 @@
     /// How likely a stream of each pool is to be lost.
     losses: LossProbabilities,
     quarantine: Quarantine,
-    crash_news: CrashNews,
+    crash_news: PendingCrashReports,
     /// Whether some back end was cold at the last tick.
     has_cold: bool,
     /// Back ends that were looked at for requests.
@@ -252,7 +252,7 @@
             budgets: HashMap::new(),
             leases: HashMap::new(),
             ended_lately: HashMap::new(),
-            missed: HashMap::new(),
+            failed_connections: HashMap::new(),
             next_lease: 0,
             placements: Vec::new(),
             ticks: 0,
@@ -275,7 +275,7 @@
             evacuated: BTreeSet::new(),
             losses: LossProbabilities::default(),
             quarantine: Quarantine::default(),
-            crash_news: CrashNews::default(),
+            crash_news: PendingCrashReports::default(),
             has_cold: false,
             examined: 0,
             random,
@@ -448,14 +448,14 @@
     ) -> ReceiveOutput {
         self.now = now;
         let change = self.peers.record_message(address, message, now);
-        self.record_table_elsewhere(message.table_stamp);
+        self.record_peer_table(message.table_stamp);
         self.apply_own_loads(message, now);
-        self.take_aggregation(address, message, now);
+        self.apply_aggregation(address, message, now);
         self.apply_zone_digests(address, message, now);
         self.back_ends.apply_placements(&message.placements, now);
         let taken = self.apply_recent_changes(message, now);
-        let quarantine_changes = self.take_crashing_requests(message, now);
-        self.take_limits(message, now);
+        let quarantine_changes = self.apply_crashing_requests(message, now);
+        self.apply_limits(message, now);
         let knows_all = self
             .document_store
             .version_vector()
@@ -493,7 +493,7 @@
 
     /// Whether this node aggregates for its zone.
     pub fn is_aggregator(&self) -> bool {
-        self.aggregation.is_acting()
+        self.aggregation.is_active()
     }
 
     /// Zones whose back ends get nothing new.
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -105,7 +105,7 @@
 
 impl Aggregation {
     /// Whether this node acts as an aggregator.
-    pub(super) fn is_acting(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         self.acting_since.is_some()
     }
 
@@ -159,7 +159,7 @@
     pub(super) fn silent_zones(&self, now: Timestamp) -> Option<BTreeSet<ZoneName>> {
         let heard = self.summary_heard;
         let is_told = heard.is_some_and(|heard| now.since(heard) < ZONES_TOLD);
-        if !is_told && !self.is_acting() {
+        if !is_told && !self.is_active() {
             return None;
         }
         let zones = self.zones_heard.iter();
@@ -175,7 +175,7 @@
 
 impl Dispatcher {
     /// Renews who aggregates. Returns aggregators that fell silent.
-    pub(super) fn watch_aggregators(&mut self, now: Timestamp) -> Vec<PeerChange> {
+    pub(super) fn update_aggregators(&mut self, now: Timestamp) -> Vec<PeerChange> {
         if !self.peers.is_zone_large() {
             self.aggregation.watched.clear();
             self.aggregation.acting_since = None;
@@ -242,7 +242,7 @@
 
     fn reports(&mut self, now: Timestamp) -> Vec<Envelope> {
         let loads = self.own_loads(now);
-        let digests = self.zone_digests.passed_on(now);
+        let digests = self.zone_digests.digests_to_forward(now);
         let rested = self.ticks - self.aggregation.last_report_tick;
         let has_changed = loads != self.aggregation.last_report
             || !self.placements.is_empty()
@@ -365,7 +365,7 @@
     }
 
     /// Takes in what concerns aggregators.
-    pub(super) fn take_aggregation(
+    pub(super) fn apply_aggregation(
         &mut self,
         address: SocketAddr,
         message: &Gossip,
@@ -403,7 +403,7 @@
         }
         self.back_ends.apply_placements(&summary.placements, now);
         // An aggregator counts itself, from fresher reports.
-        if !self.aggregation.is_acting() {
+        if !self.aggregation.is_active() {
             let source = LoadSource::AllNodes {
                 reporter: aggregator,
             };
@@ -418,9 +418,9 @@
             return;
         };
         let is_summed = if message.zone == self.settings.zone {
-            self.peers.is_zone_large() && !self.aggregation.is_acting()
+            self.peers.is_zone_large() && !self.aggregation.is_active()
         } else {
-            self.tells_zones_by_digest()
+            self.uses_zone_digests()
         };
         if !is_summed {
             let source = LoadSource::Node(message.from.digest());
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -123,7 +123,7 @@
     }
 
     /// Notes which table another node has.
-    pub(super) fn record_table_elsewhere(&mut self, stamp: TableStamp) {
+    pub(super) fn record_peer_table(&mut self, stamp: TableStamp) {
         let latest = &mut self.wanted.table_stamp;
         *latest = stamp.max(*latest);
     }
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -75,7 +75,7 @@
 
 /// A back end of another zone to which no connection came up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Miss {
+pub(super) struct FailedConnection {
     is_refusal: bool,
     at: Timestamp,
 }
@@ -280,7 +280,7 @@
     pub fn record_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.has_events |= pacing.events() > 0;
-            self.back_ends.learn(&lease.instance, pacing);
+            self.back_ends.observe_stream(&lease.instance, pacing);
         }
     }
 
@@ -353,7 +353,7 @@
         let mut changes: Vec<(InstanceId, HealthChange)> = own.into_iter().collect();
         let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
         if is_missed && zone != self.settings.zone {
-            let miss = Miss {
+            let miss = FailedConnection {
                 is_refusal: outcome == Outcome::ConnectionRefused,
                 at: now,
             };
@@ -368,10 +368,10 @@
         &mut self,
         zone: ZoneName,
         instance: InstanceId,
-        miss: Miss,
+        miss: FailedConnection,
     ) -> Vec<(InstanceId, HealthChange)> {
         let now = miss.at;
-        let lately = self.missed.entry(zone.clone()).or_default();
+        let lately = self.failed_connections.entry(zone.clone()).or_default();
         lately.retain(|_, miss| now.since(miss.at) < CUT_WINDOW);
         lately.insert(instance, miss);
         let refusing = lately.values().filter(|miss| miss.is_refusal).count();
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -62,7 +62,7 @@
         let mut peer_changes = self.peers.tick(now);
         let warmup_changes = self.update_cold_senders(now);
         let limit_changes = self.update_limit_roles(now);
-        peer_changes.extend(self.watch_aggregators(now));
+        peer_changes.extend(self.update_aggregators(now));
         self.update_silent_zones(now);
         self.ended_lately
             .retain(|_, ended| now.since(*ended) < OUTCOME_LIFETIME);
@@ -106,7 +106,7 @@
     fn is_spoken_for(&self) -> bool {
         self.settings.features.zone_representatives
             && self.peers.is_zone_large()
-            && self.tells_zones_by_digest()
+            && self.uses_zone_digests()
     }
 
     fn update_silent_zones(&mut self, now: Timestamp) {
@@ -165,7 +165,7 @@
             &mut self.near_turn,
         );
         let mut message = self.gossip(false, now);
-        message.zone_digests = self.zone_digests.passed_on(now);
+        message.zone_digests = self.zone_digests.digests_to_forward(now);
         message.limits = self.limits_for(Audience::OwnZone, now);
         envelope(MessageKind::Peer, near, message)
             .into_iter()
@@ -175,7 +175,7 @@
     fn message_to_other_zones(&mut self, now: Timestamp) -> Option<Envelope> {
         let fanout = self.peers.cross_zone_fanout();
         let far = round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
-        let mut message = if self.tells_zones_by_digest() {
+        let mut message = if self.uses_zone_digests() {
             self.bare_gossip(false, now)
         } else {
             self.gossip(false, now)
@@ -295,7 +295,7 @@
         if !self.is_spoken_for() {
             return round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
         }
-        if !is_first_hand && !self.speaks_for_zone() {
+        if !is_first_hand && !self.represents_zone() {
             return Vec::new();
         }
         let mut told = self.digest_receivers();
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -13,7 +13,7 @@
 
 /// What this node has still to tell of crashes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct CrashNews {
+pub(super) struct PendingCrashReports {
     is_untold: bool,
     told_at: Option<Timestamp>,
 }
@@ -29,7 +29,7 @@
         if !self.crash_news.is_untold || is_soon {
             return None;
         }
-        self.crash_news = CrashNews {
+        self.crash_news = PendingCrashReports {
             is_untold: false,
             told_at: Some(now),
         };
@@ -63,7 +63,7 @@
         ))
     }
 
-    pub(super) fn take_crashing_requests(
+    pub(super) fn apply_crashing_requests(
         &mut self,
         message: &Gossip,
         now: Timestamp,
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -15,7 +15,7 @@
 
 impl Dispatcher {
     /// Takes over what another node tells of limits.
-    pub(super) fn take_limits(&mut self, message: &Gossip, now: Timestamp) {
+    pub(super) fn apply_limits(&mut self, message: &Gossip, now: Timestamp) {
         let heard_from = if message.zone == self.settings.zone {
             NoticeOrigin::OwnZone
         } else {
@@ -57,7 +57,7 @@
                 // By the most nodes ever known: those that are cut off from the others must not
                 // hold themselves to be alone and take the others' part as well.
                 let senders = senders(limit, max_known);
-                let place = nodes.place(digest, zone, senders);
+                let place = nodes.own_index(digest, zone, senders);
                 let place = place.filter(|_| may_send)?;
                 Some(SenderShare {
                     index: place,
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -80,14 +80,14 @@
     }
 
     /// Digests that are to be passed on with the messages of this tick.
-    pub(super) fn passed_on(&mut self, now: Timestamp) -> Vec<ZoneDigest> {
-        let mut passed_on = Vec::new();
+    pub(super) fn digests_to_forward(&mut self, now: Timestamp) -> Vec<ZoneDigest> {
+        let mut digests_to_forward = Vec::new();
         for (zone, digest) in &mut self.heard {
-            if digest.ticks_left == 0 || passed_on.len() == MOST_ZONES {
+            if digest.ticks_left == 0 || digests_to_forward.len() == MOST_ZONES {
                 continue;
             }
             digest.ticks_left -= 1;
-            passed_on.push(ZoneDigest {
+            digests_to_forward.push(ZoneDigest {
                 zone: zone.clone(),
                 reporter: digest.reporter,
                 age_ms: now.since(digest.counted_at).milliseconds() as u32,
@@ -95,13 +95,13 @@
                 placements: digest.placements.clone(),
             });
         }
-        passed_on
+        digests_to_forward
     }
 }
 
 impl Dispatcher {
     /// Whether other zones have more nodes than this one tells at a time.
-    pub(super) fn tells_zones_by_digest(&self) -> bool {
+    pub(super) fn uses_zone_digests(&self) -> bool {
         self.peers.other_zone_count() > CROSS_ZONE_FANOUT
     }
 
@@ -110,7 +110,7 @@
         let number = self.digest_turn()?;
         let phase = number * DIGEST_TICKS / DIGEST_SENDERS;
         let is_due = self.ticks % DIGEST_TICKS == phase % DIGEST_TICKS;
-        if !is_due || !self.tells_zones_by_digest() {
+        if !is_due || !self.uses_zone_digests() {
             return None;
         }
         let mut message = self.bare_gossip(false, now);
@@ -144,22 +144,22 @@
     }
 
     /// Whether this node speaks for its zone to others.
-    pub(super) fn speaks_for_zone(&self) -> bool {
+    pub(super) fn represents_zone(&self) -> bool {
         self.digest_turn().is_some()
     }
 
     /// Whether this node collects its zone's placements for a digest: in a large zone only
     /// aggregators do.
     pub(super) fn collects_placements(&self) -> bool {
-        self.aggregation.is_acting() || !self.peers.is_zone_large()
+        self.aggregation.is_active() || !self.peers.is_zone_large()
     }
 
     /// Whose turn a digest is at: that of aggregators in a large zone, otherwise that of the
     /// first nodes in the order of duties.
     fn digest_turn(&self) -> Option<u64> {
         if self.peers.is_zone_large() {
-            let is_acting = self.aggregation.is_acting();
-            return is_acting.then(|| self.aggregator_number());
+            let is_active = self.aggregation.is_active();
+            return is_active.then(|| self.aggregator_number());
         }
         let rank = self.reader_rank();
         (rank < DIGEST_SENDERS).then_some(rank)
@@ -214,7 +214,7 @@
 
     fn apply_zone_digest(&mut self, told: &ZoneDigest, is_first_hand: bool, now: Timestamp) {
         self.back_ends.apply_placements(&told.placements, now);
-        if self.aggregation.is_acting() {
+        if self.aggregation.is_active() {
             self.aggregation.record_placements(&told.placements);
         }
         let counted_at = now - Span::from_milliseconds(u64::from(told.age_ms));
@@ -251,7 +251,7 @@
     /// Placements of a digest that this node has to pass on: an aggregator tells them in its
     /// own summary.
     fn placements_passed_on(&self, told: &ZoneDigest) -> Vec<Placement> {
-        if self.aggregation.is_acting() {
+        if self.aggregation.is_active() {
             Vec::new()
         } else {
             told.placements.clone()
--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -15,7 +15,7 @@
     /// Sorts the other nodes by their zones.
     pub(crate) fn by_zone(&self) -> NodesByZone<'_> {
         let mut hashes: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
-        for (_, peer) in self.staying() {
+        for (_, peer) in self.active_peers() {
             hashes.entry(&peer.zone).or_default().push(peer.rank.hash());
         }
         NodesByZone {
@@ -29,7 +29,7 @@
     /// Place of this node among the first so many of those that send to a back end of a zone;
     /// `None` behind them. Nodes of that zone come first: they hear at once when one of them ends,
     /// and a cut that parts them from the others parts the back end from these as well.
-    pub fn place(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
+    pub fn own_index(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
         let before = if *zone == self.peers.zone {
             self.peers.sender_index(back_end)
         } else {
@@ -39,7 +39,7 @@
             }
             let elsewhere = self.hashes.iter().filter(|(other, _)| **other != zone);
             let elsewhere = elsewhere.flat_map(|(_, hashes)| hashes);
-            there + self.peers.before_own(back_end, elsewhere)
+            there + self.peers.count_before_own(back_end, elsewhere)
         };
         (before < senders).then_some(before)
     }
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -2,7 +2,9 @@
 //! other zone by itself; of the others it is told by the nodes of its zone, and these by the
 //! senders of digests.
 
-use super::peers::{FAR_SILENCE, FORGET_FACTOR, Peer, Peers, RolePriority, TOLD_SILENCE};
+use super::peers::{
+    CROSS_ZONE_SILENCE, FORGET_FACTOR, INDIRECT_SILENCE, Peer, Peers, RolePriority,
+};
 use crate::{Gossip, Member, VersionVector};
 use eiderferry_routing::ZoneName;
 use eiderferry_types::{Span, Timestamp};
@@ -38,7 +40,7 @@
                 Some(peer) if (is_near || peer.zone == message.zone) && !peer.is_lost => {
                     peer.heard = peer.heard.max(heard);
                 }
-                None if silent < Span(FAR_SILENCE.0 * FORGET_FACTOR) => {
+                None if silent < Span(CROSS_ZONE_SILENCE.0 * FORGET_FACTOR) => {
                     let indirect = (member.zone.clone(), heard);
                     self.indirect.insert(member.address, indirect);
                 }
@@ -51,12 +53,12 @@
     fn takes_by_word(&self, member: &Member, message: &Gossip, is_near: bool) -> bool {
         let is_trusted = is_near || member.zone == message.zone;
         let silent = Span::from_milliseconds(u64::from(member.silent_ms));
-        let is_fresh = silent < TOLD_SILENCE;
-        is_trusted && is_fresh && member.zone != self.zone && self.has_met(&member.zone)
+        let is_fresh = silent < INDIRECT_SILENCE;
+        is_trusted && is_fresh && member.zone != self.zone && self.has_enough_contacts(&member.zone)
     }
 
     /// Whether enough nodes of another zone were heard.
-    pub(super) fn has_met(&self, zone: &ZoneName) -> bool {
+    pub(super) fn has_enough_contacts(&self, zone: &ZoneName) -> bool {
         let peers = self.peers.values();
         let met = peers.filter(|peer| !peer.is_lost && peer.name.is_some() && peer.zone == *zone);
         met.take(MET_OF_ZONE).count() == MET_OF_ZONE
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -14,12 +14,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Silence after which a peer of the own zone counts as lost, at the least.
-const NEAR_SILENCE: Span = Span::from_milliseconds(900);
+const SAME_ZONE_SILENCE: Span = Span::from_milliseconds(900);
 /// The same where aggregators tell which nodes of the zone they hear: each of two names
 /// all of them within 1.2 s, and may have to be replaced first.
 const SUMMARIZED_SILENCE: Span = Span::from_milliseconds(4_000);
 /// The same for a peer of another zone.
-pub(super) const FAR_SILENCE: Span = Span::from_milliseconds(1_500);
+pub(super) const CROSS_ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
 /// Turns in a row that a peer has to miss besides.
 const MISSED_TURNS: u64 = 5;
 /// Messages in a row that none of a zone's peers sent when the way there counts as cut:
@@ -30,7 +30,7 @@
 pub(super) const FORGET_FACTOR: u64 = 60;
 /// Silence after which a node of another zone that is known from others only counts as lost:
 /// each of two aggregators names all of those within 8 s.
-pub(super) const TOLD_SILENCE: Span = Span::from_milliseconds(30_000);
+pub(super) const INDIRECT_SILENCE: Span = Span::from_milliseconds(30_000);
 
 /// What changed with a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -274,12 +274,12 @@
         let near = if self.is_zone_large() {
             SUMMARIZED_SILENCE
         } else {
-            Span(near * TICK.0 * MISSED_TURNS).max(NEAR_SILENCE)
+            Span(near * TICK.0 * MISSED_TURNS).max(SAME_ZONE_SILENCE)
         };
         let far = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
-        let far = Span(far * CROSS_ZONE_TICKS * TICK.0 * MISSED_TURNS).max(FAR_SILENCE);
+        let far = Span(far * CROSS_ZONE_TICKS * TICK.0 * MISSED_TURNS).max(CROSS_ZONE_SILENCE);
         let far = if self.is_zone_large() || self.has_told() {
-            far.max(TOLD_SILENCE)
+            far.max(INDIRECT_SILENCE)
         } else {
             far
         };
@@ -373,7 +373,7 @@
 
     /// Whether nodes of a zone that others name are to be tried.
     fn is_sought(&self, zone: &ZoneName) -> bool {
-        *zone == self.zone || !self.has_met(zone)
+        *zone == self.zone || !self.has_enough_contacts(zone)
     }
 
     /// Nodes of the own zone that may take duties over for the others, with their places in
@@ -390,11 +390,11 @@
     /// Place of a node of the own zone among those that send to a cold back end: the number
     /// of living nodes before it that are not stopping.
     pub(crate) fn sender_index(&self, back_end: u32) -> usize {
-        self.before_own(back_end, &self.active_peer_hashes)
+        self.count_before_own(back_end, &self.active_peer_hashes)
     }
 
     /// How many of some nodes come before this one in the order of senders to a back end.
-    pub(super) fn before_own<'a>(
+    pub(super) fn count_before_own<'a>(
         &self,
         back_end: u32,
         others: impl IntoIterator<Item = &'a u64>,
@@ -407,14 +407,15 @@
     }
 
     /// Peers that are there and not stopping.
-    pub(super) fn staying(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    pub(super) fn active_peers(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let peers = self.peers.iter();
         peers.filter(|(_, peer)| !peer.is_lost && !peer.is_stopping)
     }
 
     /// Those of the own zone.
     fn active_same_zone(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
-        self.staying().filter(|(_, peer)| peer.zone == self.zone)
+        self.active_peers()
+            .filter(|(_, peer)| peer.zone == self.zone)
     }
 
     /// Living peers that know changes beyond `known`.
--- a/crates/coordination/dispatch/src/load.rs
+++ b/crates/coordination/dispatch/src/load.rs
@@ -4,7 +4,7 @@
 pub(crate) mod cache;
 pub(crate) mod cache_index;
 pub(crate) mod cold_start;
-pub(crate) mod crowding;
+pub(crate) mod concurrency;
 pub(crate) mod engine_model;
 pub(crate) mod health;
 pub(crate) mod holders;
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -1,6 +1,6 @@
 //! How loaded a back end is, as this node knows it.
 
-use crate::load::crowding::ConcurrencyEstimate;
+use crate::load::concurrency::ConcurrencyEstimate;
 use crate::{
     EngineSpeed, LeaseId, LoadReport, Outcome, OutcomeCounts, PrefixCache, RecentOutcomes,
 };
@@ -185,7 +185,7 @@
 
 /// What a report counts, whoever tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Counted {
+pub(crate) enum LoadScope {
     /// Requests of one node.
     Node(u64),
     /// Requests of another zone's nodes.
@@ -195,11 +195,11 @@
 }
 
 impl LoadSource {
-    pub(crate) fn counted(self) -> Counted {
+    pub(crate) fn scope(self) -> LoadScope {
         match self {
-            LoadSource::Node(node) => Counted::Node(node),
-            LoadSource::Zone { zone, .. } => Counted::Zone(zone),
-            LoadSource::AllNodes { .. } => Counted::AllNodes,
+            LoadSource::Node(node) => LoadScope::Node(node),
+            LoadSource::Zone { zone, .. } => LoadScope::Zone(zone),
+            LoadSource::AllNodes { .. } => LoadScope::AllNodes,
         }
     }
 
@@ -224,7 +224,7 @@
 #[derive(Clone, Debug)]
 pub struct BackEndLoad {
     running: BTreeMap<LeaseId, Running>,
-    reports: HashMap<Counted, Report>,
+    reports: HashMap<LoadScope, Report>,
     /// Tokens of single requests that this node ever placed there, and those that it has
     /// heard of since its start.
     own_placed: u64,
@@ -233,7 +233,7 @@
     /// The same of all nodes, however this node hears of it.
     placed_by_all: u64,
     /// What each source told last.
-    placed_by: HashMap<Counted, Placed>,
+    placed_by: HashMap<LoadScope, Placed>,
     /// What all nodes have there, as an aggregator told it.
     sum: Option<Report>,
     slowness: f64,
@@ -364,10 +364,10 @@
     pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
         self.record_placed(source, report.placed_hundreds * HUNDRED, at);
         let report = Report::new(report, at);
-        match source.counted() {
-            Counted::AllNodes => self.sum = Some(report),
-            counted => {
-                self.reports.insert(counted, report);
+        match source.scope() {
+            LoadScope::AllNodes => self.sum = Some(report),
+            scope => {
+                self.reports.insert(scope, report);
             }
         }
     }
@@ -376,9 +376,9 @@
     /// the teller the figure begins anew. The figures of two tellers differ by what one of
     /// them has not heard, so that only one is followed for as long as it is heard.
     fn record_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
-        let counted = source.counted();
+        let scope = source.scope();
         let reporter = source.reporter();
-        let known = self.placed_by.get(&counted).copied();
+        let known = self.placed_by.get(&scope).copied();
         let is_followed = known.is_none_or(|known| known.reporter == reporter);
         let is_heard = known.is_some_and(|known| at.since(known.at) < SUMMARY_LIFETIME);
         if !is_followed && is_heard {
@@ -387,12 +387,12 @@
         let before = known.filter(|_| is_followed);
         let since = before.map_or(0, |before| placed.saturating_sub(before.placed));
         self.cache.insert_unshared(since);
-        match counted {
-            Counted::Node(_) => self.placed_by_nodes += since,
-            Counted::Zone(_) => self.placed_by_zones += since,
-            Counted::AllNodes => self.placed_by_all += since,
+        match scope {
+            LoadScope::Node(_) => self.placed_by_nodes += since,
+            LoadScope::Zone(_) => self.placed_by_zones += since,
+            LoadScope::AllNodes => self.placed_by_all += since,
         }
-        if counted != Counted::AllNodes && self.fresh_sum(at).is_none() {
+        if scope != LoadScope::AllNodes && self.fresh_sum(at).is_none() {
             self.placed_by_all += since;
         }
         let placed = Placed {
@@ -400,7 +400,7 @@
             placed,
             at,
         };
-        self.placed_by.insert(counted, placed);
+        self.placed_by.insert(scope, placed);
     }
 
     /// What this node has there, as one report.
@@ -411,7 +411,7 @@
 
     /// What the nodes have there that report to this one, and it itself, as one report.
     pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
-        self.report_of(|counted| matches!(counted, Counted::Node(_)), now)
+        self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
             .to_message(back_end, self.own_placed + self.placed_by_nodes)
     }
 
@@ -421,14 +421,14 @@
         self.report_of(|_| true, now).to_message(back_end, placed)
     }
 
-    fn report_of(&self, is_counted: impl Fn(Counted) -> bool, now: Timestamp) -> Report {
+    fn report_of(&self, is_counted: impl Fn(LoadScope) -> bool, now: Timestamp) -> Report {
         let mut total = Report {
             occupancy: self.own_occupancy(now),
             outcomes: self.own_outcomes(now),
             at: now,
         };
         let reports = self.reports.iter();
-        for (_, report) in reports.filter(|(counted, _)| is_counted(**counted)) {
+        for (_, report) in reports.filter(|(scope, _)| is_counted(**scope)) {
             if report.is_fresh(now) {
                 total.occupancy = total.occupancy.plus(report.occupancy);
                 total.outcomes = total.outcomes.plus(report.outcomes);
@@ -438,11 +438,11 @@
     }
 
     /// Forgets what a source reported.
-    pub(crate) fn forget(&mut self, counted: Counted) {
-        match counted {
-            Counted::AllNodes => self.sum = None,
-            counted => {
-                self.reports.remove(&counted);
+    pub(crate) fn forget(&mut self, scope: LoadScope) {
+        match scope {
+            LoadScope::AllNodes => self.sum = None,
+            scope => {
+                self.reports.remove(&scope);
             }
         }
     }
@@ -530,7 +530,7 @@
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let ended = self.running.remove(&lease);
         if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
-            self.concurrency.record_answer(now.since(call.started));
+            self.concurrency.record_response(now.since(call.started));
         }
         self.outcomes.record(outcome, now);
     }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -24,7 +24,7 @@
 /// Most times that the pause is doubled.
 const MOST_DOUBLINGS: u32 = 5;
 /// Time for which an engine may hold a call.
-pub(crate) const HELD_FOR: Span = Span::from_milliseconds(1_000);
+pub(crate) const LONG_POLL_TIME: Span = Span::from_milliseconds(1_000);
 
 /// A change of what an engine keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -183,7 +183,7 @@
             None => CacheCall::List,
             Some(_) => CacheCall::Events {
                 after: self.next,
-                wait: HELD_FOR,
+                wait: LONG_POLL_TIME,
             },
         })
     }
--- a/crates/coordination/dispatch/src/load/crowding.rs
+++ b/crates/coordination/dispatch/src/load/concurrency.rs
@@ -38,7 +38,7 @@
     }
 
     /// Takes in how long an answer took.
-    pub fn record_answer(&mut self, took: Span) {
+    pub fn record_response(&mut self, took: Span) {
         let known = self.answer_time.unwrap_or(took);
         let part = took.scaled(ANSWER_SMOOTHING);
         self.answer_time = Some(known.scaled(1.0 - ANSWER_SMOOTHING) + part);
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -91,7 +91,7 @@
 pub struct EngineSpeed {
     spacing_ms: Quantile,
     /// Whether a stream has told anything of it; until then it is as fast as its pool.
-    is_learned: bool,
+    has_observations: bool,
 }
 
 impl PoolModel {
@@ -112,7 +112,7 @@
     }
 
     /// Learns from a stream that has ended.
-    pub fn learn(&mut self, pacing: &StreamPacing) {
+    pub fn observe_stream(&mut self, pacing: &StreamPacing) {
         let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) else {
             return;
         };
@@ -123,7 +123,7 @@
     }
 
     /// The same from a stream at an engine that long prompts are kept apart at.
-    pub fn learn_beside(&mut self, pacing: &StreamPacing) {
+    pub fn learn_mixed(&mut self, pacing: &StreamPacing) {
         let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) else {
             return;
         };
@@ -136,7 +136,7 @@
 
     /// The same from a stream that was kept apart from long prompts: it tells nothing of how
     /// long they make others pause, and would make that be forgotten.
-    pub fn learn_apart(&mut self, pacing: &StreamPacing) {
+    pub fn learn_isolated(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) {
             self.has_seen_streams = true;
             self.spacing_ms.learn(milliseconds(spacing));
@@ -147,7 +147,7 @@
     pub fn engine_speed(&self) -> EngineSpeed {
         EngineSpeed {
             spacing_ms: self.spacing_ms,
-            is_learned: false,
+            has_observations: false,
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     fn relative(&self, speed: &EngineSpeed) -> f64 {
-        if !speed.is_learned {
+        if !speed.has_observations {
             return 1.0;
         }
         let relative = speed.spacing_ms.value / self.spacing_ms.value;
@@ -171,7 +171,7 @@
 
     /// Chance that a stream exceeds its target for pauses, 0 to 1, when a prompt that
     /// takes so long to read is read beside it.
-    pub fn chance_of_late_event(&self, speed: &EngineSpeed, target: Span, reading: Span) -> f64 {
+    pub fn late_event_probability(&self, speed: &EngineSpeed, target: Span, reading: Span) -> f64 {
         let longest = milliseconds(self.prefill_pause(speed)) * MIDDLE_OF_PAUSES;
         let pause = (milliseconds(self.spacing(speed)) + milliseconds(reading)).min(longest);
         let excess = (pause / milliseconds(target).max(1.0)).ln() / SPREAD_OF_PAUSES;
@@ -180,7 +180,7 @@
 
     /// The same for prompts so long that no longer one would make a difference.
     pub fn delay_probability_beside_long_prompts(&self, speed: &EngineSpeed, target: Span) -> f64 {
-        self.chance_of_late_event(speed, target, Span(u64::MAX))
+        self.late_event_probability(speed, target, Span(u64::MAX))
     }
 
     /// Part of the streams that the longest reading would make late which one of this
@@ -189,7 +189,7 @@
     pub fn delayed_share(&self, speed: &EngineSpeed, reading: Span) -> f64 {
         let target = self.prefill_pause(speed).scaled(MIDDLE_OF_PAUSES);
         let longest = self.delay_probability_beside_long_prompts(speed, target);
-        self.chance_of_late_event(speed, target, reading) / longest
+        self.late_event_probability(speed, target, reading) / longest
     }
 
     /// Whether a prompt that takes so long to read disturbs others noticeably: half as
@@ -201,14 +201,14 @@
 
 impl EngineSpeed {
     /// Whether a stream has told anything of it.
-    pub fn is_learned(&self) -> bool {
-        self.is_learned
+    pub fn has_observations(&self) -> bool {
+        self.has_observations
     }
 
     /// Learns from a stream that has ended there.
-    pub fn learn(&mut self, pacing: &StreamPacing) {
+    pub fn observe_stream(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) {
-            self.is_learned = true;
+            self.has_observations = true;
             self.spacing_ms.learn(milliseconds(spacing));
         }
     }
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -101,7 +101,7 @@
     }
 
     /// Some back ends drawn at random, perhaps the same one twice.
-    pub fn draw(&self, count: usize, random: &mut impl Rng) -> Vec<&InstanceId> {
+    pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<&InstanceId> {
         // Groups differ in size: an empty one is no draw.
         let drawn = (0..count).filter_map(|_| {
             let group = self.groups.choose(random)?;
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -2,7 +2,7 @@
 
 mod notices;
 
-use crate::load::back_end_load::Counted;
+use crate::load::back_end_load::LoadScope;
 use crate::load::cold_start::WarmupState;
 use crate::load::health::{Health, HealthChange};
 use crate::load::holders::Holders;
@@ -67,7 +67,7 @@
     pools: HashMap<PoolName, PoolIndex>,
     by_address: HashMap<SocketAddr, (Revision, InstanceId)>,
     by_digest: HashMap<u32, InstanceId>,
-    reported: HashMap<Counted, Vec<u32>>,
+    reported: HashMap<LoadScope, Vec<u32>>,
     models: HashMap<PoolName, PoolModel>,
     stream_isolation: HashMap<PoolName, bool>,
     splits: HashMap<PoolName, PoolSplit>,
@@ -394,7 +394,7 @@
     }
 
     /// Learns from a stream that ended at a back end.
-    pub fn learn(&mut self, instance: &InstanceId, pacing: &StreamPacing) {
+    pub fn observe_stream(&mut self, instance: &InstanceId, pacing: &StreamPacing) {
         let Some(state) = self.states.get_mut(instance) else {
             return;
         };
@@ -403,18 +403,18 @@
         // of this engine: with 90 engines seen rarely, streams were held for half as exposed as
         // they were, and the split ended itself.
         if let Some(model) = self.models.get(pool)
-            && !state.load.speed.is_learned()
+            && !state.load.speed.has_observations()
         {
             state.load.speed = model.engine_speed();
         }
-        state.load.speed.learn(pacing);
+        state.load.speed.observe_stream(pacing);
         let split = self.splits.get(pool).filter(|split| split.is_active());
         let was_apart = split.map(|split| split.serves_streams(state.digest));
         if let Some(model) = self.models.get_mut(pool) {
             match was_apart {
-                None => model.learn(pacing),
-                Some(false) => model.learn_beside(pacing),
-                Some(true) => model.learn_apart(pacing),
+                None => model.observe_stream(pacing),
+                Some(false) => model.learn_mixed(pacing),
+                Some(true) => model.learn_isolated(pacing),
             }
         }
     }
@@ -444,12 +444,12 @@
 
     /// Takes over what a source reports, in place of what was reported of the same before.
     pub fn apply_loads(&mut self, source: LoadSource, loads: &[LoadReport], now: Timestamp) {
-        let counted = source.counted();
+        let scope = source.scope();
         let digests = loads.iter().map(|report| report.back_end).collect();
-        let previous = self.reported.insert(counted, digests);
+        let previous = self.reported.insert(scope, digests);
         for digest in previous.unwrap_or_default() {
             if let Some(state) = self.by_digest_mut(digest) {
-                state.load.forget(counted);
+                state.load.forget(scope);
             }
         }
         for report in loads {
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -36,7 +36,7 @@
 
 /// What a failure costs a request that may be sent again, and one that may not.
 const FAILURE: Span = Span::from_milliseconds(800);
-pub(crate) const FAILURE_FOR_GOOD: Span = Span::from_milliseconds(4_000);
+pub(crate) const PERMANENT_FAILURE: Span = Span::from_milliseconds(4_000);
 
 /// A back end that could take a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -124,7 +124,7 @@
         let failure = if self.may_retry {
             FAILURE
         } else {
-            FAILURE_FOR_GOOD
+            PERMANENT_FAILURE
         };
         failure.scaled(self.excess_failures)
     }
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -134,7 +134,7 @@
 
 impl Demand {
     /// Whether a back end has not failed it and is not ruled out.
-    pub(crate) fn may_go_to(&self, instance: &InstanceId) -> bool {
+    pub(crate) fn is_allowed_on(&self, instance: &InstanceId) -> bool {
         let is_meant = self
             .required_instance
             .as_ref()
--- a/crates/coordination/dispatch/src/placement/locality.rs
+++ b/crates/coordination/dispatch/src/placement/locality.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 /// Time that a request in another zone costs where places are not told apart.
-pub(crate) const ANY_OTHER_ZONE: Span = Span::from_milliseconds(20);
+pub(crate) const OTHER_ZONE_COST: Span = Span::from_milliseconds(20);
 /// Round trips assumed until one was measured: zones of a region are a few kilometres apart,
 /// regions some thousand.
 const ASSUMED_ZONE_ROUND_TRIP: Span = Span::from_milliseconds(2);
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -2,7 +2,7 @@
 
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::pool_split::PoolSplit;
-use crate::placement::sampling::{Examined, look_at, preference};
+use crate::placement::sampling::{Examined, examine, preference};
 use crate::placement::view::View;
 use crate::{Candidate, Demand, Footprint, Occupancy, PoolModel};
 use eiderferry_routing::InstanceId;
@@ -78,9 +78,10 @@
 ) -> Plans {
     let now = view.now;
     let split = Split::of(registry, demand);
-    let may_be_home =
-        |state: &BackEndState| split.suits(state) && view.may_be_home(&state.back_end.zone);
-    let examined = look_at(registry, view, demand, may_be_home, random);
+    let may_be_home = |state: &BackEndState| {
+        split.matches_request(state) && view.may_be_home(&state.back_end.zone)
+    };
+    let examined = examine(registry, view, demand, may_be_home, random);
     let staying: Vec<&BackEndState> = examined.eligible().collect();
     let home = examined.home.map(|state| &state.back_end.instance);
     let compared = shortlist(&examined, &split, view, demand, random);
@@ -108,7 +109,7 @@
     demand: &Demand,
     random: &mut impl Rng,
 ) -> Vec<&'a BackEndState> {
-    let open = |state: &&BackEndState| demand.may_go_to(&state.back_end.instance);
+    let open = |state: &&BackEndState| demand.is_allowed_on(&state.back_end.instance);
     let healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
     let is_any_healthy = examined
         .eligible()
@@ -120,8 +121,8 @@
         return all;
     }
     let is_near = |state: &&&BackEndState| state.back_end.zone == *view.zone;
-    let suits = |state: &&&BackEndState| split.suits(state);
-    let near = all.iter().filter(is_near).filter(suits).copied();
+    let matches_request = |state: &&&BackEndState| split.matches_request(state);
+    let near = all.iter().filter(is_near).filter(matches_request).copied();
     let near = near.choose_multiple(random, DRAWN_NEAR);
     let drawn = all.iter().copied().choose_multiple(random, DRAWN);
     let preferable = examined.preferable.iter().copied();
@@ -129,7 +130,11 @@
     if compared.len() > MOST_PREFERRED {
         compared.select_nth_unstable_by_key(MOST_PREFERRED, |state| {
             let may_be_home = view.may_be_home(&state.back_end.zone);
-            std::cmp::Reverse((split.suits(state), may_be_home, preference(state, demand)))
+            std::cmp::Reverse((
+                split.matches_request(state),
+                may_be_home,
+                preference(state, demand),
+            ))
         });
         compared.truncate(MOST_PREFERRED);
     }
@@ -199,7 +204,7 @@
     }
 
     /// Whether an engine is kept for requests like this.
-    fn suits(&self, state: &BackEndState) -> bool {
+    fn matches_request(&self, state: &BackEndState) -> bool {
         self.serves_streams(state)
             .is_none_or(|serves_streams| serves_streams == self.is_sensitive)
     }
@@ -214,7 +219,7 @@
     /// Exposed streams that a long prompt finds at an engine, or that come while it is read.
     fn expected_exposed(&self, state: &BackEndState, there: f64) -> f64 {
         match self.rule {
-            Rule::ByLoad(split) if !self.is_sensitive && !self.suits(state) => {
+            Rule::ByLoad(split) if !self.is_sensitive && !self.matches_request(state) => {
                 there.max(split.exposed_at_streams())
             }
             _ => there,
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -4,7 +4,7 @@
 //! weighed in the unit in which back ends are compared: times.
 
 use crate::load::registry::{BackEndState, Registry};
-use crate::placement::candidate::{COPY_PER_TOKEN, FAILURE_FOR_GOOD};
+use crate::placement::candidate::{COPY_PER_TOKEN, PERMANENT_FAILURE};
 use crate::placement::eligibility::is_eligible;
 use crate::placement::view::View;
 use crate::{Demand, ReplicaTarget};
@@ -75,7 +75,7 @@
         return false;
     }
     let chance = USUAL_LOSS + chances.of(&demand.pool).max(source_share);
-    let loss = FAILURE_FOR_GOOD.scaled(chance.min(1.0));
+    let loss = PERMANENT_FAILURE.scaled(chance.min(1.0));
     loss.0 >= u64::from(replica_tokens(demand)) * COPY_PER_TOKEN
 }
 
@@ -156,7 +156,7 @@
     let start = view.cold_start.as_ref();
     let is_cold = start.is_some_and(|start| state.warmup.is_cold(start, view.now));
     is_eligible(state, view, demand)
-        && demand.may_go_to(&state.back_end.instance)
+        && demand.is_allowed_on(&state.back_end.instance)
         && !state.health.is_ejected(view.now)
         && !is_cold
         && !is_silent(view, &state.back_end.zone)
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -60,7 +60,7 @@
 
 /// The back ends of a request's pool that are looked at for it and may get it. `may_be_home`
 /// tells whether the prompt's home may be there.
-pub(crate) fn look_at<'a>(
+pub(crate) fn examine<'a>(
     registry: &'a Registry,
     view: &View<'_>,
     demand: &Demand,
@@ -204,9 +204,9 @@
         let Some(index) = self.registry.pool_index(&self.demand.pool) else {
             return;
         };
-        let mut drawn = index.all().draw(DRAWN, random);
+        let mut drawn = index.all().sample(DRAWN, random);
         if let Some(near) = index.of_zone(self.view.zone) {
-            drawn.extend(near.draw(DRAWN_NEAR, random));
+            drawn.extend(near.sample(DRAWN_NEAR, random));
         }
         let staying = self.look_up(drawn);
         self.examined.others.extend(staying);
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,7 +1,7 @@
 //! What a node sees of the deployment when it decides about a request.
 
 use crate::Distance;
-use crate::placement::locality::{ANY_OTHER_ZONE, HomeScope, NetworkPath, RoundTrips};
+use crate::placement::locality::{HomeScope, NetworkPath, OTHER_ZONE_COST, RoundTrips};
 use eiderferry_routing::{ColdStart, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
@@ -45,7 +45,11 @@
         let is_other = zone != self.zone;
         NetworkPath {
             round_trip: Span::ZERO,
-            transfer_cost: if is_other { ANY_OTHER_ZONE } else { Span::ZERO },
+            transfer_cost: if is_other {
+                OTHER_ZONE_COST
+            } else {
+                Span::ZERO
+            },
         }
     }
 
--- a/crates/coordination/dispatch/tests/engine_model.rs
+++ b/crates/coordination/dispatch/tests/engine_model.rs
@@ -62,12 +62,12 @@
 fn pauses_that_were_seen_replace_what_was_assumed() {
     let mut model = PoolModel::new(Some(&specification(3)));
     for _ in 0..40 {
-        model.learn(&stream(20, 600));
+        model.observe_stream(&stream(20, 600));
     }
     let speed = model.engine_speed();
     assert!(chance(&model, &speed, 400) > 0.7);
     for _ in 0..2_000 {
-        model.learn(&stream(20, 60));
+        model.observe_stream(&stream(20, 60));
     }
     assert!(chance(&model, &model.engine_speed(), 400) < 0.01);
 }
@@ -77,9 +77,9 @@
     let mut model = PoolModel::new(Some(&specification(3)));
     let (mut usual, mut slow) = (model.engine_speed(), model.engine_speed());
     for _ in 0..200 {
-        model.learn(&stream(20, 200));
-        usual.learn(&stream(20, 200));
-        slow.learn(&stream(40, 400));
+        model.observe_stream(&stream(20, 200));
+        usual.observe_stream(&stream(20, 200));
+        slow.observe_stream(&stream(40, 400));
     }
     assert!(chance(&model, &slow, 250) > chance(&model, &usual, 250) + 0.3);
 }
@@ -101,13 +101,13 @@
     let mut model = PoolModel::new(Some(&specification(3)));
     let mut speed = model.engine_speed();
     for _ in 0..10_000 {
-        model.learn(&stream(20, 15_000));
-        speed.learn(&stream(20, 15_000));
+        model.observe_stream(&stream(20, 15_000));
+        speed.observe_stream(&stream(20, 15_000));
     }
     assert!(model.prefill_pause(&speed) < milliseconds(1_000));
     for _ in 0..1_000 {
-        model.learn(&stream(20, 180));
-        speed.learn(&stream(20, 180));
+        model.observe_stream(&stream(20, 180));
+        speed.observe_stream(&stream(20, 180));
     }
     assert!(model.prefill_pause(&speed) < milliseconds(250));
 }
--- a/crates/transport/relay/src/answer.rs
+++ b/crates/transport/relay/src/answer.rs
@@ -12,7 +12,7 @@
     /// Why an answer breaks off after its head was sent. The connection is closed, so
     /// that the answer does not look complete.
     #[derive(Debug)]
-    pub enum BrokenAnswer {
+    pub enum BrokenResponse {
         /// The back end broke off.
         BackEnd {
             display("the back end broke off its answer")
@@ -28,7 +28,7 @@
     }
 }
 
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenAnswer>>>>;
+pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenResponse>>>>;
 
 /// The body of an answer to a caller.
 pub enum RelayBody {
@@ -52,12 +52,12 @@
 
 impl Body for RelayBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = BrokenResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
         match self.get_mut() {
             RelayBody::Whole(body) => Pin::new(body)
                 .poll_frame(context)
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -40,7 +40,7 @@
         Ok(exchange) => exchange.run().await,
         Err((id, answer)) => {
             metrics::local_reply(answer.reason());
-            events::answered_here(&id, &answer, Span::ZERO);
+            events::replied_locally(&id, &answer, Span::ZERO);
             answer.response()
         }
     }
@@ -64,7 +64,7 @@
     let limit = table.limits().maximum_body_bytes;
     progress
         .memory
-        .describe(&id, metrics::kind(&head.route), head.rank);
+        .set_request(&id, metrics::kind(&head.route), head.rank);
     let body = read_body(body, limit, &progress.memory)
         .await
         .map_err(|answer| (id, answer))?;
@@ -146,8 +146,8 @@
                 let answer = self.refuse_crashing(lasts);
                 return self.conclude(fallback, answer);
             }
-            if !self.may_try_again() {
-                let answer = self.final_answer(outcome);
+            if !self.may_retry_elsewhere() {
+                let answer = self.final_reply(outcome);
                 return self.conclude(fallback, answer);
             }
         }
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -155,7 +155,7 @@
         let reply = self.reply(&order).await;
         let now = control.clock.now();
         if let Ok(reply) = &reply {
-            control.take_call_notice(&order, reply.notice, now);
+            control.apply_call_notice(&order, reply.notice, now);
         }
         let answer = self.answer(&order, reply);
         let news =
--- a/crates/transport/relay/src/caller_socket.rs
+++ b/crates/transport/relay/src/caller_socket.rs
@@ -7,7 +7,7 @@
 //! `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken` and its neighbour
 //! stood still with an empty socket. Such a connection is given another turn.
 
-use crate::answer::{BrokenAnswer, RelayBody};
+use crate::answer::{BrokenResponse, RelayBody};
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -32,7 +32,7 @@
 
 impl Sending {
     /// Whether the turn that has just ended may have missed its wake-up.
-    pub fn needs_another_turn(&self) -> bool {
+    pub fn needs_wakeup(&self) -> bool {
         self.has_written.replace(false) && self.has_more.get()
     }
 }
@@ -89,7 +89,7 @@
     body: RelayBody,
     /// Why it breaks off: told once all before it was written, for a connection that is
     /// told so forgets what it has not written.
-    broken: Option<BrokenAnswer>,
+    broken: Option<BrokenResponse>,
     sending: Rc<Sending>,
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    fn poll_broken(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    fn poll_broken(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
         if !self.sending.is_flushed.get() {
             self.sending.has_more.set(true);
             return Poll::Pending;
@@ -113,12 +113,12 @@
 
 impl Body for SentBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = BrokenResponse;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
         if self.broken.is_some() {
             return self.poll_broken();
         }
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -7,7 +7,7 @@
 use crate::gossip::PeerSocket;
 use crate::metrics;
 use crate::notice::{Notice, StatedLimit};
-use crate::pending_decision::{PendingDecision, give_back};
+use crate::pending_decision::{PendingDecision, release_unclaimed};
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{
@@ -225,7 +225,7 @@
                 }
                 let decision = dispatcher.dispatch(&demand, now);
                 if let Err(unheard) = reply.try_send(decision) {
-                    give_back(unheard.into_inner(), |lease| {
+                    release_unclaimed(unheard.into_inner(), |lease| {
                         dispatcher.release(lease, Outcome::NotSent, now);
                     });
                 }
@@ -238,7 +238,7 @@
                 dispatcher.record_pacing(lease, &pacing);
                 let ended = dispatcher.release(lease, outcome, now);
                 for (instance, change) in &ended.health_changes {
-                    events::back_end_standing(instance, *change, outcome);
+                    events::back_end_health(instance, *change, outcome);
                 }
                 self.note_quarantine(&ended.quarantine_change, now);
             }
@@ -309,7 +309,7 @@
     }
 
     /// Takes in what the answer to a call says of its engine.
-    pub fn take_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
+    pub fn apply_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
         apply_notice(&mut dispatcher, order.into(), notice, now);
     }
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -220,7 +220,7 @@
                         (Reply::Package(package), transfer)
                     }
                     Admission::SentOn(others) => {
-                        metrics::documents_sent_on();
+                        metrics::documents_redirected();
                         (Reply::SentOn(others), None)
                     }
                 };
--- a/crates/transport/relay/src/event_stream.rs
+++ b/crates/transport/relay/src/event_stream.rs
@@ -9,16 +9,16 @@
 pub struct EventSplitter {
     pending: BytesMut,
     last_id: Option<u64>,
-    handed_out: u64,
+    emitted: u64,
 }
 
 impl EventSplitter {
     /// A splitter of a stream that goes on after an event.
-    pub fn after(last_id: Option<u64>) -> Self {
+    pub fn resuming_after(last_id: Option<u64>) -> Self {
         Self {
             pending: BytesMut::new(),
             last_id,
-            handed_out: 0,
+            emitted: 0,
         }
     }
 
@@ -28,8 +28,8 @@
     }
 
     /// Events handed out.
-    pub fn handed_out(&self) -> u64 {
-        self.handed_out
+    pub fn emitted(&self) -> u64 {
+        self.emitted
     }
 
     /// Bytes of an event that is not whole yet.
@@ -46,7 +46,7 @@
             let event = self.pending.split_to(end);
             if self.accept(&event) {
                 events.unsplit(event);
-                self.handed_out += 1;
+                self.emitted += 1;
             }
         }
         events.freeze()
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -222,7 +222,7 @@
 }
 
 /// A back end's standing changed.
-pub(crate) fn back_end_standing(instance: &InstanceId, change: HealthChange, outcome: Outcome) {
+pub(crate) fn back_end_health(instance: &InstanceId, change: HealthChange, outcome: Outcome) {
     let (event, span) = match change {
         HealthChange::Ejected(span) => ("back_end_ejected", span),
         HealthChange::Restored => ("back_end_restored", Span::ZERO),
@@ -417,7 +417,7 @@
 }
 
 /// A request was answered by this node itself.
-pub(crate) fn answered_here(id: &str, answer: &LocalReply, elapsed: Span) {
+pub(crate) fn replied_locally(id: &str, answer: &LocalReply, elapsed: Span) {
     log::warn!(
         event = "answered_here", request = id, status = answer.status().as_u16(),
         reason = answer.reason(), verdict = answer.verdict().as_str(),
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -95,7 +95,7 @@
         }
         self.is_finished = true;
         let elapsed = self.elapsed();
-        events::answered_here(&self.head.id, &answer, elapsed);
+        events::replied_locally(&self.head.id, &answer, elapsed);
         metrics::local_reply(answer.reason());
         metrics::request(&self.head.route, self.head.rank, answer.reason(), elapsed);
         answer.response()
@@ -115,7 +115,7 @@
         self.traffic.clock.now().since(self.started)
     }
 
-    pub fn final_answer(&self, outcome: Outcome) -> LocalReply {
+    pub fn final_reply(&self, outcome: Outcome) -> LocalReply {
         if self.may_have_run {
             return if self.traffic.clock.now() >= self.deadline {
                 LocalReply::TimedOut
@@ -131,7 +131,7 @@
     }
 
     /// Whether another back end may be tried.
-    pub fn may_try_again(&self) -> bool {
+    pub fn may_retry_elsewhere(&self) -> bool {
         let may_run = !self.may_have_run || self.head.route.may_retry();
         may_run
             && self.attempts < self.head.route.maximum_attempts
@@ -183,7 +183,7 @@
                 let kept = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
                 metrics::prompt(kept, grant.uncached_tokens);
                 if grant.replica.is_some() {
-                    metrics::replica_begun();
+                    metrics::replica_started();
                 }
                 let control = self.traffic.control.clone();
                 Ok(Lease::new(grant, control, self.traffic.clock.now()))
@@ -234,6 +234,6 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.finish(self.progress.memory.end_of_dropped());
+        self.finish(self.progress.memory.dropped_outcome());
     }
 }
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -106,7 +106,7 @@
 
 impl StreamRelay {
     /// Goes on after its source was lost; whether it does.
-    pub(crate) async fn go_on(&mut self) -> bool {
+    pub(crate) async fn fail_over(&mut self) -> bool {
         self.take_over().await || self.resume().await
     }
 
@@ -126,7 +126,7 @@
 
     /// Takes the stream up at another back end.
     async fn resume(&mut self) -> bool {
-        while self.exchange.may_try_again() {
+        while self.exchange.may_retry_elsewhere() {
             let Ok(lease) = self.exchange.request_lease().await else {
                 return false;
             };
@@ -152,7 +152,7 @@
 
     fn take_source(&mut self, lease: Lease, response: Response<Incoming>, connection: Connection) {
         let (parts, body) = response.into_parts();
-        self.splitter = EventSplitter::after(self.splitter.last_id());
+        self.splitter = EventSplitter::resuming_after(self.splitter.last_id());
         self.source = Some(Source {
             lease,
             connection,
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -132,12 +132,12 @@
     }
 
     /// Most bytes of events that one request may have read ahead.
-    pub(crate) fn most_of_request(&self) -> u64 {
+    pub(crate) fn request_limit(&self) -> u64 {
         self.part(REQUEST_PART)
     }
 
     /// Most bytes of bodies at one back end; none if there is no bound.
-    pub(crate) fn most_at_back_end(&self) -> Option<u64> {
+    pub(crate) fn back_end_limit(&self) -> Option<u64> {
         self.is_bounded().then(|| self.part(BACK_END_PART))
     }
 
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    fn give_back(&self, kind: MemoryKind, route: usize, bytes: u64) {
+    fn release(&self, kind: MemoryKind, route: usize, bytes: u64) {
         let figures = &self.figures;
         figures.all.fetch_sub(bytes, Relaxed);
         figures.kinds[kind as usize].fetch_sub(bytes, Relaxed);
@@ -238,7 +238,7 @@
     pub fn shrink(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
-        self.budget.give_back(self.kind, self.route, bytes);
+        self.budget.release(self.kind, self.route, bytes);
     }
 
     pub fn bytes(&self) -> u64 {
@@ -259,7 +259,7 @@
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.budget.give_back(self.kind, self.route, self.bytes);
+        self.budget.release(self.kind, self.route, self.bytes);
     }
 }
 
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -101,7 +101,7 @@
 }
 
 /// A run got a replica.
-pub(crate) fn replica_begun() {
+pub(crate) fn replica_started() {
     metrics::counter!("eiderferry_run_replicas_total").increment(1);
 }
 
@@ -145,7 +145,7 @@
 }
 
 /// A node that asked for documents was sent on to others.
-pub(crate) fn documents_sent_on() {
+pub(crate) fn documents_redirected() {
     metrics::counter!("eiderferry_documents_sent_on_total").increment(1);
 }
 
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -139,7 +139,7 @@
             upstream: Upstream::new(
                 Rc::clone(&executor),
                 self.control.clone(),
-                self.memory.most_at_back_end(),
+                self.memory.back_end_limit(),
             ),
             memory: Memory::new(Arc::clone(&self.memory)),
             control: self.control.clone(),
@@ -227,7 +227,7 @@
     loop {
         Timer::after(CLEANING_INTERVAL).await;
         let traffic = &server.traffic;
-        traffic.upstream.close_rested();
+        traffic.upstream.close_idle();
         let budget = &traffic.memory.budget;
         budget.record_pace(traffic.clock.now());
         metrics::held(budget);
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -32,7 +32,7 @@
         let Ok(unclaimed) = self.answer.try_recv() else {
             return;
         };
-        give_back(unclaimed, |lease| {
+        release_unclaimed(unclaimed, |lease| {
             self.control
                 .release(lease, Outcome::NotSent, StreamPacing::default());
         });
@@ -42,7 +42,7 @@
 /// Gives the place of a decision back that nobody waits for any more. With one that stays
 /// taken for each caller that left at this moment, a pool of three back ends with 6 slots
 /// refused a third of its requests for as long as the nodes lived.
-pub(crate) fn give_back(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
+pub(crate) fn release_unclaimed(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
     let Decision::Grant(grant) = unclaimed else {
         return;
     };
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -31,7 +31,7 @@
     }
 
     /// The answer to a request that this process can serve no longer.
-    pub fn last_answer(&self) -> LocalReply {
+    pub fn shutdown_reply(&self) -> LocalReply {
         if self.was_sent.get() {
             LocalReply::ResponseLost
         } else {
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -5,9 +5,9 @@
 //! no other way than before, a caller that leaves drops source and events at once, and no
 //! stream has a task of its own.
 
-use crate::answer::{BrokenAnswer, Pieces};
+use crate::answer::{BrokenResponse, Pieces};
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
-use crate::request_memory::{RequestMemory, Worth};
+use crate::request_memory::{EvictionPriority, RequestMemory};
 use bytes::Bytes;
 use futures_lite::Stream;
 use smol::Timer;
@@ -29,7 +29,7 @@
     ready: VecDeque<Bytes>,
     held: MemoryReservation,
     /// How the source ended, until it is told.
-    end: Option<Result<(), BrokenAnswer>>,
+    end: Option<Result<(), BrokenResponse>>,
     /// The caller's connection has taken a piece and not asked for another one.
     is_lagging: bool,
     is_registered: bool,
@@ -43,7 +43,7 @@
 pub(crate) struct SentStream(pub Rc<RefCell<ReadAhead>>);
 
 impl Stream for SentStream {
-    type Item = Result<Bytes, BrokenAnswer>;
+    type Item = Result<Bytes, BrokenResponse>;
 
     fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         self.0.borrow_mut().poll_next(context)
@@ -73,7 +73,7 @@
     pub fn poll_next(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Bytes, BrokenResponse>>> {
         self.is_lagging = false;
         if let Some(piece) = self.ready.pop_front() {
             self.held.shrink(piece.len() as u64);
@@ -92,9 +92,9 @@
     }
 
     /// How little it is worth to keep; `None` if it holds nothing.
-    pub fn worth(&self) -> Option<Worth> {
+    pub fn eviction_priority(&self) -> Option<EvictionPriority> {
         let bytes = self.held.bytes();
-        (bytes > 0).then(|| self.memory.worth(bytes))
+        (bytes > 0).then(|| self.memory.eviction_priority(bytes))
     }
 
     /// Ends it for another's sake. What is returned is dropped once nothing is borrowed.
@@ -106,7 +106,7 @@
         self.memory.record_ended(self.held.bytes(), why);
         self.ready.clear();
         self.held.shrink(self.held.bytes());
-        self.end = Some(Err(BrokenAnswer::Memory));
+        self.end = Some(Err(BrokenResponse::Memory));
         if let Some(connection) = self.connection.take() {
             connection.wake();
         }
@@ -114,15 +114,15 @@
     }
 
     fn is_given_up(&self) -> bool {
-        matches!(self.end, Some(Err(BrokenAnswer::Memory)))
+        matches!(self.end, Some(Err(BrokenResponse::Memory)))
     }
 
     /// Keeps one more piece.
     fn keep(&mut self, piece: Bytes) -> Result<(), MemoryFull> {
         let bytes = piece.len() as u64;
         while self.held.grow(bytes).is_err() {
-            let own = self.memory.worth(self.held.bytes() + bytes);
-            if !self.memory.shared.end_least_worth(Some(own)) {
+            let own = self.memory.eviction_priority(self.held.bytes() + bytes);
+            if !self.memory.shared.evict_stream(Some(own)) {
                 return Err(MemoryFull);
             }
         }
@@ -134,7 +134,7 @@
     /// be closed, for the caller may never take the bytes that would tell it so.
     fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.is_lagging && self.end.is_none() {
-            if self.held.bytes() >= self.memory.shared.budget.most_of_request() {
+            if self.held.bytes() >= self.memory.shared.budget.request_limit() {
                 return self.poll_stall_timeout(context);
             }
             self.unread = None;
@@ -160,7 +160,7 @@
         }
     }
 
-    fn end_source(&mut self, end: Result<(), BrokenAnswer>) {
+    fn end_source(&mut self, end: Result<(), BrokenResponse>) {
         self.source = None;
         self.end = Some(end);
     }
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -34,20 +34,20 @@
 
     /// Ends the stream least worth keeping, if one is worth less than `own`; whether it did.
     /// Whoever is being read just now is borrowed and passed over.
-    pub fn end_least_worth(&self, own: Option<Worth>) -> bool {
+    pub fn evict_stream(&self, own: Option<EvictionPriority>) -> bool {
         let victim = {
             let readers = self.readers.borrow();
             let alive = readers.iter().filter_map(Weak::upgrade);
             let valued = alive.filter_map(|reader| {
-                let worth = reader.try_borrow().ok()?.worth()?;
-                Some((worth, reader))
+                let eviction_priority = reader.try_borrow().ok()?.eviction_priority()?;
+                Some((eviction_priority, reader))
             });
-            valued.max_by_key(|(worth, _)| *worth)
+            valued.max_by_key(|(eviction_priority, _)| *eviction_priority)
         };
-        let Some((worth, reader)) = victim else {
+        let Some((eviction_priority, reader)) = victim else {
             return false;
         };
-        if own.is_some_and(|own| own >= worth) {
+        if own.is_some_and(|own| own >= eviction_priority) {
             return false;
         }
         let source = reader.borrow_mut().end_for_memory();
@@ -59,7 +59,7 @@
 /// How little a stream is worth keeping: the less urgent first, then the one that holds
 /// more. The greatest is ended first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Worth {
+pub(crate) struct EvictionPriority {
     pub rank: u8,
     pub bytes: u64,
 }
@@ -85,7 +85,7 @@
     }
 
     /// What is known once the head has been read.
-    pub fn describe(&self, id: &str, route: &'static str, rank: u8) {
+    pub fn set_request(&self, id: &str, route: &'static str, rank: u8) {
         id.clone_into(&mut self.id.borrow_mut());
         self.route.set(route);
         self.rank.set(rank);
@@ -99,14 +99,14 @@
     pub fn grow_answer(&self, held: &mut MemoryReservation, bytes: u64) -> Result<(), MemoryFull> {
         loop {
             match held.grow(bytes) {
-                Err(MemoryFull) if self.shared.end_least_worth(None) => {}
+                Err(MemoryFull) if self.shared.evict_stream(None) => {}
                 result => return result,
             }
         }
     }
 
-    pub fn worth(&self, bytes: u64) -> Worth {
-        Worth {
+    pub fn eviction_priority(&self, bytes: u64) -> EvictionPriority {
+        EvictionPriority {
             rank: self.rank.get(),
             bytes,
         }
@@ -119,7 +119,7 @@
     }
 
     /// How a request ended whose exchange was dropped before its end.
-    pub fn end_of_dropped(&self) -> &'static str {
+    pub fn dropped_outcome(&self) -> &'static str {
         if self.was_ended.get() {
             "memory"
         } else {
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -160,7 +160,7 @@
         let progress = Progress::new(Rc::clone(&memory));
         let ending = async {
             let _ = self.force_stop.recv().await;
-            progress.last_answer().response()
+            progress.shutdown_reply().response()
         };
         let traffic = Rc::clone(&self.traffic);
         let response = attempts::serve(traffic, request, progress.clone())
@@ -266,7 +266,7 @@
     poll_fn(|context| match connection.as_mut().poll(context) {
         Poll::Ready(_) => Poll::Ready(()),
         Poll::Pending => {
-            if sending.needs_another_turn() {
+            if sending.needs_wakeup() {
                 context.waker().wake_by_ref();
             }
             poll_current(current, context)
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -1,6 +1,6 @@
 //! Streams of events, passed on as they come and taken up elsewhere when they break.
 
-use crate::answer::{BrokenAnswer, RelayBody};
+use crate::answer::{BrokenResponse, RelayBody};
 use crate::event_stream::EventSplitter;
 use crate::exchange::{AttemptEnd, Exchange};
 use crate::forwarding::answer;
@@ -119,7 +119,7 @@
         answer(parts, RelayBody::Pieces(Box::pin(pieces)))
     }
 
-    async fn next(mut self) -> Option<(Result<Bytes, BrokenAnswer>, Self)> {
+    async fn next(mut self) -> Option<(Result<Bytes, BrokenResponse>, Self)> {
         if let Some(events) = self.ready.take() {
             return Some((Ok(events), self));
         }
@@ -134,14 +134,14 @@
                 Piece::TimedOut => {
                     self.finish_source(Outcome::Abandoned);
                     self.exchange.finish("timed_out");
-                    return Some((Err(BrokenAnswer::TimedOut), self));
+                    return Some((Err(BrokenResponse::TimedOut), self));
                 }
                 Piece::Broken(outcome) => {
                     self.record_break(outcome).await;
                     self.finish_source(outcome);
-                    if !self.go_on().await {
+                    if !self.fail_over().await {
                         self.exchange.finish("broken_off");
-                        return Some((Err(BrokenAnswer::BackEnd), self));
+                        return Some((Err(BrokenResponse::BackEnd), self));
                     }
                 }
             }
@@ -178,10 +178,10 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    let before = self.splitter.handed_out();
+                    let before = self.splitter.emitted();
                     let events = self.splitter.push(&data);
                     if !events.is_empty() {
-                        let count = self.splitter.handed_out() - before;
+                        let count = self.splitter.emitted() - before;
                         source
                             .pacing
                             .record(count, self.exchange.traffic.clock.now());
@@ -200,7 +200,7 @@
     /// Longest silence before the stream goes on elsewhere.
     fn response_timeout(&self, is_first: bool) -> Span {
         let may_be_taken_over = !is_first && self.exchange.replica.is_some();
-        if !self.exchange.may_try_again() && !may_be_taken_over {
+        if !self.exchange.may_retry_elsewhere() && !may_be_taken_over {
             return Span(u64::MAX);
         }
         let expected = self.source.as_ref().map_or(Span::ZERO, |source| {
@@ -216,7 +216,7 @@
     /// again otherwise, is left only if nothing else shows that it works: a slow engine is
     /// no faster for being changed.
     async fn is_given_up(&self) -> bool {
-        if self.exchange.may_try_again() {
+        if self.exchange.may_retry_elsewhere() {
             return true;
         }
         let Some(source) = &self.source else {
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -301,7 +301,7 @@
     }
 
     /// Closes connections that have rested too long.
-    pub fn close_rested(&self) {
+    pub fn close_idle(&self) {
         let mut closed = Vec::new();
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
--- a/crates/transport/relay/tests/event_stream.rs
+++ b/crates/transport/relay/tests/event_stream.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn events_that_are_not_newer_are_dropped() {
-    let mut splitter = EventSplitter::after(Some(2));
+    let mut splitter = EventSplitter::resuming_after(Some(2));
     let passed = splitter.push(STREAM.as_bytes());
     assert_eq!(&passed[..], b": note\n\nid: 3\ndata: d\n\n");
 }
