--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -506,7 +506,7 @@
         &self.silent_zones
     }
 
-    /// The border between this node and another.
+    /// The distance between this node and another.
     pub fn distance_to(&self, address: SocketAddr) -> Distance {
         let zone = self.peers.zone_of(address);
         zone.map_or(Distance::Unknown, |zone| {
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -247,7 +247,7 @@
             Reason::RegionNotAllowed => REGION_RETRY,
             Reason::ColdBackEnds | Reason::ZoneEvacuated => UNDER_WAY_RETRY,
             // They rest from this node alone: a caller that comes back soon may reach another.
-            Reason::BackEndsRest => {
+            Reason::BackEndsBackingOff => {
                 let rest = self.back_ends.shortest_backoff(&demand.pool, now);
                 rest.map_or(NO_BACK_END_RETRY, |rest| rest.min(NO_BACK_END_RETRY))
             }
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -87,7 +87,7 @@
 pub enum ApplyOutcome {
     /// It is in force.
     Applied,
-    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release`].
+    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release_withheld`].
     Withheld,
     /// Something as new was known.
     AlreadyKnown,
--- a/crates/coordination/dispatch/src/fleet/traffic.rs
+++ b/crates/coordination/dispatch/src/fleet/traffic.rs
@@ -53,7 +53,7 @@
 }
 
 impl Distance {
-    /// The border between two zones.
+    /// The distance between two zones.
     pub fn between(one: &ZoneName, other: &ZoneName, regions: &ZoneRegions) -> Self {
         if one == other {
             return Self::SameZone;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The border as a label of metrics.
+    /// The distance as a label of metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::SameZone => "none",
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -87,7 +87,7 @@
     /// No answer came.
     Failed,
     /// The answer has no known shape.
-    Unreadable,
+    Malformed,
 }
 
 /// How an engine is followed, for metrics and the log.
@@ -194,7 +194,7 @@
         match answer {
             CacheResponse::Listing(listing) => self.apply_listing(listing, now),
             CacheResponse::Events(events) => self.take_events(events, now),
-            CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Unreadable => {
+            CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Malformed => {
                 self.record_failed_call(now);
                 false
             }
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -60,7 +60,7 @@
         .collect();
     let count = |obstacle| obstacles.iter().filter(|found| **found == obstacle).count();
     let counted = [
-        (count(Obstacle::Resting), Reason::BackEndsRest),
+        (count(Obstacle::Resting), Reason::BackEndsBackingOff),
         (count(Obstacle::Limited), Reason::BackEndsLimited),
         (count(Obstacle::Region), Reason::RegionNotAllowed),
         (count(Obstacle::Evacuated), Reason::ZoneEvacuated),
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -202,7 +202,7 @@
 #[rstest]
 #[case::too_many_calls(CacheResponse::Refused)]
 #[case::no_answer(CacheResponse::Failed)]
-#[case::unknown_shape(CacheResponse::Unreadable)]
+#[case::unknown_shape(CacheResponse::Malformed)]
 fn a_call_in_vain_changes_nothing_and_is_repeated_ever_later(#[case] vain: CacheResponse) {
     let (mut subject, mut now) = believing();
     for pause in [1_000, 2_000, 4_000] {
--- a/crates/coordination/dispatch/tests/resting_back_ends.rs
+++ b/crates/coordination/dispatch/tests/resting_back_ends.rs
@@ -83,7 +83,7 @@
     let mut subject = with_engines(1);
     turn_away(&mut subject, REST_MS, START);
     let (reason, long) = refusal(&mut subject, after(100));
-    assert_eq!(reason, Reason::BackEndsRest);
+    assert_eq!(reason, Reason::BackEndsBackingOff);
     assert_eq!(long, Span::from_milliseconds(500));
     let (_, short) = refusal(&mut subject, after(REST_MS - 40));
     assert_eq!(short, Span::from_milliseconds(40));
--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -74,7 +74,7 @@
             return;
         };
         if self.is_issuer_gone(&key) {
-            let refusal = undecided(Reason::KeyHomeGone, None);
+            let refusal = undecided(Reason::KeyOwnerGone, None);
             self.reject(sequence, refusal);
             return;
         }
@@ -115,7 +115,7 @@
                 if issued_here {
                     self.keys.claim_ticket(self.now, &key, by)
                 } else {
-                    ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyHomeGone)
+                    ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone)
                 }
             }
             KeyName::Caller(..) => {
--- a/crates/coordination/once/src/table.rs
+++ b/crates/coordination/once/src/table.rs
@@ -126,7 +126,7 @@
     /// Decides a claim of a ticket of this run.
     pub fn claim_ticket(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
         if !self.entries.contains_key(name) {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyHomeGone);
+            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
         self.claim_known(now, name, by)
     }
@@ -144,7 +144,7 @@
             return self.claim_known(now, name, by);
         }
         if !vouched {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyHomeGone);
+            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
         match self.insert(now, name.clone(), KeyState::Granted(by)) {
             Ok(()) => ClaimAnswer::Granted,
@@ -154,7 +154,7 @@
 
     fn claim_known(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
         let Some(entry) = self.entries.get_mut(name) else {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyHomeGone);
+            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         };
         entry.touched = now;
         match entry.state {
--- a/crates/coordination/once/tests/keys.rs
+++ b/crates/coordination/once/tests/keys.rs
@@ -69,7 +69,7 @@
     let (mut table, ticket) = table_with_ticket();
     table.tick(at(200));
     assert!(table.is_empty());
-    let denied = ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyHomeGone);
+    let denied = ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
     assert_eq!(table.claim_ticket(at(200), &ticket, request(1)), denied);
 }
 
--- a/crates/state/types/src/verdict.rs
+++ b/crates/state/types/src/verdict.rs
@@ -61,7 +61,8 @@
     /// The pool's back ends are cold, and have got what they bear.
     ColdBackEnds,
     /// The pool's back ends have asked this node for a rest.
-    BackEndsRest,
+    #[serde(rename = "back_ends_rest")]
+    BackEndsBackingOff,
     /// The pool's back ends get what the rate limits allow that they have named.
     BackEndsLimited,
     /// The node that holds the queue did not answer.
@@ -75,7 +76,8 @@
     /// Repeating failed requests would exceed the retry budget.
     RetryBudget,
     /// The idempotency key belongs to a run of a node that is gone.
-    KeyHomeGone,
+    #[serde(rename = "key_home_gone")]
+    KeyOwnerGone,
     /// The request with this idempotency key is running now.
     KeyInProgress,
     /// The request with this idempotency key has ended.
@@ -102,14 +104,14 @@
             Reason::RegionNotAllowed => "region_not_allowed",
             Reason::ZoneEvacuated => "zone_evacuated",
             Reason::ColdBackEnds => "cold_back_ends",
-            Reason::BackEndsRest => "back_ends_rest",
+            Reason::BackEndsBackingOff => "back_ends_rest",
             Reason::BackEndsLimited => "back_ends_limited",
             Reason::HolderUnreachable => "holder_unreachable",
             Reason::Draining => "draining",
             Reason::NotReady => "not_ready",
             Reason::BackEndFailed => "back_end_failed",
             Reason::RetryBudget => "retry_budget",
-            Reason::KeyHomeGone => "key_home_gone",
+            Reason::KeyOwnerGone => "key_home_gone",
             Reason::KeyInProgress => "key_in_progress",
             Reason::KeyFinished => "key_finished",
             Reason::KeyTableFull => "key_table_full",
--- a/crates/transport/entry/src/reply.rs
+++ b/crates/transport/entry/src/reply.rs
@@ -136,7 +136,7 @@
 fn status_for(refusal: &Refusal) -> Status {
     match refusal.reason {
         Reason::TenantConcurrency | Reason::TenantTokenRate => Status::TooManyRequests,
-        Reason::KeyInProgress | Reason::KeyFinished | Reason::KeyHomeGone => Status::Conflict,
+        Reason::KeyInProgress | Reason::KeyFinished | Reason::KeyOwnerGone => Status::Conflict,
         Reason::BackEndFailed | Reason::RetryBudget => Status::BadGateway,
         // Neither asks the caller to come again, nor says that a rule of the interface is broken.
         Reason::CrashesBackEnds => Status::InternalServerError,
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -78,7 +78,7 @@
     /// An answer that is too large has no known shape.
     fn answer(&self) -> CacheResponse {
         match self {
-            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Unreadable,
+            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Malformed,
             _ => CacheResponse::Failed,
         }
     }
@@ -206,7 +206,7 @@
         };
         read.unwrap_or_else(|error| {
             events::cache_answer_doubtful(&order.instance, &error);
-            CacheResponse::Unreadable
+            CacheResponse::Malformed
         })
     }
 
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -180,7 +180,7 @@
     match notice.limit {
         StatedLimit::Stated(limit) => dispatcher.record_limit(source, Some(limit), now),
         StatedLimit::Lifted => dispatcher.record_limit(source, None, now),
-        StatedLimit::NotStated | StatedLimit::Unreadable => {}
+        StatedLimit::NotStated | StatedLimit::Malformed => {}
     }
 }
 
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -60,7 +60,7 @@
             ConnectionCheck::Listening => false,
             ConnectionCheck::Refused => true,
             // A back end that is silent to both may be cut off and at work.
-            ConnectionCheck::Silent => self.outcome == Outcome::IncompleteResponse,
+            ConnectionCheck::TimedOut => self.outcome == Outcome::IncompleteResponse,
         };
         if !has_crashed {
             return;
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -30,7 +30,7 @@
     #[default]
     NotStated,
     /// It names one that can't be read.
-    Unreadable,
+    Malformed,
     /// It names this one.
     Stated(RateLimit),
     /// It names none any more.
@@ -41,7 +41,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotStated => formatter.write_str("none"),
-            Self::Unreadable => formatter.write_str("unreadable"),
+            Self::Malformed => formatter.write_str("unreadable"),
             Self::Stated(limit) => limit.fmt(formatter),
             Self::Lifted => formatter.write_str("over"),
         }
@@ -96,7 +96,7 @@
         || {
             metrics::invalid_notice();
             events::invalid_limit(value);
-            StatedLimit::Unreadable
+            StatedLimit::Malformed
         },
         StatedLimit::Stated,
     )
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -365,7 +365,7 @@
     /// It was refused: the machine is there, its process is not.
     Refused,
     /// Nothing answered.
-    Silent,
+    TimedOut,
 }
 
 impl ConnectionCheck {
@@ -374,7 +374,7 @@
         match self {
             ConnectionCheck::Listening => "listening",
             ConnectionCheck::Refused => "refused",
-            ConnectionCheck::Silent => "silent",
+            ConnectionCheck::TimedOut => "silent",
         }
     }
 }
@@ -383,7 +383,7 @@
 pub(crate) async fn check_connection(address: SocketAddr) -> ConnectionCheck {
     match connect_stream(address).await {
         Ok(_) => ConnectionCheck::Listening,
-        Err(error) if error.kind() == ErrorKind::TimedOut => ConnectionCheck::Silent,
+        Err(error) if error.kind() == ErrorKind::TimedOut => ConnectionCheck::TimedOut,
         Err(_) => ConnectionCheck::Refused,
     }
 }
