--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// Its name, once it was last_heard: before that it is known from others only.
+    /// Its name, once it was heard: before that it is known from others only.
     pub(super) name: Option<NodeName>,
     pub(super) zone: ZoneName,
     /// The changes that it knows, by its last message.
--- a/crates/transport/relay/tests/resting_back_ends.rs
+++ b/crates/transport/relay/tests/resting_back_ends.rs
@@ -5,9 +5,9 @@
 //! as some are on their way when it asks.
 //!
 //! In what order: a plain back end that had answered well turns one request away, with 503 and
-//! `Retry-ResumePoint`; the node sends that request to another and goes on choosing this one too.
+//! `Retry-After`; the node sends that request to another and goes on choosing this one too.
 //!
-//! The cause: `Retry-ResumePoint` was read nowhere. A refusal counted as one failure among the answers
+//! The cause: `Retry-After` was read nowhere. A refusal counted as one failure among the answers
 //! of the last seconds, so that what followed hung on how many of these had been good: three in a
 //! row kept requests away for one second, a large share for some, a single one for none.
 //!
