--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -38,7 +38,7 @@
             }
             match self.peers.get_mut(&member.address) {
                 Some(peer) if (is_near || peer.zone == message.zone) && !peer.is_lost => {
-                    peer.heard = peer.heard.max(heard);
+                    peer.last_heard = peer.last_heard.max(heard);
                 }
                 None if silent < Span(CROSS_ZONE_SILENCE.0 * FORGET_FACTOR) => {
                     let indirect = (member.zone.clone(), heard);
@@ -108,7 +108,7 @@
         living.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silent_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
+            silent_ms: (now.since(peer.last_heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
         })
     }
 }
@@ -121,7 +121,7 @@
         version_vector: VersionVector::default(),
         rank: RolePriority::new(member.address, 0),
         incarnation: 0,
-        heard,
+        last_heard: heard,
         is_lost: false,
         is_stopping: false,
     }
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -53,7 +53,7 @@
     /// Place in the order in which the nodes of a zone take duties over.
     pub(super) rank: RolePriority,
     pub(super) incarnation: u32,
-    pub(super) heard: Timestamp,
+    pub(super) last_heard: Timestamp,
     pub(super) is_lost: bool,
     pub(super) is_stopping: bool,
 }
@@ -164,7 +164,7 @@
             && !peer.is_lost
             && peer.incarnation == message.incarnation
         {
-            peer.heard = now;
+            peer.last_heard = now;
             peer.version_vector.clone_from(&message.version_vector);
             let was_stopping = std::mem::replace(&mut peer.is_stopping, message.is_stopping);
             if was_stopping != message.is_stopping {
@@ -178,7 +178,7 @@
             version_vector: message.version_vector.clone(),
             rank: RolePriority::new(address, message.link_mbps),
             incarnation: message.incarnation,
-            heard: now,
+            last_heard: now,
             is_lost: false,
             is_stopping: message.is_stopping,
         };
@@ -234,14 +234,14 @@
         let zone = self.zone.clone();
         let limit = |peer: &Peer| if peer.zone == zone { near } else { far };
         for peer in self.peers.values_mut() {
-            if !peer.is_lost && now.since(peer.heard) > limit(peer) {
+            if !peer.is_lost && now.since(peer.last_heard) > limit(peer) {
                 peer.is_lost = true;
                 changes.extend(peer.name.clone().map(PeerChange::Lost));
             }
         }
         let forget = Span(far.0 * FORGET_FACTOR);
         self.peers.retain(|_, peer| {
-            now.since(peer.heard) < forget && !(peer.is_lost && peer.name.is_none())
+            now.since(peer.last_heard) < forget && !(peer.is_lost && peer.name.is_none())
         });
         self.indirect
             .retain(|_, (_, heard)| now.since(*heard) < forget);
@@ -298,7 +298,7 @@
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone != self.zone) {
             // Before that, aggregators heard them in place of this node.
-            let heard = peer.heard.max(self.large_until);
+            let heard = peer.last_heard.max(self.large_until);
             zones.entry(&peer.zone).or_default().push(heard);
         }
         let is_silent = |heard: &Vec<Timestamp>| {
@@ -314,7 +314,7 @@
     /// After a pause of this process, silence is no fault of the others.
     pub fn reset_silence(&mut self, now: Timestamp) {
         for peer in self.peers.values_mut().filter(|peer| !peer.is_lost) {
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
