--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -16,33 +16,35 @@
 mod unknown_names;
 mod zone_digest;
 
-pub use cache_index::{CacheNews, CacheOrder};
-pub use granting::{Ended, ExpiredLease};
-pub(crate) use messages::{FAR_FANOUT, FAR_TICKS, NEAR_FANOUT, SPARSE_FAR_FANOUT};
+pub use cache_index::{CacheUpdate, DueCacheCall};
+pub use granting::{ExpiredLease, LeaseRelease};
+pub(crate) use messages::{
+    CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
+};
 pub use noticing::NoticeSource;
-pub use reading::ReadingDuty;
+pub use reading::ReaderRole;
 pub use unknown_names::UnknownName;
 
 use aggregation::Aggregation;
 use cache_index::CacheFollows;
 use document_source::WantedDocuments;
-use granting::{Lease, Miss};
+use granting::{FailedConnection, Lease};
 use home_scopes::HomeScopes;
-use quarantining::CrashNews;
+use quarantining::PendingCrashReports;
 
 use crate::load::cache_index::FollowCounts;
 use crate::load::registry::Registry;
-use crate::placement::places::RoundTrips;
-use crate::placement::pool_split::LongSilent;
-use crate::placement::replication::LossChances;
+use crate::placement::locality::RoundTrips;
+use crate::placement::pool_split::PersistentSilence;
+use crate::placement::replication::LossProbabilities;
 use crate::{
-    Applied, Border, BudgetSettings, Change, ColdBound, ColdDuty, Content, DocumentKey, Envelope,
-    Features, Gossip, Knowledge, LeaseId, LimitChange, PeerChange, Peers, Placement,
-    QuarantineChange, QuarantineCounts, RetryBudget, Revision, SplitChange, SplitFigures,
-    VersionVector, WarmthChange,
+    ApplyOutcome, Change, ColdRateLimit, ColdRole, Distance, DocumentContent, DocumentKey,
+    DocumentStore, Envelope, Features, Gossip, LeaseId, LimitChange, PeerChange, Peers, Placement,
+    QuarantineChange, QuarantineCounts, RetryBudget, RetryBudgetSettings, Revision, SplitChange,
+    SplitStats, VersionVector, WarmupChange,
 };
 use eiderferry_quarantine::Quarantine;
-use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, RegionOfZone, ZoneName};
+use eiderferry_routing::{BackEnd, InstanceId, NodeName, PoolName, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -75,15 +77,15 @@
     /// Number of this run.
     pub incarnation: u32,
     /// Bound of repeats over all nodes.
-    pub budget: BudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
     /// Time within which a change that the platform has confirmed has to be in force.
-    pub apply_within: Span,
+    pub propagation_deadline: Span,
     /// Bound of requests to a cold back end over all nodes.
-    pub cold_bound: ColdBound,
+    pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
-    pub regions: RegionOfZone,
+    pub regions: ZoneRegions,
     /// Parts in use.
     pub features: Features,
 }
@@ -96,7 +98,7 @@
     /// What changed with peers.
     pub peer_changes: Vec<PeerChange>,
     /// Back ends that turned cold or warm, or got other senders.
-    pub warmth_changes: Vec<WarmthChange>,
+    pub warmup_changes: Vec<WarmupChange>,
     /// Back ends whose rate limits changed, or this node's part in them.
     pub limit_changes: Vec<LimitChange>,
     /// Pools whose engines are split in another way than before.
@@ -109,22 +111,22 @@
 
 /// What a message asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceiveOutput {
     /// What changed with its sender.
     pub change: Option<PeerChange>,
     /// An answer is wanted.
-    pub wants_answer: bool,
+    pub wants_reply: bool,
     /// The sender knows newer documents, which have to be fetched.
-    pub is_newer: bool,
+    pub has_newer_documents: bool,
     /// Changes that the message carried.
-    pub taken: Vec<TakenNews>,
+    pub changes: Vec<ReceivedChange>,
     /// Requests that are refused from now on, or no longer.
     pub quarantine_changes: Vec<QuarantineChange>,
 }
 
 /// A change that came with a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TakenNews {
+pub struct ReceivedChange {
     /// Which item.
     pub key: DocumentKey,
     /// What became of the item.
@@ -132,28 +134,28 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What came of it.
-    pub applied: Applied,
+    pub outcome: ApplyOutcome,
     /// Zones and regions that it names and the settings don't know.
-    pub unknown: Vec<UnknownName>,
+    pub unknown_names: Vec<UnknownName>,
 }
 
 /// Figures for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// Peers that are there.
-    pub living_peers: usize,
+    pub live_peers: usize,
     /// Listed back ends.
     pub back_ends: usize,
     /// Back ends that get no work for now.
-    pub ejected: usize,
+    pub ejected_back_ends: usize,
     /// Back ends that are cold.
-    pub cold: usize,
+    pub cold_back_ends: usize,
     /// Cold back ends to which this node may send.
-    pub cold_sender_for: usize,
+    pub cold_sending_to: usize,
     /// Back ends that have named a rate limit.
-    pub limited: usize,
+    pub limited_back_ends: usize,
     /// Those of them to which this node sends.
-    pub limit_sender_for: usize,
+    pub limited_sending_to: usize,
     /// Whether this node aggregates for its zone.
     pub is_aggregator: bool,
     /// Other zones held to be cut off.
@@ -163,36 +165,36 @@
     /// Granted places.
     pub leases: usize,
     /// Last known revision of the newest epoch.
-    pub complete_to: Revision,
+    pub newest_revision: Revision,
     /// Version of the routing table.
     pub table_version: u64,
     /// Age of the youngest confirmation in seconds; infinite without any.
     pub confirmed_age_seconds: f64,
     /// The split of the largest pool that is split.
-    pub split: SplitFigures,
+    pub largest_split: SplitStats,
     /// Engines whose caches this node follows.
-    pub caches_followed: usize,
+    pub followed_caches: usize,
     /// What following caches came to since the start.
     pub cache_counts: FollowCounts,
     /// Requests under which back ends crashed.
     pub quarantine: QuarantineCounts,
     /// Back ends that were looked at for requests since the start.
-    pub looked_at: u64,
+    pub examined_back_ends: u64,
     /// Looks at which engines' caches to follow since the start.
-    pub follow_looks: u64,
+    pub follow_evaluations: u64,
 }
 
 /// Decides for one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
-    knowledge: Knowledge,
+    document_store: DocumentStore,
     peers: Peers,
     back_ends: Registry,
     budgets: HashMap<PoolName, RetryBudget>,
     leases: HashMap<LeaseId, Lease>,
     ended_lately: HashMap<InstanceId, Timestamp>,
-    missed: HashMap<ZoneName, HashMap<InstanceId, Miss>>,
+    failed_connections: HashMap<ZoneName, HashMap<InstanceId, FailedConnection>>,
     next_lease: u64,
     placements: Vec<Placement>,
     ticks: u64,
@@ -216,17 +218,17 @@
     silent_zones: BTreeSet<ZoneName>,
     round_trips: RoundTrips,
     home_scopes: HomeScopes,
-    long_silent: LongSilent,
+    long_silent: PersistentSilence,
     /// Zones whose back ends get nothing new.
     evacuated: BTreeSet<ZoneName>,
     /// How likely a stream of each pool is to be lost.
-    losses: LossChances,
+    losses: LossProbabilities,
     quarantine: Quarantine,
-    crash_news: CrashNews,
+    crash_news: PendingCrashReports,
     /// Whether some back end was cold at the last tick.
     has_cold: bool,
     /// Back ends that were looked at for requests.
-    looked_at: u64,
+    examined: u64,
     random: ChaCha8Rng,
 }
 
@@ -244,13 +246,13 @@
         let (near_turn, far_turn) = (random.random::<u16>(), random.random::<u16>());
         Self {
             settings,
-            knowledge: Knowledge::default(),
+            document_store: DocumentStore::default(),
             peers,
             back_ends: Registry::default(),
             budgets: HashMap::new(),
             leases: HashMap::new(),
             ended_lately: HashMap::new(),
-            missed: HashMap::new(),
+            failed_connections: HashMap::new(),
             next_lease: 0,
             placements: Vec::new(),
             ticks: 0,
@@ -269,20 +271,20 @@
             silent_zones: BTreeSet::new(),
             round_trips: RoundTrips::default(),
             home_scopes: HomeScopes::default(),
-            long_silent: LongSilent::default(),
+            long_silent: PersistentSilence::default(),
             evacuated: BTreeSet::new(),
-            losses: LossChances::default(),
+            losses: LossProbabilities::default(),
             quarantine: Quarantine::default(),
-            crash_news: CrashNews::default(),
+            crash_news: PendingCrashReports::default(),
             has_cold: false,
-            looked_at: 0,
+            examined: 0,
             random,
         }
     }
 
     /// The documents known.
-    pub fn knowledge(&self) -> &Knowledge {
-        &self.knowledge
+    pub fn document_store(&self) -> &DocumentStore {
+        &self.document_store
     }
 
     /// Takes over new seeds.
@@ -297,52 +299,52 @@
 
     /// This process stood still: what it knows is old, and silence proves nothing.
     pub fn resume_after_pause(&mut self, now: Timestamp) {
-        self.peers.pardon(now);
-        self.aggregation.pardon(now);
+        self.peers.reset_silence(now);
+        self.aggregation.reset_silence(now);
     }
 
     /// Takes a document over that is heard now.
-    pub fn apply(&mut self, change: Change, now: Timestamp) -> TakenNews {
+    pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
-        let applied = self.knowledge.apply(change.clone());
+        let applied = self.document_store.apply(change.clone());
         let mut unknown = Vec::new();
-        if applied == Applied::Taken {
+        if applied == ApplyOutcome::Applied {
             self.take(change, now);
-            unknown = unknown_names(&key, &self.knowledge, &self.settings.regions);
+            unknown = unknown_names(&key, &self.document_store, &self.settings.regions);
         }
-        if applied == Applied::Withheld {
+        if applied == ApplyOutcome::Withheld {
             self.withhold(&key, now);
         }
-        TakenNews {
+        ReceivedChange {
             key,
             kind,
             revision,
-            applied,
-            unknown,
+            outcome: applied,
+            unknown_names: unknown,
         }
     }
 
     fn take(&mut self, change: Change, now: Timestamp) {
-        self.home_scopes.note_document(&change.key);
-        let table = self.knowledge.table().cloned();
+        self.home_scopes.record_document(&change.key);
+        let table = self.document_store.table().cloned();
         match (change.key, change.content) {
-            (key @ DocumentKey::BackEnd(_), Content::BackEnd(back_end)) => {
+            (key @ DocumentKey::BackEnd(_), DocumentContent::BackEnd(back_end)) => {
                 self.lapsed.remove(&key);
                 self.withheld.remove(&back_end.instance);
                 self.forget_previous_run(&back_end);
                 let table = table.as_deref();
-                self.back_ends.list(back_end, change.revision, table, now);
+                self.back_ends.upsert(back_end, change.revision, table, now);
             }
-            (DocumentKey::Evacuation(zone), Content::Evacuated) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
                 self.lapsed.remove(&DocumentKey::Evacuation(zone.clone()));
                 self.evacuated.insert(zone);
             }
             (DocumentKey::Table, _) => {
                 if let Some(table) = table {
-                    self.back_ends.take_table(&table);
+                    self.back_ends.apply_table(&table);
                 }
             }
-            (key, Content::Lapsed(within)) => {
+            (key, DocumentContent::Expired(within)) => {
                 self.lapsed.insert(key, now + within);
             }
             (key, _) => self.forget(&key, now),
@@ -384,7 +386,7 @@
         let due: Vec<InstanceId> = due.map(|(instance, _)| instance.clone()).collect();
         for instance in due {
             self.withheld.remove(&instance);
-            if let Some(change) = self.knowledge.release(&instance) {
+            if let Some(change) = self.document_store.release_withheld(&instance) {
                 self.take(change, now);
             }
         }
@@ -397,14 +399,14 @@
         }
         let states = self.back_ends.all_mut();
         for state in states.filter(|state| state.back_end.zone == *zone) {
-            state.warmth.note_return(now);
+            state.warmup.record_zone_return(now);
         }
     }
 
     /// A back end that started again holds nothing of what is known of the run before.
     fn forget_previous_run(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
-        if known.is_some_and(|known| back_end.is_other_run(&known.back_end)) {
+        if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
             self.cache_follows.forget(&back_end.instance);
             self.ended_lately.remove(&back_end.instance);
         }
@@ -412,7 +414,7 @@
 
     /// Time of the platform's last confirmation.
     fn confirmed_at(&self, now: Timestamp) -> Option<Timestamp> {
-        let age = self.knowledge.confirmed_age(now)?;
+        let age = self.document_store.confirmed_age(now)?;
         Some(now - age)
     }
 
@@ -433,47 +435,56 @@
 
     /// Notes that the platform confirmed, to this node or to a peer, that no change is newer than
     /// the known ones.
-    pub fn confirm(&mut self, known: &VersionVector, at: Timestamp) {
-        self.knowledge.confirm(known, at);
+    pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
+        self.document_store.record_confirmation(known, at);
     }
 
     /// Takes a peer's message in.
-    pub fn receive(&mut self, address: SocketAddr, message: &Gossip, now: Timestamp) -> Received {
+    pub fn receive(
+        &mut self,
+        address: SocketAddr,
+        message: &Gossip,
+        now: Timestamp,
+    ) -> ReceiveOutput {
         self.now = now;
-        let change = self.peers.heard(address, message, now);
-        self.note_table_elsewhere(message.table_stamp);
-        self.take_own_loads(message, now);
-        self.take_aggregation(address, message, now);
-        self.take_zone_digests(address, message, now);
-        self.back_ends.take_placements(&message.placements, now);
-        let taken = self.take_news(message, now);
-        let quarantine_changes = self.take_crashing_requests(message, now);
-        self.take_limits(message, now);
-        let knows_all = self.knowledge.complete_to().includes(&message.complete_to)
-            || (self.has_taken_all(message) && message.news.is_some());
+        let change = self.peers.record_message(address, message, now);
+        self.record_peer_table(message.table_stamp);
+        self.apply_own_loads(message, now);
+        self.apply_aggregation(address, message, now);
+        self.apply_zone_digests(address, message, now);
+        self.back_ends.apply_placements(&message.placements, now);
+        let taken = self.apply_recent_changes(message, now);
+        let quarantine_changes = self.apply_crashing_requests(message, now);
+        self.apply_limits(message, now);
+        let knows_all = self
+            .document_store
+            .version_vector()
+            .includes(&message.version_vector)
+            || (self.has_taken_all(message) && message.recent_changes.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
             let at = now - Span::from_milliseconds(u64::from(age));
-            self.knowledge.confirm(&message.complete_to, at);
+            self.document_store
+                .record_confirmation(&message.version_vector, at);
         }
-        Received {
+        ReceiveOutput {
             change,
-            wants_answer: message.wants_answer,
-            is_newer: !knows_all,
-            taken,
+            wants_reply: message.wants_reply,
+            has_newer_documents: !knows_all,
+            changes: taken,
             quarantine_changes,
         }
     }
 
     /// Whether the news of a message follow on what is known.
     fn has_taken_all(&self, message: &Gossip) -> bool {
-        let news = message.news.as_ref();
-        news.is_some_and(|news| self.knowledge.complete_to().includes(&news.after))
+        let news = message.recent_changes.as_ref();
+        news.is_some_and(|news| self.document_store.version_vector().includes(&news.base))
     }
 
-    fn take_news(&mut self, message: &Gossip, now: Timestamp) -> Vec<TakenNews> {
-        let Some(news) = message.news.as_ref() else {
+    fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
+        let Some(news) = message.recent_changes.as_ref() else {
             return Vec::new();
         };
         let changes = news.changes.iter().cloned();
@@ -482,11 +493,11 @@
 
     /// Whether this node aggregates for its zone.
     pub fn is_aggregator(&self) -> bool {
-        self.aggregation.is_acting()
+        self.aggregation.is_active()
     }
 
     /// Zones whose back ends get nothing new.
-    pub fn evacuated(&self) -> &BTreeSet<ZoneName> {
+    pub fn evacuated_zones(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
@@ -495,11 +506,11 @@
         &self.silent_zones
     }
 
-    /// The border between this node and another.
-    pub fn border_to(&self, address: SocketAddr) -> Border {
+    /// The distance between this node and another.
+    pub fn distance_to(&self, address: SocketAddr) -> Distance {
         let zone = self.peers.zone_of(address);
-        zone.map_or(Border::Unknown, |zone| {
-            Border::between(&self.settings.zone, zone, &self.settings.regions)
+        zone.map_or(Distance::Unknown, |zone| {
+            Distance::between(&self.settings.zone, zone, &self.settings.regions)
         })
     }
 
@@ -508,50 +519,54 @@
             .map_or(Span::ZERO, |started| now.since(started))
     }
 
-    fn largest_split(&self) -> SplitFigures {
-        let splits = self.back_ends.splits().filter(|split| split.is_on());
-        let figures = splits.map(|split| split.figures());
-        figures
-            .max_by_key(|figures| figures.ranked_engines)
+    fn largest_split(&self) -> SplitStats {
+        let splits = self.back_ends.splits().filter(|split| split.is_active());
+        let stats = splits.map(|split| split.stats());
+        stats
+            .max_by_key(|stats| stats.ranked_engines)
             .unwrap_or_default()
     }
 
     /// Figures for metrics.
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
-        let table = self.knowledge.table();
-        let age = self.knowledge.confirmed_age(now);
-        let count = |duty| {
+        let table = self.document_store.table();
+        let age = self.document_store.confirmed_age(now);
+        let count = |role| {
             let states = self.back_ends.all();
-            states.filter(|state| state.warmth.duty() == duty).count()
+            states.filter(|state| state.warmup.role() == role).count()
         };
-        let cold_sender_for = count(ColdDuty::Sender);
-        let (limited, limit_sender_for) = self.limit_counts();
-        let (caches_followed, cache_counts) = self.cache_counts();
+        let cold_sending_to = count(ColdRole::Sender);
+        let (limited, limited_sending_to) = self.limit_counts();
+        let (followed_caches, cache_counts) = self.cache_counts();
         Snapshot {
-            living_peers: self.peers.living_count(),
+            live_peers: self.peers.live_count(),
             back_ends: self.back_ends.all().count(),
-            ejected: self
+            ejected_back_ends: self
                 .back_ends
                 .all()
                 .filter(|state| state.health.is_ejected(now))
                 .count(),
-            cold: cold_sender_for + count(ColdDuty::Others),
-            cold_sender_for,
-            limited,
-            limit_sender_for,
+            cold_back_ends: cold_sending_to + count(ColdRole::OtherNodes),
+            cold_sending_to,
+            limited_back_ends: limited,
+            limited_sending_to,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
             evacuated_zones: self.evacuated.len(),
             leases: self.leases.len(),
-            complete_to: self.knowledge.complete_to().newest().unwrap_or_default(),
+            newest_revision: self
+                .document_store
+                .version_vector()
+                .newest()
+                .unwrap_or_default(),
             table_version: table.map_or(0, |table| table.version()),
             confirmed_age_seconds: age.map_or(f64::INFINITY, |age| age.seconds()),
-            split: self.largest_split(),
-            caches_followed,
+            largest_split: self.largest_split(),
+            followed_caches,
             cache_counts,
             quarantine: self.quarantine.counts(),
-            looked_at: self.looked_at,
-            follow_looks: self.follow_looks(),
+            examined_back_ends: self.examined,
+            follow_evaluations: self.follow_evaluations(),
         }
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -5,7 +5,7 @@
 //! and not a change of one.
 
 use super::{Dispatcher, PLACEMENTS_PER_MESSAGE};
-use crate::load::cache_index::{CacheAnswer, CacheCall, CacheIndex, FollowCounts};
+use crate::load::cache_index::{CacheCall, CacheIndex, CacheResponse, FollowCounts};
 use crate::load::registry::BackEndState;
 use crate::{Placement, TableStamp};
 use eiderferry_routing::{InstanceId, PartId};
@@ -23,7 +23,7 @@
 
 /// A call that is due at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CacheOrder {
+pub struct DueCacheCall {
     /// The engine.
     pub instance: InstanceId,
     /// Its address.
@@ -36,11 +36,11 @@
 
 /// What came of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CacheNews {
+pub struct CacheUpdate {
     /// Parts believed kept that the engine doesn't keep.
-    pub gone: usize,
+    pub stale: usize,
     /// Parts that it keeps and that were not believed kept.
-    pub kept: usize,
+    pub missing: usize,
     /// The counts of the engine since it is followed.
     pub counts: FollowCounts,
     /// Time since it is followed.
@@ -58,7 +58,7 @@
     indices: BTreeMap<InstanceId, CacheIndex>,
     ended: FollowCounts,
     /// What the last look at which engines to follow rests on, and when it was.
-    looked_at: Option<(FollowBasis, u64)>,
+    examined: Option<(FollowBasis, u64)>,
     looks: u64,
 }
 
@@ -67,7 +67,7 @@
 struct FollowBasis {
     may_follow: bool,
     table_stamp: TableStamp,
-    staying_version: u64,
+    active_peers_version: u64,
     back_ends_version: u64,
 }
 
@@ -106,20 +106,20 @@
 
 impl Dispatcher {
     /// Calls that are due at the engines that this node follows.
-    pub fn cache_calls(&mut self, now: Timestamp) -> Vec<CacheOrder> {
-        self.renew_cache_follows(now);
-        let placed = self.back_ends.take_placed_lately();
-        self.recall_kept(placed.into_iter(), now);
+    pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
+        self.update_cache_follows(now);
+        let placed = self.back_ends.drain_recent_placements();
+        self.restore_cached(placed.into_iter(), now);
         let follows = &mut self.cache_follows.indices;
         let due = follows.iter_mut().filter_map(|(instance, index)| {
             let state = self.back_ends.get(instance)?;
-            if state.notice.rest_left(now).is_some() || state.limiter.limit().is_some() {
+            if state.notice.remaining_backoff(now).is_some() || state.limiter.limit().is_some() {
                 return None;
             }
             let listed = &state.back_end;
             let (address, started_unix_ms) = (listed.address, listed.started_unix_ms);
             let call = index.call(now)?;
-            Some(CacheOrder {
+            Some(DueCacheCall {
                 instance: instance.clone(),
                 address,
                 started_unix_ms,
@@ -134,19 +134,19 @@
         self.cache_follows.indices.contains_key(instance)
     }
 
-    fn renew_cache_follows(&mut self, now: Timestamp) {
+    fn update_cache_follows(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
-        let looked_at = &self.cache_follows.looked_at;
-        if looked_at.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
+        let examined = &self.cache_follows.examined;
+        if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
             // An engine that leaves is left at once, as before each call.
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
                 let state = back_ends.get(instance);
-                state.is_some_and(BackEndState::takes_work)
+                state.is_some_and(BackEndState::accepts_work)
             });
             return;
         }
-        self.cache_follows.looked_at = Some((basis, self.ticks));
+        self.cache_follows.examined = Some((basis, self.ticks));
         self.cache_follows.looks += 1;
         let own: HashSet<InstanceId> = self.caches_to_follow(&basis).into_iter().collect();
         let follows = &mut self.cache_follows;
@@ -161,8 +161,8 @@
         let is_on = self.settings.features.cache_index && self.is_any_cache_told();
         FollowBasis {
             may_follow: is_on && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
-            table_stamp: self.knowledge.table_stamp(),
-            staying_version: self.peers.staying_version(),
+            table_stamp: self.document_store.table_stamp(),
+            active_peers_version: self.peers.active_peers_version(),
             back_ends_version: self.back_ends.version(),
         }
     }
@@ -181,7 +181,7 @@
 
     /// Whether the engines of any pool tell what they keep.
     fn is_any_cache_told(&self) -> bool {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let mut pools = table
             .into_iter()
             .flat_map(|table| table.document().pools.values());
@@ -193,37 +193,37 @@
 
     fn has_to_follow(&self, state: &BackEndState) -> bool {
         let tells = self
-            .knowledge
+            .document_store
             .table()
             .and_then(|table| table.pool(&state.back_end.pool)?.engine.as_ref())
             .is_some_and(|engine| engine.cache_event_calls > 0);
-        tells && state.takes_work() && self.peers.sender_place(state.digest) == 0
+        tells && state.accepts_work() && self.peers.sender_index(state.digest) == 0
     }
 
     /// Takes in what came of a call; `None` where the engine is not followed any more, or
     /// nothing was learned.
-    pub fn take_cache_answer(
+    pub fn handle_cache_response(
         &mut self,
         instance: &InstanceId,
-        answer: CacheAnswer,
+        answer: CacheResponse,
         now: Timestamp,
-    ) -> Option<CacheNews> {
+    ) -> Option<CacheUpdate> {
         let index = self.cache_follows.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
-        if !index.take(answer, now) {
+        if !index.handle_response(answer, now) {
             let has_gap = index.counts().gaps > gaps;
-            return has_gap.then(|| CacheNews::of(index, &[], now));
+            return has_gap.then(|| CacheUpdate::of(index, &[], now));
         }
         let facts = self.corrections(instance)?;
         let cache = &mut self.back_ends.get_mut(instance)?.load.cache;
         for fact in &facts {
-            cache.take_fact(fact.part, fact.tokens, now);
+            cache.apply_observation(fact.part, fact.tokens, now);
         }
         let index = self.cache_follows.indices.get_mut(instance)?;
-        cache.confirm(|part| index.holds(part).is_some(), now);
-        index.note_corrections(facts.len(), now);
-        let news = CacheNews::of(index, &facts, now);
-        self.tell_facts(&facts);
+        cache.confirm(|part| index.stored_tokens(part).is_some(), now);
+        index.record_corrections(facts.len(), now);
+        let news = CacheUpdate::of(index, &facts, now);
+        self.queue_observations(&facts);
         Some(news)
     }
 
@@ -233,9 +233,9 @@
         let index = self.cache_follows.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
         let cache = &state.load.cache;
-        let gone = index.believed_wrongly(cache).into_iter();
+        let gone = index.stale_parts(cache).into_iter();
         let gone = gone.map(|part| fact(state.digest, part, 0));
-        let kept = index.kept_unknown(cache, &self.back_ends.believed_parts());
+        let kept = index.missing_parts(cache, &self.back_ends.cached_parts());
         let kept = kept.into_iter();
         let kept = kept.map(|part| fact(state.digest, part.id, part.tokens));
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
@@ -245,31 +245,31 @@
     /// Parts turn out to be shared: the followed engines that hold them are known to keep them
     /// from now on. So the caches are known again with the first requests after a loss of all
     /// nodes, though no word of an engine tells which of its parts are shared.
-    pub(super) fn recall_kept(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
+    pub(super) fn restore_cached(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
         if self.cache_follows.indices.is_empty() {
             return;
         }
         let mut recalled = Vec::new();
         for part in parts {
             for (instance, index) in &self.cache_follows.indices {
-                let Some(tokens) = index.holds(part) else {
+                let Some(tokens) = index.stored_tokens(part) else {
                     continue;
                 };
                 let Some(state) = self.back_ends.get_mut(instance) else {
                     continue;
                 };
                 let cache = &mut state.load.cache;
-                if !cache.keeps(part) {
-                    cache.take_fact(part, tokens, now);
+                if !cache.contains(part) {
+                    cache.apply_observation(part, tokens, now);
                     recalled.push(fact(state.digest, part, tokens));
                 }
             }
         }
-        self.tell_facts(&recalled);
+        self.queue_observations(&recalled);
     }
 
     /// Looks at which engines to follow since the start.
-    pub(super) fn follow_looks(&self) -> u64 {
+    pub(super) fn follow_evaluations(&self) -> u64 {
         self.cache_follows.looks
     }
 
@@ -283,30 +283,30 @@
     }
 
     /// Tells what engines themselves told, in place of what was said of these parts before.
-    fn tell_facts(&mut self, facts: &[Placement]) {
+    fn queue_observations(&mut self, facts: &[Placement]) {
         let key = |placement: &Placement| (placement.back_end, placement.part);
         self.placements
             .retain(|known| !facts.iter().any(|fact| key(fact) == key(known)));
-        self.tell_placements(facts);
+        self.queue_placements(facts);
     }
 
     /// Tells other nodes of parts with the next messages.
-    pub(super) fn tell_placements(&mut self, told: &[Placement]) {
+    pub(super) fn queue_placements(&mut self, told: &[Placement]) {
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
         let told = &told[..told.len().min(room)];
         self.placements.extend_from_slice(told);
         if self.collects_placements() {
-            self.zone_digests.note_placements(told);
+            self.zone_digests.record_placements(told);
         }
     }
 }
 
-impl CacheNews {
+impl CacheUpdate {
     fn of(index: &CacheIndex, facts: &[Placement], now: Timestamp) -> Self {
         let gone = facts.iter().filter(|fact| fact.tokens == 0).count();
         Self {
-            gone,
-            kept: facts.len() - gone,
+            stale: gone,
+            missing: facts.len() - gone,
             counts: index.counts(),
             followed_for: now.since(index.since()),
         }
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -3,7 +3,7 @@
 //! told them first carried 28 MB across borders at a start (`tests/borders.rs`).
 
 use super::Dispatcher;
-use crate::fleet::traffic::Border;
+use crate::fleet::traffic::Distance;
 use crate::{TableStamp, VersionVector};
 use eiderferry_types::{Span, Timestamp};
 use rand::seq::IndexedRandom;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 struct Lacking {
     /// What this node knew all the while.
-    complete_to: VersionVector,
+    version_vector: VersionVector,
     since: Timestamp,
 }
 
@@ -49,11 +49,11 @@
 impl WantedDocuments {
     /// Since when others have been known to have more than this node, which has learned nothing
     /// since.
-    fn lacking_since(&mut self, complete_to: &VersionVector, now: Timestamp) -> Timestamp {
+    fn lacking_since(&mut self, version_vector: &VersionVector, now: Timestamp) -> Timestamp {
         let lacking = self.lacking.take();
-        let same = lacking.filter(|lacking| lacking.complete_to == *complete_to);
+        let same = lacking.filter(|lacking| lacking.version_vector == *version_vector);
         let lacking = same.unwrap_or_else(|| Lacking {
-            complete_to: complete_to.clone(),
+            version_vector: version_vector.clone(),
             since: now,
         });
         let since = lacking.since;
@@ -70,11 +70,11 @@
         told_by: Option<SocketAddr>,
         now: Timestamp,
     ) -> Option<SocketAddr> {
-        if !self.settings.features.zone_speakers {
+        if !self.settings.features.zone_representatives {
             return told_by;
         }
-        let known = self.knowledge.complete_to();
-        let informed = self.peers.knowing_more_than(known);
+        let known = self.document_store.version_vector();
+        let informed = self.peers.peers_ahead_of(known);
         if informed.is_empty() {
             self.wanted.lacking = None;
             return None;
@@ -86,24 +86,24 @@
         }
         let avoided = &mut self.wanted.avoided;
         avoided.retain(|_, until| *until > now);
-        let sources: Vec<(Border, SocketAddr)> = informed
+        let sources: Vec<(Distance, SocketAddr)> = informed
             .into_iter()
-            .map(|address| (self.border_to(address), address))
+            .map(|address| (self.distance_to(address), address))
             .collect();
-        let is_near = |(border, _): &&(Border, SocketAddr)| *border == Border::None;
+        let is_near = |(distance, _): &&(Distance, SocketAddr)| *distance == Distance::SameZone;
         let serves_near = sources.iter().any(|source| is_near(&source));
         let may_go_far = now.since(since) >= self.far_patience(lacks_newest_epoch, serves_near);
         let free = sources
             .into_iter()
             .filter(|(_, address)| !self.wanted.avoided.contains_key(address))
-            .filter(|(border, _)| *border == Border::None || may_go_far);
-        let free: Vec<(Border, SocketAddr)> = free.collect();
-        let told_by = told_by.map(|address| (Border::None, address));
+            .filter(|(distance, _)| *distance == Distance::SameZone || may_go_far);
+        let free: Vec<(Distance, SocketAddr)> = free.collect();
+        let told_by = told_by.map(|address| (Distance::SameZone, address));
         if let Some(near) = told_by.filter(|near| free.contains(near)) {
             return Some(near.1);
         }
-        let nearest = free.iter().map(|(border, _)| *border).min()?;
-        let nearest = free.iter().filter(|(border, _)| *border == nearest);
+        let nearest = free.iter().map(|(distance, _)| *distance).min()?;
+        let nearest = free.iter().filter(|(distance, _)| *distance == nearest);
         let nearest: Vec<SocketAddr> = nearest.map(|(_, address)| *address).collect();
         nearest.choose(&mut self.random).copied()
     }
@@ -111,19 +111,19 @@
     /// Whether what this node lacks is probably on its way to it. A table is not: it is too large
     /// for an announcement.
     fn is_announcement_due(&self, since: Timestamp, now: Timestamp) -> bool {
-        let lacks_table = self.wanted.table_stamp > self.knowledge.table_stamp();
+        let lacks_table = self.wanted.table_stamp > self.document_store.table_stamp();
         !lacks_table && now.since(since) < ANNOUNCEMENT_PATIENCE
     }
 
     /// Whether this node knows nothing of the newest epoch that its peers know, and so lacks
     /// nearly all documents. This is also the case after its start.
     fn lacks_newest_epoch(&self) -> bool {
-        let newest = self.peers.newest_known();
-        newest.is_some_and(|newest| !self.knowledge.complete_to().has_epoch(newest.epoch))
+        let newest = self.peers.newest_known_revision();
+        newest.is_some_and(|newest| !self.document_store.version_vector().has_epoch(newest.epoch))
     }
 
     /// Notes which table another node has.
-    pub(super) fn note_table_elsewhere(&mut self, stamp: TableStamp) {
+    pub(super) fn record_peer_table(&mut self, stamp: TableStamp) {
         let latest = &mut self.wanted.table_stamp;
         *latest = stamp.max(*latest);
     }
@@ -147,7 +147,7 @@
     }
 
     /// A node gave no documents: because it is busy, or for another reason.
-    pub fn note_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
+    pub fn record_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
         let pause = if is_busy {
             AVOIDED_BUSY
         } else {
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -59,7 +59,7 @@
     request: RequestDigest,
     /// Whether anything of its answer has come, as far as it comes in pieces.
     has_events: bool,
-    pub(super) granted: Timestamp,
+    pub(super) granted_at: Timestamp,
     /// When it is given back, whoever holds it.
     expires: Timestamp,
 }
@@ -75,23 +75,23 @@
 
 /// A back end of another zone to which no connection came up.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Miss {
+pub(super) struct FailedConnection {
     is_refusal: bool,
     at: Timestamp,
 }
 
 /// What changed when a place was given back.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
+pub struct LeaseRelease {
     /// Back ends whose standing changed.
-    pub standings: Vec<(InstanceId, HealthChange)>,
+    pub health_changes: Vec<(InstanceId, HealthChange)>,
     /// The request, if it was held to crash back ends.
     pub quarantine_change: Option<QuarantineChange>,
 }
 
 impl Dispatcher {
     fn budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
-        let settings = self.settings.budget;
+        let settings = self.settings.retry_budget;
         self.budgets
             .entry(pool.clone())
             .or_insert_with(|| RetryBudget::new(settings))
@@ -99,39 +99,39 @@
 
     /// Counts a caller's request for a pool.
     pub fn count_request(&mut self, pool: &PoolName, now: Timestamp) {
-        self.budget(pool).request(now);
+        self.budget(pool).record_request(now);
     }
 
     /// Chooses a back end for a request, or refuses it.
-    pub fn ask(&mut self, demand: &Demand, now: Timestamp) -> Decision {
+    pub fn dispatch(&mut self, demand: &Demand, now: Timestamp) -> Decision {
         if let Some(refusal) = self.refuse_crashing(demand, now) {
             return refusal;
         }
         let shared = demand.shared_parts().iter().map(|part| part.id);
-        self.recall_kept(shared, now);
+        self.restore_cached(shared, now);
         let cold_start = self.cold_start(&demand.pool);
         let home_scope = self.home_scope(&demand.pool);
         let view = View {
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated: &self.evacuated,
+            evacuated_zones: &self.evacuated,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
-            costs_places: self.settings.features.place_costs,
+            costs_locality: self.settings.features.locality_costs,
             now,
         };
-        if let Some(holder) = &demand.only
+        if let Some(holder) = &demand.required_instance
             && !may_take_over(&self.back_ends, &view, demand, holder)
         {
             return Decision::Refuse(Reason::NoBackEnd, NO_BACK_END_RETRY);
         }
         let Plans {
             mut plans,
-            looked_at,
+            examined,
         } = plans(&self.back_ends, &view, demand, &mut self.random);
-        self.looked_at += looked_at as u64;
+        self.examined += examined as u64;
         let candidates: Vec<Candidate> = plans.iter().map(|plan| plan.candidate).collect();
         let Some(index) = choose(&candidates) else {
             let reason = refusal(&self.back_ends, &view, demand);
@@ -139,13 +139,13 @@
         };
         let candidate = candidates[index];
         // An engine admits the request whose replica it holds before all others.
-        let is_takeover = demand.only.is_some();
+        let is_takeover = demand.required_instance.is_some();
         if !is_takeover && self.is_full(&plans[index].instance, &candidate, demand, now) {
             return Decision::Refuse(Reason::QueueFull, OVERLOAD_RETRY);
         }
-        if demand.is_repeat {
-            let nodes = self.peers.most_known();
-            if !self.budget(&demand.pool).spend(now, nodes) {
+        if demand.is_retry {
+            let nodes = self.peers.max_known();
+            if !self.budget(&demand.pool).try_spend(now, nodes) {
                 return Decision::Refuse(Reason::RetryBudget, NO_BACK_END_RETRY);
             }
         }
@@ -168,16 +168,16 @@
         let Some(state) = self.back_ends.get_mut(instance) else {
             return false;
         };
-        let rounds = state.load.rounds_within(demand.target);
+        let rounds = state.load.batches_within(demand.target);
         let most = most.max(rounds * f64::from(candidate.slots));
-        state.load.crowd(candidate.running, now) >= most
+        state.load.smoothed_concurrency(candidate.running, now) >= most
     }
 
     /// Requests at a back end beyond which this one is not added.
     fn most_running(&self, demand: &Demand, slots: u32) -> u32 {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let part = table.map_or(0.0, |table| {
-            table.part_less_urgent(&demand.pool, demand.rank)
+            table.less_urgent_share(&demand.pool, demand.rank)
         });
         let fullest = FULLEST + (FULLEST_MOST_URGENT - FULLEST) * part;
         let most = (f64::from(slots) * fullest).ceil() as u32;
@@ -188,27 +188,31 @@
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
         let connections = self.connection_limit(&demand.pool);
-        let revision = self.knowledge.complete_to().newest().unwrap_or_default();
-        let list_age = self.knowledge.confirmed_age(now).unwrap_or(Span::ZERO);
+        let revision = self
+            .document_store
+            .version_vector()
+            .newest()
+            .unwrap_or_default();
+        let list_age = self.document_store.confirmed_age(now).unwrap_or(Span::ZERO);
         let exposure = plan.footprint.exposure;
-        self.back_ends.note_exposure(&demand.pool, exposure);
+        self.back_ends.record_exposure(&demand.pool, exposure);
         let state = self.back_ends.get_mut(&plan.instance)?;
         state.load.begin(lease, plan.footprint, now);
-        state.warmth.note_sent(now);
+        state.warmup.record_sent(now);
         let has_limit = state.limiter.limit().is_some();
-        state.limiter.note_sent(now);
-        let cache_known = state.load.cache.known_age(demand.shared_parts(), now);
+        state.limiter.record_sent(now);
+        let cache_observation_age = state.load.cache.observation_age(demand.shared_parts(), now);
         let read_at = now + plan.candidate.first_event;
         state.load.cache.insert(&demand.parts, read_at);
-        state.load.cache.note_shared(demand.shared_parts());
+        state.load.cache.record_shared(demand.shared_parts());
         let answer = u64::from(demand.output_tokens);
-        state.load.cache.insert_single(answer);
+        state.load.cache.insert_unshared(answer);
         let address = state.back_end.address;
         let started_unix_ms = state.back_end.started_unix_ms;
         let digest = state.digest;
         let placements = placements(digest, demand.shared_parts());
-        self.back_ends.note_holder(demand.shared_parts(), digest);
-        self.tell_placements(&placements);
+        self.back_ends.record_holder(demand.shared_parts(), digest);
+        self.queue_placements(&placements);
         let kept = self.replicate(demand, &plan.instance, now);
         let replica = kept.as_ref().map(|kept| Box::new(kept.target.clone()));
         let record = Lease {
@@ -217,7 +221,7 @@
             replica: kept,
             request: demand.digest,
             has_events: !demand.is_stream,
-            granted: now,
+            granted_at: now,
             expires: now + demand.remaining + LEASE_MARGIN,
         };
         self.leases.insert(lease, record);
@@ -227,7 +231,7 @@
             address,
             connections,
             uncached_tokens: plan.footprint.uncached_tokens,
-            cache_known,
+            cache_observation_age,
             copy_from: plan.copy_from,
             replica,
             has_limit,
@@ -243,8 +247,8 @@
             Reason::RegionNotAllowed => REGION_RETRY,
             Reason::ColdBackEnds | Reason::ZoneEvacuated => UNDER_WAY_RETRY,
             // They rest from this node alone: a caller that comes back soon may reach another.
-            Reason::BackEndsRest => {
-                let rest = self.back_ends.shortest_rest(&demand.pool, now);
+            Reason::BackEndsBackingOff => {
+                let rest = self.back_ends.shortest_backoff(&demand.pool, now);
                 rest.map_or(NO_BACK_END_RETRY, |rest| rest.min(NO_BACK_END_RETRY))
             }
             // The limits hold for all nodes together: no other one takes the caller sooner.
@@ -257,26 +261,26 @@
     }
 
     fn connection_limit(&self, pool: &PoolName) -> u32 {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let maximum = table
             .and_then(|table| table.pool(pool))
             .map_or(MINIMUM_CONNECTIONS, |pool| pool.maximum_connections);
-        let share = f64::from(maximum) * CONNECTION_PART / f64::from(self.peers.most_known());
+        let share = f64::from(maximum) * CONNECTION_PART / f64::from(self.peers.max_known());
         (share as u32).max(MINIMUM_CONNECTIONS)
     }
 
     /// The first event, or the whole answer, of a request came.
-    pub fn first_event(&mut self, lease: LeaseId, now: Timestamp) {
+    pub fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
         if let Some(state) = self.state_of(lease) {
             state.load.first_event(lease, now);
         }
     }
 
     /// How the events of a stream came, told before its place is given back.
-    pub fn note_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
+    pub fn record_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.has_events |= pacing.events() > 0;
-            self.back_ends.learn(&lease.instance, pacing);
+            self.back_ends.observe_stream(&lease.instance, pacing);
         }
     }
 
@@ -286,17 +290,17 @@
     }
 
     /// A place is given back.
-    pub fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> Ended {
+    pub fn release(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> LeaseRelease {
         let Some(record) = self.leases.remove(&lease) else {
-            return Ended::default();
+            return LeaseRelease::default();
         };
         // A stream that ends without an event may be one that a crash cut short.
         let ended_well = outcome == Outcome::Completed && record.has_events;
         let quarantine_change = ended_well
-            .then(|| self.quarantine.note_completed(record.request, now))
+            .then(|| self.quarantine.record_completed(record.request, now))
             .flatten();
-        Ended {
-            standings: self.judge_back_end(&record, outcome, lease, now),
+        LeaseRelease {
+            health_changes: self.record_back_end_outcome(&record, outcome, lease, now),
             quarantine_change,
         }
     }
@@ -315,13 +319,13 @@
             })
             .collect();
         for over in &expired {
-            self.end(over.lease, Outcome::Abandoned, now);
+            self.release(over.lease, Outcome::Abandoned, now);
         }
         expired
     }
 
     /// Returns the back ends whose standing an outcome has changed.
-    fn judge_back_end(
+    fn record_back_end_outcome(
         &mut self,
         record: &Lease,
         outcome: Outcome,
@@ -337,7 +341,9 @@
             return Vec::new();
         }
         self.ended_lately.insert(record.instance.clone(), now);
-        let change = self.back_ends.judge(&record.instance, outcome, now);
+        let change = self
+            .back_ends
+            .record_outcome(&record.instance, outcome, now);
         let own = change.map(|change| (record.instance.clone(), change));
         let Some(state) = self.back_ends.get_mut(&record.instance) else {
             return Vec::new();
@@ -345,27 +351,27 @@
         state.load.end(lease, outcome, now);
         let zone = state.back_end.zone.clone();
         let mut changes: Vec<(InstanceId, HealthChange)> = own.into_iter().collect();
-        let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::Refused);
+        let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
         if is_missed && zone != self.settings.zone {
-            let miss = Miss {
-                is_refusal: outcome == Outcome::Refused,
+            let miss = FailedConnection {
+                is_refusal: outcome == Outcome::ConnectionRefused,
                 at: now,
             };
-            changes.extend(self.note_missed(zone, record.instance.clone(), miss));
+            changes.extend(self.record_missed(zone, record.instance.clone(), miss));
         }
         changes
     }
 
     /// Several back ends of another zone that can't be reached show that the way there is cut:
     /// the rest of them gets no work for a while either.
-    fn note_missed(
+    fn record_missed(
         &mut self,
         zone: ZoneName,
         instance: InstanceId,
-        miss: Miss,
+        miss: FailedConnection,
     ) -> Vec<(InstanceId, HealthChange)> {
         let now = miss.at;
-        let lately = self.missed.entry(zone.clone()).or_default();
+        let lately = self.failed_connections.entry(zone.clone()).or_default();
         lately.retain(|_, miss| now.since(miss.at) < CUT_WINDOW);
         lately.insert(instance, miss);
         let refusing = lately.values().filter(|miss| miss.is_refusal).count();
@@ -382,7 +388,7 @@
         there
             .into_iter()
             .filter_map(|state| {
-                let change = state.health.suspect(now)?;
+                let change = state.health.eject_if_active(now)?;
                 Some((state.back_end.instance.clone(), change))
             })
             .collect()
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -13,7 +13,7 @@
 
 /// What this node has still to tell of crashes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct CrashNews {
+pub(super) struct PendingCrashReports {
     is_untold: bool,
     told_at: Option<Timestamp>,
 }
@@ -29,7 +29,7 @@
         if !self.crash_news.is_untold || is_soon {
             return None;
         }
-        self.crash_news = CrashNews {
+        self.crash_news = PendingCrashReports {
             is_untold: false,
             told_at: Some(now),
         };
@@ -37,7 +37,7 @@
     }
 
     /// A back end crashed under a request of this node.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         request: RequestDigest,
         instance: &InstanceId,
@@ -48,7 +48,7 @@
         }
         self.crash_news.is_untold = true;
         let back_end = instance.digest() as u32;
-        self.quarantine.note_crash(request, back_end, now)
+        self.quarantine.record_crash(request, back_end, now)
     }
 
     /// Refuses a request under which back ends crash.
@@ -56,11 +56,14 @@
         if !self.settings.features.quarantine {
             return None;
         }
-        let quarantined = self.quarantine.standing(demand.digest, now)?;
-        Some(Decision::Refuse(Reason::CrashesBackEnds, quarantined.lasts))
+        let quarantined = self.quarantine.status(demand.digest, now)?;
+        Some(Decision::Refuse(
+            Reason::CrashesBackEnds,
+            quarantined.remaining,
+        ))
     }
 
-    pub(super) fn take_crashing_requests(
+    pub(super) fn apply_crashing_requests(
         &mut self,
         message: &Gossip,
         now: Timestamp,
@@ -68,7 +71,8 @@
         if !self.settings.features.quarantine {
             return Vec::new();
         }
-        self.quarantine.take(&message.crashing_requests, now)
+        self.quarantine
+            .merge_reports(&message.crashing_requests, now)
     }
 
     pub(super) fn crashing_requests(&mut self, now: Timestamp) -> Vec<RequestReport> {
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -1,7 +1,7 @@
 //! Replicas of running streams: begun with a place, released with it.
 
 use super::Dispatcher;
-use crate::placement::replication::{holder, is_worth_replica, replica_tokens};
+use crate::placement::replication::{holder, replica_tokens, should_replicate};
 use crate::placement::view::View;
 use crate::{Demand, LeaseId, ReplicaTarget};
 use eiderferry_routing::{InstanceId, PoolName};
@@ -23,7 +23,7 @@
         now: Timestamp,
     ) -> Option<KeptReplica> {
         // A run that was taken over once is not replicated again.
-        if demand.only.is_some() || !self.settings.features.run_replicas {
+        if demand.required_instance.is_some() || !self.settings.features.run_replicas {
             return None;
         }
         if !self.keeps_replicas(&demand.pool) {
@@ -35,15 +35,15 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated: &self.evacuated,
+            evacuated_zones: &self.evacuated,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
-            costs_places: self.settings.features.place_costs,
+            costs_locality: self.settings.features.locality_costs,
             now,
         };
         let state = self.back_ends.get(source)?;
-        if !is_worth_replica(demand, state.load.failure_share(now), &self.losses) {
+        if !should_replicate(demand, state.load.failure_share(now), &self.losses) {
             return None;
         }
         let target = holder(&self.back_ends, &view, demand, state, &mut self.random)?;
@@ -57,7 +57,7 @@
     }
 
     fn keeps_replicas(&self, pool: &PoolName) -> bool {
-        let table = self.knowledge.table();
+        let table = self.document_store.table();
         let pool = table.and_then(|table| table.pool(pool));
         let engine = pool.and_then(|pool| pool.engine.as_ref());
         engine.is_some_and(|engine| engine.replicas.is_some())
@@ -72,7 +72,7 @@
 
     /// Whether nothing shows that an engine still works: its zone is not heard, it gets no work
     /// for its failures, or it is listed no longer.
-    pub fn is_unheard(&self, instance: &InstanceId, now: Timestamp) -> bool {
+    pub fn is_presumed_down(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(state) = self.back_ends.get(instance) else {
             return true;
         };
--- a/crates/coordination/dispatch/src/documents/knowledge.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -45,7 +45,7 @@
 
 /// What an item says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Content {
+pub enum DocumentContent {
     /// The routing table.
     Table(TableDocument),
     /// A back end.
@@ -53,20 +53,20 @@
     /// The zone's back ends are to get nothing new.
     Evacuated,
     /// The item is gone.
-    Gone,
+    Removed,
     /// The item ran out while the platform was away; it is gone unless it is back within
     /// the span.
-    Lapsed(Span),
+    Expired(Span),
 }
 
-impl Content {
+impl DocumentContent {
     /// What became of the item, as a word for logs.
     pub fn kind(&self) -> &'static str {
         match self {
-            Content::Table(_) | Content::BackEnd(_) => "written",
-            Content::Evacuated => "evacuated",
-            Content::Gone => "gone",
-            Content::Lapsed(_) => "lapsed",
+            DocumentContent::Table(_) | DocumentContent::BackEnd(_) => "written",
+            DocumentContent::Evacuated => "evacuated",
+            DocumentContent::Removed => "gone",
+            DocumentContent::Expired(_) => "lapsed",
         }
     }
 }
@@ -79,20 +79,20 @@
     /// Revision of the change.
     pub revision: Revision,
     /// What it says now.
-    pub content: Content,
+    pub content: DocumentContent,
 }
 
 /// What came of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// It is in force.
-    Taken,
-    /// It lists a back end that an earlier epoch removed; see [`Knowledge::release`].
+    Applied,
+    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release_withheld`].
     Withheld,
     /// Something as new was known.
-    Known,
+    AlreadyKnown,
     /// It is not usable; what was known stays.
-    Refused(String),
+    Rejected(String),
 }
 
 /// Order of tables: by version, which operators raise with each table, then by revision.
@@ -121,7 +121,7 @@
 
 /// All documents known to a node.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct DocumentStore {
     table: Option<(TableStamp, Arc<RoutingTable>)>,
     refused_table: TableStamp,
     back_ends: BTreeMap<InstanceId, (Revision, BackEnd)>,
@@ -133,11 +133,11 @@
     /// copied all of 6,000 entries for each change it passed on.
     by_revision: BTreeSet<(Revision, InstanceId)>,
     evacuations: BTreeMap<ZoneName, Evacuation>,
-    complete_to: VersionVector,
+    version_vector: VersionVector,
     confirmed_at: Option<Timestamp>,
 }
 
-impl Knowledge {
+impl DocumentStore {
     /// The table in force.
     pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref().map(|(_, table)| table)
@@ -155,8 +155,8 @@
     }
 
     /// The known changes.
-    pub fn complete_to(&self) -> &VersionVector {
-        &self.complete_to
+    pub fn version_vector(&self) -> &VersionVector {
+        &self.version_vector
     }
 
     /// Age of the youngest confirmation by the platform.
@@ -166,37 +166,38 @@
 
     /// Records the platform's confirmation at `at` that no change is newer than `known`. All of
     /// `known` must have been applied.
-    pub fn confirm(&mut self, known: &VersionVector, at: Timestamp) {
-        let is_latest = known.newest() >= self.complete_to.newest();
-        self.complete_to.merge(known);
+    pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
+        let is_latest = known.newest() >= self.version_vector.newest();
+        self.version_vector.merge(known);
         if is_latest {
             self.confirmed_at = Some(self.confirmed_at.map_or(at, |known| known.max(at)));
         }
     }
 
     /// Takes a change over if it is newer than what is known.
-    pub fn apply(&mut self, change: Change) -> Applied {
+    pub fn apply(&mut self, change: Change) -> ApplyOutcome {
         match (change.key, change.content) {
-            (DocumentKey::Table, Content::Table(document)) => {
+            (DocumentKey::Table, DocumentContent::Table(document)) => {
                 self.apply_table(change.revision, document)
             }
-            (DocumentKey::BackEnd(instance), Content::BackEnd(back_end)) => {
+            (DocumentKey::BackEnd(instance), DocumentContent::BackEnd(back_end)) => {
                 self.apply_back_end(instance, change.revision, back_end)
             }
-            (DocumentKey::BackEnd(instance), Content::Gone | Content::Lapsed(_)) => {
-                self.remove(instance, change.revision)
-            }
-            (DocumentKey::Evacuation(zone), Content::Evacuated) => {
+            (
+                DocumentKey::BackEnd(instance),
+                DocumentContent::Removed | DocumentContent::Expired(_),
+            ) => self.remove(instance, change.revision),
+            (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
                 self.apply_evacuation(zone, change.revision, EvacuationState::On)
             }
-            (DocumentKey::Evacuation(zone), Content::Lapsed(within)) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Expired(within)) => {
                 let state = EvacuationState::Lapsed(within);
                 self.apply_evacuation(zone, change.revision, state)
             }
-            (DocumentKey::Evacuation(zone), Content::Gone) => {
+            (DocumentKey::Evacuation(zone), DocumentContent::Removed) => {
                 self.apply_evacuation(zone, change.revision, EvacuationState::Over)
             }
-            _ => Applied::Known,
+            _ => ApplyOutcome::AlreadyKnown,
         }
     }
 
@@ -205,46 +206,46 @@
         zone: ZoneName,
         revision: Revision,
         state: EvacuationState,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         let known = self.evacuations.get(&zone);
         let is_known = known.is_some_and(|known| known.revision >= revision);
         let has_room = known.is_some() || self.evacuations.len() < MAXIMUM_EVACUATIONS;
         if is_known || !has_room {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         let evacuation = Evacuation { revision, state };
         self.evacuations.insert(zone, evacuation);
-        Applied::Taken
+        ApplyOutcome::Applied
     }
 
     /// Zones whose back ends get nothing new, with the revision since which that is so.
-    pub fn evacuated(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         let evacuations = self.evacuations.iter();
         let evacuated =
             evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::On);
         evacuated.map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
-    fn apply_table(&mut self, revision: Revision, document: TableDocument) -> Applied {
+    fn apply_table(&mut self, revision: Revision, document: TableDocument) -> ApplyOutcome {
         let version = document.version;
         let stamp = TableStamp { version, revision };
         if stamp <= self.table_stamp() || stamp == self.refused_table {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         if let Some((known, table)) = &mut self.table
             && *table.document() == document
         {
             *known = stamp;
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         match RoutingTable::new(document) {
             Ok(table) => {
                 self.table = Some((stamp, Arc::new(table)));
-                Applied::Taken
+                ApplyOutcome::Applied
             }
             Err(error) => {
                 self.refused_table = stamp;
-                Applied::Refused(error.to_string())
+                ApplyOutcome::Rejected(error.to_string())
             }
         }
     }
@@ -254,10 +255,10 @@
         instance: InstanceId,
         revision: Revision,
         back_end: BackEnd,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         if let Some((known, listed)) = self.back_ends.get(&instance) {
             let Some(newer) = newer_entry((*known, listed), (revision, back_end)) else {
-                return Applied::Known;
+                return ApplyOutcome::AlreadyKnown;
             };
             let known = *known;
             // A restore changes the revisions of unchanged entries too.
@@ -265,20 +266,20 @@
             self.by_revision.remove(&(known, instance.clone()));
             self.list(instance, revision, newer);
             return if is_same {
-                Applied::Known
+                ApplyOutcome::AlreadyKnown
             } else {
-                Applied::Taken
+                ApplyOutcome::Applied
             };
         }
         match self.gone.get(&instance).copied() {
-            Some(gone) if revision <= gone => Applied::Known,
+            Some(gone) if revision <= gone => ApplyOutcome::AlreadyKnown,
             Some(gone) if revision.epoch > gone.epoch => {
                 self.withhold(instance, revision, back_end)
             }
             _ => {
                 self.forget_removal(&instance);
                 self.list(instance, revision, back_end);
-                Applied::Taken
+                ApplyOutcome::Applied
             }
         }
     }
@@ -288,7 +289,12 @@
         self.back_ends.insert(instance, (revision, back_end));
     }
 
-    fn withhold(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) -> Applied {
+    fn withhold(
+        &mut self,
+        instance: InstanceId,
+        revision: Revision,
+        back_end: BackEnd,
+    ) -> ApplyOutcome {
         let known = self.withheld.get(&instance);
         let known = known.map(|(known, listed)| (*known, listed));
         let newer = match known {
@@ -296,25 +302,25 @@
             None => Some(back_end),
         };
         let Some(newer) = newer else {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         };
         if let Some((known, _)) = known {
             self.by_revision.remove(&(known, instance.clone()));
         }
         self.by_revision.insert((revision, instance.clone()));
         self.withheld.insert(instance, (revision, newer));
-        Applied::Withheld
+        ApplyOutcome::Withheld
     }
 
     /// Lists a withheld back end whose removal was not written again in time.
-    pub fn release(&mut self, instance: &InstanceId) -> Option<Change> {
+    pub fn release_withheld(&mut self, instance: &InstanceId) -> Option<Change> {
         let (revision, back_end) = self.withheld.get(instance).cloned()?;
         self.forget_removal(instance);
         self.list(instance.clone(), revision, back_end.clone());
         Some(Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision,
-            content: Content::BackEnd(back_end),
+            content: DocumentContent::BackEnd(back_end),
         })
     }
 
@@ -326,14 +332,14 @@
         }
     }
 
-    fn remove(&mut self, instance: InstanceId, revision: Revision) -> Applied {
+    fn remove(&mut self, instance: InstanceId, revision: Revision) -> ApplyOutcome {
         let listed = self.back_ends.get(&instance).map(|(listed, _)| *listed);
         if listed.is_some_and(|listed| listed.epoch > revision.epoch) {
             return self.withhold_listed(instance, revision);
         }
         let known = listed.max(self.gone.get(&instance).copied());
         if known.is_some_and(|known| revision <= known) {
-            return Applied::Known;
+            return ApplyOutcome::AlreadyKnown;
         }
         if let Some(known) = known {
             self.by_revision.remove(&(known, instance.clone()));
@@ -341,23 +347,23 @@
         self.back_ends.remove(&instance);
         self.add_tombstone(instance.clone(), revision);
         match self.withheld.get(&instance).map(|(listed, _)| *listed) {
-            Some(listed) if listed > revision => Applied::Withheld,
+            Some(listed) if listed > revision => ApplyOutcome::Withheld,
             Some(listed) => {
                 self.withheld.remove(&instance);
                 self.by_revision.remove(&(listed, instance));
-                Applied::Taken
+                ApplyOutcome::Applied
             }
-            None => Applied::Taken,
+            None => ApplyOutcome::Applied,
         }
     }
 
     /// Withholds a listed back end that an earlier epoch removed.
-    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> Applied {
+    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> ApplyOutcome {
         if let Some(entry) = self.back_ends.remove(&instance) {
             self.withheld.insert(instance.clone(), entry);
         }
         self.add_tombstone(instance, gone);
-        Applied::Withheld
+        ApplyOutcome::Withheld
     }
 
     /// Records a removal, so that an older list can't bring the back end back. Tombstones of
@@ -392,7 +398,7 @@
             (key, *known)
         });
         let evacuations = self
-            .evacuated()
+            .evacuated_zones()
             .map(|(zone, known)| (DocumentKey::Evacuation(zone.clone()), known));
         back_ends
             .chain(evacuations)
@@ -401,9 +407,9 @@
                 key,
                 revision,
                 content: if known.epoch < revision.epoch {
-                    Content::Lapsed(grace_period)
+                    DocumentContent::Expired(grace_period)
                 } else {
-                    Content::Gone
+                    DocumentContent::Removed
                 },
             })
             .collect()
@@ -417,7 +423,7 @@
         let table = table.map(|(stamp, table)| Change {
             key: DocumentKey::Table,
             revision: stamp.revision,
-            content: Content::Table(table.document().clone()),
+            content: DocumentContent::Table(table.document().clone()),
         });
         let evacuations = self.evacuations.iter();
         let evacuations = evacuations.filter(|(_, evacuation)| !known.covers(evacuation.revision));
@@ -425,9 +431,9 @@
             key: DocumentKey::Evacuation(zone.clone()),
             revision: evacuation.revision,
             content: match evacuation.state {
-                EvacuationState::On => Content::Evacuated,
-                EvacuationState::Over => Content::Gone,
-                EvacuationState::Lapsed(within) => Content::Lapsed(within),
+                EvacuationState::On => DocumentContent::Evacuated,
+                EvacuationState::Over => DocumentContent::Removed,
+                EvacuationState::Lapsed(within) => DocumentContent::Expired(within),
             },
         });
         let back_ends = self.back_ends_after(known);
@@ -449,7 +455,7 @@
     /// Whether a peer that knows `known` lacks this node's newest epoch, and so nearly all
     /// documents.
     pub fn peer_lacks_newest_epoch(&self, known: &VersionVector) -> bool {
-        let newest = self.complete_to.newest();
+        let newest = self.version_vector.newest();
         newest.is_none_or(|newest| !known.has_epoch(newest.epoch))
     }
 
@@ -472,8 +478,8 @@
                 key: DocumentKey::BackEnd(instance.clone()),
                 revision: *revision,
                 content: match self.listed_at(instance, *revision) {
-                    Some(back_end) => Content::BackEnd(back_end.clone()),
-                    None => Content::Gone,
+                    Some(back_end) => DocumentContent::BackEnd(back_end.clone()),
+                    None => DocumentContent::Removed,
                 },
             })
     }
@@ -495,7 +501,7 @@
     if revision.epoch == known_revision.epoch {
         return (revision > known_revision).then_some(new);
     }
-    if new.is_other_run(known) {
+    if new.is_different_run(known) {
         return (new.started_unix_ms > known.started_unix_ms).then_some(new);
     }
     // Draining is final for a run of a back end, so the draining entry is the newer one.
@@ -503,7 +509,7 @@
         return new.draining.then_some(new);
     }
     // The remaining cold time of a restored entry is out of date.
-    new.cold_for = known.cold_for;
+    new.cold_remaining = known.cold_remaining;
     (revision > known_revision).then_some(new)
 }
 
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -2,7 +2,9 @@
 //! other zone by itself; of the others it is told by the nodes of its zone, and these by the
 //! senders of digests.
 
-use super::peers::{DutyRank, FAR_SILENCE, FORGET_FACTOR, Peer, Peers, TOLD_SILENCE};
+use super::peers::{
+    CROSS_ZONE_SILENCE, FORGET_FACTOR, INDIRECT_SILENCE, Peer, Peers, RolePriority,
+};
 use crate::{Gossip, Member, VersionVector};
 use eiderferry_routing::ZoneName;
 use eiderferry_types::{Span, Timestamp};
@@ -22,25 +24,25 @@
 impl Peers {
     /// Nodes that another node names: unknown ones are to be tried; its word on when they were
     /// heard counts as well for nodes of its zone, and if it is of the own zone for all.
-    pub(super) fn take_members(&mut self, message: &Gossip, is_near: bool, now: Timestamp) {
+    pub(super) fn apply_members(&mut self, message: &Gossip, is_near: bool, now: Timestamp) {
         let members = message.members.iter();
-        for member in members.filter(|member| member.address != self.own) {
+        for member in members.filter(|member| member.address != self.own_address) {
             let silent = Span::from_milliseconds(u64::from(member.silent_ms));
             let heard = now - silent;
             let is_known = self.peers.contains_key(&member.address);
             if !is_known && self.takes_by_word(member, message, is_near) {
                 let peer = told_peer(member, heard);
                 self.peers.insert(member.address, peer);
-                self.hearsay.remove(&member.address);
+                self.indirect.remove(&member.address);
                 continue;
             }
             match self.peers.get_mut(&member.address) {
                 Some(peer) if (is_near || peer.zone == message.zone) && !peer.is_lost => {
-                    peer.heard = peer.heard.max(heard);
+                    peer.last_heard = peer.last_heard.max(heard);
                 }
-                None if silent < Span(FAR_SILENCE.0 * FORGET_FACTOR) => {
-                    let hearsay = (member.zone.clone(), heard);
-                    self.hearsay.insert(member.address, hearsay);
+                None if silent < Span(CROSS_ZONE_SILENCE.0 * FORGET_FACTOR) => {
+                    let indirect = (member.zone.clone(), heard);
+                    self.indirect.insert(member.address, indirect);
                 }
                 _ => {}
             }
@@ -51,12 +53,12 @@
     fn takes_by_word(&self, member: &Member, message: &Gossip, is_near: bool) -> bool {
         let is_trusted = is_near || member.zone == message.zone;
         let silent = Span::from_milliseconds(u64::from(member.silent_ms));
-        let is_fresh = silent < TOLD_SILENCE;
-        is_trusted && is_fresh && member.zone != self.zone && self.has_met(&member.zone)
+        let is_fresh = silent < INDIRECT_SILENCE;
+        is_trusted && is_fresh && member.zone != self.zone && self.has_enough_contacts(&member.zone)
     }
 
     /// Whether enough nodes of another zone were heard.
-    pub(super) fn has_met(&self, zone: &ZoneName) -> bool {
+    pub(super) fn has_enough_contacts(&self, zone: &ZoneName) -> bool {
         let peers = self.peers.values();
         let met = peers.filter(|peer| !peer.is_lost && peer.name.is_some() && peer.zone == *zone);
         met.take(MET_OF_ZONE).count() == MET_OF_ZONE
@@ -85,13 +87,13 @@
     }
 
     /// So many nodes of the own zone to name in a message, from a place in their order on.
-    pub fn near_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
+    pub fn same_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let near = self.members(|peer| peer.zone == self.zone, now);
         slice(near.collect(), first, count)
     }
 
     /// The same of other zones.
-    pub fn far_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
+    pub fn other_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let far = self.members(|peer| peer.zone != self.zone, now);
         slice(far.collect(), first, count)
     }
@@ -106,7 +108,7 @@
         living.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silent_ms: (now.since(peer.heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
+            silent_ms: (now.since(peer.last_heard) + MEMBER_ON_THE_WAY).milliseconds() as u32,
         })
     }
 }
@@ -116,10 +118,10 @@
     Peer {
         name: None,
         zone: member.zone.clone(),
-        complete_to: VersionVector::default(),
-        rank: DutyRank::new(member.address, 0),
+        version_vector: VersionVector::default(),
+        rank: RolePriority::new(member.address, 0),
         incarnation: 0,
-        heard,
+        last_heard: heard,
         is_lost: false,
         is_stopping: false,
     }
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -1,6 +1,8 @@
 //! The other nodes: known from a few seeds and from what nodes tell each other.
 
-use crate::dispatcher::{FAR_FANOUT, FAR_TICKS, NEAR_FANOUT, SPARSE_FAR_FANOUT};
+use crate::dispatcher::{
+    CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
+};
 use crate::load::cold_start::sender_rank;
 use crate::{Gossip, Revision, TICK, VersionVector};
 use eiderferry_routing::{NodeName, ZoneName};
@@ -12,12 +14,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Silence after which a peer of the own zone counts as lost, at the least.
-const NEAR_SILENCE: Span = Span::from_milliseconds(900);
+const SAME_ZONE_SILENCE: Span = Span::from_milliseconds(900);
 /// The same where aggregators tell which nodes of the zone they hear: each of two names
 /// all of them within 1.2 s, and may have to be replaced first.
 const SUMMARIZED_SILENCE: Span = Span::from_milliseconds(4_000);
 /// The same for a peer of another zone.
-pub(super) const FAR_SILENCE: Span = Span::from_milliseconds(1_500);
+pub(super) const CROSS_ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
 /// Turns in a row that a peer has to miss besides.
 const MISSED_TURNS: u64 = 5;
 /// Messages in a row that none of a zone's peers sent when the way there counts as cut:
@@ -28,15 +30,15 @@
 pub(super) const FORGET_FACTOR: u64 = 60;
 /// Silence after which a node of another zone that is known from others only counts as lost:
 /// each of two aggregators names all of those within 8 s.
-pub(super) const TOLD_SILENCE: Span = Span::from_milliseconds(30_000);
+pub(super) const INDIRECT_SILENCE: Span = Span::from_milliseconds(30_000);
 
 /// What changed with a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerChange {
     /// It was heard for the first time.
-    Found(NodeName),
+    Discovered(NodeName),
     /// It was heard again, or has started anew.
-    Regained(NodeName),
+    Recovered(NodeName),
     /// It fell silent.
     Lost(NodeName),
 }
@@ -47,11 +49,11 @@
     pub(super) name: Option<NodeName>,
     pub(super) zone: ZoneName,
     /// The changes that it knows, by its last message.
-    pub(super) complete_to: VersionVector,
+    pub(super) version_vector: VersionVector,
     /// Place in the order in which the nodes of a zone take duties over.
-    pub(super) rank: DutyRank,
+    pub(super) rank: RolePriority,
     pub(super) incarnation: u32,
-    pub(super) heard: Timestamp,
+    pub(super) last_heard: Timestamp,
     pub(super) is_lost: bool,
     pub(super) is_stopping: bool,
 }
@@ -59,22 +61,22 @@
 /// What is known of the other nodes.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    pub(super) own: SocketAddr,
+    pub(super) own_address: SocketAddr,
     own_hash: u64,
     pub(super) zone: ZoneName,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
-    pub(super) hearsay: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
+    pub(super) indirect: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
     seeds: Vec<SocketAddr>,
-    most_known: u32,
+    max_known: u32,
     /// When the own zone was large last.
     large_until: Timestamp,
-    near_living: usize,
-    far_living: usize,
+    live_same_zone: usize,
+    live_other_zones: usize,
     /// Hashes of the peers of the own zone that are there and not stopping, in the order of
     /// their addresses, and how often they changed. Kept, as each engine is compared with each of
     /// them.
-    staying_hashes: Vec<u64>,
-    staying_version: u64,
+    active_peer_hashes: Vec<u64>,
+    active_peers_version: u64,
     /// Most nodes of the own zone ever there at once, and since when.
     most_near: usize,
     most_near_since: Timestamp,
@@ -84,12 +86,12 @@
 /// first: strong links before weak ones, as aggregators send much, and then by hashing. All
 /// nodes compute it alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct DutyRank {
+pub(crate) struct RolePriority {
     link_mbps: u16,
     hash: u64,
 }
 
-impl DutyRank {
+impl RolePriority {
     pub fn new(address: SocketAddr, link_mbps: u16) -> Self {
         let hash = address_hash(address);
         Self { link_mbps, hash }
@@ -109,18 +111,18 @@
     /// Nothing but the seeds is known.
     pub fn new(own: SocketAddr, zone: ZoneName, seeds: Vec<SocketAddr>) -> Self {
         Self {
-            own,
+            own_address: own,
             own_hash: address_hash(own),
             zone,
             peers: BTreeMap::new(),
-            hearsay: BTreeMap::new(),
+            indirect: BTreeMap::new(),
             seeds,
-            most_known: 1,
+            max_known: 1,
             large_until: Timestamp::default(),
-            near_living: 0,
-            far_living: 0,
-            staying_hashes: Vec::new(),
-            staying_version: 0,
+            live_same_zone: 0,
+            live_other_zones: 0,
+            active_peer_hashes: Vec::new(),
+            active_peers_version: 0,
             most_near: 0,
             most_near_since: Timestamp::default(),
         }
@@ -133,37 +135,37 @@
 
     /// Whether this node is a seed itself.
     pub fn is_seed(&self) -> bool {
-        self.seeds.contains(&self.own)
+        self.seeds.contains(&self.own_address)
     }
 
     /// The seeds, but for this node.
     pub fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
-        seeds.filter(|seed| *seed != self.own).collect()
+        seeds.filter(|seed| *seed != self.own_address).collect()
     }
 
     /// The largest number of nodes ever known at once, this one included.
-    pub fn most_known(&self) -> u32 {
-        self.most_known
+    pub fn max_known(&self) -> u32 {
+        self.max_known
     }
 
     /// Takes a message in.
-    pub fn heard(
+    pub fn record_message(
         &mut self,
         address: SocketAddr,
         message: &Gossip,
         now: Timestamp,
     ) -> Option<PeerChange> {
         let is_near = message.zone == self.zone;
-        self.take_members(message, is_near, now);
-        self.hearsay.remove(&address);
+        self.apply_members(message, is_near, now);
+        self.indirect.remove(&address);
         if let Some(peer) = self.peers.get_mut(&address)
             && peer.name.is_some()
             && !peer.is_lost
             && peer.incarnation == message.incarnation
         {
-            peer.heard = now;
-            peer.complete_to.clone_from(&message.complete_to);
+            peer.last_heard = now;
+            peer.version_vector.clone_from(&message.version_vector);
             let was_stopping = std::mem::replace(&mut peer.is_stopping, message.is_stopping);
             if was_stopping != message.is_stopping {
                 self.recount();
@@ -173,49 +175,49 @@
         let peer = Peer {
             name: Some(message.from.clone()),
             zone: message.zone.clone(),
-            complete_to: message.complete_to.clone(),
-            rank: DutyRank::new(address, message.link_mbps),
+            version_vector: message.version_vector.clone(),
+            rank: RolePriority::new(address, message.link_mbps),
             incarnation: message.incarnation,
-            heard: now,
+            last_heard: now,
             is_lost: false,
             is_stopping: message.is_stopping,
         };
         let previous = self.peers.insert(address, peer);
-        self.most_known = self.most_known.max(self.peers.len() as u32 + 1);
+        self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
         self.recount();
-        if self.near_living > self.most_near {
-            self.most_near = self.near_living;
+        if self.live_same_zone > self.most_near {
+            self.most_near = self.live_same_zone;
             self.most_near_since = now;
         }
         let name = message.from.clone();
         Some(match previous.and_then(|previous| previous.name) {
-            None => PeerChange::Found(name),
-            Some(_) => PeerChange::Regained(name),
+            None => PeerChange::Discovered(name),
+            Some(_) => PeerChange::Recovered(name),
         })
     }
 
     fn recount(&mut self) {
         let living = self.peers.values().filter(|peer| !peer.is_lost);
         let near = living.clone().filter(|peer| peer.zone == self.zone);
-        self.near_living = near.count();
-        self.far_living = living.count() - self.near_living;
+        self.live_same_zone = near.count();
+        self.live_other_zones = living.count() - self.live_same_zone;
         let staying: Vec<u64> = self
-            .staying_near()
+            .active_same_zone()
             .map(|(_, peer)| peer.rank.hash)
             .collect();
-        if staying != self.staying_hashes {
-            self.staying_hashes = staying;
-            self.staying_version += 1;
+        if staying != self.active_peer_hashes {
+            self.active_peer_hashes = staying;
+            self.active_peers_version += 1;
         }
     }
 
     /// Changes whenever other nodes of the own zone may take duties over.
-    pub(crate) fn staying_version(&self) -> u64 {
-        self.staying_version
+    pub(crate) fn active_peers_version(&self) -> u64 {
+        self.active_peers_version
     }
 
     /// Counts a peer as lost until it is heard again.
-    pub fn give_up(&mut self, address: SocketAddr) -> Option<PeerChange> {
+    pub fn mark_lost(&mut self, address: SocketAddr) -> Option<PeerChange> {
         let peer = self.peers.get_mut(&address)?;
         if std::mem::replace(&mut peer.is_lost, true) {
             return None;
@@ -232,19 +234,19 @@
         let zone = self.zone.clone();
         let limit = |peer: &Peer| if peer.zone == zone { near } else { far };
         for peer in self.peers.values_mut() {
-            if !peer.is_lost && now.since(peer.heard) > limit(peer) {
+            if !peer.is_lost && now.since(peer.last_heard) > limit(peer) {
                 peer.is_lost = true;
                 changes.extend(peer.name.clone().map(PeerChange::Lost));
             }
         }
         let forget = Span(far.0 * FORGET_FACTOR);
         self.peers.retain(|_, peer| {
-            now.since(peer.heard) < forget && !(peer.is_lost && peer.name.is_none())
+            now.since(peer.last_heard) < forget && !(peer.is_lost && peer.name.is_none())
         });
-        self.hearsay
+        self.indirect
             .retain(|_, (_, heard)| now.since(*heard) < forget);
         self.recount();
-        self.most_known = self.most_known.max(self.peers.len() as u32 + 1);
+        self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
         if self.is_zone_large() {
             self.large_until = now;
         }
@@ -253,31 +255,31 @@
 
     /// Whether the own zone is so large that aggregators collect what its nodes report.
     pub fn is_zone_large(&self) -> bool {
-        self.near_living > NEAR_FANOUT
+        self.live_same_zone > SAME_ZONE_FANOUT
     }
 
     /// Peers of other zones told at a time.
-    pub fn far_fanout(&self) -> usize {
+    pub fn cross_zone_fanout(&self) -> usize {
         if self.is_zone_large() {
-            SPARSE_FAR_FANOUT
+            LARGE_ZONE_CROSS_ZONE_FANOUT
         } else {
-            FAR_FANOUT
+            CROSS_ZONE_FANOUT
         }
     }
 
     /// How long a peer may be silent: each is told in turn, and in a large fleet its
     /// turn comes less often.
     fn silence_limits(&self) -> (Span, Span) {
-        let near = self.near_count().div_ceil(NEAR_FANOUT) as u64;
+        let near = self.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64;
         let near = if self.is_zone_large() {
             SUMMARIZED_SILENCE
         } else {
-            Span(near * TICK.0 * MISSED_TURNS).max(NEAR_SILENCE)
+            Span(near * TICK.0 * MISSED_TURNS).max(SAME_ZONE_SILENCE)
         };
-        let far = self.far_count().div_ceil(self.far_fanout()) as u64;
-        let far = Span(far * FAR_TICKS * TICK.0 * MISSED_TURNS).max(FAR_SILENCE);
+        let far = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
+        let far = Span(far * CROSS_ZONE_TICKS * TICK.0 * MISSED_TURNS).max(CROSS_ZONE_SILENCE);
         let far = if self.is_zone_large() || self.has_told() {
-            far.max(TOLD_SILENCE)
+            far.max(INDIRECT_SILENCE)
         } else {
             far
         };
@@ -292,17 +294,17 @@
     /// Other zones none of whose peers was heard for some turns: the way there is probably
     /// cut, for requests as well. Their nodes may also all have stopped or ended.
     pub fn silent_zones(&self, now: Timestamp) -> BTreeSet<ZoneName> {
-        let turns = self.far_count().div_ceil(self.far_fanout()) as u64;
+        let turns = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone != self.zone) {
             // Before that, aggregators heard them in place of this node.
-            let heard = peer.heard.max(self.large_until);
+            let heard = peer.last_heard.max(self.large_until);
             zones.entry(&peer.zone).or_default().push(heard);
         }
         let is_silent = |heard: &Vec<Timestamp>| {
             // Each of its peers tells this node once in so many turns, one after the other.
             let apart = turns.div_ceil(heard.len() as u64).max(1);
-            let limit = Span(apart * FAR_TICKS * TICK.0 * MISSED_BY_ZONE);
+            let limit = Span(apart * CROSS_ZONE_TICKS * TICK.0 * MISSED_BY_ZONE);
             heard.iter().all(|heard| now.since(*heard) > limit)
         };
         let silent = zones.into_iter().filter(|(_, heard)| is_silent(heard));
@@ -310,20 +312,20 @@
     }
 
     /// After a pause of this process, silence is no fault of the others.
-    pub fn pardon(&mut self, now: Timestamp) {
+    pub fn reset_silence(&mut self, now: Timestamp) {
         for peer in self.peers.values_mut().filter(|peer| !peer.is_lost) {
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
     /// Peers of the own zone that are there.
-    pub fn near(&self) -> Vec<SocketAddr> {
+    pub fn same_zone_peers(&self) -> Vec<SocketAddr> {
         self.living(|peer| peer.zone == self.zone)
     }
 
     /// Number of peers of the own zone that are there.
-    pub fn near_count(&self) -> usize {
-        self.near_living
+    pub fn same_zone_count(&self) -> usize {
+        self.live_same_zone
     }
 
     /// Time since more peers of the own zone than ever were there.
@@ -332,12 +334,12 @@
     }
 
     /// Number of peers of other zones that are there.
-    pub fn far_count(&self) -> usize {
-        self.far_living
+    pub fn other_zone_count(&self) -> usize {
+        self.live_other_zones
     }
 
     /// Peers of other zones that are there.
-    pub fn far(&self) -> Vec<SocketAddr> {
+    pub fn other_zone_peers(&self) -> Vec<SocketAddr> {
         self.living(|peer| peer.zone != self.zone)
     }
 
@@ -350,12 +352,12 @@
     }
 
     /// Addresses to try that are not known to be there.
-    pub fn doubtful(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn probe_targets(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         let lost = self.peers.iter().filter(|(_, peer)| peer.is_lost);
         let lost = lost.map(|(address, _)| *address);
         let seeds = self.other_seeds().into_iter();
         let named = self
-            .hearsay
+            .indirect
             .iter()
             .filter(|(_, (zone, _))| self.is_sought(zone));
         let unknown = seeds.chain(named.map(|(address, _)| *address));
@@ -364,21 +366,21 @@
     }
 
     /// Number of nodes known by hearsay only.
-    pub fn hearsay_count(&self) -> usize {
-        let zones = self.hearsay.values();
+    pub fn indirect_count(&self) -> usize {
+        let zones = self.indirect.values();
         zones.filter(|(zone, _)| self.is_sought(zone)).count()
     }
 
     /// Whether nodes of a zone that others name are to be tried.
     fn is_sought(&self, zone: &ZoneName) -> bool {
-        *zone == self.zone || !self.has_met(zone)
+        *zone == self.zone || !self.has_enough_contacts(zone)
     }
 
     /// Nodes of the own zone that may take duties over for the others, with their places in
     /// the order, first ones first.
-    pub(crate) fn ranked_for_duties(&self) -> Vec<(DutyRank, SocketAddr)> {
-        let mut ranked: Vec<(DutyRank, SocketAddr)> = self
-            .staying_near()
+    pub(crate) fn role_candidates(&self) -> Vec<(RolePriority, SocketAddr)> {
+        let mut ranked: Vec<(RolePriority, SocketAddr)> = self
+            .active_same_zone()
             .map(|(address, peer)| (peer.rank, *address))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
@@ -387,12 +389,12 @@
 
     /// Place of a node of the own zone among those that send to a cold back end: the number
     /// of living nodes before it that are not stopping.
-    pub(crate) fn sender_place(&self, back_end: u32) -> usize {
-        self.before_own(back_end, &self.staying_hashes)
+    pub(crate) fn sender_index(&self, back_end: u32) -> usize {
+        self.count_before_own(back_end, &self.active_peer_hashes)
     }
 
     /// How many of some nodes come before this one in the order of senders to a back end.
-    pub(super) fn before_own<'a>(
+    pub(super) fn count_before_own<'a>(
         &self,
         back_end: u32,
         others: impl IntoIterator<Item = &'a u64>,
@@ -405,35 +407,36 @@
     }
 
     /// Peers that are there and not stopping.
-    pub(super) fn staying(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+    pub(super) fn active_peers(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let peers = self.peers.iter();
         peers.filter(|(_, peer)| !peer.is_lost && !peer.is_stopping)
     }
 
     /// Those of the own zone.
-    fn staying_near(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
-        self.staying().filter(|(_, peer)| peer.zone == self.zone)
+    fn active_same_zone(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
+        self.active_peers()
+            .filter(|(_, peer)| peer.zone == self.zone)
     }
 
     /// Living peers that know changes beyond `known`.
-    pub fn knowing_more_than(&self, known: &VersionVector) -> Vec<SocketAddr> {
-        self.living(|peer| !known.includes(&peer.complete_to))
+    pub fn peers_ahead_of(&self, known: &VersionVector) -> Vec<SocketAddr> {
+        self.living(|peer| !known.includes(&peer.version_vector))
     }
 
     /// The newest revision that a living peer knows.
-    pub fn newest_known(&self) -> Option<Revision> {
+    pub fn newest_known_revision(&self) -> Option<Revision> {
         let living = self.peers.values().filter(|peer| !peer.is_lost);
-        living.filter_map(|peer| peer.complete_to.newest()).max()
+        living.filter_map(|peer| peer.version_vector.newest()).max()
     }
 
     /// Zone of a node, as far as it was heard or others tell.
     pub fn zone_of(&self, address: SocketAddr) -> Option<&ZoneName> {
         let heard = self.peers.get(&address).map(|peer| &peer.zone);
-        heard.or_else(|| self.hearsay.get(&address).map(|(zone, _)| zone))
+        heard.or_else(|| self.indirect.get(&address).map(|(zone, _)| zone))
     }
 
     /// Whether a peer is there.
-    pub fn is_living(&self, address: SocketAddr) -> bool {
+    pub fn is_live(&self, address: SocketAddr) -> bool {
         let peer = self.peers.get(&address);
         peer.is_some_and(|peer| !peer.is_lost)
     }
@@ -447,7 +450,7 @@
     }
 
     /// A peer that is there of each other zone.
-    pub fn one_of_each_other_zone(&self, random: &mut impl Rng) -> BTreeMap<ZoneName, SocketAddr> {
+    pub fn one_per_other_zone(&self, random: &mut impl Rng) -> BTreeMap<ZoneName, SocketAddr> {
         let mut zones: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         for (address, peer) in &self.peers {
             if !peer.is_lost && peer.zone != self.zone {
@@ -461,7 +464,7 @@
     }
 
     /// Number of living peers.
-    pub fn living_count(&self) -> usize {
-        self.near_living + self.far_living
+    pub fn live_count(&self) -> usize {
+        self.live_same_zone + self.live_other_zones
     }
 }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -18,7 +18,7 @@
 
 /// The bound over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetSettings {
+pub struct RetryBudgetSettings {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed besides, over all nodes.
@@ -37,13 +37,13 @@
 /// The budget of one pool on one node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    settings: BudgetSettings,
+    settings: RetryBudgetSettings,
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
     /// A budget of which nothing is spent.
-    pub fn new(settings: BudgetSettings) -> Self {
+    pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             buckets: VecDeque::new(),
@@ -72,12 +72,12 @@
     }
 
     /// Counts a caller's request.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
     /// Repeats that may still be sent now, in a fleet of at most `nodes` nodes.
-    pub fn left(&mut self, now: Timestamp, nodes: u32) -> f64 {
+    pub fn remaining(&mut self, now: Timestamp, nodes: u32) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
@@ -87,8 +87,8 @@
     }
 
     /// Spends one repeat if the budget allows it.
-    pub fn spend(&mut self, now: Timestamp, nodes: u32) -> bool {
-        if self.left(now, nodes) < 1.0 {
+    pub fn try_spend(&mut self, now: Timestamp, nodes: u32) -> bool {
+        if self.remaining(now, nodes) < 1.0 {
             return false;
         }
         self.bucket(now).repeats += 1;
--- a/crates/coordination/dispatch/src/fleet/traffic.rs
+++ b/crates/coordination/dispatch/src/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! Kinds of messages and the borders that they cross, for counting what control costs.
 
-use eiderferry_routing::{RegionOfZone, ZoneName};
+use eiderferry_routing::{ZoneName, ZoneRegions};
 
 /// What a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -14,9 +14,9 @@
     /// A node tells another how it stands.
     Peer,
     /// A node asks for an answer.
-    Question,
+    Query,
     /// The answer.
-    Answer,
+    Reply,
     /// Newer documents are known.
     Announcement,
     /// Documents handed to a node that lacks them.
@@ -31,8 +31,8 @@
             Self::Summary => "summary",
             Self::Digest => "digest",
             Self::Peer => "peer",
-            Self::Question => "question",
-            Self::Answer => "answer",
+            Self::Query => "question",
+            Self::Reply => "answer",
             Self::Announcement => "announcement",
             Self::Documents => "documents",
         }
@@ -41,35 +41,35 @@
 
 /// What lies between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Border {
+pub enum Distance {
     /// Both are in one zone.
-    None,
+    SameZone,
     /// They are in two zones of one region, or of regions that aren't known.
-    Zone,
+    CrossZone,
     /// They are in two regions.
-    Region,
+    CrossRegion,
     /// The zone of one isn't known: it has not been heard.
     Unknown,
 }
 
-impl Border {
-    /// The border between two zones.
-    pub fn between(one: &ZoneName, other: &ZoneName, regions: &RegionOfZone) -> Self {
+impl Distance {
+    /// The distance between two zones.
+    pub fn between(one: &ZoneName, other: &ZoneName, regions: &ZoneRegions) -> Self {
         if one == other {
-            return Self::None;
+            return Self::SameZone;
         }
         match (regions.get(one), regions.get(other)) {
-            (Some(region), Some(other)) if region != other => Self::Region,
-            _ => Self::Zone,
+            (Some(region), Some(other)) if region != other => Self::CrossRegion,
+            _ => Self::CrossZone,
         }
     }
 
-    /// The border as a label of metrics.
+    /// The distance as a label of metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::None => "none",
-            Self::Zone => "zone",
-            Self::Region => "region",
+            Self::SameZone => "none",
+            Self::CrossZone => "zone",
+            Self::CrossRegion => "region",
             Self::Unknown => "unknown",
         }
     }
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -1,6 +1,6 @@
 //! How loaded a back end is, as this node knows it.
 
-use crate::load::crowding::Crowding;
+use crate::load::concurrency::ConcurrencyEstimate;
 use crate::{
     EngineSpeed, LeaseId, LoadReport, Outcome, OutcomeCounts, PrefixCache, RecentOutcomes,
 };
@@ -35,11 +35,11 @@
     pub uncached_tokens: u32,
     /// Tokens of memory at its end that no other request shares, its answer included.
     /// What requests share stands there once, and gives way where nobody uses it.
-    pub single_tokens: u32,
+    pub unshared_tokens: u32,
     /// Chance that a long prompt read beside it makes it late.
     pub exposure: f64,
     /// Whether its own prompt takes long to read.
-    pub is_long_reading: bool,
+    pub is_long_prefill: bool,
 }
 
 /// A request that this node has at a back end.
@@ -62,7 +62,7 @@
 
     fn add_to(&self, occupancy: &mut Occupancy, has_begun: bool) {
         if self.is_replica {
-            occupancy.single_tokens += u64::from(self.footprint.single_tokens);
+            occupancy.unshared_tokens += u64::from(self.footprint.unshared_tokens);
         } else {
             occupancy.add(&self.footprint, has_begun);
         }
@@ -75,11 +75,11 @@
     /// Requests.
     pub running: u32,
     /// Streams that a long prompt would make late, in expectation.
-    pub exposed: f64,
+    pub exposed_streams: f64,
     /// Requests whose own prompts take long to read.
-    pub long_readings: u32,
+    pub long_prefills: u32,
     /// Tokens of memory at their ends that only one request has.
-    pub single_tokens: u64,
+    pub unshared_tokens: u64,
     /// Prompt tokens that are still to be read.
     pub pending_tokens: u64,
 }
@@ -88,9 +88,9 @@
     fn plus(self, other: Self) -> Self {
         Self {
             running: self.running + other.running,
-            exposed: self.exposed + other.exposed,
-            long_readings: self.long_readings + other.long_readings,
-            single_tokens: self.single_tokens + other.single_tokens,
+            exposed_streams: self.exposed_streams + other.exposed_streams,
+            long_prefills: self.long_prefills + other.long_prefills,
+            unshared_tokens: self.unshared_tokens + other.unshared_tokens,
             pending_tokens: self.pending_tokens + other.pending_tokens,
         }
     }
@@ -98,18 +98,18 @@
     fn minus(self, part: Self) -> Self {
         Self {
             running: self.running.saturating_sub(part.running),
-            exposed: (self.exposed - part.exposed).max(0.0),
-            long_readings: self.long_readings.saturating_sub(part.long_readings),
-            single_tokens: self.single_tokens.saturating_sub(part.single_tokens),
+            exposed_streams: (self.exposed_streams - part.exposed_streams).max(0.0),
+            long_prefills: self.long_prefills.saturating_sub(part.long_prefills),
+            unshared_tokens: self.unshared_tokens.saturating_sub(part.unshared_tokens),
             pending_tokens: self.pending_tokens.saturating_sub(part.pending_tokens),
         }
     }
 
     fn add(&mut self, footprint: &Footprint, has_begun: bool) {
         self.running += 1;
-        self.exposed += footprint.exposure;
-        self.long_readings += u32::from(footprint.is_long_reading);
-        self.single_tokens += u64::from(footprint.single_tokens);
+        self.exposed_streams += footprint.exposure;
+        self.long_prefills += u32::from(footprint.is_long_prefill);
+        self.unshared_tokens += u64::from(footprint.unshared_tokens);
         if !has_begun {
             self.pending_tokens += u64::from(footprint.uncached_tokens);
         }
@@ -128,9 +128,9 @@
         Self {
             occupancy: Occupancy {
                 running: u32::from(report.running),
-                exposed: f64::from(report.exposed_hundredths) / HUNDRED as f64,
-                long_readings: u32::from(report.long_readings),
-                single_tokens: u64::from(report.single_hundreds) * HUNDRED,
+                exposed_streams: f64::from(report.exposed_hundredths) / HUNDRED as f64,
+                long_prefills: u32::from(report.long_prefills),
+                unshared_tokens: u64::from(report.unshared_hundreds) * HUNDRED,
                 pending_tokens: u64::from(report.pending_hundreds) * HUNDRED,
             },
             outcomes: OutcomeCounts {
@@ -149,9 +149,9 @@
         LoadReport {
             back_end,
             running: saturate(u64::from(self.occupancy.running)),
-            exposed_hundredths: saturate((self.occupancy.exposed * HUNDRED as f64) as u64),
-            long_readings: saturate(u64::from(self.occupancy.long_readings)),
-            single_hundreds: saturate(self.occupancy.single_tokens / HUNDRED),
+            exposed_hundredths: saturate((self.occupancy.exposed_streams * HUNDRED as f64) as u64),
+            long_prefills: saturate(u64::from(self.occupancy.long_prefills)),
+            unshared_hundreds: saturate(self.occupancy.unshared_tokens / HUNDRED),
             pending_hundreds: saturate(self.occupancy.pending_tokens / HUNDRED),
             placed_hundreds: placed / HUNDRED,
             completed: saturate(u64::from(self.outcomes.completed)),
@@ -174,18 +174,18 @@
         /// The zone.
         zone: u64,
         /// The node.
-        teller: u64,
+        reporter: u64,
     },
     /// An aggregator tells of those of all nodes.
     AllNodes {
         /// The aggregator.
-        teller: u64,
+        reporter: u64,
     },
 }
 
 /// What a report counts, whoever tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Counted {
+pub(crate) enum LoadScope {
     /// Requests of one node.
     Node(u64),
     /// Requests of another zone's nodes.
@@ -195,19 +195,19 @@
 }
 
 impl LoadSource {
-    pub(crate) fn counted(self) -> Counted {
+    pub(crate) fn scope(self) -> LoadScope {
         match self {
-            LoadSource::Node(node) => Counted::Node(node),
-            LoadSource::Zone { zone, .. } => Counted::Zone(zone),
-            LoadSource::AllNodes { .. } => Counted::AllNodes,
+            LoadSource::Node(node) => LoadScope::Node(node),
+            LoadSource::Zone { zone, .. } => LoadScope::Zone(zone),
+            LoadSource::AllNodes { .. } => LoadScope::AllNodes,
         }
     }
 
-    fn teller(self) -> u64 {
+    fn reporter(self) -> u64 {
         match self {
-            LoadSource::Node(teller)
-            | LoadSource::Zone { teller, .. }
-            | LoadSource::AllNodes { teller } => teller,
+            LoadSource::Node(reporter)
+            | LoadSource::Zone { reporter, .. }
+            | LoadSource::AllNodes { reporter } => reporter,
         }
     }
 }
@@ -215,7 +215,7 @@
 /// Tokens of single requests that others ever placed at a back end.
 #[derive(Clone, Copy, Debug)]
 struct Placed {
-    teller: u64,
+    reporter: u64,
     placed: u64,
     at: Timestamp,
 }
@@ -224,7 +224,7 @@
 #[derive(Clone, Debug)]
 pub struct BackEndLoad {
     running: BTreeMap<LeaseId, Running>,
-    reports: HashMap<Counted, Report>,
+    reports: HashMap<LoadScope, Report>,
     /// Tokens of single requests that this node ever placed there, and those that it has
     /// heard of since its start.
     own_placed: u64,
@@ -233,12 +233,12 @@
     /// The same of all nodes, however this node hears of it.
     placed_by_all: u64,
     /// What each source told last.
-    placed_by: HashMap<Counted, Placed>,
+    placed_by: HashMap<LoadScope, Placed>,
     /// What all nodes have there, as an aggregator told it.
     sum: Option<Report>,
     slowness: f64,
     outcomes: RecentOutcomes,
-    crowding: Crowding,
+    concurrency: ConcurrencyEstimate,
     /// Its speed against its pool.
     pub speed: EngineSpeed,
     /// Prompts it is believed to keep.
@@ -259,7 +259,7 @@
             sum: None,
             slowness: 1.0,
             outcomes: RecentOutcomes::default(),
-            crowding: Crowding::default(),
+            concurrency: ConcurrencyEstimate::default(),
             speed,
             cache: PrefixCache::new(engine_tokens),
         }
@@ -274,20 +274,20 @@
     /// Requests there by which it is judged to be full; `running` is the latest count. Streams at
     /// an engine run for seconds, so that the count stands; of calls to a plain back end only this
     /// node's own are known as they are.
-    pub(crate) fn crowd(&mut self, running: u32, now: Timestamp) -> f64 {
+    pub(crate) fn smoothed_concurrency(&mut self, running: u32, now: Timestamp) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return f64::from(running);
         }
-        let mean = self.crowding.note(running, now);
+        let mean = self.concurrency.record(running, now);
         mean.max(f64::from(self.own_running()))
     }
 
     /// Times its slots that may be at a plain back end for a call to come within a target.
-    pub(crate) fn rounds_within(&self, target: Span) -> f64 {
+    pub(crate) fn batches_within(&self, target: Span) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return 1.0;
         }
-        self.crowding.rounds_within(target)
+        self.concurrency.batches_within(target)
     }
 
     /// Prompt tokens of this node's requests that are still to be read there.
@@ -355,19 +355,19 @@
     }
 
     /// Expected time to read so many prompt tokens.
-    pub fn reading_time(&self, tokens: u64) -> Span {
+    pub fn prefill_time(&self, tokens: u64) -> Span {
         let milliseconds = tokens as f64 / ASSUMED_TOKENS_PER_MS * self.slowness;
         Span::from_seconds(milliseconds / 1_000.0)
     }
 
     /// Takes over what a source reports of requests there.
     pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
-        self.note_placed(source, report.placed_hundreds * HUNDRED, at);
+        self.record_placed(source, report.placed_hundreds * HUNDRED, at);
         let report = Report::new(report, at);
-        match source.counted() {
-            Counted::AllNodes => self.sum = Some(report),
-            counted => {
-                self.reports.insert(counted, report);
+        match source.scope() {
+            LoadScope::AllNodes => self.sum = Some(report),
+            scope => {
+                self.reports.insert(scope, report);
             }
         }
     }
@@ -375,28 +375,32 @@
     /// Others have ever placed so many tokens of single requests there. After a restart of
     /// the teller the figure begins anew. The figures of two tellers differ by what one of
     /// them has not heard, so that only one is followed for as long as it is heard.
-    fn note_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
-        let counted = source.counted();
-        let teller = source.teller();
-        let known = self.placed_by.get(&counted).copied();
-        let is_followed = known.is_none_or(|known| known.teller == teller);
+    fn record_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
+        let scope = source.scope();
+        let reporter = source.reporter();
+        let known = self.placed_by.get(&scope).copied();
+        let is_followed = known.is_none_or(|known| known.reporter == reporter);
         let is_heard = known.is_some_and(|known| at.since(known.at) < SUMMARY_LIFETIME);
         if !is_followed && is_heard {
             return;
         }
         let before = known.filter(|_| is_followed);
         let since = before.map_or(0, |before| placed.saturating_sub(before.placed));
-        self.cache.insert_single(since);
-        match counted {
-            Counted::Node(_) => self.placed_by_nodes += since,
-            Counted::Zone(_) => self.placed_by_zones += since,
-            Counted::AllNodes => self.placed_by_all += since,
+        self.cache.insert_unshared(since);
+        match scope {
+            LoadScope::Node(_) => self.placed_by_nodes += since,
+            LoadScope::Zone(_) => self.placed_by_zones += since,
+            LoadScope::AllNodes => self.placed_by_all += since,
         }
-        if counted != Counted::AllNodes && self.fresh_sum(at).is_none() {
+        if scope != LoadScope::AllNodes && self.fresh_sum(at).is_none() {
             self.placed_by_all += since;
         }
-        let placed = Placed { teller, placed, at };
-        self.placed_by.insert(counted, placed);
+        let placed = Placed {
+            reporter,
+            placed,
+            at,
+        };
+        self.placed_by.insert(scope, placed);
     }
 
     /// What this node has there, as one report.
@@ -406,8 +410,8 @@
     }
 
     /// What the nodes have there that report to this one, and it itself, as one report.
-    pub(crate) fn report_of_nodes(&self, back_end: u32, now: Timestamp) -> LoadReport {
-        self.report_of(|counted| matches!(counted, Counted::Node(_)), now)
+    pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
+        self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
             .to_message(back_end, self.own_placed + self.placed_by_nodes)
     }
 
@@ -417,14 +421,14 @@
         self.report_of(|_| true, now).to_message(back_end, placed)
     }
 
-    fn report_of(&self, is_counted: impl Fn(Counted) -> bool, now: Timestamp) -> Report {
+    fn report_of(&self, is_counted: impl Fn(LoadScope) -> bool, now: Timestamp) -> Report {
         let mut total = Report {
             occupancy: self.own_occupancy(now),
             outcomes: self.own_outcomes(now),
             at: now,
         };
         let reports = self.reports.iter();
-        for (_, report) in reports.filter(|(counted, _)| is_counted(**counted)) {
+        for (_, report) in reports.filter(|(scope, _)| is_counted(**scope)) {
             if report.is_fresh(now) {
                 total.occupancy = total.occupancy.plus(report.occupancy);
                 total.outcomes = total.outcomes.plus(report.outcomes);
@@ -434,20 +438,20 @@
     }
 
     /// Forgets what a source reported.
-    pub(crate) fn forget(&mut self, counted: Counted) {
-        match counted {
-            Counted::AllNodes => self.sum = None,
-            counted => {
-                self.reports.remove(&counted);
+    pub(crate) fn forget(&mut self, scope: LoadScope) {
+        match scope {
+            LoadScope::AllNodes => self.sum = None,
+            scope => {
+                self.reports.remove(&scope);
             }
         }
     }
 
     pub(crate) fn begin(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
-        self.own_placed += u64::from(footprint.single_tokens);
+        self.own_placed += u64::from(footprint.unshared_tokens);
         if self.fresh_sum(now).is_none() {
             // A sum holds what this node places, too.
-            self.placed_by_all += u64::from(footprint.single_tokens);
+            self.placed_by_all += u64::from(footprint.unshared_tokens);
         }
         let running = Running {
             footprint,
@@ -464,7 +468,7 @@
         self.own_placed += u64::from(tokens);
         let running = Running {
             footprint: Footprint {
-                single_tokens: tokens,
+                unshared_tokens: tokens,
                 ..Footprint::default()
             },
             pending_before: 0,
@@ -526,7 +530,7 @@
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let ended = self.running.remove(&lease);
         if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
-            self.crowding.note_answer(now.since(call.started));
+            self.concurrency.record_response(now.since(call.started));
         }
         self.outcomes.record(outcome, now);
     }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -24,7 +24,7 @@
 /// Most times that the pause is doubled.
 const MOST_DOUBLINGS: u32 = 5;
 /// Time for which an engine may hold a call.
-pub(crate) const HELD_FOR: Span = Span::from_milliseconds(1_000);
+pub(crate) const LONG_POLL_TIME: Span = Span::from_milliseconds(1_000);
 
 /// A change of what an engine keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 
 /// What came of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CacheAnswer {
+pub enum CacheResponse {
     /// All that the engine keeps.
     Listing(CacheListing),
     /// What changed.
@@ -87,7 +87,7 @@
     /// No answer came.
     Failed,
     /// The answer has no known shape.
-    Unreadable,
+    Malformed,
 }
 
 /// How an engine is followed, for metrics and the log.
@@ -96,7 +96,7 @@
     /// Listings taken.
     pub listings: u64,
     /// Answers with events taken.
-    pub answers: u64,
+    pub responses: u64,
     /// Events taken.
     pub events: u64,
     /// Gaps, and restarts of the engine's cache.
@@ -104,7 +104,7 @@
     /// Beliefs that were corrected.
     pub corrections: u64,
     /// Calls that gave nothing.
-    pub vain: u64,
+    pub failed_calls: u64,
 }
 
 /// What an engine is known to hold of a part.
@@ -136,11 +136,11 @@
     /// Adds those of another engine.
     pub(crate) fn add(&mut self, other: Self) {
         self.listings += other.listings;
-        self.answers += other.answers;
+        self.responses += other.responses;
         self.events += other.events;
         self.gaps += other.gaps;
         self.corrections += other.corrections;
-        self.vain += other.vain;
+        self.failed_calls += other.failed_calls;
     }
 }
 
@@ -183,25 +183,25 @@
             None => CacheCall::List,
             Some(_) => CacheCall::Events {
                 after: self.next,
-                wait: HELD_FOR,
+                wait: LONG_POLL_TIME,
             },
         })
     }
 
     /// Takes an answer in; whether what the engine keeps is known by it.
-    pub fn take(&mut self, answer: CacheAnswer, now: Timestamp) -> bool {
+    pub fn handle_response(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
         self.is_asked = false;
         match answer {
-            CacheAnswer::Listing(listing) => self.take_listing(listing, now),
-            CacheAnswer::Events(events) => self.take_events(events, now),
-            CacheAnswer::Refused | CacheAnswer::Failed | CacheAnswer::Unreadable => {
-                self.note_vain(now);
+            CacheResponse::Listing(listing) => self.apply_listing(listing, now),
+            CacheResponse::Events(events) => self.take_events(events, now),
+            CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Malformed => {
+                self.record_failed_call(now);
                 false
             }
         }
     }
 
-    fn take_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
+    fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
         let number = listing.next.saturating_sub(1);
         let kept = listing.kept.iter().take(MOST_PARTS);
         let held = kept.map(|part| {
@@ -213,7 +213,7 @@
         self.next = listing.next;
         self.listed_to = number;
         self.counts.listings += 1;
-        self.note_heard(now);
+        self.record_heard(now);
         true
     }
 
@@ -228,10 +228,10 @@
             self.take_event(event);
         }
         self.next = self.next.max(report.next);
-        self.counts.answers += 1;
+        self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
         self.forget_dropped();
-        self.note_heard(now);
+        self.record_heard(now);
         true
     }
 
@@ -261,21 +261,21 @@
         }
     }
 
-    fn note_heard(&mut self, now: Timestamp) {
+    fn record_heard(&mut self, now: Timestamp) {
         self.heard = now;
         self.failures = 0;
         self.next_call = now + self.pace;
     }
 
-    fn note_vain(&mut self, now: Timestamp) {
-        self.counts.vain += 1;
+    fn record_failed_call(&mut self, now: Timestamp) {
+        self.counts.failed_calls += 1;
         let doublings = self.failures.min(MOST_DOUBLINGS);
         self.failures += 1;
         self.next_call = now + FAILURE_PAUSE * (1 << doublings);
     }
 
     /// Sets the pace by what the last answer corrected.
-    pub fn note_corrections(&mut self, count: usize, now: Timestamp) {
+    pub fn record_corrections(&mut self, count: usize, now: Timestamp) {
         self.counts.corrections += count as u64;
         if count > 0 {
             self.answers_in_vain = 0;
@@ -291,29 +291,31 @@
         }
     }
 
-    pub fn holds(&self, part: PartId) -> Option<u32> {
+    pub fn stored_tokens(&self, part: PartId) -> Option<u32> {
         let held = self.held.get(&part)?;
         (held.tokens > 0).then_some(held.tokens)
     }
 
     /// Parts believed kept that the engine doesn't hold.
-    pub fn believed_wrongly(&self, believed: &PrefixCache) -> Vec<PartId> {
+    pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
         let settled = self.heard - EVENT_DELAY;
         let parts = believed.read_before(settled);
-        let mut wrong: Vec<PartId> = parts.filter(|part| self.holds(*part).is_none()).collect();
+        let mut wrong: Vec<PartId> = parts
+            .filter(|part| self.stored_tokens(*part).is_none())
+            .collect();
         wrong.sort_unstable();
         wrong
     }
 
     /// Parts that the engine holds and that aren't believed kept, of those that requests are
     /// known to share.
-    pub fn kept_unknown(
+    pub fn missing_parts(
         &self,
         believed: &PrefixCache,
         shared: &HashSet<PartId>,
     ) -> Vec<PromptPart> {
         let held = self.held.iter().filter(|(_, held)| held.tokens > 0);
-        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.keeps(**part));
+        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
         let mut unknown: Vec<PromptPart> = unknown
             .map(|(part, held)| PromptPart {
                 id: *part,
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -27,18 +27,18 @@
 /// (`tests/cold_start.rs`).
 pub(crate) const GROWTH_SETTLING_TIME: Span = Span::from_milliseconds(1_000);
 /// Longest time for which a back end is believed to be cold: a longer one is a mistake.
-pub const LONGEST_COLD: Span = Span::from_milliseconds(60_000);
+pub const MAX_COLD_PERIOD: Span = Span::from_milliseconds(60_000);
 
 /// What all nodes together may send to a cold back end in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBound {
+pub struct ColdRateLimit {
     /// Multiple of what the back end bears.
     pub overage: f64,
     /// Requests besides.
     pub slack: f64,
 }
 
-impl ColdBound {
+impl ColdRateLimit {
     /// Nodes that send to one cold back end.
     pub fn senders(&self, start: &ColdStart) -> usize {
         let most = start.requests_per_second * self.overage + self.slack;
@@ -49,59 +49,62 @@
 
 /// What is known of a back end's warmth, and what this node sends it while it is cold.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Warmth {
+pub(crate) struct WarmupState {
     listed_at: Timestamp,
-    cold_for: Option<Span>,
+    cold_remaining: Option<Span>,
     returned_at: Option<Timestamp>,
     last_sent: Option<Timestamp>,
-    duty: ColdDuty,
+    role: ColdRole,
 }
 
 /// Whether a back end is cold, and whether this node sends to it all the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ColdDuty {
+pub enum ColdRole {
     /// It is warm.
     #[default]
     Warm,
     /// It is cold, and other nodes send to it.
-    Others,
+    OtherNodes,
     /// It is cold, and this node is one of its senders.
     Sender,
 }
 
 /// A back end that turned cold or warm, or got other senders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WarmthChange {
+pub struct WarmupChange {
     /// The back end.
     pub instance: InstanceId,
     /// How it stands now.
-    pub duty: ColdDuty,
+    pub role: ColdRole,
     /// Time until it is warm.
     pub warm_in: Span,
 }
 
-impl Warmth {
+impl WarmupState {
     /// Takes over what the back end's entry tells.
-    pub fn list(&mut self, cold_for: Option<Span>, now: Timestamp) {
+    pub fn set_listed(&mut self, cold_remaining: Option<Span>, now: Timestamp) {
         self.listed_at = now;
-        self.cold_for = cold_for;
+        self.cold_remaining = cold_remaining;
     }
 
     /// Its zone was evacuated and gets requests again: it starts as after a restart.
-    pub fn note_return(&mut self, now: Timestamp) {
+    pub fn record_zone_return(&mut self, now: Timestamp) {
         self.returned_at = Some(now);
     }
 
     /// When it is warm. A back end that doesn't tell counts as just started.
     pub fn cold_until(&self, start: &ColdStart) -> Timestamp {
-        let told = self.cold_for.unwrap_or(start.lasts).min(LONGEST_COLD);
+        let told = self
+            .cold_remaining
+            .unwrap_or(start.duration)
+            .min(MAX_COLD_PERIOD);
         let after_listing = if told == Span::ZERO {
             self.listed_at
         } else {
             self.listed_at + told + ON_THE_WAY
         };
         let returned = self.returned_at;
-        let after_return = returned.map(|at| at + start.lasts.min(LONGEST_COLD) + ON_THE_WAY);
+        let after_return = returned.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + ON_THE_WAY);
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
@@ -111,27 +114,27 @@
     }
 
     /// Whether this node may send it a request now.
-    pub fn takes_request(&self, start: &ColdStart, now: Timestamp) -> bool {
+    pub fn may_send_request(&self, start: &ColdStart, now: Timestamp) -> bool {
         if !self.is_cold(start, now) {
             return true;
         }
         let last = self.last_sent;
-        self.duty == ColdDuty::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
+        self.role == ColdRole::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
     }
 
     /// Notes a request of this node.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent = Some(now);
     }
 
     /// How this node stands to it.
-    pub fn duty(&self) -> ColdDuty {
-        self.duty
+    pub fn role(&self) -> ColdRole {
+        self.role
     }
 
     /// Renews how this node stands to it; true if that changed.
-    pub fn renew_duty(&mut self, duty: ColdDuty) -> bool {
-        std::mem::replace(&mut self.duty, duty) != duty
+    pub fn update_role(&mut self, role: ColdRole) -> bool {
+        std::mem::replace(&mut self.role, role) != role
     }
 }
 
--- a/crates/coordination/dispatch/src/load/crowding.rs
+++ b/crates/coordination/dispatch/src/load/concurrency.rs
@@ -22,15 +22,15 @@
 
 /// Mean number of requests at a back end, and how long it usually takes to answer one.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Crowding {
+pub(crate) struct ConcurrencyEstimate {
     mean: f64,
     noted_at: Timestamp,
     answer_time: Option<Span>,
 }
 
-impl Crowding {
+impl ConcurrencyEstimate {
     /// Takes a count in. Returns the mean with it.
-    pub fn note(&mut self, running: u32, now: Timestamp) -> f64 {
+    pub fn record(&mut self, running: u32, now: Timestamp) -> f64 {
         let part = now.since(self.noted_at).0 as f64 / MEMORY.0 as f64;
         self.mean += part.min(MOST_WEIGHT) * (f64::from(running) - self.mean);
         self.noted_at = now;
@@ -38,7 +38,7 @@
     }
 
     /// Takes in how long an answer took.
-    pub fn note_answer(&mut self, took: Span) {
+    pub fn record_response(&mut self, took: Span) {
         let known = self.answer_time.unwrap_or(took);
         let part = took.scaled(ANSWER_SMOOTHING);
         self.answer_time = Some(known.scaled(1.0 - ANSWER_SMOOTHING) + part);
@@ -49,7 +49,7 @@
     /// second that take 15 ms at the back end and 30 ms in all are 6.5 at once of 6 slots, and
     /// with 1.3 times the slots as the bound some 16 in 100 were refused though the back end was
     /// half idle. Where it is not, answers take longer and the bound falls.
-    pub fn rounds_within(&self, target: Span) -> f64 {
+    pub fn batches_within(&self, target: Span) -> f64 {
         let Some(answer_time) = self.answer_time.filter(|time| *time > Span::ZERO) else {
             return 1.0;
         };
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -29,10 +29,10 @@
 
 /// How a node stands to a limited back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LimitDuty {
+pub enum LimitRole {
     /// Other nodes send to it.
     #[default]
-    Others,
+    OtherNodes,
     /// This node is one of those that send to it, one request in so long.
     Sender(Span),
 }
@@ -43,7 +43,7 @@
     /// The back end.
     pub instance: InstanceId,
     /// The limit and this node's duty; `None` where there is no limit any more.
-    pub stands: Option<(RateLimit, LimitDuty)>,
+    pub state: Option<(RateLimit, LimitRole)>,
 }
 
 /// What a back end said last of its limit.
@@ -52,7 +52,7 @@
     /// The limit; `None` where it has none any more.
     pub limit: Option<RateLimit>,
     /// When it said so, by this node's clock.
-    pub said_at: Timestamp,
+    pub reported_at: Timestamp,
 }
 
 /// Rate at which requests are sent under a limit, of all nodes.
@@ -79,7 +79,7 @@
 }
 
 /// Chance of each of so many nodes to have a turn at a back end of which nothing is heard.
-pub(crate) fn probing_chance(limit: RateLimit, nodes: usize) -> f64 {
+pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
     let turns = rate(limit) * PROBING_PART * PROBING_TURN.seconds();
     (turns / nodes.max(1) as f64).min(1.0)
 }
@@ -88,17 +88,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Limiter {
     notice: Option<LimitNotice>,
-    duty: LimitDuty,
+    role: LimitRole,
     last_sent: Option<Timestamp>,
     /// When this node's first request as a sender may be sent.
     first_at: Timestamp,
     probes_until: Option<Timestamp>,
-    logged: Option<(RateLimit, LimitDuty)>,
+    logged: Option<(RateLimit, LimitRole)>,
 }
 
 impl Limiter {
     /// Takes over what the back end said last.
-    pub fn take_notice(&mut self, notice: Option<LimitNotice>) {
+    pub fn set_notice(&mut self, notice: Option<LimitNotice>) {
         self.notice = notice;
     }
 
@@ -108,18 +108,18 @@
     }
 
     /// How this node stands to the back end.
-    pub fn duty(&self) -> LimitDuty {
-        self.duty
+    pub fn role(&self) -> LimitRole {
+        self.role
     }
 
     /// Whether a request may be sent to the back end now.
-    pub fn takes_request(&self, now: Timestamp) -> bool {
+    pub fn may_send_request(&self, now: Timestamp) -> bool {
         let is_probe = self.probes_until.is_some_and(|until| now < until);
         self.limit().is_none() || is_probe || self.is_paced(now)
     }
 
     fn is_paced(&self, now: Timestamp) -> bool {
-        let LimitDuty::Sender(interval) = self.duty else {
+        let LimitRole::Sender(interval) = self.role else {
             return false;
         };
         let last = self.last_sent;
@@ -127,43 +127,43 @@
     }
 
     /// Notes a request of this node.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent = Some(now);
         self.probes_until = None;
     }
 
     /// Renews this node's part in the limit; `share` tells it by the limit.
-    pub fn renew_duty(&mut self, share: impl FnOnce(RateLimit) -> Option<Share>) {
-        let before = std::mem::take(&mut self.duty);
-        let Some((limit, said_at)) = self.limit_and_time() else {
+    pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<SenderShare>) {
+        let before = std::mem::take(&mut self.role);
+        let Some((limit, reported_at)) = self.limit_and_time() else {
             return;
         };
         let Some(share) = share(limit) else {
             return;
         };
         let interval = interval(limit).scaled(share.senders as f64);
-        if before == LimitDuty::Others {
+        if before == LimitRole::OtherNodes {
             // Another sender may have sent what was answered last, so that it counts here. Those
             // that begin together are spread over the time between two requests.
-            let after = 1.0 + share.place as f64 / share.senders as f64;
-            self.first_at = said_at + interval.scaled(after);
+            let after = 1.0 + share.index as f64 / share.senders as f64;
+            self.first_at = reported_at + interval.scaled(after);
         }
-        self.duty = LimitDuty::Sender(interval);
+        self.role = LimitRole::Sender(interval);
     }
 
     /// The limit, where this node doesn't send and nothing was heard of it for so long that the
     /// senders probably have no requests for the back end.
-    pub fn silent_limit(&self, now: Timestamp) -> Option<RateLimit> {
-        let (limit, said_at) = self.limit_and_time()?;
+    pub fn stale_limit(&self, now: Timestamp) -> Option<RateLimit> {
+        let (limit, reported_at) = self.limit_and_time()?;
         let longest = SHORTEST_SILENCE.max(interval(limit).scaled(SILENT_INTERVALS));
-        let is_silent = now.since(said_at) > longest;
-        (self.duty == LimitDuty::Others && is_silent).then_some(limit)
+        let is_silent = now.since(reported_at) > longest;
+        (self.role == LimitRole::OtherNodes && is_silent).then_some(limit)
     }
 
     /// The limit, where there is one, and when the back end named it last.
     fn limit_and_time(&self) -> Option<(RateLimit, Timestamp)> {
         let notice = self.notice?;
-        Some((notice.limit?, notice.said_at))
+        Some((notice.limit?, notice.reported_at))
     }
 
     /// This node may send one request to hear whether the limit still holds.
@@ -173,20 +173,20 @@
 
     /// How the limit of the back end stands for this node, if that has changed since the last call.
     pub fn change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
-        let stands = self.limit().map(|limit| (limit, self.duty));
+        let stands = self.limit().map(|limit| (limit, self.role));
         let before = std::mem::replace(&mut self.logged, stands);
         (before != stands).then(|| LimitChange {
             instance: instance.clone(),
-            stands,
+            state: stands,
         })
     }
 }
 
 /// A sender's part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Share {
+pub(crate) struct SenderShare {
     /// Its place among the senders, from 0 on.
-    pub place: usize,
+    pub index: usize,
     /// Number of senders.
     pub senders: usize,
 }
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -23,12 +23,12 @@
 
 impl Notice {
     /// It wants nothing from this node until then, or for longer if it said so before.
-    pub fn rest(&mut self, until: Timestamp) {
+    pub fn back_off_until(&mut self, until: Timestamp) {
         self.rests_until = self.rests_until.max(Some(until));
     }
 
     /// How long it wants nothing from this node from now on, if at all.
-    pub fn rest_left(self, now: Timestamp) -> Option<Span> {
+    pub fn remaining_backoff(self, now: Timestamp) -> Option<Span> {
         let until = self.rests_until.filter(|until| *until > now)?;
         Some(now.until(until))
     }
@@ -57,7 +57,7 @@
     }
 
     /// A run, started then, says something.
-    pub fn note(
+    pub fn record(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -38,21 +38,21 @@
     /// Time within which the answer, or its first event, is in time.
     pub target: Span,
     /// Longest pause between events that is in time, for streams.
-    pub pause_target: Option<Span>,
+    pub event_gap_target: Option<Span>,
     /// Time until the caller gives up.
     pub remaining: Span,
     /// Regions in which it may run.
     pub allowed_regions: AllowedRegions,
     /// Back ends that have failed it already.
-    pub excluded: Vec<InstanceId>,
+    pub excluded_back_ends: Vec<InstanceId>,
     /// Whether it may be sent again after it has reached a back end.
-    pub may_repeat: bool,
+    pub may_retry: bool,
     /// Whether an earlier attempt of the same request has reached a back end.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Whether it is answered by a stream of events.
     pub is_stream: bool,
     /// The only back end that can take it: the holder of its replica.
-    pub only: Option<InstanceId>,
+    pub required_instance: Option<InstanceId>,
 }
 
 /// The engine that holds a replica of a running request.
@@ -79,7 +79,7 @@
     pub uncached_tokens: u32,
     /// How long ago the engine told that it keeps what it is expected to find of the shared
     /// parts; `None` where that is only believed, or nothing is found.
-    pub cache_known: Option<Span>,
+    pub cache_observation_age: Option<Span>,
     /// Engine from which it is to copy what it lacks of the prompt.
     pub copy_from: Option<SocketAddr>,
     /// Engine at which a replica of the run is kept up.
@@ -115,28 +115,31 @@
     /// The back end refused it; it did not run.
     Shed,
     /// Another run of a back end has the address.
-    Replaced,
+    InstanceReplaced,
     /// Nothing answered: no connection came up.
     Unreachable,
     /// The connection was refused: nothing listens there, on a machine that can be reached.
-    Refused,
+    ConnectionRefused,
     /// This node's own bounds kept it from being sent; says nothing of the back end.
     NotSent,
     /// The answer broke off, or was none.
-    Broken,
+    IncompleteResponse,
     /// No answer, or no further event, in time.
-    Silent,
+    TimedOut,
     /// This node took it back, as back ends crash under it; says nothing of the back end.
-    Withdrawn,
+    Cancelled,
     /// The caller left, or a planned stop ended it; says nothing of the back end.
     Abandoned,
 }
 
 impl Demand {
     /// Whether a back end has not failed it and is not ruled out.
-    pub(crate) fn may_go_to(&self, instance: &InstanceId) -> bool {
-        let is_meant = self.only.as_ref().is_none_or(|only| only == instance);
-        is_meant && !self.excluded.contains(instance)
+    pub(crate) fn is_allowed_on(&self, instance: &InstanceId) -> bool {
+        let is_meant = self
+            .required_instance
+            .as_ref()
+            .is_none_or(|only| only == instance);
+        is_meant && !self.excluded_back_ends.contains(instance)
     }
 
     /// The parts of the prompt that other requests may share: all but the last.
@@ -146,7 +149,7 @@
     }
 
     /// Tokens that no other request shares: the rest of the prompt, and the answer.
-    pub fn single_tokens(&self) -> u32 {
+    pub fn unshared_tokens(&self) -> u32 {
         let own = self.prompt_tokens.saturating_sub(self.shared_tokens());
         own.saturating_add(self.output_tokens)
     }
@@ -165,13 +168,13 @@
             Outcome::Rejected => "rejected",
             Outcome::Failed => "failed",
             Outcome::Shed => "shed",
-            Outcome::Replaced => "replaced",
+            Outcome::InstanceReplaced => "replaced",
             Outcome::Unreachable => "unreachable",
-            Outcome::Refused => "refused",
+            Outcome::ConnectionRefused => "refused",
             Outcome::NotSent => "not_sent",
-            Outcome::Broken => "broken",
-            Outcome::Silent => "silent",
-            Outcome::Withdrawn => "withdrawn",
+            Outcome::IncompleteResponse => "broken",
+            Outcome::TimedOut => "silent",
+            Outcome::Cancelled => "withdrawn",
             Outcome::Abandoned => "abandoned",
         }
     }
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -27,17 +27,17 @@
 fn obstacle(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<Obstacle> {
     let zone = &state.back_end.zone;
     let cold_start = view.cold_start.as_ref();
-    if !state.takes_work() {
+    if !state.accepts_work() {
         Some(Obstacle::Leaving)
-    } else if state.notice.rest_left(view.now).is_some() {
+    } else if state.notice.remaining_backoff(view.now).is_some() {
         Some(Obstacle::Resting)
-    } else if !state.limiter.takes_request(view.now) {
+    } else if !state.limiter.may_send_request(view.now) {
         Some(Obstacle::Limited)
-    } else if !demand.allowed_regions.allow(zone, view.regions) {
+    } else if !demand.allowed_regions.allows(zone, view.regions) {
         Some(Obstacle::Region)
-    } else if view.evacuated.contains(zone) {
+    } else if view.evacuated_zones.contains(zone) {
         Some(Obstacle::Evacuated)
-    } else if cold_start.is_some_and(|start| !state.warmth.takes_request(start, view.now)) {
+    } else if cold_start.is_some_and(|start| !state.warmup.may_send_request(start, view.now)) {
         Some(Obstacle::Cold)
     } else {
         None
@@ -54,13 +54,13 @@
 pub(crate) fn refusal(registry: &Registry, view: &View<'_>, demand: &Demand) -> Reason {
     let open = registry
         .pool(&demand.pool)
-        .filter(|state| !demand.excluded.contains(&state.back_end.instance));
+        .filter(|state| !demand.excluded_back_ends.contains(&state.back_end.instance));
     let obstacles: Vec<Obstacle> = open
         .filter_map(|state| obstacle(state, view, demand))
         .collect();
     let count = |obstacle| obstacles.iter().filter(|found| **found == obstacle).count();
     let counted = [
-        (count(Obstacle::Resting), Reason::BackEndsRest),
+        (count(Obstacle::Resting), Reason::BackEndsBackingOff),
         (count(Obstacle::Limited), Reason::BackEndsLimited),
         (count(Obstacle::Region), Reason::RegionNotAllowed),
         (count(Obstacle::Evacuated), Reason::ZoneEvacuated),
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -2,7 +2,7 @@
 
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::pool_split::PoolSplit;
-use crate::placement::sampling::{LookedAt, look_at, preference};
+use crate::placement::sampling::{Examined, examine, preference};
 use crate::placement::view::View;
 use crate::{Candidate, Demand, Footprint, Occupancy, PoolModel};
 use eiderferry_routing::InstanceId;
@@ -45,7 +45,7 @@
 /// Seed of the hash that chooses them.
 const STREAMING_SEED: u64 = 0x5354_5245_414d;
 /// Chance to come late beside long prompts from which on a stream is placed apart.
-pub(crate) const SENSITIVE_CHANCE: f64 = 0.15;
+pub(crate) const SENSITIVE_PROBABILITY: f64 = 0.15;
 /// Part of the streams that the longest reading makes late up to which a single reading counts
 /// as harmless to them: the prompt may be read beside streams.
 const HARMLESS_SHARE: f64 = 0.1;
@@ -66,7 +66,7 @@
     /// Plans for the back ends worth comparing.
     pub plans: Vec<Plan>,
     /// Back ends that were looked at.
-    pub looked_at: usize,
+    pub examined: usize,
 }
 
 /// Plans for the back ends worth comparing.
@@ -78,12 +78,13 @@
 ) -> Plans {
     let now = view.now;
     let split = Split::of(registry, demand);
-    let may_be_home =
-        |state: &BackEndState| split.suits(state) && view.may_be_home(&state.back_end.zone);
-    let looked_at = look_at(registry, view, demand, may_be_home, random);
-    let staying: Vec<&BackEndState> = looked_at.staying().collect();
-    let home = looked_at.home.map(|state| &state.back_end.instance);
-    let compared = shortlist(&looked_at, &split, view, demand, random);
+    let may_be_home = |state: &BackEndState| {
+        split.matches_request(state) && view.may_be_home(&state.back_end.zone)
+    };
+    let examined = examine(registry, view, demand, may_be_home, random);
+    let staying: Vec<&BackEndState> = examined.eligible().collect();
+    let home = examined.home.map(|state| &state.back_end.instance);
+    let compared = shortlist(&examined, &split, view, demand, random);
     let setting = Setting {
         model: registry.model(&demand.pool),
         home,
@@ -95,41 +96,45 @@
     let plans = compared.into_iter();
     Plans {
         plans: plans.map(|state| plan(state, demand, &setting)).collect(),
-        looked_at: looked_at.count,
+        examined: examined.count,
     }
 }
 
 /// The back ends compared: all of a small pool; of a large one those that a prompt's
 /// beginning prefers, and some drawn at random.
 fn shortlist<'a>(
-    looked_at: &LookedAt<'a>,
+    examined: &Examined<'a>,
     split: &Split<'_>,
     view: &View<'_>,
     demand: &Demand,
     random: &mut impl Rng,
 ) -> Vec<&'a BackEndState> {
-    let open = |state: &&BackEndState| demand.may_go_to(&state.back_end.instance);
+    let open = |state: &&BackEndState| demand.is_allowed_on(&state.back_end.instance);
     let healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
-    let is_any_healthy = looked_at
-        .staying()
+    let is_any_healthy = examined
+        .eligible()
         .filter(open)
         .any(|state| healthy(&state));
     let usable = |state: &&BackEndState| open(state) && (healthy(state) || !is_any_healthy);
-    let all: Vec<&BackEndState> = looked_at.staying().filter(usable).collect();
+    let all: Vec<&BackEndState> = examined.eligible().filter(usable).collect();
     if all.len() <= MOST_COMPARED {
         return all;
     }
     let is_near = |state: &&&BackEndState| state.back_end.zone == *view.zone;
-    let suits = |state: &&&BackEndState| split.suits(state);
-    let near = all.iter().filter(is_near).filter(suits).copied();
+    let matches_request = |state: &&&BackEndState| split.matches_request(state);
+    let near = all.iter().filter(is_near).filter(matches_request).copied();
     let near = near.choose_multiple(random, DRAWN_NEAR);
     let drawn = all.iter().copied().choose_multiple(random, DRAWN);
-    let preferable = looked_at.preferable.iter().copied();
+    let preferable = examined.preferable.iter().copied();
     let mut compared: Vec<&BackEndState> = preferable.filter(usable).collect();
     if compared.len() > MOST_PREFERRED {
         compared.select_nth_unstable_by_key(MOST_PREFERRED, |state| {
             let may_be_home = view.may_be_home(&state.back_end.zone);
-            std::cmp::Reverse((split.suits(state), may_be_home, preference(state, demand)))
+            std::cmp::Reverse((
+                split.matches_request(state),
+                may_be_home,
+                preference(state, demand),
+            ))
         });
         compared.truncate(MOST_PREFERRED);
     }
@@ -164,17 +169,18 @@
     fn of(registry: &'a Registry, demand: &Demand) -> Self {
         let engines = registry.pool_size(&demand.pool);
         let by_load = registry.split(&demand.pool);
-        let chance = registry.model(&demand.pool).zip(demand.pause_target);
+        let chance = registry.model(&demand.pool).zip(demand.event_gap_target);
         let is_exposed = chance.is_some_and(|(model, target)| {
-            model.chance_beside_long_prompts(&model.engine_speed(), target) >= SENSITIVE_CHANCE
+            model.delay_probability_beside_long_prompts(&model.engine_speed(), target)
+                >= SENSITIVE_PROBABILITY
         });
-        let has_fixed_part = registry.streams_are_apart(&demand.pool)
-            || by_load.is_some_and(|split| split.is_full());
-        let by_load = by_load.filter(|split| split.is_on());
+        let has_fixed_part = registry.isolates_streams(&demand.pool)
+            || by_load.is_some_and(|split| split.is_saturated());
+        let by_load = by_load.filter(|split| split.is_active());
         let is_short = match (by_load, registry.model(&demand.pool)) {
             (Some(split), Some(model)) => {
-                let reading = split.reading_time(demand.prompt_tokens);
-                model.share_made_late(&model.engine_speed(), reading) < HARMLESS_SHARE
+                let reading = split.prefill_time(demand.prompt_tokens);
+                model.delayed_share(&model.engine_speed(), reading) < HARMLESS_SHARE
             }
             _ => demand.prompt_tokens < SHORT_PROMPT_TOKENS,
         };
@@ -189,22 +195,22 @@
         }
     }
 
-    fn is_for_streams(&self, state: &BackEndState) -> Option<bool> {
+    fn serves_streams(&self, state: &BackEndState) -> Option<bool> {
         match self.rule {
             Rule::None => None,
             Rule::FixedPart => Some(is_in_fixed_part(state)),
-            Rule::ByLoad(split) => Some(split.is_for_streams(state.digest)),
+            Rule::ByLoad(split) => Some(split.serves_streams(state.digest)),
         }
     }
 
     /// Whether an engine is kept for requests like this.
-    fn suits(&self, state: &BackEndState) -> bool {
-        self.is_for_streams(state)
-            .is_none_or(|is_for_streams| is_for_streams == self.is_sensitive)
+    fn matches_request(&self, state: &BackEndState) -> bool {
+        self.serves_streams(state)
+            .is_none_or(|serves_streams| serves_streams == self.is_sensitive)
     }
 
     fn expected_long_readings(&self, state: &BackEndState) -> u32 {
-        match self.is_for_streams(state) {
+        match self.serves_streams(state) {
             Some(false) => EXPECTED_AT_HOMES,
             _ => 0,
         }
@@ -213,7 +219,7 @@
     /// Exposed streams that a long prompt finds at an engine, or that come while it is read.
     fn expected_exposed(&self, state: &BackEndState, there: f64) -> f64 {
         match self.rule {
-            Rule::ByLoad(split) if !self.is_sensitive && !self.suits(state) => {
+            Rule::ByLoad(split) if !self.is_sensitive && !self.matches_request(state) => {
                 there.max(split.exposed_at_streams())
             }
             _ => there,
@@ -243,7 +249,8 @@
             return Self { best: Vec::new() };
         }
         let sound = staying.iter().filter(|state| !state.health.is_ejected(now));
-        let kept = sound.map(|state| (state.load.cache.read_tokens(&demand.parts, now), *state));
+        let kept =
+            sound.map(|state| (state.load.cache.computed_tokens(&demand.parts, now), *state));
         let mut best: Vec<(u32, &BackEndState)> = kept
             .filter(|(kept, _)| *kept >= MINIMUM_COPIED_TOKENS)
             .collect();
@@ -289,40 +296,42 @@
 fn plan(state: &BackEndState, demand: &Demand, setting: &Setting<'_>) -> Plan {
     let now = setting.view.now;
     let instance = &state.back_end.instance;
-    let kept = state.load.cache.kept_tokens(&demand.parts);
+    let kept = state.load.cache.cached_tokens(&demand.parts);
     let missing = demand.shared_tokens().saturating_sub(kept);
     let copy_from = setting.keepers.source(instance, kept);
     let copied = if copy_from.is_some() { missing } else { 0 };
     let is_home = setting.home == Some(instance);
-    let read_again = if is_home { 0 } else { missing - copied };
+    let recomputed_tokens = if is_home { 0 } else { missing - copied };
     let uncached = demand.prompt_tokens.saturating_sub(kept + copied);
     let there = state.load.occupancy(now);
     let footprint = footprint(state, demand, uncached, setting);
     let reading = state
         .load
-        .reading_time(there.pending_tokens + u64::from(uncached));
-    let way = setting.view.way(&state.back_end.zone, demand.bytes);
+        .prefill_time(there.pending_tokens + u64::from(uncached));
+    let network_path = setting
+        .view
+        .network_path(&state.back_end.zone, demand.bytes);
     let mut candidate = Candidate {
-        first_event: reading + way.round_trip,
+        first_event: reading + network_path.round_trip,
         target: demand.target,
-        read_again,
+        recomputed_tokens,
         is_home,
-        copied,
+        copied_tokens: copied,
         running: there.running,
         slots: state.back_end.slots,
-        memory: memory_part(state, &there, &footprint),
-        way_cost: way.bytes_cost,
+        memory_fraction: memory_part(state, &there, &footprint),
+        network_cost: network_path.transfer_cost,
         excess_failures: excess_failures(state, setting),
-        may_repeat: demand.may_repeat,
+        may_retry: demand.may_retry,
         ..Candidate::default()
     };
     if let Some(model) = setting.model {
         let readings = Readings::at(state, &there, &footprint);
         let expected = setting.split.expected_long_readings(state);
-        candidate.own_late_event = readings.own_late_event(&footprint, expected);
-        candidate.others_late = {
-            let exposed = setting.split.expected_exposed(state, there.exposed);
-            readings.others_late(model, state, exposed)
+        candidate.own_delay_probability = readings.own_delay_probability(&footprint, expected);
+        candidate.delayed_streams = {
+            let exposed = setting.split.expected_exposed(state, there.exposed_streams);
+            readings.delayed_streams(model, state, exposed)
         };
     }
     Plan {
@@ -339,18 +348,18 @@
     uncached: u32,
     setting: &Setting<'_>,
 ) -> Footprint {
-    let reading = state.load.reading_time(u64::from(uncached));
+    let reading = state.load.prefill_time(u64::from(uncached));
     let speed = &state.load.speed;
-    let exposure = setting.model.zip(demand.pause_target);
+    let exposure = setting.model.zip(demand.event_gap_target);
     Footprint {
         uncached_tokens: uncached,
-        single_tokens: demand.single_tokens(),
+        unshared_tokens: demand.unshared_tokens(),
         exposure: exposure.map_or(0.0, |(model, target)| {
-            model.chance_beside_long_prompts(speed, target)
+            model.delay_probability_beside_long_prompts(speed, target)
         }),
-        is_long_reading: setting
+        is_long_prefill: setting
             .model
-            .is_some_and(|model| model.is_long_reading(speed, reading)),
+            .is_some_and(|model| model.is_long_prefill(speed, reading)),
     }
 }
 
@@ -360,7 +369,7 @@
     if capacity == 0 {
         return 0.0;
     }
-    let taken = there.single_tokens + u64::from(footprint.single_tokens);
+    let taken = there.unshared_tokens + u64::from(footprint.unshared_tokens);
     taken as f64 / capacity as f64
 }
 
@@ -375,25 +384,25 @@
     fn at(state: &BackEndState, there: &Occupancy, footprint: &Footprint) -> Self {
         let own = u64::from(footprint.uncached_tokens);
         Self {
-            waiting: state.load.reading_time(there.pending_tokens),
-            own: state.load.reading_time(own),
-            long_there: there.long_readings,
+            waiting: state.load.prefill_time(there.pending_tokens),
+            own: state.load.prefill_time(own),
+            long_there: there.long_prefills,
         }
     }
 
     /// Chance that the newcomer's events come late: where requests with long prompts
     /// run, further ones are likely to come while it runs.
-    fn own_late_event(&self, footprint: &Footprint, expected: u32) -> f64 {
-        let long_readings = self.long_there + expected;
-        let none_comes = (1.0 - FURTHER_LONG_READING).powi(long_readings as i32);
+    fn own_delay_probability(&self, footprint: &Footprint, expected: u32) -> f64 {
+        let long_prefills = self.long_there + expected;
+        let none_comes = (1.0 - FURTHER_LONG_READING).powi(long_prefills as i32);
         footprint.exposure * (1.0 - none_comes)
     }
 
     /// Streams that the newcomer's prompt makes late, in expectation.
-    fn others_late(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
+    fn delayed_streams(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
         let together = Span(self.waiting.0 + self.own.0);
-        let after = model.share_made_late(&state.load.speed, together);
-        let before = model.share_made_late(&state.load.speed, self.waiting);
+        let after = model.delayed_share(&state.load.speed, together);
+        let before = model.delayed_share(&state.load.speed, self.waiting);
         exposed * (after - before).max(0.0)
     }
 }
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -71,13 +71,13 @@
     /// Requests that run there.
     pub running: u32,
     /// Streams that a long prompt would make late, in expectation.
-    pub exposed: f64,
+    pub exposed_streams: f64,
     /// Requests that read long there.
     pub long_requests: u32,
     /// Tokens of memory that only one request has.
-    pub single_tokens: u64,
+    pub unshared_tokens: u64,
     /// Prompt tokens that one engine reads in a second.
-    pub reading_rate: f64,
+    pub prefill_rate: f64,
 }
 
 /// How many engines each kind of request needs.
@@ -95,12 +95,12 @@
         let engines = f64::from(load.engines.max(1));
         let slots = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
         let memory = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
-        let reading = placed_rate / load.reading_rate.max(1.0) / READING_UTILISATION;
+        let reading = placed_rate / load.prefill_rate.max(1.0) / READING_UTILISATION;
         let running = f64::from(load.running);
-        let streams = (load.exposed / usual_exposure).min(running);
+        let streams = (load.exposed_streams / usual_exposure).min(running);
         let others = running - streams;
         // Nearly all of what only one request has belongs to long prompts.
-        let remembered = load.single_tokens as f64 / memory;
+        let remembered = load.unshared_tokens as f64 / memory;
         Self {
             prompts: reading.max(others / slots).max(remembered),
             streams: streams / slots,
@@ -126,7 +126,7 @@
 
 /// Figures of a split, for metrics and logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SplitFigures {
+pub struct SplitStats {
     /// Engines for long prompts; 0 while the pool is not split.
     pub prompt_engines: u32,
     /// All engines that are ranked.
@@ -142,13 +142,13 @@
 /// Zones that were silent at several looks on end. Where messages are late a zone counts as
 /// silent for some hundred milliseconds now and then, and borders would follow that.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LongSilent {
+pub(crate) struct PersistentSilence {
     looks: BTreeMap<ZoneName, u32>,
 }
 
-impl LongSilent {
+impl PersistentSilence {
     /// Notes the zones that are silent at this look.
-    pub fn note(&mut self, silent: &BTreeSet<ZoneName>) {
+    pub fn record(&mut self, silent: &BTreeSet<ZoneName>) {
         self.looks.retain(|zone, _| silent.contains(zone));
         for zone in silent {
             let looks = self.looks.entry(zone.clone()).or_default();
@@ -170,7 +170,7 @@
     /// The pool.
     pub pool: PoolName,
     /// How they are split now.
-    pub figures: SplitFigures,
+    pub stats: SplitStats,
 }
 
 /// An engine in the ranking.
@@ -192,39 +192,39 @@
     rates_seen: u32,
     /// Exposure of a stream that is placed apart, on average.
     usual_exposure: Option<f64>,
-    figures: SplitFigures,
+    stats: SplitStats,
 }
 
 impl PoolSplit {
     /// Renews the split from what runs now and the tokens that were ever placed; the last
     /// renewal was so many seconds ago. Returns whether the border has moved.
-    pub fn renew(
+    pub fn update(
         &mut self,
         engines: &[RankedEngine<'_>],
         load: PoolLoad,
         placed: u64,
         seconds: f64,
     ) -> bool {
-        self.note_placed(placed, seconds);
+        self.record_placed(placed, seconds);
         let exposure = self.usual_exposure.unwrap_or(1.0);
-        let need = EngineNeed::of(&load, self.figures.placed_rate, exposure);
+        let need = EngineNeed::of(&load, self.stats.placed_rate, exposure);
         let before = self.border;
         self.border = self.next_border(&load, &need);
         self.prompt_engines = match self.border {
             Some(steps) => first_of_ranking(engines, f64::from(steps) * STEP),
             None => HashSet::new(),
         };
-        self.figures = SplitFigures {
+        self.stats = SplitStats {
             prompt_engines: self.prompt_engines.len() as u32,
             ranked_engines: engines.len() as u32,
             need,
             load,
-            placed_rate: self.figures.placed_rate,
+            placed_rate: self.stats.placed_rate,
         };
         self.border != before
     }
 
-    fn note_placed(&mut self, placed: u64, seconds: f64) {
+    fn record_placed(&mut self, placed: u64, seconds: f64) {
         // A sum that falls has lost a teller: it begins anew.
         if let Some(before) = self.placed_before.filter(|before| *before <= placed) {
             let rate = (placed - before) as f64 / seconds.max(f64::EPSILON);
@@ -232,7 +232,7 @@
             // split for the seconds in which the figure grows.
             self.rates_seen = self.rates_seen.saturating_add(u32::from(rate > 0.0));
             let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rates_seen.max(1)));
-            self.figures.placed_rate += weight * (rate - self.figures.placed_rate);
+            self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
         }
         self.placed_before = Some(placed);
     }
@@ -263,7 +263,7 @@
     }
 
     /// Notes a stream that is exposed to long prompts.
-    pub fn note_exposure(&mut self, exposure: f64) {
+    pub fn record_exposure(&mut self, exposure: f64) {
         let usual = self.usual_exposure.get_or_insert(exposure);
         *usual += EXPOSURE_SMOOTHING * (exposure - *usual);
     }
@@ -274,7 +274,7 @@
         } else {
             SPLIT_FROM
         };
-        load.exposed > limit * f64::from(load.slots)
+        load.exposed_streams > limit * f64::from(load.slots)
     }
 
     fn has_room(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
@@ -289,37 +289,35 @@
     }
 
     /// Whether the pool is split now.
-    pub fn is_on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.border.is_some()
     }
 
     /// Whether both kinds need more engines than there are, so that the load splits nothing.
-    pub fn is_full(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.is_full
     }
 
     /// Whether an engine is kept for streams.
-    pub fn is_for_streams(&self, digest: u32) -> bool {
+    pub fn serves_streams(&self, digest: u32) -> bool {
         !self.prompt_engines.contains(&digest)
     }
 
     /// Time in which an engine of the pool reads so many tokens.
-    pub fn reading_time(&self, tokens: u32) -> Span {
-        let rate = self.figures.load.reading_rate.max(1.0);
+    pub fn prefill_time(&self, tokens: u32) -> Span {
+        let rate = self.stats.load.prefill_rate.max(1.0);
         Span::from_seconds(f64::from(tokens) / rate)
     }
 
     /// Exposed streams that an engine for streams has on average.
     pub fn exposed_at_streams(&self) -> f64 {
-        let figures = &self.figures;
-        let engines = figures
-            .ranked_engines
-            .saturating_sub(figures.prompt_engines);
-        figures.load.exposed / f64::from(engines.max(1))
+        let stats = &self.stats;
+        let engines = stats.ranked_engines.saturating_sub(stats.prompt_engines);
+        stats.load.exposed_streams / f64::from(engines.max(1))
     }
 
-    pub fn figures(&self) -> SplitFigures {
-        self.figures
+    pub fn stats(&self) -> SplitStats {
+        self.stats
     }
 }
 
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -4,7 +4,7 @@
 //! weighed in the unit in which back ends are compared: times.
 
 use crate::load::registry::{BackEndState, Registry};
-use crate::placement::candidate::{COPY_PER_TOKEN, FAILURE_FOR_GOOD};
+use crate::placement::candidate::{COPY_PER_TOKEN, PERMANENT_FAILURE};
 use crate::placement::eligibility::is_eligible;
 use crate::placement::view::View;
 use crate::{Demand, ReplicaTarget};
@@ -40,13 +40,13 @@
 
 /// How likely a stream of each pool is to be lost, by what failed there lately at all nodes.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LossChances {
+pub(crate) struct LossProbabilities {
     chances: HashMap<PoolName, f64>,
 }
 
-impl LossChances {
+impl LossProbabilities {
     /// Takes in how requests ended lately; to be called twice a second.
-    pub fn renew(&mut self, registry: &Registry, now: Timestamp) {
+    pub fn update(&mut self, registry: &Registry, now: Timestamp) {
         for pool in registry.pool_names() {
             let shares = registry.pool(pool);
             let shares = shares.map(|state| state.load.failure_share(now));
@@ -65,13 +65,17 @@
 
 /// Whether a request's run is worth a replica: a stream that no other attempt mends, and
 /// whose loss, by its chance, costs more than the replica's bytes.
-pub(crate) fn is_worth_replica(demand: &Demand, source_share: f64, chances: &LossChances) -> bool {
-    let is_lost_for_good = demand.is_stream && !demand.may_repeat;
+pub(crate) fn should_replicate(
+    demand: &Demand,
+    source_share: f64,
+    chances: &LossProbabilities,
+) -> bool {
+    let is_lost_for_good = demand.is_stream && !demand.may_retry;
     if !is_lost_for_good || demand.output_tokens < MINIMUM_OUTPUT_TOKENS {
         return false;
     }
     let chance = USUAL_LOSS + chances.of(&demand.pool).max(source_share);
-    let loss = FAILURE_FOR_GOOD.scaled(chance.min(1.0));
+    let loss = PERMANENT_FAILURE.scaled(chance.min(1.0));
     loss.0 >= u64::from(replica_tokens(demand)) * COPY_PER_TOKEN
 }
 
@@ -150,9 +154,9 @@
 /// Whether an engine may get a request at all, is sound, warm and heard.
 fn is_usable(state: &BackEndState, view: &View<'_>, demand: &Demand) -> bool {
     let start = view.cold_start.as_ref();
-    let is_cold = start.is_some_and(|start| state.warmth.is_cold(start, view.now));
+    let is_cold = start.is_some_and(|start| state.warmup.is_cold(start, view.now));
     is_eligible(state, view, demand)
-        && demand.may_go_to(&state.back_end.instance)
+        && demand.is_allowed_on(&state.back_end.instance)
         && !state.health.is_ejected(view.now)
         && !is_cold
         && !is_silent(view, &state.back_end.zone)
@@ -167,7 +171,7 @@
     let there = state.load.occupancy(view.now);
     let batch = f64::from(there.running) / f64::from(state.back_end.slots.max(1));
     let capacity = state.load.cache.engine_tokens().max(1) as f64;
-    let tokens = there.single_tokens + u64::from(replica_tokens(demand));
+    let tokens = there.unshared_tokens + u64::from(replica_tokens(demand));
     let memory = tokens as f64 / capacity;
     (batch < FULLEST_BATCH && memory <= FULLEST_MEMORY).then_some(batch.max(memory))
 }
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,8 +1,8 @@
 //! What a node sees of the deployment when it decides about a request.
 
-use crate::Border;
-use crate::placement::places::{ANY_OTHER_ZONE, HomeScope, RoundTrips, Way};
-use eiderferry_routing::{ColdStart, RegionOfZone, ZoneName};
+use crate::Distance;
+use crate::placement::locality::{HomeScope, NetworkPath, OTHER_ZONE_COST, RoundTrips};
+use eiderferry_routing::{ColdStart, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
 
@@ -14,9 +14,9 @@
     /// Zones that it hears nothing of.
     pub silent_zones: &'a BTreeSet<ZoneName>,
     /// Region of each zone.
-    pub regions: &'a RegionOfZone,
+    pub regions: &'a ZoneRegions,
     /// Zones whose back ends get nothing new.
-    pub evacuated: &'a BTreeSet<ZoneName>,
+    pub evacuated_zones: &'a BTreeSet<ZoneName>,
     /// How the back ends of the request's pool start, if they start cold.
     pub cold_start: Option<ColdStart>,
     /// Round trips to other zones.
@@ -24,31 +24,37 @@
     /// Where the homes of prompts lie.
     pub home_scope: HomeScope,
     /// Whether back ends cost what the way to them takes.
-    pub costs_places: bool,
+    pub costs_locality: bool,
     /// The time.
     pub now: Timestamp,
 }
 
 impl View<'_> {
     /// What lies between this node and a zone.
-    pub fn border(&self, zone: &ZoneName) -> Border {
-        Border::between(self.zone, zone, self.regions)
+    pub fn distance(&self, zone: &ZoneName) -> Distance {
+        Distance::between(self.zone, zone, self.regions)
     }
 
     /// The way to a zone for a request that takes so many bytes with its answer.
-    pub fn way(&self, zone: &ZoneName, bytes: u32) -> Way {
-        if self.costs_places {
-            return self.round_trips.way(zone, self.border(zone), bytes);
+    pub fn network_path(&self, zone: &ZoneName, bytes: u32) -> NetworkPath {
+        if self.costs_locality {
+            return self
+                .round_trips
+                .network_path(zone, self.distance(zone), bytes);
         }
         let is_other = zone != self.zone;
-        Way {
+        NetworkPath {
             round_trip: Span::ZERO,
-            bytes_cost: if is_other { ANY_OTHER_ZONE } else { Span::ZERO },
+            transfer_cost: if is_other {
+                OTHER_ZONE_COST
+            } else {
+                Span::ZERO
+            },
         }
     }
 
     /// Whether a prompt's home may lie in a zone.
     pub fn may_be_home(&self, zone: &ZoneName) -> bool {
-        self.home_scope.reaches(self.border(zone))
+        self.home_scope.reaches(self.distance(zone))
     }
 }
--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -35,7 +35,7 @@
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
                 let thing = (tick * 31 + number * 7) as u64 % 3_000;
-                granted(node.ask(&demand(thing, 13_000, 900), now));
+                granted(node.dispatch(&demand(thing, 13_000, 900), now));
             }
         }
         fleet.run_with_platform(100, 1);
@@ -95,7 +95,7 @@
         }
         let node = &mut fleet.nodes[number];
         let asked: Vec<Decision> = (0..100)
-            .map(|own| node.ask(&demand(2, 13_000, own), now))
+            .map(|own| node.dispatch(&demand(2, 13_000, own), now))
             .collect();
         let granted = asked
             .iter()
@@ -108,7 +108,7 @@
 fn end_all(node: &mut Dispatcher, asked: &[Decision], now: eiderferry_types::Timestamp) {
     for decision in asked {
         if let Decision::Grant(grant) = decision {
-            node.end(grant.lease, Outcome::Abandoned, now);
+            node.release(grant.lease, Outcome::Abandoned, now);
         }
     }
 }
@@ -124,7 +124,7 @@
 fn place(fleet: &mut Fleet, number: usize, requests: u32) {
     let now = fleet.now;
     for own in 0..requests {
-        granted(fleet.nodes[number].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[number].dispatch(&demand(1, 13_000, own), now));
     }
 }
 
@@ -150,10 +150,10 @@
     let readers = fleet.readers();
     fleet.dark.extend(readers);
     fleet.run_with_platform(2_000, 2);
-    let teller = (0..71)
+    let reporter = (0..71)
         .find(|number| !fleet.dark.contains(number))
         .expect("one");
-    place(&mut fleet, teller, 40);
+    place(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     assert_all_count(&mut fleet, 40, &[]);
 }
@@ -163,10 +163,10 @@
     let mut fleet = fleet_with_one_engine(71, 3);
     fleet.cut.extend([(0, 1), (0, 2)]);
     fleet.run_with_platform(4_000, 2);
-    let teller = (0..71)
+    let reporter = (0..71)
         .find(|number| fleet.zones[*number] == 0)
         .expect("one");
-    place(&mut fleet, teller, 40);
+    place(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     let outside: Vec<usize> = (0..71).filter(|number| fleet.zones[*number] != 0).collect();
     assert_all_count(&mut fleet, 40, &outside);
@@ -192,7 +192,7 @@
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
                 let thing = (1 + tick * count + number) as u64;
-                granted(node.ask(&demand(thing, 1_500, 100), now));
+                granted(node.dispatch(&demand(thing, 1_500, 100), now));
                 placed.push(thing);
             }
         }
@@ -204,8 +204,8 @@
     for (number, thing) in placed.iter().enumerate().step_by(7) {
         let asking = (number * 13 + 5) % count;
         let node = &mut fleet.nodes[asking];
-        let grant = granted(node.ask(&demand(*thing, 1_500, 100), now));
-        node.end(grant.lease, Outcome::Abandoned, now);
+        let grant = granted(node.dispatch(&demand(*thing, 1_500, 100), now));
+        node.release(grant.lease, Outcome::Abandoned, now);
         known += usize::from(grant.uncached_tokens <= 100);
         asked += 1;
     }
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use eiderferry_dispatch::{
-    CacheAnswer, CacheCall, CacheEvent, CacheEvents, CacheListing, CacheNews, CacheOrder, Decision,
-    Dispatcher, Features, PromptPart, RateLimit, TICK,
+    CacheCall, CacheEvent, CacheEvents, CacheListing, CacheResponse, CacheUpdate, Decision,
+    Dispatcher, DueCacheCall, Features, PromptPart, RateLimit, TICK,
 };
 use eiderferry_routing::{InstanceId, PartId};
 use eiderferry_types::{Span, Timestamp};
@@ -37,8 +37,8 @@
 /// ago the engine told that it keeps it.
 fn asked(subject: &mut Dispatcher, thing: u64, now: Timestamp) -> (u32, Option<Span>) {
     let own = PROMPTS.fetch_add(1, Ordering::Relaxed);
-    let grant = granted(subject.ask(&demand(thing, SHARED, own), now));
-    (grant.uncached_tokens - own, grant.cache_known)
+    let grant = granted(subject.dispatch(&demand(thing, SHARED, own), now));
+    (grant.uncached_tokens - own, grant.cache_observation_age)
 }
 
 /// Tokens of the shared part that the next request is expected to read.
@@ -59,12 +59,12 @@
     orders.into_iter().map(|order| order.call).collect()
 }
 
-fn listing(parts: &[(u64, u32)]) -> CacheAnswer {
+fn listing(parts: &[(u64, u32)]) -> CacheResponse {
     let kept = parts.iter().map(|(id, tokens)| PromptPart {
         id: PartId(*id),
         tokens: *tokens,
     });
-    CacheAnswer::Listing(CacheListing {
+    CacheResponse::Listing(CacheListing {
         epoch: 1,
         next: 10,
         kept: kept.collect(),
@@ -86,21 +86,21 @@
 }
 
 /// Makes the call that is due and answers it.
-fn answer(subject: &mut Dispatcher, answer: CacheAnswer, now: Timestamp) -> Option<CacheNews> {
+fn answer(subject: &mut Dispatcher, answer: CacheResponse, now: Timestamp) -> Option<CacheUpdate> {
     assert_eq!(subject.cache_calls(now).len(), 1, "one call is due");
-    subject.take_cache_answer(&engine(), answer, now)
+    subject.handle_cache_response(&engine(), answer, now)
 }
 
 /// Hands events over with the next call.
-fn events(subject: &mut Dispatcher, told: CacheEvents, now: Timestamp) -> Option<CacheNews> {
-    answer(subject, CacheAnswer::Events(told), now)
+fn events(subject: &mut Dispatcher, told: CacheEvents, now: Timestamp) -> Option<CacheUpdate> {
+    answer(subject, CacheResponse::Events(told), now)
 }
 
 #[test]
 fn a_part_that_the_engine_dropped_is_not_expected_there() {
     let (mut subject, now) = believing();
     let news = answer(&mut subject, listing(&[]), now).expect("news");
-    assert_eq!((news.gone, news.kept), (1, 0));
+    assert_eq!((news.stale, news.missing), (1, 0));
     assert_eq!(uncached(&mut subject, now), SHARED);
 }
 
@@ -125,7 +125,7 @@
     uncached(&mut subject, START);
     let now = START + SETTLED;
     assert_eq!(calls(&mut subject, now), []);
-    let news = subject.take_cache_answer(&engine(), listing(&[]), now);
+    let news = subject.handle_cache_response(&engine(), listing(&[]), now);
     assert_eq!(news, None);
     assert_eq!(asked(&mut subject, THING, now), (0, None));
 }
@@ -134,7 +134,7 @@
 fn an_engine_is_listed_first_and_then_asked_for_what_follows() {
     let (mut subject, now) = believing();
     assert_eq!(calls(&mut subject, now), [CacheCall::List]);
-    subject.take_cache_answer(&engine(), listing(&[]), now);
+    subject.handle_cache_response(&engine(), listing(&[]), now);
     let call = CacheCall::Events {
         after: 10,
         wait: ms(1_000),
@@ -156,7 +156,7 @@
     let later = now + ms(20_000);
     asked(&mut subject, 8, later);
     let news = events(&mut subject, report(1, 10, &[]), later + ms(100)).expect("news");
-    assert_eq!(news.gone, 0);
+    assert_eq!(news.stale, 0);
     assert_eq!(asked(&mut subject, 8, later + ms(200)).0, 0);
 }
 
@@ -170,9 +170,9 @@
         ..report(1, 40, &[])
     };
     let news = events(&mut subject, lost, now).expect("news of a gap");
-    assert_eq!((news.gone, news.counts.gaps), (0, 1));
+    assert_eq!((news.stale, news.counts.gaps), (0, 1));
     assert_eq!(calls(&mut subject, now), [CacheCall::List]);
-    subject.take_cache_answer(&engine(), listing(&[]), now);
+    subject.handle_cache_response(&engine(), listing(&[]), now);
     assert_eq!(uncached(&mut subject, now), SHARED);
 }
 
@@ -200,10 +200,10 @@
 }
 
 #[rstest]
-#[case::too_many_calls(CacheAnswer::Refused)]
-#[case::no_answer(CacheAnswer::Failed)]
-#[case::unknown_shape(CacheAnswer::Unreadable)]
-fn a_call_in_vain_changes_nothing_and_is_repeated_ever_later(#[case] vain: CacheAnswer) {
+#[case::too_many_calls(CacheResponse::Refused)]
+#[case::no_answer(CacheResponse::Failed)]
+#[case::unknown_shape(CacheResponse::Malformed)]
+fn a_call_in_vain_changes_nothing_and_is_repeated_ever_later(#[case] vain: CacheResponse) {
     let (mut subject, mut now) = believing();
     for pause in [1_000, 2_000, 4_000] {
         assert_eq!(answer(&mut subject, vain.clone(), now), None);
@@ -211,7 +211,7 @@
         now = now + ms(pause);
     }
     let counts = subject.snapshot(now).cache_counts;
-    assert_eq!((counts.vain, counts.listings), (3, 0));
+    assert_eq!((counts.failed_calls, counts.listings), (3, 0));
     assert_eq!(uncached(&mut subject, now), 0);
 }
 
@@ -226,10 +226,10 @@
             let told = match order.call {
                 CacheCall::List => listing(&[(THING, SHARED)]),
                 CacheCall::Events { after, .. } => {
-                    CacheAnswer::Events(report(1, after + 1, &[(after, 99, 500)]))
+                    CacheResponse::Events(report(1, after + 1, &[(after, 99, 500)]))
                 }
             };
-            subject.take_cache_answer(&order.instance, told, now);
+            subject.handle_cache_response(&order.instance, told, now);
         }
         now = now + TICK;
     }
@@ -244,7 +244,7 @@
     let mut subject = with_engines(1);
     subject.tick(START);
     for thing in 100..140 {
-        granted(subject.ask(&demand(thing, 1_000, 10), START));
+        granted(subject.dispatch(&demand(thing, 1_000, 10), START));
         // Placements are told, and make room for further ones.
         (0..4).for_each(|_| drop(subject.tick(START)));
     }
@@ -253,10 +253,10 @@
     for _ in 0..8 {
         let told = match calls(&mut subject, now)[..] {
             [CacheCall::List] => listing(&[]),
-            _ => CacheAnswer::Events(report(1, 10, &[])),
+            _ => CacheResponse::Events(report(1, 10, &[])),
         };
-        let news = subject.take_cache_answer(&engine(), told, now);
-        let told = news.expect("news").gone;
+        let news = subject.handle_cache_response(&engine(), told, now);
+        let told = news.expect("news").stale;
         assert!(told <= 12, "{told} in one answer");
         gone += told;
         (0..4).for_each(|_| drop(subject.tick(now)));
@@ -270,7 +270,7 @@
     let mut second = dispatcher(1, 0, vec![node_address(0)]);
     second.apply(table_change(1), START);
     second.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    second.confirm(&known(2), START);
+    second.record_confirmation(&known(2), START);
     second.tick(START);
     uncached(&mut second, START);
     second
@@ -297,7 +297,7 @@
     let now = START + SETTLED;
     let (mut follower, mut other, number) = pair(now);
     follower.cache_calls(now);
-    follower.take_cache_answer(&engine(), listing(&[]), now);
+    follower.handle_cache_response(&engine(), listing(&[]), now);
     let message = follower.gossip(false, now);
     other.receive(node_address(number), &message, now);
     assert_eq!(uncached(&mut other, now), SHARED);
@@ -334,8 +334,8 @@
     assert_eq!(subject.cache_calls(now).len(), 1);
     let woken = now + ms(5_000);
     subject.resume_after_pause(woken);
-    let news = subject.take_cache_answer(&engine(), listing(&[(THING, SHARED)]), woken);
-    assert_eq!(news.expect("news").gone, 0);
+    let news = subject.handle_cache_response(&engine(), listing(&[(THING, SHARED)]), woken);
+    assert_eq!(news.expect("news").stale, 0);
     assert_eq!(uncached(&mut subject, woken), 0);
 }
 
@@ -349,7 +349,7 @@
     assert_eq!(calls(&mut subject, now), []);
     assert!(!subject.follows_cache(&engine()));
     assert_eq!(
-        subject.take_cache_answer(&engine(), listing(&[]), now),
+        subject.handle_cache_response(&engine(), listing(&[]), now),
         None
     );
 }
@@ -358,8 +358,8 @@
 #[test]
 fn an_engine_that_asked_for_a_rest_is_not_called_in_it() {
     let (mut subject, now) = believing();
-    let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
-    subject.note_rest(lease, ms(1_000), now);
+    let lease = granted(subject.dispatch(&demand(THING, SHARED, 1), now)).lease;
+    subject.record_backoff(lease, ms(1_000), now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
     assert_eq!(calls(&mut subject, now + ms(1_000)).len(), 1);
 }
@@ -368,12 +368,12 @@
 #[test]
 fn an_engine_under_a_rate_limit_is_not_called_until_it_is_over() {
     let (mut subject, now) = believing();
-    let lease = granted(subject.ask(&demand(THING, SHARED, 1), now)).lease;
-    subject.note_limit(lease, RateLimit::from_requests_per_second(1.0), now);
+    let lease = granted(subject.dispatch(&demand(THING, SHARED, 1), now)).lease;
+    subject.record_limit(lease, RateLimit::from_requests_per_second(1.0), now);
     subject.tick(now);
     assert_eq!(calls(&mut subject, now + ms(999)), []);
-    let later = granted(subject.ask(&demand(THING, SHARED, 2), now + ms(1_000))).lease;
-    subject.note_limit(later, None, now + ms(1_050));
+    let later = granted(subject.dispatch(&demand(THING, SHARED, 2), now + ms(1_000))).lease;
+    subject.record_limit(later, None, now + ms(1_050));
     assert_eq!(calls(&mut subject, now + ms(1_100)).len(), 1);
 }
 
@@ -381,7 +381,7 @@
 fn engines_of_another_zone_are_left_to_its_own_nodes() {
     let (mut subject, now) = believing();
     subject.apply(back_end_change(back_end("engine-1", 1, 1), 3), now);
-    let orders: Vec<CacheOrder> = subject.cache_calls(now);
+    let orders: Vec<DueCacheCall> = subject.cache_calls(now);
     assert_eq!(orders.len(), 1);
     assert_eq!(orders[0].instance, engine());
 }
@@ -393,7 +393,7 @@
     let now = START + ms(900);
     for order in subject.cache_calls(now) {
         let told = listing(&[(THING, SHARED)]);
-        subject.take_cache_answer(&order.instance, told, now);
+        subject.handle_cache_response(&order.instance, told, now);
     }
     assert_eq!(uncached(&mut subject, now), 0);
 }
@@ -414,12 +414,12 @@
             for order in node.cache_calls(fleet.now) {
                 assert!(asked.insert(order.instance.clone()), "listed once");
                 let told = listing(&[(THING, SHARED)]);
-                node.take_cache_answer(&order.instance, told, fleet.now);
+                node.handle_cache_response(&order.instance, told, fleet.now);
             }
         }
     }
     assert_eq!(asked.len(), 3);
-    let first = granted(fleet.nodes[3].ask(&demand(THING, SHARED, 1), fleet.now));
+    let first = granted(fleet.nodes[3].dispatch(&demand(THING, SHARED, 1), fleet.now));
     for _ in 0..8 {
         fleet.step();
         for node in &mut fleet.nodes {
@@ -428,8 +428,8 @@
     }
     for node in &mut fleet.nodes {
         let mut elsewhere = demand(THING, SHARED, 2);
-        elsewhere.excluded = vec![first.instance.clone()];
-        let grant = granted(node.ask(&elsewhere, fleet.now));
+        elsewhere.excluded_back_ends = vec![first.instance.clone()];
+        let grant = granted(node.dispatch(&elsewhere, fleet.now));
         assert_eq!((grant.uncached_tokens, grant.copy_from), (2, None));
     }
 }
@@ -437,7 +437,7 @@
 #[test]
 fn nothing_is_refused_for_lack_of_word_from_engines() {
     let (mut subject, now) = believing();
-    answer(&mut subject, CacheAnswer::Failed, now);
-    let decision = subject.ask(&demand(THING, SHARED, 1), now);
+    answer(&mut subject, CacheResponse::Failed, now);
+    let decision = subject.dispatch(&demand(THING, SHARED, 1), now);
     assert!(matches!(decision, Decision::Grant(_)));
 }
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -24,7 +24,7 @@
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(30_000, 1);
     for node in &fleet.nodes {
-        assert_eq!(node.snapshot(fleet.now).living_peers, count - 1);
+        assert_eq!(node.snapshot(fleet.now).live_peers, count - 1);
     }
 }
 
@@ -74,12 +74,12 @@
     let mut fleet = Fleet::new(71, 3);
     fleet.run_with_platform(20_000, 1);
     fleet.nodes[5].apply(table_change(2), support::START);
-    fleet.nodes[5].confirm(&known(2), fleet.now);
+    fleet.nodes[5].record_confirmation(&known(2), fleet.now);
     fleet.run(2_000);
     let behind = fleet
         .nodes
         .iter()
-        .filter(|node| node.knowledge().table_stamp().revision != 2.into())
+        .filter(|node| node.document_store().table_stamp().revision != 2.into())
         .count();
     assert_eq!(behind, 0);
 }
@@ -123,14 +123,14 @@
     fleet.run(5_000);
     for number in (0..9).filter(|number| fleet.zones[*number] != 0) {
         fleet.nodes[number].apply(table_change(2), support::START);
-        fleet.nodes[number].confirm(&known(2), fleet.now);
+        fleet.nodes[number].record_confirmation(&known(2), fleet.now);
     }
     fleet.run(1_000);
-    assert!(fleet.nodes[0].knowledge().table_stamp().revision == 1.into());
+    assert!(fleet.nodes[0].document_store().table_stamp().revision == 1.into());
     fleet.cut.clear();
     fleet.run(2_500);
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().table_stamp().revision, 2.into());
+        assert_eq!(node.document_store().table_stamp().revision, 2.into());
     }
 }
 
@@ -143,8 +143,8 @@
     fleet.read_change(2, change, 2);
     fleet.run(1_000);
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().complete_to(), &known(2));
-        assert_eq!(node.knowledge().back_ends().count(), 1);
+        assert_eq!(node.document_store().version_vector(), &known(2));
+        assert_eq!(node.document_store().back_ends().count(), 1);
     }
     assert_eq!(fleet.fetches, before);
 }
@@ -161,8 +161,8 @@
     let change = support::back_end_change(support::back_end("engine-2", 2, 0), 3);
     fleet.read_change(2, change, 3);
     fleet.run(1_000);
-    assert_eq!(fleet.nodes[6].knowledge().complete_to(), &known(3));
-    assert_eq!(fleet.nodes[6].knowledge().back_ends().count(), 2);
+    assert_eq!(fleet.nodes[6].document_store().version_vector(), &known(3));
+    assert_eq!(fleet.nodes[6].document_store().back_ends().count(), 2);
 }
 
 #[rstest]
@@ -178,7 +178,7 @@
     }
     assert!(readers.len() <= 5 * zones, "read by {readers:?}");
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().table_stamp().revision, 1.into());
+        assert_eq!(node.document_store().table_stamp().revision, 1.into());
     }
 }
 
@@ -187,7 +187,10 @@
     let mut fleet = Fleet::new(7, 3);
     fleet.dark.extend(1..7);
     fleet.run_with_platform(600, 1);
-    assert_eq!(fleet.nodes[0].knowledge().table_stamp().revision, 1.into());
+    assert_eq!(
+        fleet.nodes[0].document_store().table_stamp().revision,
+        1.into()
+    );
 }
 
 #[test]
@@ -208,7 +211,7 @@
     fleet.run(500);
     let now = fleet.now;
     for own in 0..requests {
-        granted(fleet.nodes[0].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[0].dispatch(&demand(1, 13_000, own), now));
     }
     fleet.run(milliseconds);
     fleet
@@ -226,7 +229,7 @@
     let mut fleet = busy_fleet(count, zones, 70, milliseconds);
     let now = fleet.now;
     for number in 1..count {
-        let asked = (0..100).map(|own| fleet.nodes[number].ask(&demand(2, 13_000, own), now));
+        let asked = (0..100).map(|own| fleet.nodes[number].dispatch(&demand(2, 13_000, own), now));
         let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
         assert_eq!(granted.count(), MOST_AT_ENGINE - 70, "node {number}");
     }
@@ -236,21 +239,21 @@
 fn a_zone_whose_digest_senders_are_dead_is_told_of_by_others() {
     let mut fleet = busy_fleet(71, 3, 0, 0);
     let mut nodes = 0..71;
-    let teller = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
+    let reporter = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
     let readers = fleet.readers();
-    let dead = readers.into_iter().filter(|number| *number != teller);
+    let dead = readers.into_iter().filter(|number| *number != reporter);
     fleet.dark.extend(dead);
     fleet.run_with_platform(2_500, 2);
     let now = fleet.now;
     for own in 0..70 {
-        granted(fleet.nodes[teller].ask(&demand(1, 13_000, own), now));
+        granted(fleet.nodes[reporter].dispatch(&demand(1, 13_000, own), now));
     }
     fleet.run(900);
     let now = fleet.now;
     let other = (0..71)
         .find(|number| fleet.zones[*number] == 0 && !fleet.dark.contains(number))
         .expect("one");
-    let asked = (0..100).map(|own| fleet.nodes[other].ask(&demand(2, 13_000, own), now));
+    let asked = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
     let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
     assert_eq!(granted.count(), MOST_AT_ENGINE - 70);
 }
@@ -267,7 +270,7 @@
     let mut fleet = busy_fleet(count, zones, 30, milliseconds);
     let now = fleet.now;
     let knows = |node: &mut Dispatcher| {
-        let grant = granted(node.ask(&demand(1, 13_000, 500), now));
+        let grant = granted(node.dispatch(&demand(1, 13_000, 500), now));
         grant.uncached_tokens < 1_000
     };
     let knowing = fleet.nodes.iter_mut().map(knows);
@@ -282,7 +285,7 @@
     let mut now = support::START;
     for node in [&mut one, &mut two] {
         node.apply(table_change(1), support::START);
-        node.confirm(&known(1), now);
+        node.record_confirmation(&known(1), now);
     }
     for _ in 0..500 {
         let message = one.gossip(false, now);
@@ -318,7 +321,7 @@
     let lacks = |fleet: &Fleet| {
         let nodes = fleet.nodes.iter();
         nodes
-            .filter(|node| node.lacks_confirmation(fleet.now))
+            .filter(|node| node.is_confirmation_overdue(fleet.now))
             .count()
     };
     fleet.run(1_900);
@@ -345,8 +348,8 @@
 /// Zone of the engine that a demand of a node goes to, without leaving it there.
 fn zone_chosen(fleet: &mut Fleet, node: usize, thing: u64) -> usize {
     let now = fleet.now;
-    let grant = granted(fleet.nodes[node].ask(&demand(thing, 600, 100), now));
-    fleet.nodes[node].end(grant.lease, Outcome::Abandoned, now);
+    let grant = granted(fleet.nodes[node].dispatch(&demand(thing, 600, 100), now));
+    fleet.nodes[node].release(grant.lease, Outcome::Abandoned, now);
     engine_number(&grant) % 3
 }
 
@@ -423,7 +426,7 @@
     fleet.run(1_000);
     let known = (LOOKS * (RELEASED_BETWEEN_LOOKS + 1)) as usize;
     for node in &fleet.nodes {
-        assert_eq!(node.knowledge().back_ends().count(), known);
+        assert_eq!(node.document_store().back_ends().count(), known);
     }
     let all = nodes as f64 * LOOKS as f64;
     CostOfALook {
