--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use eiderferry_dispatch::{
-    Change, Content, Dispatcher, DocumentKey, LimitReport, Outcome, RateLimit,
+    Change, Dispatcher, DocumentContent, DocumentKey, LimitReport, Outcome, RateLimit,
 };
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Span, Timestamp};
@@ -19,9 +19,9 @@
 /// A node that starts is told of limits before it hears which back ends there are.
 #[test]
 fn a_node_that_hears_of_a_limit_before_the_engine_is_listed_keeps_it() {
-    let (mut teller, now) = alone(1);
-    answer_with(&mut teller, 0, Some(1.0), now);
-    let answer = teller.answer(node_address(1), now);
+    let (mut reporter, now) = alone(1);
+    answer_with(&mut reporter, 0, Some(1.0), now);
+    let answer = reporter.reply(node_address(1), now);
     let mut starting = dispatcher(1, 0, vec![node_address(0)]);
     starting.receive(node_address(0), &answer, now);
     starting.apply(table_change(1), now);
@@ -60,14 +60,14 @@
     let now = fleet.now;
     for number in 0..MANY {
         let mut demand = demand(number as u64, 1_000, 100);
-        demand.only = Some(format!("engine-{number}").as_str().into());
-        let lease = granted(fleet.nodes[0].ask(&demand, now)).lease;
-        fleet.nodes[0].note_limit(lease, named, now);
-        fleet.nodes[0].end(lease, Outcome::Completed, now);
+        demand.required_instance = Some(format!("engine-{number}").as_str().into());
+        let lease = granted(fleet.nodes[0].dispatch(&demand, now)).lease;
+        fleet.nodes[0].record_limit(lease, named, now);
+        fleet.nodes[0].release(lease, Outcome::Completed, now);
     }
     let first = bytes_a_second(&mut fleet, KNOWN_WITHIN);
     let knowing = fleet.nodes.iter();
-    let knowing = knowing.filter(|node| node.snapshot(fleet.now).limited == MANY);
+    let knowing = knowing.filter(|node| node.snapshot(fleet.now).limited_back_ends == MANY);
     let expected = if named.is_some() { nodes } else { 0 };
     assert_eq!(knowing.count(), expected, "nodes that know all limits");
     fleet.run(3_000);
@@ -97,8 +97,8 @@
 }
 
 fn hear(subject: &mut Dispatcher, limits: Vec<LimitReport>, now: Timestamp) {
-    let mut teller = dispatcher(1, 0, vec![node_address(0)]);
-    let mut message = teller.gossip(false, now);
+    let mut reporter = dispatcher(1, 0, vec![node_address(0)]);
+    let mut message = reporter.gossip(false, now);
     message.limits = limits;
     subject.receive(node_address(1), &message, now);
 }
@@ -123,13 +123,13 @@
         now,
     );
     // The other node was heard only now: who sends is settled a second later.
-    assert_eq!(subject.snapshot(now).limited, 1);
+    assert_eq!(subject.snapshot(now).limited_back_ends, 1);
     let settled = now + Span::from_milliseconds(1_500);
     subject.tick(settled);
     let later = settled + Span::from_milliseconds(1_500);
     subject.tick(later);
     answer_with(&mut subject, 0, None, later);
-    assert_eq!(subject.snapshot(later).limited, 0);
+    assert_eq!(subject.snapshot(later).limited_back_ends, 0);
 }
 
 /// Only so many notices are kept; an engine whose notice gave way is not limited for good.
@@ -140,8 +140,8 @@
     let later = now + Span::from_milliseconds(100);
     let flood = (0..5_000).map(|number| report(&format!("other-{number}"), None, Some(1.0)));
     hear(&mut subject, flood.collect(), later);
-    assert_eq!(subject.snapshot(later).limited, 0);
-    let told = subject.answer(node_address(1), later).limits.len();
+    assert_eq!(subject.snapshot(later).limited_back_ends, 0);
+    let told = subject.reply(node_address(1), later).limits.len();
     assert!(told <= 64, "{told} limits in one message");
     assert_eq!(sent_at(&mut subject, later, 300), [0, 100, 200]);
 }
@@ -154,10 +154,10 @@
     let gone = Change {
         key: DocumentKey::BackEnd(InstanceId::from("engine-0")),
         revision: 3.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     };
     subject.apply(gone, now);
     let later = now + Span::from_milliseconds(70_000);
     subject.tick(later);
-    assert_eq!(subject.answer(node_address(1), later).limits, []);
+    assert_eq!(subject.reply(node_address(1), later).limits, []);
 }
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -90,7 +90,7 @@
                 self.asked += 1;
                 let demand = demand(self.asked, 1_000, 100);
                 let now = self.fleet.now;
-                if let Decision::Grant(grant) = self.fleet.nodes[node].ask(&demand, now) {
+                if let Decision::Grant(grant) = self.fleet.nodes[node].dispatch(&demand, now) {
                     sent.push((node, grant.lease));
                 }
             }
@@ -104,7 +104,7 @@
         let zone = self.fleet.zones[node];
         let is_cut = self.fleet.cut.contains(&(zone, 1)) || self.fleet.cut.contains(&(1, zone));
         if is_cut {
-            self.fleet.nodes[node].end(lease, Outcome::Unreachable, now);
+            self.fleet.nodes[node].release(lease, Outcome::Unreachable, now);
             return;
         }
         let told = self.told.get(&node);
@@ -117,8 +117,8 @@
         if self.limit.is_some() {
             self.told.entry(node).or_insert(now);
         }
-        self.fleet.nodes[node].note_limit(lease, self.limit.map(limit), now);
-        self.fleet.nodes[node].end(lease, Outcome::Completed, now);
+        self.fleet.nodes[node].record_limit(lease, self.limit.map(limit), now);
+        self.fleet.nodes[node].release(lease, Outcome::Completed, now);
     }
 
     /// The engine falls into need, or its need changes.
@@ -244,7 +244,7 @@
     let now = day.fleet.now;
     let limited = day.fleet.nodes.iter();
     let limited = limited
-        .filter(|node| node.snapshot(now).limited > 0)
+        .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
     assert_eq!(limited, 0, "nodes still hold it to be limited");
 }
@@ -357,7 +357,7 @@
     let now = day.fleet.now;
     let limited = day.fleet.nodes.iter();
     let limited = limited
-        .filter(|node| node.snapshot(now).limited > 0)
+        .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
     assert_eq!(limited, 0, "nodes still hold it to be limited");
 }
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{Decision, Demand, Features, Grant, Outcome, SplitFigures, StreamPacing};
+use eiderferry_dispatch::{Decision, Demand, Features, Grant, Outcome, SplitStats, StreamPacing};
 use eiderferry_types::{Span, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -127,7 +127,7 @@
                     START,
                 );
             }
-            node.confirm(&known(2), START);
+            node.record_confirmation(&known(2), START);
         }
         fleet.run(1_000);
         Self {
@@ -177,8 +177,8 @@
             Kind::Question => Demand {
                 rank: 0,
                 target: Span::from_milliseconds(300),
-                pause_target: Some(PAUSE_TARGET),
-                may_repeat: false,
+                event_gap_target: Some(PAUSE_TARGET),
+                may_retry: false,
                 ..demand(
                     thing(&mut self.random, 80),
                     200,
@@ -188,7 +188,7 @@
             Kind::Verdict => Demand {
                 rank: 1,
                 target: Span::from_milliseconds(500),
-                pause_target: Some(Span::from_milliseconds(500)),
+                event_gap_target: Some(Span::from_milliseconds(500)),
                 ..demand(
                     1_000 + thing(&mut self.random, 80),
                     560,
@@ -197,7 +197,7 @@
             },
             Kind::Review => Demand {
                 target: Span::from_milliseconds(2_000),
-                pause_target: Some(Span::from_milliseconds(1_200)),
+                event_gap_target: Some(Span::from_milliseconds(1_200)),
                 ..demand(
                     2_000 + thing(&mut self.random, 300),
                     5_400,
@@ -213,7 +213,7 @@
             .filter(|node| !self.fleet.dark.contains(node))
             .collect();
         let node = living[self.random.random_range(0..living.len())];
-        let decision = self.fleet.nodes[node].ask(&demand, at(now));
+        let decision = self.fleet.nodes[node].dispatch(&demand, at(now));
         if kind == Kind::Question {
             self.tally.questions += 1;
         }
@@ -268,7 +268,7 @@
             if !running.has_begun && running.first_event_at <= now {
                 running.has_begun = true;
                 let node = &mut self.fleet.nodes[running.node];
-                node.first_event(running.grant.lease, at(now));
+                node.record_first_event(running.grant.lease, at(now));
             }
         }
         let ended = self
@@ -278,15 +278,19 @@
             let is_question = running.kind == Kind::Question;
             self.tally.late += u64::from(running.is_late && is_question);
             let node = &mut self.fleet.nodes[running.node];
-            node.note_pacing(running.grant.lease, &pacing(&running));
-            node.end(running.grant.lease, Outcome::Completed, at(now));
+            node.record_pacing(running.grant.lease, &pacing(&running));
+            node.release(running.grant.lease, Outcome::Completed, at(now));
         }
     }
 
-    fn splits(&self) -> Vec<SplitFigures> {
+    fn splits(&self) -> Vec<SplitStats> {
         let living = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
         living
-            .map(|node| self.fleet.nodes[node].snapshot(self.fleet.now).split)
+            .map(|node| {
+                self.fleet.nodes[node]
+                    .snapshot(self.fleet.now)
+                    .largest_split
+            })
             .collect()
     }
 
@@ -296,13 +300,13 @@
         let node = &mut self.fleet.nodes[0];
         let mut homes = BTreeMap::new();
         for thing in 1_000_000..1_000_400 {
-            let Decision::Grant(grant) = node.ask(&demand(thing, 13_000, 900), now) else {
+            let Decision::Grant(grant) = node.dispatch(&demand(thing, 13_000, 900), now) else {
                 continue;
             };
             if grant.candidate.is_home {
                 homes.insert(thing, grant.instance.as_str().to_owned());
             }
-            node.end(grant.lease, Outcome::Abandoned, now);
+            node.release(grant.lease, Outcome::Abandoned, now);
         }
         homes
     }
@@ -330,7 +334,7 @@
         } else {
             35
         };
-        pacing.note(1, at(now));
+        pacing.record(1, at(now));
     }
     pacing
 }
@@ -440,7 +444,7 @@
         let gone = lapsed_change(&format!("engine-{number}"), 3);
         for node in &mut play.fleet.nodes {
             node.apply(gone.clone(), play.fleet.now);
-            node.confirm(&known(3), play.fleet.now);
+            node.record_confirmation(&known(3), play.fleet.now);
         }
     }
     play.run(USUAL, 3_000);
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use eiderferry_dispatch::{Change, Content, Dispatcher, DocumentKey, TICK};
+use eiderferry_dispatch::{Change, Dispatcher, DocumentContent, DocumentKey, TICK};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Span, Timestamp};
 use rstest::rstest;
@@ -23,23 +23,23 @@
 fn place(subject: &mut Dispatcher, requests: u64) -> Vec<usize> {
     let prompts = 1..=requests;
     let place = |prompt| {
-        let grant = granted(subject.ask(&demand(prompt, SHARED, 100), START));
-        subject.end(grant.lease, eiderferry_dispatch::Outcome::Completed, START);
+        let grant = granted(subject.dispatch(&demand(prompt, SHARED, 100), START));
+        subject.release(grant.lease, eiderferry_dispatch::Outcome::Completed, START);
         engine_number(&grant)
     };
     prompts.map(place).collect()
 }
 
 /// Back ends looked at for a request.
-fn looked_at(engines: usize) -> f64 {
+fn examined(engines: usize) -> f64 {
     let mut subject = with_engines(engines);
     place(&mut subject, REQUESTS);
-    subject.snapshot(START).looked_at as f64 / REQUESTS as f64
+    subject.snapshot(START).examined_back_ends as f64 / REQUESTS as f64
 }
 
 #[test]
 fn a_request_looks_at_no_more_back_ends_in_a_larger_pool() {
-    let (many, more) = (looked_at(MANY), looked_at(FOUR_TIMES_AS_MANY));
+    let (many, more) = (examined(MANY), examined(FOUR_TIMES_AS_MANY));
     assert!(many < 300.0, "{many}");
     assert!(more < many * 1.5, "{many} and {more}");
 }
@@ -82,7 +82,7 @@
         let change = Change {
             key: DocumentKey::BackEnd(gone),
             revision: 3.into(),
-            content: Content::Gone,
+            content: DocumentContent::Removed,
         };
         subject.apply(change, START);
         let name = format!("engine-{}", MANY + number);
@@ -98,7 +98,11 @@
 
 fn place_at(subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
     let prompts = 1..=REQUESTS;
-    let place = |prompt| engine_number(&granted(subject.ask(&demand(prompt, SHARED, 100), now)));
+    let place = |prompt| {
+        engine_number(&granted(
+            subject.dispatch(&demand(prompt, SHARED, 100), now),
+        ))
+    };
     prompts.map(place).collect()
 }
 
@@ -108,18 +112,18 @@
 fn an_engine_that_holds_a_prompt_is_found_in_a_large_pool() {
     let mut subject = with_engines(MANY);
     let prompt = demand(7, SHARED, 100);
-    let home = granted(subject.ask(&prompt, START));
+    let home = granted(subject.dispatch(&prompt, START));
     let mut elsewhere = prompt.clone();
-    elsewhere.excluded.push(home.instance.clone());
-    let holder = granted(subject.ask(&elsewhere, START));
+    elsewhere.excluded_back_ends.push(home.instance.clone());
+    let holder = granted(subject.dispatch(&elsewhere, START));
     let gone = Change {
         key: DocumentKey::BackEnd(home.instance.clone()),
         revision: 3.into(),
-        content: Content::Gone,
+        content: DocumentContent::Removed,
     };
     subject.apply(gone, START);
     let later = START + Span::from_milliseconds(5_000);
-    let third = granted(subject.ask(&prompt, later));
+    let third = granted(subject.dispatch(&prompt, later));
     let is_kept = third.instance == holder.instance || third.copy_from == Some(holder.address);
     assert!(is_kept, "{third:?} does not use {holder:?}");
 }
@@ -130,8 +134,8 @@
     let mut subject = with_engines(MANY);
     for number in 0..REQUESTS as usize {
         let mut takeover = demand(1 + number as u64, SHARED, 100);
-        takeover.only = Some(InstanceId::from(format!("engine-{number}")));
-        let grant = granted(subject.ask(&takeover, START));
+        takeover.required_instance = Some(InstanceId::from(format!("engine-{number}")));
+        let grant = granted(subject.dispatch(&takeover, START));
         assert_eq!(engine_number(&grant), number);
     }
 }
@@ -143,10 +147,10 @@
     subject.announce(true, START);
     let change = back_end_change(back_end("engine-0", 0, 0), 3);
     subject.apply(change, START);
-    subject.confirm(&known(3), START);
+    subject.record_confirmation(&known(3), START);
     let counted = allocation_counter::measure(|| {
         let announcement = subject.announce(true, START);
-        let news = announcement.message.news.expect("the change");
+        let news = announcement.message.recent_changes.expect("the change");
         assert_eq!(news.changes.len(), 1);
     });
     counted.count_total
@@ -168,8 +172,8 @@
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 3), START);
     }
-    subject.confirm(&known(3), START);
-    let news = subject.announce(true, START).message.news?;
+    subject.record_confirmation(&known(3), START);
+    let news = subject.announce(true, START).message.recent_changes?;
     Some(news.changes.into_iter().map(|change| change.key).collect())
 }
 
@@ -189,7 +193,7 @@
 fn engines_to_follow_are_sought_when_something_has_changed() {
     let mut subject = with_engines(MANY);
     let run = |subject: &mut Dispatcher, from: u64, ticks: u64| {
-        let before = subject.snapshot(START).follow_looks;
+        let before = subject.snapshot(START).follow_evaluations;
         for tick in from..from + ticks {
             let now = Timestamp(START.0 + tick * TICK.0);
             if tick % 2 == 0 && from > 0 {
@@ -203,7 +207,7 @@
             subject.tick(now);
             subject.cache_calls(now);
         }
-        subject.snapshot(START).follow_looks - before
+        subject.snapshot(START).follow_evaluations - before
     };
     let calm = run(&mut subject, 0, 100);
     assert!((1..=4).contains(&calm), "{calm} looks in 10 s");
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -3,13 +3,14 @@
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use eiderferry_dispatch::{
-    Applied, Border, BudgetSettings, Change, ColdBound, Content, Decision, Demand, Dispatcher,
-    DispatcherSettings, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind, PeerChange,
-    PromptPart, ReadingDuty, Revision, TICK, TakenNews, VersionVector,
+    ApplyOutcome, Change, ColdRateLimit, Decision, Demand, Dispatcher, DispatcherSettings,
+    Distance, DocumentContent, DocumentKey, Envelope, Features, Gossip, Grant, MessageKind,
+    PeerChange, PromptPart, ReaderRole, ReceivedChange, RetryBudgetSettings, Revision, TICK,
+    VersionVector,
 };
 use eiderferry_routing::{
     AllowedRegions, BackEnd, EngineSpecification, InstanceId, Limits, NodeName, PartId, Pool,
-    PoolName, RegionName, RegionOfZone, TableDocument, ZoneName,
+    PoolName, RegionName, TableDocument, ZoneName, ZoneRegions,
 };
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,13 +23,13 @@
 
 pub const START: Timestamp = Timestamp(10_000_000_000);
 pub const ENGINES: &str = "engines";
-pub const BUDGET: BudgetSettings = BudgetSettings {
+pub const BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
     window: Span::from_milliseconds(10_000),
 };
 
-pub const COLD_BOUND: ColdBound = ColdBound {
+pub const COLD_BOUND: ColdRateLimit = ColdRateLimit {
     overage: 1.5,
     slack: 5.0,
 };
@@ -96,7 +97,7 @@
     Change {
         key: DocumentKey::Table,
         revision: revision.into(),
-        content: Content::Table(TableDocument {
+        content: DocumentContent::Table(TableDocument {
             version: revision,
             routes: Vec::new(),
             pools: BTreeMap::from([(PoolName::from(ENGINES), pool)]),
@@ -114,7 +115,7 @@
         zone: zone(zone_number),
         slots: 64,
         draining: false,
-        cold_for: Some(Span::ZERO),
+        cold_remaining: Some(Span::ZERO),
         started_unix_ms: None,
     }
 }
@@ -123,7 +124,7 @@
     Change {
         key: DocumentKey::BackEnd(back_end.instance.clone()),
         revision: revision.into(),
-        content: Content::BackEnd(back_end),
+        content: DocumentContent::BackEnd(back_end),
     }
 }
 
@@ -131,7 +132,7 @@
     Change {
         key: DocumentKey::BackEnd(InstanceId::from(name)),
         revision: revision.into(),
-        content: Content::Lapsed(Span::from_milliseconds(2_000)),
+        content: DocumentContent::Expired(Span::from_milliseconds(2_000)),
     }
 }
 
@@ -149,7 +150,7 @@
 
 /// Features without the ones that keep prompts near: engines of all zones are used.
 pub const HOMES_ANYWHERE: Features = Features {
-    place_costs: false,
+    locality_costs: false,
     ..Features::ALL
 };
 
@@ -157,13 +158,13 @@
     number: usize,
     zone_number: usize,
     seeds: Vec<SocketAddr>,
-    apply_within: Span,
+    propagation_deadline: Span,
 ) -> Dispatcher {
     Dispatcher::new(settings(
         number,
         zone_number,
         seeds,
-        apply_within,
+        propagation_deadline,
         regions(),
     ))
 }
@@ -172,26 +173,26 @@
     number: usize,
     zone_number: usize,
     seeds: Vec<SocketAddr>,
-    apply_within: Span,
-    regions: RegionOfZone,
+    propagation_deadline: Span,
+    regions: ZoneRegions,
 ) -> DispatcherSettings {
     DispatcherSettings {
-        apply_within,
-        cold_bound: COLD_BOUND,
+        propagation_deadline,
+        cold_rate_limit: COLD_BOUND,
         link_mbps: link_mbps(number),
         node: NodeName::from(format!("node-{number}")),
         zone: zone(zone_number),
         address: node_address(number),
         seeds,
         incarnation: 1,
-        budget: BUDGET,
+        retry_budget: BUDGET,
         regions,
         features: Features::ALL,
     }
 }
 
 /// Zones 0 and 1 lie in one region, zone 2 in another; of further ones it isn't known.
-fn regions() -> RegionOfZone {
+fn regions() -> ZoneRegions {
     let region = |number: usize| RegionName::from(if number < 2 { "west" } else { "east" });
     let zones = (0..3).map(|number| (zone(number), region(number)));
     zones.collect()
@@ -210,7 +211,7 @@
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 2), START);
     }
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
@@ -220,7 +221,7 @@
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_with(1, cache_event_calls), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    subject.confirm(&known(2), START);
+    subject.record_confirmation(&known(2), START);
     subject
 }
 
@@ -244,14 +245,14 @@
         output_tokens: 100,
         bytes: 4_000,
         target: Span::from_milliseconds(2_500),
-        pause_target: None,
+        event_gap_target: None,
         remaining: Span::from_milliseconds(12_000),
         allowed_regions: AllowedRegions::Any,
-        excluded: Vec::new(),
-        may_repeat: true,
-        is_repeat: false,
+        excluded_back_ends: Vec::new(),
+        may_retry: true,
+        is_retry: false,
         is_stream: true,
-        only: None,
+        required_instance: None,
     }
 }
 
@@ -300,7 +301,7 @@
     pub bytes: usize,
     pub largest_message: usize,
     /// The same bytes by kind of message and border, document packages included.
-    pub traffic: BTreeMap<(MessageKind, Border), usize>,
+    pub traffic: BTreeMap<(MessageKind, Distance), usize>,
     /// Largest part of its link that a node's messages of one tick took.
     pub busiest_link: f64,
     /// Each of so many messages is lost, if any is.
@@ -315,7 +316,7 @@
     /// Parts in use on nodes that start anew.
     pub features: Features,
     /// Region of each zone.
-    pub regions: RegionOfZone,
+    pub regions: ZoneRegions,
     /// Nodes that hand out no documents.
     pub busy: BTreeSet<usize>,
     /// Documents that the platform has besides the table.
@@ -330,14 +331,14 @@
     }
 
     /// A fleet in which changes have to be in force within so long.
-    pub fn with_apply_within(count: usize, zone_count: usize, apply_within: Span) -> Self {
-        Self::with_regions(count, zone_count, apply_within, regions())
+    pub fn with_apply_within(count: usize, zone_count: usize, propagation_deadline: Span) -> Self {
+        Self::with_regions(count, zone_count, propagation_deadline, regions())
     }
 
     /// A fleet in which each node speaks for itself to other zones.
     pub fn without_zone_speakers(count: usize, zone_count: usize) -> Self {
         let mut fleet = Self::new(count, zone_count);
-        fleet.features.zone_speakers = false;
+        fleet.features.zone_representatives = false;
         for number in 0..count {
             fleet.restart(number);
         }
@@ -347,8 +348,8 @@
     fn with_regions(
         count: usize,
         zone_count: usize,
-        apply_within: Span,
-        regions: RegionOfZone,
+        propagation_deadline: Span,
+        regions: ZoneRegions,
     ) -> Self {
         let seeds: Vec<SocketAddr> = (0..3.min(count)).map(node_address).collect();
         let zones: Vec<usize> = (0..count).map(|number| number % zone_count).collect();
@@ -358,7 +359,7 @@
                 number,
                 zones[number],
                 seeds,
-                apply_within,
+                propagation_deadline,
                 regions,
             ))
         };
@@ -505,23 +506,23 @@
             return;
         };
         let received = self.nodes[to].receive(node_address(from), message, self.now);
-        if received.wants_answer {
-            let answer = self.nodes[to].answer(node_address(from), self.now);
+        if received.wants_reply {
+            let answer = self.nodes[to].reply(node_address(from), self.now);
             let to_asker = vec![node_address(from)];
             let envelope = Envelope {
-                kind: MessageKind::Answer,
+                kind: MessageKind::Reply,
                 to: to_asker,
                 message: answer,
             };
             self.post(to, vec![envelope]);
         }
-        if received.is_newer {
+        if received.has_newer_documents {
             self.fetch_wanted(to, Some(node_address(from)));
         }
-        let known = self.nodes[to].knowledge().complete_to();
-        let is_taken = |news: &TakenNews| news.applied == Applied::Taken;
-        let is_covered = |news: &TakenNews| known.covers(news.revision);
-        let changes = &received.taken;
+        let known = self.nodes[to].document_store().version_vector();
+        let is_taken = |news: &ReceivedChange| news.outcome == ApplyOutcome::Applied;
+        let is_covered = |news: &ReceivedChange| known.covers(news.revision);
+        let changes = &received.changes;
         // A change that stays uncovered would be announced back and forth without end.
         let is_new = changes.iter().any(is_taken);
         if is_new || !changes.is_empty() && changes.iter().all(is_covered) {
@@ -548,8 +549,8 @@
         at: Timestamp,
         is_first_hand: bool,
     ) {
-        let before = self.nodes[number].knowledge().complete_to().clone();
-        self.nodes[number].confirm(known, at);
+        let before = self.nodes[number].document_store().version_vector().clone();
+        self.nodes[number].record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(number, is_first_hand);
         }
@@ -567,7 +568,7 @@
             self.step();
             for number in 0..self.nodes.len() {
                 let is_dark = self.dark.contains(&number);
-                if !is_dark && self.nodes[number].reading_duty(self.now) == ReadingDuty::Read {
+                if !is_dark && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
                     self.read_by.insert(number);
                     self.nodes[number].apply(table_change(revision), self.now);
                     for change in &self.first_documents {
@@ -582,7 +583,7 @@
     pub fn readers(&self) -> Vec<usize> {
         let numbers = 0..self.nodes.len();
         numbers
-            .filter(|number| self.nodes[*number].reading_duty(self.now) == ReadingDuty::Read)
+            .filter(|number| self.nodes[*number].reader_role(self.now) == ReaderRole::Reader)
             .collect()
     }
 }
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -1,7 +1,7 @@
 //! Ways between the nodes of a fleet: how long they take, and the bytes that go over them.
 
 use super::{APPLY_WITHIN, Fleet, HOP, node_address, zone};
-use eiderferry_dispatch::{Border, Gossip, Knowledge, MessageKind};
+use eiderferry_dispatch::{Distance, DocumentStore, Gossip, MessageKind};
 use eiderferry_routing::RegionName;
 use eiderferry_types::Span;
 use std::net::SocketAddr;
@@ -23,8 +23,8 @@
     }
 
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, message: &Rc<Gossip>) {
-        let hop = match self.border(from, to) {
-            Some(Border::Region) => self.region_hop,
+        let hop = match self.distance(from, to) {
+            Some(Distance::CrossRegion) => self.region_hop,
             _ => HOP,
         };
         let key = (self.now + hop, self.messages);
@@ -32,23 +32,23 @@
         self.in_flight.insert(key, sent);
     }
 
-    fn border(&self, from: usize, to: SocketAddr) -> Option<Border> {
+    fn distance(&self, from: usize, to: SocketAddr) -> Option<Distance> {
         let to = self.number_of(to)?;
         let (from, to) = (zone(self.zones[from]), zone(self.zones[to]));
-        Some(Border::between(&from, &to, &self.regions))
+        Some(Distance::between(&from, &to, &self.regions))
     }
 
     /// Counts bytes on their way from a node.
     pub(super) fn count(&mut self, kind: MessageKind, from: usize, to: SocketAddr, bytes: usize) {
-        if let Some(border) = self.border(from, to) {
-            *self.traffic.entry((kind, border)).or_default() += bytes;
+        if let Some(distance) = self.distance(from, to) {
+            *self.traffic.entry((kind, distance)).or_default() += bytes;
         }
     }
 
     /// Bytes that crossed a border of a zone or region, of one kind or of all.
     pub fn border_bytes(&self, kind: Option<MessageKind>) -> usize {
         let traffic = self.traffic.iter();
-        let crossing = traffic.filter(|((_, border), _)| *border != Border::None);
+        let crossing = traffic.filter(|((_, distance), _)| *distance != Distance::SameZone);
         let counted = crossing.filter(|((of, _), _)| kind.is_none_or(|kind| *of == kind));
         counted.map(|(_, bytes)| bytes).sum()
     }
@@ -64,14 +64,14 @@
             .filter(|from| self.hears(*from, number));
         match from {
             Some(from) if !self.busy.contains(&from) => self.fetch(number, from),
-            from => self.nodes[number].note_failed_fetch(source, from.is_some(), now),
+            from => self.nodes[number].record_failed_fetch(source, from.is_some(), now),
         }
     }
 
     fn fetch(&mut self, to: usize, from: usize) {
         self.fetches += 1;
-        let known = self.nodes[to].knowledge().complete_to().clone();
-        let source: Knowledge = self.nodes[from].knowledge().clone();
+        let known = self.nodes[to].document_store().version_vector().clone();
+        let source: DocumentStore = self.nodes[from].document_store().clone();
         let changes = source.changes_after(&known);
         if self.measures_bytes {
             let bytes = postcard::to_stdvec(&changes).expect("a package").len();
@@ -81,6 +81,6 @@
             self.nodes[to].apply(change, self.now);
         }
         let age = source.confirmed_age(self.now).unwrap_or(Span::ZERO);
-        self.confirm(to, source.complete_to(), self.now - age, false);
+        self.confirm(to, source.version_vector(), self.now - age, false);
     }
 }
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Message;
 use crate::node::Node;
-use eiderferry_quarantine::{Change, RequestReport};
+use eiderferry_quarantine::{QuarantineChange, RequestReport};
 use eiderferry_types::{BackEndId, NodeId, Reason, Refusal, RequestDigest, Verdict};
 use rand::seq::IndexedRandom;
 
@@ -14,7 +14,7 @@
     /// The refusal of a request under which back ends crash, if it is one. Coming again does not
     /// help.
     pub(crate) fn refusal_of_crashing(&self, request: RequestDigest) -> Option<Refusal> {
-        self.quarantine.standing(request, self.now)?;
+        self.quarantine.status(request, self.now)?;
         Some(Refusal {
             verdict: Verdict::NotRun,
             reason: Reason::CrashesBackEnds,
@@ -23,8 +23,8 @@
     }
 
     /// Notes that a back end crashed under a request, and tells some nodes at once.
-    pub(crate) fn note_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
-        let change = self.quarantine.note_crash(request, back_end.0, self.now);
+    pub(crate) fn record_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
+        let change = self.quarantine.record_crash(request, back_end.0, self.now);
         self.note_quarantine_change(change);
         for peer in self.peers_told_of_crashes() {
             self.tell_crashing_requests(peer);
@@ -33,7 +33,7 @@
 
     /// Notes that a request ended well.
     pub(crate) fn note_ended_well(&mut self, request: RequestDigest) {
-        let change = self.quarantine.note_completed(request, self.now);
+        let change = self.quarantine.record_completed(request, self.now);
         self.note_quarantine_change(change);
     }
 
@@ -63,7 +63,7 @@
     }
 
     pub(crate) fn handle_crashing_requests(&mut self, reports: &[RequestReport]) {
-        for change in self.quarantine.take(reports, self.now) {
+        for change in self.quarantine.merge_reports(reports, self.now) {
             self.note_quarantine_change(Some(change));
         }
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    fn note_quarantine_change(&mut self, change: Option<Change>) {
+    fn note_quarantine_change(&mut self, change: Option<QuarantineChange>) {
         if let Some(change) = change {
             self.emit(crate::Output::QuarantineChanged(change));
         }
--- a/crates/coordination/quarantine/tests/quarantine.rs
+++ b/crates/coordination/quarantine/tests/quarantine.rs
@@ -1,6 +1,8 @@
 //! When a request is quarantined, for how long, and what is told of it.
 
-use eiderferry_quarantine::{Change, CrashReport, Quarantine, RequestReport, Source};
+use eiderferry_quarantine::{
+    ChangeSource, CrashReport, Quarantine, QuarantineChange, RequestReport,
+};
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use rstest::rstest;
 
@@ -18,13 +20,13 @@
 fn crashed(back_ends: std::ops::Range<u32>) -> Quarantine {
     let mut subject = Quarantine::default();
     for back_end in back_ends {
-        subject.note_crash(REQUEST, back_end, after(u64::from(back_end) * 1_000));
+        subject.record_crash(REQUEST, back_end, after(u64::from(back_end) * 1_000));
     }
     subject
 }
 
 fn is_refused(subject: &Quarantine, at: Timestamp) -> bool {
-    subject.standing(REQUEST, at).is_some()
+    subject.status(REQUEST, at).is_some()
 }
 
 fn report(crashes: &[(u32, u32)], completed_ms: Option<u32>) -> RequestReport {
@@ -54,30 +56,30 @@
 #[test]
 fn the_third_crash_is_told_once() {
     let mut subject = crashed(0..2);
-    let change = subject.note_crash(REQUEST, 2, after(2_000));
-    let expected = Change::Began {
+    let change = subject.record_crash(REQUEST, 2, after(2_000));
+    let expected = QuarantineChange::Quarantined {
         request: REQUEST,
         crashes: 3,
-        lasts: Span::from_milliseconds(TEN_MINUTES_MS),
-        source: Source::Own,
+        remaining: Span::from_milliseconds(TEN_MINUTES_MS),
+        source: ChangeSource::Own,
     };
     assert_eq!(change, Some(expected));
-    assert_eq!(subject.note_crash(REQUEST, 3, after(3_000)), None);
+    assert_eq!(subject.record_crash(REQUEST, 3, after(3_000)), None);
 }
 
 #[test]
 fn one_crash_that_several_nodes_saw_counts_once() {
     let mut subject = crashed(0..2);
-    subject.take(&[report(&[(1, 300), (0, 1_400)], None)], after(1_500));
-    subject.note_crash(REQUEST, 1, after(1_900));
+    subject.merge_reports(&[report(&[(1, 300), (0, 1_400)], None)], after(1_500));
+    subject.record_crash(REQUEST, 1, after(1_900));
     assert!(!is_refused(&subject, after(2_000)));
 }
 
 #[test]
 fn a_back_end_that_crashes_again_once_it_is_back_counts_again() {
     let mut subject = crashed(0..1);
-    subject.note_crash(REQUEST, 0, after(4_000));
-    subject.note_crash(REQUEST, 0, after(8_000));
+    subject.record_crash(REQUEST, 0, after(4_000));
+    subject.record_crash(REQUEST, 0, after(8_000));
     assert!(is_refused(&subject, after(8_000)));
 }
 
@@ -91,7 +93,7 @@
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [1, 0, 2]] {
         let mut subject = Quarantine::default();
         for number in order {
-            subject.take(&[reports[number].clone()], START);
+            subject.merge_reports(&[reports[number].clone()], START);
         }
         assert!(is_refused(&subject, START), "order {order:?}");
     }
@@ -100,9 +102,9 @@
 #[test]
 fn a_request_that_ends_well_is_cleared() {
     let mut subject = crashed(0..3);
-    let change = subject.note_completed(REQUEST, after(2_100));
-    let source = Source::Own;
-    let cleared = Change::Cleared {
+    let change = subject.record_completed(REQUEST, after(2_100));
+    let source = ChangeSource::Own;
+    let cleared = QuarantineChange::Cleared {
         request: REQUEST,
         source,
     };
@@ -113,9 +115,9 @@
 #[test]
 fn that_it_ended_well_elsewhere_clears_it_too_and_outlasts_late_reports() {
     let mut subject = crashed(0..3);
-    subject.take(&[report(&[], Some(100))], after(3_000));
+    subject.merge_reports(&[report(&[], Some(100))], after(3_000));
     assert!(!is_refused(&subject, after(3_000)));
-    subject.take(
+    subject.merge_reports(
         &[report(&[(4, 1_500), (5, 1_500), (6, 1_500)], None)],
         after(3_500),
     );
@@ -126,9 +128,9 @@
 #[test]
 fn a_request_that_just_ended_well_is_not_blamed_for_back_ends_lost_together() {
     let mut subject = Quarantine::default();
-    subject.note_completed(REQUEST, START);
+    subject.record_completed(REQUEST, START);
     for back_end in 0..5 {
-        subject.note_crash(REQUEST, back_end, after(200));
+        subject.record_crash(REQUEST, back_end, after(200));
     }
     assert!(!is_refused(&subject, after(200)));
     let told = subject.reports(after(200));
@@ -138,9 +140,9 @@
 #[test]
 fn a_request_that_turned_bad_long_after_it_ended_well_is_refused() {
     let mut subject = Quarantine::default();
-    subject.note_completed(REQUEST, START);
+    subject.record_completed(REQUEST, START);
     for back_end in 0..3 {
-        subject.note_crash(REQUEST, back_end, after(11_000));
+        subject.record_crash(REQUEST, back_end, after(11_000));
     }
     assert!(is_refused(&subject, after(11_000)));
 }
@@ -153,9 +155,9 @@
     assert!(!is_refused(&subject, over));
     assert_eq!(
         subject.expire(over),
-        vec![Change::Expired { request: REQUEST }]
+        vec![QuarantineChange::Expired { request: REQUEST }]
     );
-    subject.note_crash(REQUEST, 9, over);
+    subject.record_crash(REQUEST, 9, over);
     assert!(is_refused(&subject, over));
 }
 
@@ -188,7 +190,7 @@
     let mut told = 0;
     for second in 0..120 {
         let now = after(1_000 + second * 1_000);
-        subject.note_completed(REQUEST, now);
+        subject.record_completed(REQUEST, now);
         subject.expire(now);
         told += subject.reports(now).len();
     }
@@ -200,12 +202,12 @@
 fn memory_is_bounded_and_the_quarantined_stay() {
     let mut subject = crashed(0..3);
     for number in 100..20_100 {
-        subject.note_crash(RequestDigest(number), 1, after(3_000 + number));
+        subject.record_crash(RequestDigest(number), 1, after(3_000 + number));
     }
     let counts = subject.counts();
     assert!(counts.suspected + counts.quarantined <= MOST_RECORDS);
     assert_eq!(counts.quarantined, 1);
-    assert!(counts.crowded_out > 0);
+    assert!(counts.evicted > 0);
     assert!(is_refused(&subject, after(30_000)));
 }
 
@@ -213,7 +215,7 @@
 fn a_message_tells_a_bounded_number_and_first_what_others_act_on() {
     let mut subject = crashed(0..3);
     for number in 100..400 {
-        subject.note_crash(RequestDigest(number), 1, after(2_500));
+        subject.record_crash(RequestDigest(number), 1, after(2_500));
     }
     let told = subject.reports(after(2_600));
     assert!(told.len() <= 18, "{} told", told.len());
@@ -224,7 +226,7 @@
 fn what_does_not_fit_one_message_is_told_by_the_next_ones() {
     let mut subject = Quarantine::default();
     for number in 100..160 {
-        subject.note_crash(RequestDigest(number), 1, START);
+        subject.record_crash(RequestDigest(number), 1, START);
     }
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..8 {
--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -22,7 +22,7 @@
     pub draining: bool,
     /// Time for which it was still cold when its entry was written, zero for a warm one;
     /// `None` where the entry doesn't tell.
-    pub cold_for: Option<Span>,
+    pub cold_remaining: Option<Span>,
     /// When the run began, in Unix milliseconds of its own machine; `None` where the entry doesn't
     /// tell. A back end may start again under its name: another start is another run, which knows
     /// nothing of what the one before was sent. Never compared with a clock of this node.
@@ -31,7 +31,7 @@
 
 impl BackEnd {
     /// Whether this is another run than one listed before under the same name.
-    pub fn is_other_run(&self, before: &BackEnd) -> bool {
+    pub fn is_different_run(&self, before: &BackEnd) -> bool {
         !self.may_have_started(before.started_unix_ms)
     }
 
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -1,6 +1,6 @@
 //! The routing table: which request goes to which pool, and for whom.
 
-use crate::urgency::{PoolTiers, UrgencyScale};
+use crate::priority::{PoolTiers, PriorityScale};
 use crate::{AllowedRegions, ColdStart, PoolName, RegionName, TableError};
 use eiderferry_types::Span;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// A part of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Split {
+pub struct TrafficSplit {
     /// Pool that gets the part.
     pub pool: PoolName,
     /// Its weight among the route's parts.
@@ -42,11 +42,11 @@
     /// Time within which an answer, or a stream's first event, is in time.
     pub target: Span,
     /// Longest pause between two events that keeps a stream in time.
-    pub pause_target: Option<Span>,
+    pub event_gap_target: Option<Span>,
     /// Rank; 0 is the most urgent.
     pub rank: u8,
     /// Where its requests go.
-    pub splits: Vec<Split>,
+    pub traffic_splits: Vec<TrafficSplit>,
     /// Back ends that one request may be sent to.
     pub maximum_attempts: u32,
     /// Whether callers need no key.
@@ -59,7 +59,7 @@
 
 impl Route {
     /// Whether a request may be sent again although it may have run.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
             RouteKind::NotRepeatable => false,
@@ -75,9 +75,16 @@
 
     /// The pool for a request; `point` is a number in 0..1 drawn for it.
     pub fn pool(&self, point: f64) -> Option<&PoolName> {
-        let total: f64 = self.splits.iter().map(|split| split.weight.max(0.0)).sum();
+        let total: f64 = self
+            .traffic_splits
+            .iter()
+            .map(|split| split.weight.max(0.0))
+            .sum();
         let mut remaining = point * total;
-        let mut weighted = self.splits.iter().filter(|split| split.weight > 0.0);
+        let mut weighted = self
+            .traffic_splits
+            .iter()
+            .filter(|split| split.weight > 0.0);
         for split in weighted.clone() {
             remaining -= split.weight;
             if remaining < 0.0 {
@@ -100,12 +107,12 @@
     /// Calls for cache events that one engine holds at once; 0 where it tells none.
     pub cache_event_calls: u32,
     /// Replicas of running requests that engines keep for each other, where they do.
-    pub replicas: Option<ReplicaOffer>,
+    pub replicas: Option<ReplicaSpecification>,
 }
 
 /// How the engines of a pool keep replicas of each other's running requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaOffer {
+pub struct ReplicaSpecification {
     /// Time after its last growth for which a replica that nobody uses is kept.
     pub lifetime: Span,
     /// Bytes that one token takes on the way.
@@ -172,7 +179,7 @@
     document: TableDocument,
     routes_by_host: HashMap<String, Vec<usize>>,
     tenants_by_key: HashMap<String, usize>,
-    urgency: UrgencyScale,
+    priority: PriorityScale,
     tiers: PoolTiers,
 }
 
@@ -182,7 +189,7 @@
     /// A route.
     Found(&'a Route),
     /// No route begins the path.
-    Missing,
+    NoRoute,
 }
 
 impl RoutingTable {
@@ -193,13 +200,13 @@
         }
         let tenants_by_key = index_keys(&document.tenants)?;
         let routes_by_host = index_routes(&document.routes);
-        let urgency = UrgencyScale::of(&document.routes);
+        let priority = PriorityScale::of(&document.routes);
         let tiers = PoolTiers::of(&document.routes);
         Ok(Self {
             document,
             routes_by_host,
             tenants_by_key,
-            urgency,
+            priority,
             tiers,
         })
     }
@@ -239,20 +246,20 @@
         let mut routes = candidates.map(|index| &self.document.routes[*index]);
         match routes.find(|route| path.starts_with(&route.path_prefix)) {
             Some(route) => RouteMatch::Found(route),
-            None => RouteMatch::Missing,
+            None => RouteMatch::NoRoute,
         }
     }
 
     /// How urgent a request is to an engine; 0 is the most urgent.
-    pub fn urgency(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
-        self.urgency
+    pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
+        self.priority
             .level(route.rank, tenant.and_then(|tenant| tenant.rank))
     }
 
     /// Part of the other tiers that a pool serves which are less urgent than this one:
     /// 1 for the most urgent of several, 0 for the last and for an only one.
-    pub fn part_less_urgent(&self, pool: &PoolName, rank: u8) -> f64 {
-        self.tiers.part_less_urgent(pool, rank)
+    pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
+        self.tiers.less_urgent_share(pool, rank)
     }
 
     /// The tenant that holds a key.
@@ -277,11 +284,11 @@
     if route.timeout == Span::ZERO {
         return Err(TableError::NoTime(name()));
     }
-    if route.splits.iter().all(|split| split.weight <= 0.0) {
+    if route.traffic_splits.iter().all(|split| split.weight <= 0.0) {
         return Err(TableError::NoPool(name()));
     }
     let unknown = route
-        .splits
+        .traffic_splits
         .iter()
         .find(|split| !pools.contains_key(&split.pool));
     match unknown {
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -1,8 +1,8 @@
 //! Routes, splits, tenants and checks of a routing table.
 
 use eiderferry_routing::{
-    Limits, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable, Split, TableDocument,
-    TableError, Tenant, URGENCY_LEVELS,
+    Limits, PRIORITY_LEVELS, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable,
+    TableDocument, TableError, Tenant, TrafficSplit,
 };
 use eiderferry_types::Span;
 use rstest::rstest;
@@ -16,9 +16,9 @@
         kind: RouteKind::Repeatable,
         timeout: Span::from_milliseconds(1_000),
         target: Span::from_milliseconds(150),
-        pause_target: None,
+        event_gap_target: None,
         rank: 2,
-        splits: vec![Split {
+        traffic_splits: vec![TrafficSplit {
             pool: PoolName::from("app"),
             weight: 1.0,
         }],
@@ -58,7 +58,7 @@
 fn name_of(found: RouteMatch<'_>) -> Option<String> {
     match found {
         RouteMatch::Found(route) => Some(route.name.clone()),
-        RouteMatch::Missing => None,
+        RouteMatch::NoRoute => None,
     }
 }
 
@@ -94,16 +94,16 @@
 #[test]
 fn a_split_gives_each_pool_its_part() {
     let mut split = route("split", "a.example", "/x/");
-    split.splits = vec![
-        Split {
+    split.traffic_splits = vec![
+        TrafficSplit {
             pool: PoolName::from("one"),
             weight: 90.0,
         },
-        Split {
+        TrafficSplit {
             pool: PoolName::from("none"),
             weight: 0.0,
         },
-        Split {
+        TrafficSplit {
             pool: PoolName::from("two"),
             weight: 10.0,
         },
@@ -117,7 +117,7 @@
 #[test]
 fn a_split_without_weights_gives_no_pool() {
     let mut split = route("split", "a.example", "/x/");
-    split.splits[0].weight = 0.0;
+    split.traffic_splits[0].weight = 0.0;
     assert_eq!(split.pool(0.5), None);
 }
 
@@ -135,7 +135,7 @@
     let mut subject = route("r", "a.example", "/x/");
     subject.kind = kind;
     subject.is_resumable = is_resumable;
-    assert_eq!(subject.may_repeat(), expected);
+    assert_eq!(subject.may_retry(), expected);
 }
 
 fn error_of(change: impl FnOnce(&mut TableDocument)) -> TableError {
@@ -152,7 +152,7 @@
     assert_eq!(error, TableError::NoAttempts("r".to_owned()));
     let error = error_of(|document| document.routes[0].timeout = Span::ZERO);
     assert_eq!(error, TableError::NoTime("r".to_owned()));
-    let error = error_of(|document| document.routes[0].splits.clear());
+    let error = error_of(|document| document.routes[0].traffic_splits.clear());
     assert_eq!(error, TableError::NoPool("r".to_owned()));
     let error = error_of(|document| document.pools.clear());
     assert_eq!(
@@ -194,14 +194,14 @@
 fn engines_learn_the_tier_of_the_route_first_and_of_the_tenant_second() {
     let routes = vec![ranked("chat", 0), ranked("terms", 1), ranked("notice", 2)];
     let table = RoutingTable::new(document(routes.clone())).expect("a table");
-    let level = |index: usize, rank| table.urgency(&routes[index], Some(&tenant(rank)));
+    let level = |index: usize, rank| table.priority(&routes[index], Some(&tenant(rank)));
     assert!(level(0, Some(0)) < level(0, Some(1)));
     assert!(
         level(0, Some(9)) < level(1, Some(0)),
         "the route comes first"
     );
     assert!(level(1, Some(9)) < level(2, None));
-    assert!(level(2, Some(9)) < URGENCY_LEVELS);
+    assert!(level(2, Some(9)) < PRIORITY_LEVELS);
 }
 
 #[test]
@@ -209,16 +209,16 @@
     let routes: Vec<Route> = (0..12).map(|rank| ranked("r", rank)).collect();
     let scale = RoutingTable::new(document(vec![ranked("a", 0), ranked("b", 11)]));
     let scale = scale.expect("a table");
-    let levels = routes.iter().map(|route| scale.urgency(route, None));
+    let levels = routes.iter().map(|route| scale.priority(route, None));
     let levels: Vec<u8> = levels.collect();
     assert!(levels.is_sorted());
-    assert!(levels.iter().all(|level| *level < URGENCY_LEVELS));
+    assert!(levels.iter().all(|level| *level < PRIORITY_LEVELS));
 }
 
 #[test]
 fn the_tiers_of_a_pool_are_those_of_its_routes() {
     let mut elsewhere = ranked("other", 9);
-    elsewhere.splits[0].pool = PoolName::from("second");
+    elsewhere.traffic_splits[0].pool = PoolName::from("second");
     let mut both = document(vec![
         ranked("a", 0),
         ranked("b", 1),
@@ -228,7 +228,7 @@
     let pool = both.pools[&PoolName::from("app")].clone();
     both.pools.insert(PoolName::from("second"), pool);
     let table = RoutingTable::new(both).expect("a table");
-    let part = |pool: &str, rank| table.part_less_urgent(&PoolName::from(pool), rank);
+    let part = |pool: &str, rank| table.less_urgent_share(&PoolName::from(pool), rank);
     assert_eq!(part("app", 0), 1.0);
     assert_eq!(part("app", 1), 0.5);
     assert_eq!(part("app", 3), 0.0);
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -3,11 +3,11 @@
 use crate::answer::RelayBody;
 use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY, RunReplica, Traffic};
 use crate::forwarding::{
-    ForwardedRequest, answer, forwarded_headers, is_event_stream, path_and_query, read_answer,
-    read_body, request_id,
+    ForwardedRequest, answer, forwarded_headers, is_event_stream, path_and_query, read_body,
+    read_response, request_id,
 };
 use crate::lease::Lease;
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::stream::StreamRelay;
@@ -39,8 +39,8 @@
     match prepare(traffic, request, started, progress).await {
         Ok(exchange) => exchange.run().await,
         Err((id, answer)) => {
-            metrics::own_answer(answer.reason());
-            events::answered_here(&id, &answer, Span::ZERO);
+            metrics::local_reply(answer.reason());
+            events::replied_locally(&id, &answer, Span::ZERO);
             answer.response()
         }
     }
@@ -51,27 +51,27 @@
     request: Request<Incoming>,
     started: Timestamp,
     progress: Progress,
-) -> Result<Exchange, (String, OwnAnswer)> {
+) -> Result<Exchange, (String, LocalReply)> {
     let (parts, body) = request.into_parts();
-    let id = request_id(&parts, &traffic.vocabulary);
+    let id = request_id(&parts, &traffic.header_names);
     let Some(table) = first_table(&traffic).await else {
-        let answer = OwnAnswer::NotRun(Reason::NotReady, NOT_READY_RETRY);
+        let answer = LocalReply::NotRun(Reason::NotReady, NOT_READY_RETRY);
         return Err((id, answer));
     };
-    let head = RequestHead::read(&parts, &table, &traffic.vocabulary)
+    let head = RequestHead::read(&parts, &table, &traffic.header_names)
         .map_err(|answer| (id.clone(), answer))?;
     let deadline = started + head.remaining;
     let limit = table.limits().maximum_body_bytes;
     progress
         .memory
-        .describe(&id, metrics::kind(&head.route), head.rank);
+        .set_request(&id, metrics::kind(&head.route), head.rank);
     let body = read_body(body, limit, &progress.memory)
         .await
         .map_err(|answer| (id, answer))?;
     let point = rand::random::<f64>();
     let pool = head.route.pool(point).cloned();
     let pool = pool.unwrap_or_else(|| PoolName::from(""));
-    let headers = forwarded_headers(&parts.headers, &traffic.vocabulary);
+    let headers = forwarded_headers(&parts.headers, &traffic.header_names);
     let digest = head.digest(&parts, &body);
     Ok(Exchange {
         traffic,
@@ -88,13 +88,13 @@
         deadline,
         attempts: 0,
         unreachable: 0,
-        excluded: Vec::new(),
+        excluded_back_ends: Vec::new(),
         may_have_run: false,
-        withdrawn_until: None,
+        cancelled_until: None,
         replica: None,
         status: 0,
         progress,
-        is_over: false,
+        is_finished: false,
     })
 }
 
@@ -114,37 +114,40 @@
     async fn run(mut self) -> Response<RelayBody> {
         let mut fallback = None;
         loop {
-            let lease = match self.ask().await {
+            let lease = match self.request_lease().await {
                 Ok(lease) => lease,
                 Err(answer) => return self.conclude(fallback, answer),
             };
             let instance = lease.grant.instance.clone();
             let address = lease.grant.address;
-            self.excluded.push(instance.clone());
+            self.excluded_back_ends.push(instance.clone());
             let (next, end) = self.attempt(lease).await;
             let Some(exchange) = next else {
                 return match end {
-                    AttemptEnd::Answer(response) | AttemptEnd::FailedAnswer(response) => response,
-                    AttemptEnd::None(_) => OwnAnswer::AnswerLost.response(),
+                    AttemptEnd::Response(response) | AttemptEnd::FailedResponse(response) => {
+                        response
+                    }
+                    AttemptEnd::NoResponse(_) => LocalReply::ResponseLost.response(),
                 };
             };
             self = exchange;
             let outcome = match end {
-                AttemptEnd::Answer(response) => return self.pass_on(response),
-                AttemptEnd::FailedAnswer(response) => {
+                AttemptEnd::Response(response) => return self.forward(response),
+                AttemptEnd::FailedResponse(response) => {
                     fallback = Some(response);
                     Outcome::Failed
                 }
-                AttemptEnd::None(outcome) => outcome,
+                AttemptEnd::NoResponse(outcome) => outcome,
             };
-            self.note_failed_attempt(&instance, address, outcome).await;
-            if let Some(until) = self.withdrawn_until {
+            self.record_failed_attempt(&instance, address, outcome)
+                .await;
+            if let Some(until) = self.cancelled_until {
                 let lasts = self.traffic.clock.now().until(until);
-                let answer = self.crashes_back_ends(lasts);
+                let answer = self.refuse_crashing(lasts);
                 return self.conclude(fallback, answer);
             }
-            if !self.may_try_again() {
-                let answer = self.final_answer(outcome);
+            if !self.may_retry_elsewhere() {
+                let answer = self.final_reply(outcome);
                 return self.conclude(fallback, answer);
             }
         }
@@ -154,12 +157,15 @@
     async fn attempt(mut self, lease: Lease) -> (Option<Self>, AttemptEnd) {
         let since = self.traffic.clock.now();
         let holder = lease.grant.replica.clone();
-        self.replica = holder.map(|holder| RunReplica { holder, since });
+        self.replica = holder.map(|holder| RunReplica {
+            holder,
+            sent_at: since,
+        });
         match self.send(&lease).await {
             Err(outcome) => {
                 metrics::attempt(outcome.as_str());
-                lease.end(outcome);
-                (Some(self), AttemptEnd::None(outcome))
+                lease.release(outcome);
+                (Some(self), AttemptEnd::NoResponse(outcome))
             }
             Ok((response, connection)) if is_event_stream(&response) => {
                 StreamRelay::start(self, lease, response, connection).await
@@ -181,12 +187,14 @@
         let limit = self.head_deadline(&lease);
         let timeout = async {
             self.traffic.clock.sleep(limit).await;
-            Err(Outcome::Silent)
+            Err(Outcome::TimedOut)
         };
-        let outcome = match read_answer(body, &self.progress.memory).or(timeout).await {
+        let outcome = match read_response(body, &self.progress.memory).or(timeout).await {
             Err(outcome) => outcome,
             Ok(bytes) => {
-                self.traffic.upstream.keep(connection, &parts.headers);
+                self.traffic
+                    .upstream
+                    .return_connection(connection, &parts.headers);
                 let elapsed = self.elapsed();
                 metrics::first_event(&self.head.route, self.head.rank, elapsed);
                 lease.first_event();
@@ -194,8 +202,8 @@
             }
         };
         metrics::attempt(outcome.as_str());
-        lease.end(outcome);
-        AttemptEnd::None(outcome)
+        lease.release(outcome);
+        AttemptEnd::NoResponse(outcome)
     }
 
     fn judge_answer(
@@ -212,11 +220,11 @@
             _ => Outcome::Completed,
         };
         metrics::attempt(outcome.as_str());
-        lease.end(outcome);
-        if is_failure && self.head.route.may_repeat() {
-            AttemptEnd::FailedAnswer(response)
+        lease.release(outcome);
+        if is_failure && self.head.route.may_retry() {
+            AttemptEnd::FailedResponse(response)
         } else {
-            AttemptEnd::Answer(response)
+            AttemptEnd::Response(response)
         }
     }
 }
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -3,11 +3,11 @@
 
 use crate::control::Control;
 use crate::events;
+use crate::header_names::HeaderNames;
 use crate::notice::Notice;
-use crate::vocabulary::Vocabulary;
 use bytes::Bytes;
 use eiderferry_clock::duration;
-use eiderferry_dispatch::{CacheAnswer, CacheCall, CacheEvents, CacheListing, CacheOrder};
+use eiderferry_dispatch::{CacheCall, CacheEvents, CacheListing, CacheResponse, DueCacheCall};
 use eiderferry_routing::InstanceId;
 use eiderferry_types::Span;
 use futures_lite::FutureExt;
@@ -32,7 +32,7 @@
 quick_error! {
     /// An answer whose shape is not the known one.
     #[derive(Debug)]
-    pub enum UnreadableAnswer {
+    pub enum MalformedResponse {
         /// A field makes no sense.
         Field(field: &'static str, found: String) {
             display("{field}: {found}")
@@ -40,7 +40,7 @@
     }
 }
 
-impl UnreadableAnswer {
+impl MalformedResponse {
     /// The field and what was found there.
     pub fn new(field: &'static str, found: &str) -> Self {
         const MOST_CHARACTERS: usize = 100;
@@ -76,10 +76,10 @@
 
 impl CallError {
     /// An answer that is too large has no known shape.
-    fn answer(&self) -> CacheAnswer {
+    fn answer(&self) -> CacheResponse {
         match self {
-            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheAnswer::Unreadable,
-            _ => CacheAnswer::Failed,
+            Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Malformed,
+            _ => CacheResponse::Failed,
         }
     }
 }
@@ -94,9 +94,9 @@
     /// Milliseconds for which an engine may hold a call.
     pub wait: HeaderName,
     /// Reads an answer with events.
-    pub read_events: fn(&[u8]) -> Result<CacheEvents, UnreadableAnswer>,
+    pub read_events: fn(&[u8]) -> Result<CacheEvents, MalformedResponse>,
     /// Reads a listing.
-    pub read_listing: fn(&[u8]) -> Result<CacheListing, UnreadableAnswer>,
+    pub read_listing: fn(&[u8]) -> Result<CacheListing, MalformedResponse>,
 }
 
 struct Connection {
@@ -115,7 +115,7 @@
 /// Carries out the calls of this node.
 pub(crate) struct CacheFollower {
     protocol: CacheProtocol,
-    vocabulary: Vocabulary,
+    header_names: HeaderNames,
     executor: Rc<LocalExecutor<'static>>,
     /// One connection to each engine that is followed.
     resting: RefCell<HashMap<InstanceId, Connection>>,
@@ -124,12 +124,12 @@
 impl CacheFollower {
     pub fn new(
         protocol: CacheProtocol,
-        vocabulary: Vocabulary,
+        header_names: HeaderNames,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         Self {
             protocol,
-            vocabulary,
+            header_names,
             executor,
             resting: RefCell::default(),
         }
@@ -151,23 +151,24 @@
         }
     }
 
-    async fn carry_out(&self, order: CacheOrder, control: &Control) {
+    async fn carry_out(&self, order: DueCacheCall, control: &Control) {
         let reply = self.reply(&order).await;
         let now = control.clock.now();
         if let Ok(reply) = &reply {
-            control.take_call_notice(&order, reply.notice, now);
+            control.apply_call_notice(&order, reply.notice, now);
         }
         let answer = self.answer(&order, reply);
-        let news = control
-            .dispatcher
-            .borrow_mut()
-            .take_cache_answer(&order.instance, answer, now);
+        let news =
+            control
+                .dispatcher
+                .borrow_mut()
+                .handle_cache_response(&order.instance, answer, now);
         if let Some(news) = news {
-            events::cache_told(&order.instance, &news);
+            events::cache_updated(&order.instance, &news);
         }
     }
 
-    async fn reply(&self, order: &CacheOrder) -> Result<Reply, CallError> {
+    async fn reply(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
         let wait = match order.call {
             CacheCall::List => Span::ZERO,
             CacheCall::Events { wait, .. } => wait,
@@ -179,14 +180,14 @@
         self.exchange(order).or(timeout).await
     }
 
-    fn answer(&self, order: &CacheOrder, reply: Result<Reply, CallError>) -> CacheAnswer {
+    fn answer(&self, order: &DueCacheCall, reply: Result<Reply, CallError>) -> CacheResponse {
         match reply {
             Ok(reply) => match reply.status {
                 StatusCode::OK => self.read(order, &reply.body),
-                StatusCode::TOO_MANY_REQUESTS => CacheAnswer::Refused,
+                StatusCode::TOO_MANY_REQUESTS => CacheResponse::Refused,
                 status => {
                     events::cache_call_failed(&order.instance, status.as_str());
-                    CacheAnswer::Failed
+                    CacheResponse::Failed
                 }
             },
             Err(error) => {
@@ -196,18 +197,20 @@
         }
     }
 
-    fn read(&self, order: &CacheOrder, body: &[u8]) -> CacheAnswer {
+    fn read(&self, order: &DueCacheCall, body: &[u8]) -> CacheResponse {
         let read = match order.call {
-            CacheCall::List => (self.protocol.read_listing)(body).map(CacheAnswer::Listing),
-            CacheCall::Events { .. } => (self.protocol.read_events)(body).map(CacheAnswer::Events),
+            CacheCall::List => (self.protocol.read_listing)(body).map(CacheResponse::Listing),
+            CacheCall::Events { .. } => {
+                (self.protocol.read_events)(body).map(CacheResponse::Events)
+            }
         };
         read.unwrap_or_else(|error| {
             events::cache_answer_doubtful(&order.instance, &error);
-            CacheAnswer::Unreadable
+            CacheResponse::Malformed
         })
     }
 
-    async fn exchange(&self, order: &CacheOrder) -> Result<Reply, CallError> {
+    async fn exchange(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
         let resting = self.resting.borrow_mut().remove(&order.instance);
         let mut connection = match usable(resting).await {
             Some(connection) => connection,
@@ -216,7 +219,7 @@
         let request = self.request(order)?;
         let response = connection.sender.send_request(request).await?;
         let status = response.status();
-        let notice = Notice::read(&response, &self.vocabulary);
+        let notice = Notice::read(&response, &self.header_names);
         let body = Limited::new(response.into_body(), MOST_BYTES);
         let body = body.collect().await?.to_bytes();
         self.resting
@@ -229,7 +232,7 @@
         })
     }
 
-    fn request(&self, order: &CacheOrder) -> Result<Request<Empty<Bytes>>, http::Error> {
+    fn request(&self, order: &DueCacheCall) -> Result<Request<Empty<Bytes>>, http::Error> {
         let host = order.address.to_string();
         let request = match order.call {
             CacheCall::List => Request::get(self.protocol.listing_path),
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -1,19 +1,19 @@
 //! The control thread: the one place that touches the dispatcher.
 
-use crate::awaited_decision::{AwaitedDecision, give_back};
 use crate::cache_follower::CacheFollower;
+use crate::cancellation::Cancellations;
 use crate::documents::FetchError;
 use crate::events;
 use crate::gossip::PeerSocket;
 use crate::metrics;
-use crate::notice::{NamedLimit, Notice};
-use crate::withdrawal::Withdrawals;
+use crate::notice::{Notice, StatedLimit};
+use crate::pending_decision::{PendingDecision, release_unclaimed};
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{
-    Applied, CacheOrder, Change, Decision, Demand, Dispatcher, DocumentKey, Envelope, LeaseId,
-    MessageKind, NoticeSource, Outcome, QuarantineChange, ReadingDuty, Revision, StreamPacing,
-    TICK, TakenNews, VersionVector,
+    ApplyOutcome, Change, Decision, Demand, Dispatcher, DocumentKey, DueCacheCall, Envelope,
+    LeaseId, MessageKind, NoticeSource, Outcome, QuarantineChange, ReaderRole, ReceivedChange,
+    Revision, StreamPacing, TICK, VersionVector,
 };
 use eiderferry_routing::{InstanceId, RoutingTable, ZoneName};
 use eiderferry_types::{RequestDigest, Span, Timestamp};
@@ -43,7 +43,7 @@
 /// What the control thread is told by others.
 pub(crate) enum Command {
     /// A request wants a back end.
-    Ask {
+    Dispatch {
         demand: Box<Demand>,
         is_first: bool,
         reply: async_channel::Sender<Decision>,
@@ -51,15 +51,15 @@
     /// The first event of a request came.
     FirstEvent(LeaseId),
     /// The back end of a place says something of itself.
-    Noticed(LeaseId, Notice),
+    Notice(LeaseId, Notice),
     /// A place is given back.
-    End(LeaseId, Outcome, StreamPacing),
+    Release(LeaseId, Outcome, StreamPacing),
     /// A back end crashed under a request.
-    Crashed(RequestDigest, InstanceId),
+    Crash(RequestDigest, InstanceId),
     /// A connection to a back end came up within so long.
-    Connected(InstanceId, Span),
+    RoundTrip(InstanceId, Span),
     /// Whether nothing shows that a back end still works.
-    IsUnheard {
+    IsPresumedDown {
         instance: InstanceId,
         reply: async_channel::Sender<bool>,
     },
@@ -79,10 +79,10 @@
     }
 
     /// Asks for a back end; `None` if the control thread is gone.
-    pub async fn ask(&self, demand: Demand, is_first: bool) -> Option<Decision> {
+    pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
         let (reply, answer) = async_channel::bounded(1);
-        let answer = AwaitedDecision::new(answer, self.clone());
-        let command = Command::Ask {
+        let answer = PendingDecision::new(answer, self.clone());
+        let command = Command::Dispatch {
             demand: Box::new(demand),
             is_first,
             reply,
@@ -92,30 +92,32 @@
     }
 
     /// Whether nothing shows that a back end still works.
-    pub async fn is_unheard(&self, instance: InstanceId) -> bool {
+    pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
         let (reply, answer) = async_channel::bounded(1);
-        let asked = self.commands.send(Command::IsUnheard { instance, reply });
+        let asked = self
+            .commands
+            .send(Command::IsPresumedDown { instance, reply });
         asked.await.is_ok() && answer.recv().await.unwrap_or(false)
     }
 
-    pub fn first_event(&self, lease: LeaseId) {
+    pub fn record_first_event(&self, lease: LeaseId) {
         self.tell(Command::FirstEvent(lease));
     }
 
-    pub fn noticed(&self, lease: LeaseId, notice: Notice) {
-        self.tell(Command::Noticed(lease, notice));
+    pub fn record_notice(&self, lease: LeaseId, notice: Notice) {
+        self.tell(Command::Notice(lease, notice));
     }
 
-    pub fn end(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
-        self.tell(Command::End(lease, outcome, pacing));
+    pub fn release(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
+        self.tell(Command::Release(lease, outcome, pacing));
     }
 
-    pub fn crashed(&self, request: RequestDigest, instance: InstanceId) {
-        self.tell(Command::Crashed(request, instance));
+    pub fn record_crash(&self, request: RequestDigest, instance: InstanceId) {
+        self.tell(Command::Crash(request, instance));
     }
 
-    pub fn connected(&self, instance: InstanceId, round_trip: Span) {
-        self.tell(Command::Connected(instance, round_trip));
+    pub fn record_round_trip(&self, instance: InstanceId, round_trip: Span) {
+        self.tell(Command::RoundTrip(instance, round_trip));
     }
 
     pub fn stop(&self) {
@@ -134,7 +136,7 @@
     pub clock: Clock,
     table: SharedTable,
     socket: PeerSocket,
-    withdrawals: Withdrawals,
+    cancellations: Cancellations,
     /// Where this node answers other nodes.
     address: SocketAddr,
     fetching: Cell<bool>,
@@ -152,33 +154,33 @@
             events::aggregating(after.is_aggregator);
         }
         for zone in after.silent_zones.difference(&self.silent_zones) {
-            events::zone(zone.as_str(), true);
+            events::zone_reachability(zone.as_str(), true);
         }
         for zone in self.silent_zones.difference(&after.silent_zones) {
-            events::zone(zone.as_str(), false);
+            events::zone_reachability(zone.as_str(), false);
         }
     }
 }
 
 /// Takes in what an answer says of its back end.
-fn take_notice(
+fn apply_notice(
     dispatcher: &mut Dispatcher,
     source: NoticeSource<'_>,
     notice: Notice,
     now: Timestamp,
 ) {
     if notice.is_leaving
-        && let Some(instance) = dispatcher.note_leaving(source)
+        && let Some(instance) = dispatcher.record_leaving(source)
     {
         events::back_end_leaving(&instance);
     }
-    if let Some(rest) = notice.rest {
-        dispatcher.note_rest(source, rest, now);
+    if let Some(rest) = notice.backoff {
+        dispatcher.record_backoff(source, rest, now);
     }
     match notice.limit {
-        NamedLimit::Named(limit) => dispatcher.note_limit(source, Some(limit), now),
-        NamedLimit::Over => dispatcher.note_limit(source, None, now),
-        NamedLimit::Unnamed | NamedLimit::Unreadable => {}
+        StatedLimit::Stated(limit) => dispatcher.record_limit(source, Some(limit), now),
+        StatedLimit::Lifted => dispatcher.record_limit(source, None, now),
+        StatedLimit::NotStated | StatedLimit::Malformed => {}
     }
 }
 
@@ -188,7 +190,7 @@
         clock: Clock,
         table: SharedTable,
         socket: PeerSocket,
-        withdrawals: Withdrawals,
+        cancellations: Cancellations,
         address: SocketAddr,
     ) -> Self {
         Self {
@@ -196,7 +198,7 @@
             clock,
             table,
             socket,
-            withdrawals,
+            cancellations,
             address,
             fetching: Cell::new(false),
         }
@@ -213,7 +215,7 @@
         let now = self.clock.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         match command {
-            Command::Ask {
+            Command::Dispatch {
                 demand,
                 is_first,
                 reply,
@@ -221,38 +223,38 @@
                 if is_first {
                     dispatcher.count_request(&demand.pool, now);
                 }
-                let decision = dispatcher.ask(&demand, now);
+                let decision = dispatcher.dispatch(&demand, now);
                 if let Err(unheard) = reply.try_send(decision) {
-                    give_back(unheard.into_inner(), |lease| {
-                        dispatcher.end(lease, Outcome::NotSent, now);
+                    release_unclaimed(unheard.into_inner(), |lease| {
+                        dispatcher.release(lease, Outcome::NotSent, now);
                     });
                 }
             }
-            Command::FirstEvent(lease) => dispatcher.first_event(lease, now),
-            Command::Noticed(lease, notice) => {
-                take_notice(&mut dispatcher, lease.into(), notice, now);
+            Command::FirstEvent(lease) => dispatcher.record_first_event(lease, now),
+            Command::Notice(lease, notice) => {
+                apply_notice(&mut dispatcher, lease.into(), notice, now);
             }
-            Command::End(lease, outcome, pacing) => {
-                dispatcher.note_pacing(lease, &pacing);
-                let ended = dispatcher.end(lease, outcome, now);
-                for (instance, change) in &ended.standings {
-                    events::back_end_standing(instance, *change, outcome);
+            Command::Release(lease, outcome, pacing) => {
+                dispatcher.record_pacing(lease, &pacing);
+                let ended = dispatcher.release(lease, outcome, now);
+                for (instance, change) in &ended.health_changes {
+                    events::back_end_health(instance, *change, outcome);
                 }
                 self.note_quarantine(&ended.quarantine_change, now);
             }
-            Command::Crashed(request, instance) => {
-                self.note_quarantine(&dispatcher.note_crash(request, &instance, now), now);
+            Command::Crash(request, instance) => {
+                self.note_quarantine(&dispatcher.record_crash(request, &instance, now), now);
                 let announcement = dispatcher.crash_announcement(now);
                 drop(dispatcher);
                 if let Some(announcement) = announcement {
                     self.send(&announcement);
                 }
             }
-            Command::Connected(instance, round_trip) => {
-                dispatcher.note_round_trip(&instance, round_trip);
+            Command::RoundTrip(instance, round_trip) => {
+                dispatcher.record_round_trip(&instance, round_trip);
             }
-            Command::IsUnheard { instance, reply } => {
-                let _ = reply.try_send(dispatcher.is_unheard(&instance, now));
+            Command::IsPresumedDown { instance, reply } => {
+                let _ = reply.try_send(dispatcher.is_presumed_down(&instance, now));
             }
             Command::Stop => dispatcher.stop(),
         }
@@ -288,8 +290,8 @@
         for change in &output.peer_changes {
             events::peer(change);
         }
-        for change in &output.warmth_changes {
-            events::warmth(change);
+        for change in &output.warmup_changes {
+            events::warmup_changed(change);
         }
         for change in &output.limit_changes {
             events::rate_limit(change);
@@ -299,7 +301,7 @@
         }
         self.note_quarantine(&output.quarantine_changes, now);
         for expired in &output.expired_leases {
-            events::place_expired(expired);
+            events::lease_expired(expired);
         }
         for envelope in &output.messages {
             self.send(envelope);
@@ -307,9 +309,9 @@
     }
 
     /// Takes in what the answer to a call says of its engine.
-    pub fn take_call_notice(&self, order: &CacheOrder, notice: Notice, now: Timestamp) {
+    pub fn apply_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
-        take_notice(&mut dispatcher, order.into(), notice, now);
+        apply_notice(&mut dispatcher, order.into(), notice, now);
     }
 
     fn note_quarantine<'a>(
@@ -319,14 +321,14 @@
     ) {
         for change in changes {
             events::quarantine(change);
-            self.withdrawals.note(change, now);
+            self.cancellations.record(change, now);
         }
     }
 
     fn send(&self, envelope: &Envelope) {
         let dispatcher = self.dispatcher.borrow();
-        let border = |address| dispatcher.border_to(address);
-        self.socket.send(envelope, border);
+        let distance = |address| dispatcher.distance_to(address);
+        self.socket.send(envelope, distance);
     }
 
     fn standing(&self) -> Standing {
@@ -348,17 +350,17 @@
             if let Some(change) = &received.change {
                 events::peer(change);
             }
-            self.follow_news(&received.taken);
+            self.follow_news(&received.changes);
             self.note_quarantine(&received.quarantine_changes, now);
-            if received.wants_answer {
-                let message = self.dispatcher.borrow_mut().answer(from, now);
+            if received.wants_reply {
+                let message = self.dispatcher.borrow_mut().reply(from, now);
                 self.send(&Envelope {
-                    kind: MessageKind::Answer,
+                    kind: MessageKind::Reply,
                     to: vec![from],
                     message,
                 });
             }
-            if received.is_newer {
+            if received.has_newer_documents {
                 self.fetch_wanted(Some(from), executor);
             }
         }
@@ -407,7 +409,7 @@
             let is_busy = matches!(error, FetchError::Busy(_));
             let now = self.clock.now();
             let mut dispatcher = self.dispatcher.borrow_mut();
-            dispatcher.note_failed_fetch(from, is_busy, now);
+            dispatcher.record_failed_fetch(from, is_busy, now);
         }
         match result {
             Ok(package) => {
@@ -415,7 +417,7 @@
                 let age = package.confirmed_ms.map(Span::from_milliseconds);
                 self.take(package.changes, "peer");
                 let at = age.map(|age| heard - age);
-                self.confirm(&package.complete_to, at.unwrap_or_default(), false);
+                self.confirm(&package.version_vector, at.unwrap_or_default(), false);
             }
             Err(FetchError::Busy(peer)) => log::debug!("documents: {peer} is busy"),
             Err(error) => events::fetch_failed(from, &error),
@@ -425,7 +427,7 @@
     /// Whether the way to a node crosses no border that the way to another doesn't.
     fn is_as_near(&self, address: SocketAddr, other: SocketAddr) -> bool {
         let dispatcher = self.dispatcher.borrow();
-        dispatcher.border_to(address) <= dispatcher.border_to(other)
+        dispatcher.distance_to(address) <= dispatcher.distance_to(other)
     }
 
     /// Takes changes over; tells the other nodes when anything was new.
@@ -434,35 +436,42 @@
         for change in changes {
             let now = self.clock.now();
             let taken = self.dispatcher.borrow_mut().apply(change, now);
-            is_news |= taken.applied == Applied::Taken;
-            events::document(&taken, source);
+            is_news |= taken.outcome == ApplyOutcome::Applied;
+            events::document_received(&taken, source);
         }
         if !is_news {
             return;
         }
-        let table = self.dispatcher.borrow().knowledge().table().cloned();
+        let table = self.dispatcher.borrow().document_store().table().cloned();
         self.table.store(table);
     }
 
     /// The changes that this node knows.
     fn known_changes(&self) -> VersionVector {
-        self.dispatcher.borrow().knowledge().complete_to().clone()
+        self.dispatcher
+            .borrow()
+            .document_store()
+            .version_vector()
+            .clone()
     }
 
     fn confirm(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
         let before = self.known_changes();
-        self.dispatcher.borrow_mut().confirm(known, at);
+        self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(is_first_hand);
         }
     }
 
     /// Notes changes that came with a message, and passes them on.
-    fn follow_news(&self, taken: &[TakenNews]) {
+    fn follow_news(&self, taken: &[ReceivedChange]) {
         for news in taken {
-            events::document(news, "peer");
+            events::document_received(news, "peer");
         }
-        if taken.iter().any(|news| news.applied == Applied::Taken) {
+        if taken
+            .iter()
+            .any(|news| news.outcome == ApplyOutcome::Applied)
+        {
             self.announce(false);
         }
     }
@@ -486,13 +495,13 @@
     }
 
     /// Waits until this node has to read.
-    pub async fn wait_for_duty(&self) {
+    pub async fn wait_for_reader_role(&self) {
         loop {
             let now = self.control.clock.now();
-            if self.control.dispatcher.borrow().reading_duty(now) == ReadingDuty::Read {
+            if self.control.dispatcher.borrow().reader_role(now) == ReaderRole::Reader {
                 return;
             }
-            let knows_nothing = self.complete_to().is_none();
+            let knows_nothing = self.newest_revision().is_none();
             let pause = if knows_nothing {
                 START_CHECK
             } else {
@@ -503,19 +512,22 @@
     }
 
     /// Last known revision of the newest epoch, from the source or from peers.
-    pub fn complete_to(&self) -> Option<Revision> {
+    pub fn newest_revision(&self) -> Option<Revision> {
         let dispatcher = self.control.dispatcher.borrow();
-        dispatcher.knowledge().complete_to().newest()
+        dispatcher.document_store().version_vector().newest()
     }
 
     /// Whether no node heard a confirmation for so long that the platform was probably away.
-    pub fn lacked_confirmation(&self) -> bool {
+    pub fn was_confirmation_overdue(&self) -> bool {
         let now = self.control.clock.now();
-        self.control.dispatcher.borrow().lacks_confirmation(now)
+        self.control
+            .dispatcher
+            .borrow()
+            .is_confirmation_overdue(now)
     }
 
     /// Hands changes over; `revision` is the one up to which all is then known.
-    pub fn take(&self, changes: Vec<Change>, revision: Revision) {
+    pub fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         self.control.take(changes, "store");
         let now = self.control.clock.now();
         self.control.confirm(&revision.into(), now, true);
@@ -523,7 +535,7 @@
 
     /// Hands a whole listing over that began at `revision`. Items that it lacks after a restore
     /// are gone unless they are written again within the grace period.
-    pub fn take_listing(
+    pub fn apply_listing(
         &self,
         changes: Vec<Change>,
         listed: &BTreeSet<DocumentKey>,
@@ -534,10 +546,10 @@
         let missing = {
             let dispatcher = self.control.dispatcher.borrow();
             dispatcher
-                .knowledge()
+                .document_store()
                 .missing_from_listing(listed, revision, grace_period)
         };
-        self.take(missing, revision);
+        self.apply_changes(missing, revision);
     }
 
     /// Takes over new addresses of other nodes.
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -61,7 +61,8 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Package {
     pub changes: Vec<Change>,
-    pub complete_to: VersionVector,
+    #[serde(rename = "complete_to")]
+    pub version_vector: VersionVector,
     pub confirmed_ms: Option<u64>,
 }
 
@@ -202,7 +203,7 @@
     while let Ok(request) = requests.recv().await {
         let now = clock.now();
         match request {
-            DocumentRequest::Ended(transfer) => service.end(transfer),
+            DocumentRequest::Ended(transfer) => service.finish(transfer),
             DocumentRequest::Ask {
                 known,
                 caller,
@@ -210,22 +211,22 @@
             } => {
                 let wants_whole_epoch = {
                     let dispatcher = control.dispatcher.borrow();
-                    dispatcher.knowledge().peer_lacks_newest_epoch(&known)
+                    dispatcher.document_store().peer_lacks_newest_epoch(&known)
                 };
-                let admission = service.ask(caller, wants_whole_epoch, &mut rand::rng(), now);
+                let admission = service.admit(caller, wants_whole_epoch, &mut rand::rng(), now);
                 let (answer, transfer) = match admission {
                     Admission::Admitted(transfer) => {
                         let package = package(&control, &known, now);
                         (Reply::Package(package), transfer)
                     }
                     Admission::SentOn(others) => {
-                        metrics::documents_sent_on();
+                        metrics::documents_redirected();
                         (Reply::SentOn(others), None)
                     }
                 };
                 let bytes = encode(&answer);
-                let border = control.dispatcher.borrow().border_to(caller);
-                metrics::control_bytes(MessageKind::Documents, border, bytes.len());
+                let distance = control.dispatcher.borrow().distance_to(caller);
+                metrics::control_bytes(MessageKind::Documents, distance, bytes.len());
                 // A caller that has left needs no answer; its connection ends the transfer.
                 let _ = reply.try_send((bytes, transfer));
             }
@@ -235,11 +236,11 @@
 
 fn package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
     let dispatcher = control.dispatcher.borrow();
-    let knowledge = dispatcher.knowledge();
-    let age = knowledge.confirmed_age(now);
+    let document_store = dispatcher.document_store();
+    let age = document_store.confirmed_age(now);
     Package {
-        changes: knowledge.changes_after(known),
-        complete_to: knowledge.complete_to().clone(),
+        changes: document_store.changes_after(known),
+        version_vector: document_store.version_vector().clone(),
         confirmed_ms: age.map(|age| age.milliseconds()),
     }
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -3,16 +3,16 @@
 //! Every line names its `event`; docs/operations/LOGS.md explains each field. Keys,
 //! bodies and prompts never appear.
 
-use crate::cache_follower::UnreadableAnswer;
+use crate::cache_follower::MalformedResponse;
 use crate::documents::FetchError;
+use crate::local_reply::LocalReply;
 use crate::metrics;
 use crate::notice::Notice;
-use crate::own_answer::OwnAnswer;
 use crate::upstream::ConnectionCheck;
 use eiderferry_dispatch::{
-    Applied, CacheNews, ColdDuty, DocumentKey, ExpiredLease, Grant, HealthChange, LimitChange,
-    LimitDuty, Outcome, PeerChange, QuarantineChange, Revision, SplitChange, StreamPacing,
-    TakenNews, UnknownName, WarmthChange,
+    ApplyOutcome, CacheUpdate, ColdRole, DocumentKey, ExpiredLease, Grant, HealthChange,
+    LimitChange, LimitRole, Outcome, PeerChange, QuarantineChange, ReceivedChange, Revision,
+    SplitChange, StreamPacing, UnknownName, WarmupChange,
 };
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
@@ -50,12 +50,12 @@
 }
 
 /// The source of documents gives answers again.
-pub fn source_regained(silent_ms: u64) {
+pub fn source_recovered(silent_ms: u64) {
     log::info!(event = "source_regained", silent_ms = silent_ms; "the source of documents is back");
 }
 
 /// The source of documents refused a call because it has no history after the given revision.
-pub fn history_gone(after: Revision) {
+pub fn history_compacted(after: Revision) {
     log::warn!(
         event = "history_gone", after:% = after;
         "the source has no history after this revision"
@@ -74,10 +74,10 @@
 pub(crate) fn peer(change: &PeerChange) {
     match change {
         // A start of a fleet of 300 would write 300 such lines on each node.
-        PeerChange::Found(node) => {
+        PeerChange::Discovered(node) => {
             log::debug!(event = "peer_found", peer = node.as_str(); "new peer")
         }
-        PeerChange::Regained(node) => {
+        PeerChange::Recovered(node) => {
             log::info!(event = "peer_regained", peer = node.as_str(); "peer heard");
         }
         PeerChange::Lost(node) => {
@@ -90,13 +90,13 @@
 /// to it.
 pub(crate) fn rate_limit(change: &LimitChange) {
     let back_end = change.instance.as_str();
-    let Some((limit, duty)) = change.stands else {
+    let Some((limit, role)) = change.state else {
         log::info!(event = "back_end_unlimited", back_end = back_end; "a rate limit is over");
         return;
     };
-    let each = match duty {
-        LimitDuty::Sender(each) => Some(each),
-        LimitDuty::Others => None,
+    let each = match role {
+        LimitRole::Sender(each) => Some(each),
+        LimitRole::OtherNodes => None,
     };
     log::info!(
         event = "back_end_limited", back_end = back_end, limit:% = limit, sender = each.is_some(),
@@ -107,12 +107,12 @@
 
 /// A back end turned cold or warm, or this node became, or no longer is, one of the few that
 /// send to it.
-pub(crate) fn warmth(change: &WarmthChange) {
-    let event = match change.duty {
-        ColdDuty::Warm => "back_end_warm",
-        ColdDuty::Others | ColdDuty::Sender => "back_end_cold",
+pub(crate) fn warmup_changed(change: &WarmupChange) {
+    let event = match change.role {
+        ColdRole::Warm => "back_end_warm",
+        ColdRole::OtherNodes | ColdRole::Sender => "back_end_cold",
     };
-    let is_sender = change.duty == ColdDuty::Sender;
+    let is_sender = change.role == ColdRole::Sender;
     log::info!(
         event = event, back_end = change.instance.as_str(), sender = is_sender,
         warm_in_ms = change.warm_in.milliseconds();
@@ -123,28 +123,28 @@
 /// The engines of a pool are split in another way than before. At most one line a pool and
 /// look at it, of two a second, and none while the load stays within a step.
 pub(crate) fn pool_split(change: &SplitChange) {
-    let figures = &change.figures;
+    let stats = &change.stats;
     log::info!(
         event = "pool_split", pool = change.pool.as_str(),
-        prompt_engines = figures.prompt_engines, engines = figures.ranked_engines,
-        usable = figures.load.engines, needed_prompts = figures.need.prompts,
-        needed_streams = figures.need.streams, running = figures.load.running,
-        exposed = figures.load.exposed, long_requests = figures.load.long_requests,
-        placed_per_s = figures.placed_rate, read_per_s = figures.load.reading_rate;
+        prompt_engines = stats.prompt_engines, engines = stats.ranked_engines,
+        usable = stats.load.engines, needed_prompts = stats.need.prompts,
+        needed_streams = stats.need.streams, running = stats.load.running,
+        exposed = stats.load.exposed_streams, long_requests = stats.load.long_requests,
+        placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
         "engines split between long prompts and streams"
     );
 }
 
 /// A place was granted to a caller that had left meanwhile, and given back unused. Callers
 /// leave all the time: the count in the metrics tells more than the lines.
-pub(crate) fn place_unclaimed(instance: &InstanceId) {
-    metrics::place_unclaimed();
+pub(crate) fn lease_unclaimed(instance: &InstanceId) {
+    metrics::lease_unclaimed();
     log::debug!(event = "place_unclaimed", back_end = instance.as_str(); "place given back unused");
 }
 
 /// A place was not given back within its request's time: its holder lost it.
-pub(crate) fn place_expired(expired: &ExpiredLease) {
-    metrics::place_expired();
+pub(crate) fn lease_expired(expired: &ExpiredLease) {
+    metrics::lease_expired();
     log::warn!(
         event = "place_expired", back_end = expired.instance.as_str();
         "a place was not given back by its holder"
@@ -157,7 +157,7 @@
 }
 
 /// Nothing is heard of a zone, or it is heard again.
-pub(crate) fn zone(zone: &str, is_silent: bool) {
+pub(crate) fn zone_reachability(zone: &str, is_silent: bool) {
     if is_silent {
         log::warn!(event = "zone_silent", zone = zone; "nothing is heard of a zone");
     } else {
@@ -177,14 +177,14 @@
 }
 
 /// A document holds a value that makes no sense; the safe reading of it is in force.
-pub fn document_doubtful(key: &str, doubt: &str) {
-    metrics::document_doubtful("value");
+pub fn document_invalid(key: &str, doubt: &str) {
+    metrics::document_invalid("value");
     log::warn!(event = "document_doubtful", item = key, doubt = doubt; "document used with doubt");
 }
 
 /// A document names a zone or region that the settings don't know.
-fn unknown_name(news: &TakenNews, unknown: &UnknownName) {
-    metrics::document_doubtful(unknown.kind());
+fn unknown_name(news: &ReceivedChange, unknown: &UnknownName) {
+    metrics::document_invalid(unknown.kind());
     log::warn!(
         event = "document_doubtful", item = news.key.kind(), revision:% = news.revision,
         names = unknown.kind(), name = unknown.as_str();
@@ -193,8 +193,8 @@
 }
 
 /// A document was taken, or refused.
-pub(crate) fn document(news: &TakenNews, source: &'static str) {
-    for unknown in &news.unknown {
+pub(crate) fn document_received(news: &ReceivedChange, source: &'static str) {
+    for unknown in &news.unknown_names {
         unknown_name(news, unknown);
     }
     let (kind, revision) = (news.kind, news.revision);
@@ -203,17 +203,17 @@
         DocumentKey::BackEnd(instance) => instance.as_str(),
         DocumentKey::Evacuation(zone) => zone.as_str(),
     };
-    match &news.applied {
-        Applied::Known => {}
-        Applied::Withheld => log::info!(
+    match &news.outcome {
+        ApplyOutcome::AlreadyKnown => {}
+        ApplyOutcome::Withheld => log::info!(
             event = "document_withheld", item = item, revision:% = revision, source = source;
             "back end removed before a restore is listed again; withheld"
         ),
-        Applied::Taken => log::info!(
+        ApplyOutcome::Applied => log::info!(
             event = "document_taken", item = item, kind = kind, revision:% = revision, source = source;
             "document in force"
         ),
-        Applied::Refused(error) => log::warn!(
+        ApplyOutcome::Rejected(error) => log::warn!(
             event = "document_refused", item = item, revision:% = revision, source = source,
             error = error.as_str();
             "document refused; the previous one stays"
@@ -222,7 +222,7 @@
 }
 
 /// A back end's standing changed.
-pub(crate) fn back_end_standing(instance: &InstanceId, change: HealthChange, outcome: Outcome) {
+pub(crate) fn back_end_health(instance: &InstanceId, change: HealthChange, outcome: Outcome) {
     let (event, span) = match change {
         HealthChange::Ejected(span) => ("back_end_ejected", span),
         HealthChange::Restored => ("back_end_restored", Span::ZERO),
@@ -239,15 +239,15 @@
 }
 
 /// What an engine told of its cache corrected what was believed, or has a gap.
-pub(crate) fn cache_told(instance: &InstanceId, news: &CacheNews) {
+pub(crate) fn cache_updated(instance: &InstanceId, news: &CacheUpdate) {
     let counts = &news.counts;
-    if news.gone + news.kept == 0 && counts.listings > 0 && counts.answers > 0 {
+    if news.stale + news.missing == 0 && counts.listings > 0 && counts.responses > 0 {
         return;
     }
     log::info!(
-        event = "cache_told", back_end = instance.as_str(), gone = news.gone, kept = news.kept,
+        event = "cache_told", back_end = instance.as_str(), gone = news.stale, kept = news.missing,
         followed_ms = news.followed_for.milliseconds(), listings = counts.listings,
-        answers = counts.answers, gaps = counts.gaps, vain = counts.vain;
+        answers = counts.responses, gaps = counts.gaps, vain = counts.failed_calls;
         "an engine told what it keeps"
     );
 }
@@ -262,7 +262,7 @@
 }
 
 /// An engine's word on what it keeps makes no sense; it is not used.
-pub(crate) fn cache_answer_doubtful(instance: &InstanceId, error: &UnreadableAnswer) {
+pub(crate) fn cache_answer_doubtful(instance: &InstanceId, error: &MalformedResponse) {
     metrics::cache_call_failed("shape");
     log::warn!(
         event = "cache_answer_doubtful", back_end = instance.as_str(), doubt:% = error;
@@ -283,13 +283,13 @@
     log::info!(
         event = "granted", request = id, route = route, rank = rank, attempt = attempt, digest:% = digest,
         back_end = grant.instance.as_str(), expected_ms = candidate.first_event.milliseconds(),
-        uncached = grant.uncached_tokens, read_again = candidate.read_again,
-        copied = candidate.copied, cache = if grant.cache_known.is_some() { "known" } else { "believed" },
-        cache_age_ms = grant.cache_known.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
+        uncached = grant.uncached_tokens, read_again = candidate.recomputed_tokens,
+        copied = candidate.copied_tokens, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
+        cache_age_ms = grant.cache_observation_age.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
         running = candidate.running,
-        own_late_percent = percent(candidate.own_late_event),
-        others_late_percent = percent(candidate.others_late),
-        memory_percent = percent(candidate.memory), revision:% = grant.revision,
+        own_late_percent = percent(candidate.own_delay_probability),
+        others_late_percent = percent(candidate.delayed_streams),
+        memory_percent = percent(candidate.memory_fraction), revision:% = grant.revision,
         list_age_ms = grant.list_age.milliseconds(),
         replica_at = grant.replica.as_ref().map_or("", |replica| replica.instance.as_str());
         "granted"
@@ -324,7 +324,7 @@
 pub(crate) fn back_end_notice(id: &str, back_end: &InstanceId, notice: Notice) {
     log::info!(
         event = "back_end_notice", request = id, back_end = back_end.as_str(),
-        leaving = notice.is_leaving, rest_ms = notice.rest.unwrap_or_default().milliseconds(),
+        leaving = notice.is_leaving, rest_ms = notice.backoff.unwrap_or_default().milliseconds(),
         limit:% = notice.limit;
         "an answer says something of its back end"
     );
@@ -339,7 +339,7 @@
 }
 
 /// The rate limit that a back end names can't be read; it is not kept.
-pub(crate) fn limit_unreadable(value: &HeaderValue) {
+pub(crate) fn invalid_limit(value: &HeaderValue) {
     log::warn!(
         event = "limit_unreadable", found:? = value;
         "the rate limit that a back end names is not kept"
@@ -347,7 +347,7 @@
 }
 
 /// The rest that a back end asks for can't be read; it is not kept.
-pub(crate) fn rest_unreadable(value: &HeaderValue) {
+pub(crate) fn invalid_backoff(value: &HeaderValue) {
     log::warn!(
         event = "rest_unreadable", found:? = value;
         "the rest that a back end asks for is not kept"
@@ -373,7 +373,7 @@
     let details = change.details();
     log::warn!(
         event = details.event, digest:% = details.request, crashes = details.crashes,
-        for_ms = details.for_ms, source = details.source;
+        for_ms = details.remaining_ms, source = details.source;
         "quarantine of a request changed"
     );
 }
@@ -417,7 +417,7 @@
 }
 
 /// A request was answered by this node itself.
-pub(crate) fn answered_here(id: &str, answer: &OwnAnswer, elapsed: Span) {
+pub(crate) fn replied_locally(id: &str, answer: &LocalReply, elapsed: Span) {
     log::warn!(
         event = "answered_here", request = id, status = answer.status().as_u16(),
         reason = answer.reason(), verdict = answer.verdict().as_str(),
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -1,16 +1,16 @@
 //! One request from its head to its final answer.
 
 use crate::answer::RelayBody;
+use crate::cancellation::Cancellations;
 use crate::control::{ControlHandle, SharedTable};
 use crate::forwarding::ForwardedRequest;
+use crate::header_names::HeaderNames;
 use crate::lease::Lease;
-use crate::own_answer::{CrashVerdict, OwnAnswer};
+use crate::local_reply::{CrashRefusal, LocalReply};
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::request_memory::Memory;
 use crate::upstream::Upstream;
-use crate::vocabulary::Vocabulary;
-use crate::withdrawal::Withdrawals;
 use crate::{events, metrics};
 use eiderferry_clock::Clock;
 use eiderferry_dispatch::{Decision, Demand, Outcome, ReplicaTarget};
@@ -33,8 +33,8 @@
     pub memory: Rc<Memory>,
     pub control: ControlHandle,
     pub table: SharedTable,
-    pub vocabulary: Vocabulary,
-    pub withdrawals: Withdrawals,
+    pub header_names: HeaderNames,
+    pub cancellations: Cancellations,
     pub clock: Clock,
 }
 
@@ -42,17 +42,17 @@
 pub(crate) struct RunReplica {
     pub holder: Box<ReplicaTarget>,
     /// When the run was sent.
-    pub since: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
     /// With an answer for the caller.
-    Answer(Response<RelayBody>),
+    Response(Response<RelayBody>),
     /// With a back end's failure, which may be passed on or tried again.
-    FailedAnswer(Response<RelayBody>),
+    FailedResponse(Response<RelayBody>),
     /// Without an answer.
-    None(Outcome),
+    NoResponse(Outcome),
 }
 
 /// A request and what has become of it.
@@ -67,43 +67,43 @@
     pub deadline: Timestamp,
     pub attempts: u32,
     pub unreachable: u32,
-    pub excluded: Vec<InstanceId>,
+    pub excluded_back_ends: Vec<InstanceId>,
     pub may_have_run: bool,
     /// Until when the request is refused, if it was taken back from a back end.
-    pub withdrawn_until: Option<Timestamp>,
+    pub cancelled_until: Option<Timestamp>,
     /// The replica of the run, until its holder has been asked for it.
     pub replica: Option<RunReplica>,
     pub status: u16,
     pub progress: Progress,
-    pub is_over: bool,
+    pub is_finished: bool,
 }
 
 impl Exchange {
-    pub fn pass_on(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
+    pub fn forward(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
         self.status = response.status().as_u16();
-        self.end("whole");
+        self.finish("whole");
         response
     }
 
     pub fn conclude(
         mut self,
         fallback: Option<Response<RelayBody>>,
-        answer: OwnAnswer,
+        answer: LocalReply,
     ) -> Response<RelayBody> {
         if let Some(response) = fallback {
-            return self.pass_on(response);
+            return self.forward(response);
         }
-        self.is_over = true;
+        self.is_finished = true;
         let elapsed = self.elapsed();
-        events::answered_here(&self.head.id, &answer, elapsed);
-        metrics::own_answer(answer.reason());
+        events::replied_locally(&self.head.id, &answer, elapsed);
+        metrics::local_reply(answer.reason());
         metrics::request(&self.head.route, self.head.rank, answer.reason(), elapsed);
         answer.response()
     }
 
     /// Notes how the request ended.
-    pub fn end(&mut self, how: &'static str) {
-        if std::mem::replace(&mut self.is_over, true) {
+    pub fn finish(&mut self, how: &'static str) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let elapsed = self.elapsed();
@@ -115,24 +115,24 @@
         self.traffic.clock.now().since(self.started)
     }
 
-    pub fn final_answer(&self, outcome: Outcome) -> OwnAnswer {
+    pub fn final_reply(&self, outcome: Outcome) -> LocalReply {
         if self.may_have_run {
             return if self.traffic.clock.now() >= self.deadline {
-                OwnAnswer::TimedOut
+                LocalReply::TimedOut
             } else {
-                OwnAnswer::AnswerLost
+                LocalReply::ResponseLost
             };
         }
         let reason = match outcome {
             Outcome::Shed => Reason::QueueFull,
             _ => Reason::NoBackEnd,
         };
-        OwnAnswer::NotRun(reason, NOT_READY_RETRY)
+        LocalReply::NotRun(reason, NOT_READY_RETRY)
     }
 
     /// Whether another back end may be tried.
-    pub fn may_try_again(&self) -> bool {
-        let may_run = !self.may_have_run || self.head.route.may_repeat();
+    pub fn may_retry_elsewhere(&self) -> bool {
+        let may_run = !self.may_have_run || self.head.route.may_retry();
         may_run
             && self.attempts < self.head.route.maximum_attempts
             && self.unreachable < MAXIMUM_UNREACHABLE
@@ -140,12 +140,12 @@
     }
 
     /// Asks for a place.
-    pub async fn ask(&mut self) -> Result<Lease, OwnAnswer> {
+    pub async fn request_lease(&mut self) -> Result<Lease, LocalReply> {
         self.ask_at(None).await
     }
 
     /// Asks for a place at any back end, or at one alone.
-    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, OwnAnswer> {
+    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, LocalReply> {
         let now = self.traffic.clock.now();
         let demand = Demand {
             digest: self.digest,
@@ -156,17 +156,17 @@
             output_tokens: self.head.output_tokens,
             bytes: self.transferred_bytes(),
             target: self.head.route.target,
-            pause_target: self.head.route.pause_target,
+            event_gap_target: self.head.route.event_gap_target,
             remaining: now.until(self.deadline),
             allowed_regions: self.head.allowed_regions.clone(),
-            excluded: self.excluded.clone(),
-            may_repeat: self.head.route.may_repeat(),
-            is_repeat: self.attempts > 0,
+            excluded_back_ends: self.excluded_back_ends.clone(),
+            may_retry: self.head.route.may_retry(),
+            is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
-            only,
+            required_instance: only,
         };
         let is_first = self.attempts == 0 && self.unreachable == 0;
-        let decision = self.traffic.control.ask(demand, is_first).await;
+        let decision = self.traffic.control.dispatch(demand, is_first).await;
         match decision {
             Some(Decision::Grant(grant)) => {
                 let head = &self.head;
@@ -183,7 +183,7 @@
                 let kept = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
                 metrics::prompt(kept, grant.uncached_tokens);
                 if grant.replica.is_some() {
-                    metrics::replica_begun();
+                    metrics::replica_started();
                 }
                 let control = self.traffic.control.clone();
                 Ok(Lease::new(grant, control, self.traffic.clock.now()))
@@ -197,10 +197,10 @@
     }
 
     /// The answer to a request that is refused for so long because back ends crash under it.
-    pub fn crashes_back_ends(&self, lasts: Span) -> OwnAnswer {
-        OwnAnswer::CrashesBackEnds(CrashVerdict {
+    pub fn refuse_crashing(&self, lasts: Span) -> LocalReply {
+        LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
-            lasts,
+            duration: lasts,
             verdict: self.verdict(),
         })
     }
@@ -220,20 +220,20 @@
         u32::try_from(total).unwrap_or(u32::MAX)
     }
 
-    fn refusal(&self, reason: Reason, retry_after: Span) -> OwnAnswer {
+    fn refusal(&self, reason: Reason, retry_after: Span) -> LocalReply {
         if reason == Reason::CrashesBackEnds {
-            return self.crashes_back_ends(retry_after);
+            return self.refuse_crashing(retry_after);
         }
         if self.may_have_run {
-            OwnAnswer::AnswerLost
+            LocalReply::ResponseLost
         } else {
-            OwnAnswer::NotRun(reason, retry_after)
+            LocalReply::NotRun(reason, retry_after)
         }
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.end(self.progress.memory.end_of_dropped());
+        self.finish(self.progress.memory.dropped_outcome());
     }
 }
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -7,7 +7,7 @@
 use crate::exchange::{Exchange, RunReplica};
 use crate::forwarding::is_event_stream;
 use crate::lease::Lease;
-use crate::sending::After;
+use crate::sending::ResumePoint;
 use crate::stream::{Source, StreamRelay};
 use crate::upstream::Connection;
 use crate::{events, metrics};
@@ -34,16 +34,16 @@
 
 impl Exchange {
     /// Longest pause between two events before a stream goes on elsewhere.
-    pub(crate) fn pause_patience(&self) -> Span {
-        let pause = self.head.route.pause_target.unwrap_or(MINIMUM_PAUSE);
+    pub(crate) fn event_gap_timeout(&self) -> Span {
+        let pause = self.head.route.event_gap_target.unwrap_or(MINIMUM_PAUSE);
         Span(pause.0 * PAUSE_TARGETS).max(MINIMUM_PAUSE)
     }
 
     /// Continues a lost run at the engine that holds its replica, if there is one.
     async fn take_over(&mut self, last_id: u64) -> Option<Answering> {
-        let RunReplica { holder, since } = self.replica.take()?;
+        let RunReplica { holder, sent_at } = self.replica.take()?;
         let begun = self.traffic.clock.now();
-        if begun >= self.deadline || begun.since(since) < REPLICA_AGE {
+        if begun >= self.deadline || begun.since(sent_at) < REPLICA_AGE {
             return None;
         }
         let result = match self.ask_at(Some(holder.instance.clone())).await {
@@ -69,16 +69,17 @@
     /// Gives the place of an attempt back that got no answer.
     async fn end_failed(&self, lease: Lease, outcome: Outcome) {
         let (back_end, address) = (lease.grant.instance.clone(), lease.grant.address);
-        lease.end(outcome);
-        self.note_failed_attempt(&back_end, address, outcome).await;
+        lease.release(outcome);
+        self.record_failed_attempt(&back_end, address, outcome)
+            .await;
     }
 
     async fn continue_at(&mut self, lease: Lease, last_id: u64) -> Result<Answering, &'static str> {
         let replica = format!("{}/{}", lease.grant.address, self.head.id);
-        let after = After {
+        let after = ResumePoint {
             last_event_id: Some(last_id),
             resume_from: Some(replica),
-            patience: self.pause_patience(),
+            response_timeout: self.event_gap_timeout(),
         };
         match self.send_after(&lease, after).await {
             Ok((response, connection))
@@ -87,12 +88,12 @@
                 Ok((lease, response, connection))
             }
             Ok(_) => {
-                lease.end(Outcome::Failed);
+                lease.release(Outcome::Failed);
                 Err(Outcome::Failed.as_str())
             }
             Err(Outcome::Shed) => {
                 // It has no replica, which says nothing of its health.
-                lease.end(Outcome::Abandoned);
+                lease.release(Outcome::Abandoned);
                 Err("no_replica")
             }
             Err(outcome) => {
@@ -105,7 +106,7 @@
 
 impl StreamRelay {
     /// Goes on after its source was lost; whether it does.
-    pub(crate) async fn go_on(&mut self) -> bool {
+    pub(crate) async fn fail_over(&mut self) -> bool {
         self.take_over().await || self.resume().await
     }
 
@@ -125,14 +126,14 @@
 
     /// Takes the stream up at another back end.
     async fn resume(&mut self) -> bool {
-        while self.exchange.may_try_again() {
-            let Ok(lease) = self.exchange.ask().await else {
+        while self.exchange.may_retry_elsewhere() {
+            let Ok(lease) = self.exchange.request_lease().await else {
                 return false;
             };
             let last_id = self.splitter.last_id();
-            let after = After {
+            let after = ResumePoint {
                 last_event_id: last_id,
-                ..After::default()
+                ..ResumePoint::default()
             };
             let sent = self.exchange.send_after(&lease, after).await;
             match sent {
@@ -142,7 +143,7 @@
                     self.take_source(lease, response, connection);
                     return true;
                 }
-                Ok(_) => lease.end(Outcome::Failed),
+                Ok(_) => lease.release(Outcome::Failed),
                 Err(outcome) => self.exchange.end_failed(lease, outcome).await,
             }
         }
@@ -151,7 +152,7 @@
 
     fn take_source(&mut self, lease: Lease, response: Response<Incoming>, connection: Connection) {
         let (parts, body) = response.into_parts();
-        self.splitter = EventSplitter::after(self.splitter.last_id());
+        self.splitter = EventSplitter::resuming_after(self.splitter.last_id());
         self.source = Some(Source {
             lease,
             connection,
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -2,10 +2,10 @@
 //! connection.
 
 use crate::answer::RelayBody;
-use crate::memory_budget::{HeldKind, MemoryFull};
-use crate::own_answer::OwnAnswer;
+use crate::header_names::HeaderNames;
+use crate::local_reply::LocalReply;
+use crate::memory_budget::{MemoryFull, MemoryKind};
 use crate::request_memory::RequestMemory;
-use crate::vocabulary::Vocabulary;
 use bytes::{Bytes, BytesMut};
 use eiderferry_dispatch::{Grant, Outcome};
 use eiderferry_types::Span;
@@ -40,10 +40,10 @@
 }
 
 /// What one attempt tells its back end besides.
-pub(crate) struct Told<'a> {
+pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
-    pub left: Span,
-    pub urgency: u8,
+    pub remaining: Span,
+    pub priority: u8,
     pub tenant: Option<&'a str>,
     pub last_event_id: Option<u64>,
     /// Replica from which the run is continued.
@@ -52,7 +52,11 @@
 
 impl ForwardedRequest {
     /// The request for one attempt.
-    pub fn attempt(&self, vocabulary: &Vocabulary, told: &Told<'_>) -> Request<Full<Bytes>> {
+    pub fn attempt(
+        &self,
+        header_names: &HeaderNames,
+        told: &AttemptContext<'_>,
+    ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let mut set = |name: &HeaderName, value: &str| {
             if let Ok(value) = HeaderValue::from_str(value) {
@@ -60,25 +64,28 @@
             }
         };
         set(
-            &vocabulary.remaining_ms,
-            &told.left.milliseconds().max(1).to_string(),
+            &header_names.remaining_ms,
+            &told.remaining.milliseconds().max(1).to_string(),
         );
-        set(&vocabulary.expected_instance, told.grant.instance.as_str());
-        set(&vocabulary.urgency, &told.urgency.to_string());
+        set(
+            &header_names.expected_instance,
+            told.grant.instance.as_str(),
+        );
+        set(&header_names.priority, &told.priority.to_string());
         if let Some(tenant) = told.tenant {
-            set(&vocabulary.tenant, tenant);
+            set(&header_names.tenant, tenant);
         }
         if let Some(address) = told.grant.copy_from {
-            set(&vocabulary.copy_from, &address.to_string());
+            set(&header_names.copy_from, &address.to_string());
         }
         if let Some(replica) = &told.grant.replica {
-            set(&vocabulary.replica_at, &replica.address.to_string());
+            set(&header_names.replica_at, &replica.address.to_string());
         }
         if let Some(replica) = &told.resume_from {
-            set(&vocabulary.resume_from, replica);
+            set(&header_names.resume_from, replica);
         }
         if let Some(id) = told.last_event_id {
-            set(&vocabulary.last_event_id, &id.to_string());
+            set(&header_names.last_event_id, &id.to_string());
         }
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -89,8 +96,8 @@
 }
 
 /// The request's identity, or nothing.
-pub(crate) fn request_id(parts: &Parts, vocabulary: &Vocabulary) -> String {
-    let value = parts.headers.get(&vocabulary.request_id);
+pub(crate) fn request_id(parts: &Parts, header_names: &HeaderNames) -> String {
+    let value = parts.headers.get(&header_names.request_id);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
@@ -107,26 +114,26 @@
     mut body: Incoming,
     limit: u64,
     memory: &RequestMemory,
-) -> Result<Bytes, OwnAnswer> {
+) -> Result<Bytes, LocalReply> {
     let announced = body.size_hint().lower();
     if announced > limit {
-        return Err(OwnAnswer::BodyTooLarge);
+        return Err(LocalReply::BodyTooLarge);
     }
-    let mut held = memory.nothing(HeldKind::Body);
+    let mut held = memory.empty(MemoryKind::Body);
     let refused = |bytes: u64| {
         let retry_after = memory.shared.budget.retry_after(bytes);
-        move |MemoryFull| OwnAnswer::NoMemory(retry_after)
+        move |MemoryFull| LocalReply::NoMemory(retry_after)
     };
     // Counted before it is read, so that what does not fit is not read.
     held.grow(announced).map_err(refused(announced))?;
     let mut collected = BytesMut::with_capacity(announced as usize);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| OwnAnswer::BodyBroken)?;
+        let frame = frame.map_err(|_| LocalReply::BodyBroken)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() as u64 > limit {
-            return Err(OwnAnswer::BodyTooLarge);
+            return Err(LocalReply::BodyTooLarge);
         }
         let uncounted = (collected.len() as u64).saturating_sub(held.bytes());
         held.grow(uncounted).map_err(refused(uncounted))?;
@@ -136,12 +143,12 @@
 
 /// Headers passed on to back ends: without those that belong to the connection, and
 /// without those that this node alone sets.
-pub(crate) fn forwarded_headers(headers: &HeaderMap, vocabulary: &Vocabulary) -> HeaderMap {
-    let keeps = |name: &HeaderName| vocabulary.describes_request(name);
+pub(crate) fn forwarded_headers(headers: &HeaderMap, header_names: &HeaderNames) -> HeaderMap {
+    let keeps = |name: &HeaderName| header_names.describes_request(name);
     let mut forwarded = without_connection_headers(headers, keeps);
     forwarded.remove(header::AUTHORIZATION);
     forwarded.remove(header::CONTENT_LENGTH);
-    for name in vocabulary.set_by_node() {
+    for name in header_names.set_by_node() {
         forwarded.remove(name);
     }
     forwarded
@@ -183,24 +190,24 @@
 }
 
 /// The whole body of an answer.
-pub(crate) async fn read_answer(
+pub(crate) async fn read_response(
     mut body: Incoming,
     memory: &RequestMemory,
 ) -> Result<Bytes, Outcome> {
-    let mut held = memory.nothing(HeldKind::Answer);
+    let mut held = memory.empty(MemoryKind::Response);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| Outcome::Broken)?;
+        let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() > MAXIMUM_ANSWER_BYTES {
-            return Err(Outcome::Broken);
+            return Err(Outcome::IncompleteResponse);
         }
         let uncounted = collected.len() as u64 - held.bytes();
         if memory.grow_answer(&mut held, uncounted).is_err() {
-            memory.note_ended(held.bytes(), "answer");
-            return Err(Outcome::Broken);
+            memory.record_ended(held.bytes(), "answer");
+            return Err(Outcome::IncompleteResponse);
         }
     }
     Ok(held.into_bytes(collected))
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! One control thread holds the dispatcher, talks to the other nodes and runs the
 //! source of documents; the traffic thread serves callers. What header names mean
-//! is told by a [`Vocabulary`], so that no platform's names stand here.
+//! is told by a [`HeaderNames`], so that no platform's names stand here.
 
 #![forbid(unsafe_code)]
 
 mod answer;
 mod attempts;
-mod awaited_decision;
 mod cache_follower;
 mod caller_socket;
+mod cancellation;
 mod control;
 mod crash;
 mod documents;
@@ -21,13 +21,15 @@
 mod failover;
 mod forwarding;
 mod gossip;
+mod header_names;
 mod lease;
+mod local_reply;
 mod logging;
 mod memory_budget;
 mod metrics;
 mod node;
 mod notice;
-mod own_answer;
+mod pending_decision;
 mod progress;
 mod read_ahead;
 mod request_head;
@@ -37,20 +39,18 @@
 mod settings;
 mod stream;
 mod upstream;
-mod vocabulary;
 mod whole_body;
-mod withdrawal;
 
-pub use cache_follower::{CacheProtocol, UnreadableAnswer};
+pub use cache_follower::{CacheProtocol, MalformedResponse};
 pub use control::DocumentFeed;
 pub use eiderferry_clock::Clock;
 pub use event_stream::EventSplitter;
 pub use events::{
-    document_doubtful, history_gone, reloaded, source_lost, source_regained, source_restored,
+    document_invalid, history_compacted, reloaded, source_lost, source_recovered, source_restored,
 };
+pub use header_names::HeaderNames;
 pub use logging::{LogBudget, LogQueue, start as start_logging};
-pub use memory_budget::{HeldKind, MemoryBudget};
+pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
 pub use node::{Relay, Source, StartError};
-pub use settings::{RelaySettings, StopSettings};
-pub use vocabulary::Vocabulary;
+pub use settings::{RelaySettings, ShutdownSettings};
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -4,7 +4,7 @@
 //! routes, tenants or requests.
 
 use crate::memory_budget::MemoryBudget;
-use eiderferry_dispatch::{Border, MessageKind, Snapshot, SplitFigures};
+use eiderferry_dispatch::{Distance, MessageKind, Snapshot, SplitStats};
 use eiderferry_routing::{Route, RouteKind};
 use eiderferry_types::Span;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
@@ -76,12 +76,12 @@
 }
 
 /// A place was granted to a caller that had left, and given back unused.
-pub(crate) fn place_unclaimed() {
+pub(crate) fn lease_unclaimed() {
     metrics::counter!("eiderferry_places_unclaimed_total").increment(1);
 }
 
 /// A place was not given back within its request's time.
-pub(crate) fn place_expired() {
+pub(crate) fn lease_expired() {
     metrics::counter!("eiderferry_places_expired_total").increment(1);
 }
 
@@ -96,12 +96,12 @@
 }
 
 /// What an answer says of its back end can't be read.
-pub(crate) fn notice_doubtful() {
+pub(crate) fn invalid_notice() {
     metrics::counter!("eiderferry_back_end_notices_doubtful_total").increment(1);
 }
 
 /// A run got a replica.
-pub(crate) fn replica_begun() {
+pub(crate) fn replica_started() {
     metrics::counter!("eiderferry_run_replicas_total").increment(1);
 }
 
@@ -118,9 +118,9 @@
 }
 
 /// Bytes of control traffic were sent to another node, headers of the network not included.
-pub(crate) fn control_bytes(kind: MessageKind, border: Border, bytes: usize) {
+pub(crate) fn control_bytes(kind: MessageKind, distance: Distance, bytes: usize) {
     metrics::counter!(
-        "eiderferry_control_bytes_total", "kind" => kind.label(), "border" => border.label()
+        "eiderferry_control_bytes_total", "kind" => kind.label(), "border" => distance.label()
     )
     .increment(bytes as u64);
 }
@@ -145,12 +145,12 @@
 }
 
 /// A node that asked for documents was sent on to others.
-pub(crate) fn documents_sent_on() {
+pub(crate) fn documents_redirected() {
     metrics::counter!("eiderferry_documents_sent_on_total").increment(1);
 }
 
 /// A document held something that makes no sense here.
-pub(crate) fn document_doubtful(what: &'static str) {
+pub(crate) fn document_invalid(what: &'static str) {
     metrics::counter!("eiderferry_documents_doubtful_total", "what" => what).increment(1);
 }
 
@@ -160,7 +160,7 @@
 }
 
 /// This node answered a request by itself.
-pub(crate) fn own_answer(reason: &'static str) {
+pub(crate) fn local_reply(reason: &'static str) {
     metrics::counter!("eiderferry_own_answers_total", "reason" => reason).increment(1);
 }
 
@@ -174,11 +174,11 @@
 
 /// What is held for callers and back ends.
 pub(crate) fn held(budget: &MemoryBudget) {
-    for (kind, route, bytes) in budget.cells() {
+    for (kind, route, bytes) in budget.by_kind_and_route() {
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
             .set(bytes as f64);
     }
-    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.highest() as f64);
+    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.peak() as f64);
 }
 
 /// A request was ended for want of memory.
@@ -189,40 +189,40 @@
 
 /// How the dispatcher stands.
 pub(crate) fn set_gauges(snapshot: &Snapshot) {
-    metrics::gauge!("eiderferry_living_peers").set(snapshot.living_peers as f64);
+    metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
-    metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected as f64);
-    metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold as f64);
-    metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited as f64);
-    metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limit_sender_for as f64);
-    metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sender_for as f64);
+    metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected_back_ends as f64);
+    metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold_back_ends as f64);
+    metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited_back_ends as f64);
+    metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limited_sending_to as f64);
+    metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sending_to as f64);
     let aggregates = f64::from(u8::from(snapshot.is_aggregator));
     metrics::gauge!("eiderferry_aggregates").set(aggregates);
     metrics::gauge!("eiderferry_silent_zones").set(snapshot.silent_zones as f64);
     metrics::gauge!("eiderferry_evacuated_zones").set(snapshot.evacuated_zones as f64);
     metrics::gauge!("eiderferry_places").set(snapshot.leases as f64);
-    metrics::gauge!("eiderferry_caches_followed").set(snapshot.caches_followed as f64);
+    metrics::gauge!("eiderferry_caches_followed").set(snapshot.followed_caches as f64);
     let counts = &snapshot.cache_counts;
     metrics::counter!("eiderferry_cache_listings_total").absolute(counts.listings);
-    metrics::counter!("eiderferry_cache_answers_total").absolute(counts.answers);
+    metrics::counter!("eiderferry_cache_answers_total").absolute(counts.responses);
     metrics::counter!("eiderferry_cache_events_total").absolute(counts.events);
     metrics::counter!("eiderferry_cache_gaps_total").absolute(counts.gaps);
     metrics::counter!("eiderferry_cache_corrections_total").absolute(counts.corrections);
-    metrics::gauge!("eiderferry_documents_epoch").set(snapshot.complete_to.epoch as f64);
-    metrics::gauge!("eiderferry_documents_revision").set(snapshot.complete_to.number as f64);
+    metrics::gauge!("eiderferry_documents_epoch").set(snapshot.newest_revision.epoch as f64);
+    metrics::gauge!("eiderferry_documents_revision").set(snapshot.newest_revision.number as f64);
     metrics::gauge!("eiderferry_table_version").set(snapshot.table_version as f64);
     metrics::gauge!("eiderferry_confirmation_age_seconds").set(snapshot.confirmed_age_seconds);
-    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.looked_at);
-    metrics::counter!("eiderferry_cache_follow_looks_total").absolute(snapshot.follow_looks);
+    metrics::counter!("eiderferry_back_ends_looked_at_total").absolute(snapshot.examined_back_ends);
+    metrics::counter!("eiderferry_cache_follow_looks_total").absolute(snapshot.follow_evaluations);
     let quarantine = &snapshot.quarantine;
     metrics::gauge!("eiderferry_requests_suspected").set(quarantine.suspected as f64);
     metrics::gauge!("eiderferry_requests_quarantined").set(quarantine.quarantined as f64);
-    metrics::counter!("eiderferry_requests_crowded_out_total").absolute(quarantine.crowded_out);
-    set_split_gauges(&snapshot.split);
+    metrics::counter!("eiderferry_requests_crowded_out_total").absolute(quarantine.evicted);
+    set_split_gauges(&snapshot.largest_split);
 }
 
 /// How the engines of the largest split pool are split, and what that rests on.
-fn set_split_gauges(split: &SplitFigures) {
+fn set_split_gauges(split: &SplitStats) {
     let stream_engines = split.ranked_engines.saturating_sub(split.prompt_engines);
     for (side, engines, needed) in [
         ("prompts", split.prompt_engines, split.need.prompts),
@@ -231,8 +231,8 @@
         metrics::gauge!("eiderferry_split_engines", "side" => side).set(f64::from(engines));
         metrics::gauge!("eiderferry_split_needed_engines", "side" => side).set(needed);
     }
-    metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed);
+    metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed_streams);
     metrics::gauge!("eiderferry_split_long_requests").set(f64::from(split.load.long_requests));
     metrics::gauge!("eiderferry_split_placed_tokens_per_second").set(split.placed_rate);
-    metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.reading_rate);
+    metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.prefill_rate);
 }
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -1,6 +1,7 @@
 //! Threads and sockets of a relay.
 
 use crate::cache_follower::CacheFollower;
+use crate::cancellation::Cancellations;
 use crate::control::{Control, ControlHandle, DocumentFeed, SharedTable};
 use crate::documents;
 use crate::exchange::Traffic;
@@ -8,9 +9,8 @@
 use crate::memory_budget::MemoryBudget;
 use crate::request_memory::Memory;
 use crate::server::{Phase, Server};
-use crate::settings::{RelaySettings, StopSettings};
+use crate::settings::{RelaySettings, ShutdownSettings};
 use crate::upstream::Upstream;
-use crate::withdrawal::Withdrawals;
 use crate::{events, metrics};
 use arc_swap::ArcSwapOption;
 use eiderferry_clock::{Clock, duration};
@@ -70,7 +70,7 @@
     control: ControlHandle,
     metrics: Option<PrometheusHandle>,
     memory: Arc<MemoryBudget>,
-    withdrawals: Withdrawals,
+    cancellations: Cancellations,
 }
 
 impl Relay {
@@ -79,40 +79,43 @@
         let clock = Clock::start(HEAD_START);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
         let (sender, commands) = async_channel::unbounded();
-        let socket = bind_datagrams(settings.peer)?;
-        let listener = std::net::TcpListener::bind(settings.peer)
-            .map_err(|cause| StartError::Bind("documents", settings.peer, cause))?;
+        let socket = bind_datagrams(settings.peer_address)?;
+        let listener = std::net::TcpListener::bind(settings.peer_address)
+            .map_err(|cause| StartError::Bind("documents", settings.peer_address, cause))?;
         let dispatcher = Dispatcher::new(DispatcherSettings {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
-            address: settings.peer,
+            address: settings.peer_address,
             seeds: settings.seeds.clone(),
             incarnation: rand::random(),
-            budget: settings.budget,
-            apply_within: settings.apply_within,
-            cold_bound: settings.cold_bound,
+            retry_budget: settings.retry_budget,
+            propagation_deadline: settings.propagation_deadline,
+            cold_rate_limit: settings.cold_rate_limit,
             regions: settings.regions.clone(),
             features: settings.features,
             link_mbps: settings.link_mbps,
         });
         let shared = Arc::clone(&table);
-        let withdrawals = Withdrawals::default();
-        let told = withdrawals.clone();
-        let peer = settings.peer;
-        let (cache_protocol, vocabulary) =
-            (settings.cache_protocol.clone(), settings.vocabulary.clone());
+        let cancellations = Cancellations::default();
+        let told = cancellations.clone();
+        let peer = settings.peer_address;
+        let (cache_protocol, header_names) = (
+            settings.cache_protocol.clone(),
+            settings.header_names.clone(),
+        );
         let thread = std::thread::Builder::new().name("control".to_owned());
         thread
             .spawn(move || {
                 let control = Control::new(dispatcher, clock, shared, socket, told, peer);
-                let follower = |executor| CacheFollower::new(cache_protocol, vocabulary, executor);
+                let follower =
+                    |executor| CacheFollower::new(cache_protocol, header_names, executor);
                 run_control(Rc::new(control), commands, listener, follower, source);
             })
             .map_err(StartError::Thread)?;
         let memory = MemoryBudget::new(settings.memory_budget);
         Ok(Self {
             memory,
-            withdrawals,
+            cancellations,
             settings,
             clock,
             table,
@@ -136,13 +139,13 @@
             upstream: Upstream::new(
                 Rc::clone(&executor),
                 self.control.clone(),
-                self.memory.most_at_back_end(),
+                self.memory.back_end_limit(),
             ),
             memory: Memory::new(Arc::clone(&self.memory)),
             control: self.control.clone(),
             table: Arc::clone(&self.table),
-            vocabulary: self.settings.vocabulary.clone(),
-            withdrawals: self.withdrawals.clone(),
+            header_names: self.settings.header_names.clone(),
+            cancellations: self.cancellations.clone(),
             clock: self.clock,
         });
         let server = Rc::new(Server {
@@ -151,7 +154,7 @@
             phase: Cell::new(Phase::Serving),
             open_requests: Cell::new(0),
             closing,
-            ending,
+            force_stop: ending,
         });
         let signals = StopSignals { close, end };
         smol::block_on(executor.run(self.serve_until(server, stop, signals)))
@@ -166,10 +169,10 @@
         self.open(&server).await?;
         let settings = &self.settings;
         let (node, zone) = (settings.node.as_str(), settings.zone.as_str());
-        events::started(node, zone, settings.listen);
+        events::started(node, zone, settings.listen_address);
         stop.await;
         self.control.stop();
-        stop_server(&server, settings.stop, signals, self.clock).await;
+        stop_server(&server, settings.shutdown, signals, self.clock).await;
         events::stopped(server.open_requests.get());
         Timer::after(LAST_LINES).await;
         Ok(())
@@ -178,18 +181,18 @@
     async fn open(&self, server: &Rc<Server>) -> Result<(), StartError> {
         let settings = &self.settings;
         let executor = &server.executor;
-        let ready = bind("readiness", settings.ready).await?;
-        let path = settings.ready_path.clone();
+        let ready = bind("readiness", settings.readiness_address).await?;
+        let path = settings.readiness_path.clone();
         executor
             .spawn(Rc::clone(server).accept_readiness(ready, path))
             .detach();
-        if let (Some(address), Some(handle)) = (settings.metrics, self.metrics.clone()) {
+        if let (Some(address), Some(handle)) = (settings.metrics_address, self.metrics.clone()) {
             let listener = bind("metrics", address).await?;
             executor
                 .spawn(Rc::clone(server).accept_metrics(listener, handle))
                 .detach();
         }
-        let callers = bind("callers", settings.listen).await?;
+        let callers = bind("callers", settings.listen_address).await?;
         if self.memory.is_bounded() {
             bound_send_buffers(&callers);
         }
@@ -224,9 +227,9 @@
     loop {
         Timer::after(CLEANING_INTERVAL).await;
         let traffic = &server.traffic;
-        traffic.upstream.close_rested();
+        traffic.upstream.close_idle();
         let budget = &traffic.memory.budget;
-        budget.note_pace(traffic.clock.now());
+        budget.record_pace(traffic.clock.now());
         metrics::held(budget);
     }
 }
@@ -237,15 +240,20 @@
     end: async_channel::Sender<Infallible>,
 }
 
-async fn stop_server(server: &Server, settings: StopSettings, signals: StopSignals, clock: Clock) {
+async fn stop_server(
+    server: &Server,
+    settings: ShutdownSettings,
+    signals: StopSignals,
+    clock: Clock,
+) {
     let begun = clock.now();
-    server.phase.set(Phase::Leaving);
+    server.phase.set(Phase::NotReady);
     events::stopping("leaving", server.open_requests.get());
     Timer::after(duration(settings.refuse_after)).await;
     server.phase.set(Phase::Refusing);
     signals.close.close();
     events::stopping("refusing", server.open_requests.get());
-    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.end_after {
+    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.terminate_after {
         Timer::after(END_CHECK).await;
     }
     signals.end.close();
--- a/crates/transport/relay/src/awaited_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -9,12 +9,12 @@
 use eiderferry_dispatch::{Decision, LeaseId, Outcome, StreamPacing};
 
 /// A decision that is under way. Dropped before it was taken, it gives a granted place back.
-pub(crate) struct AwaitedDecision {
+pub(crate) struct PendingDecision {
     answer: Receiver<Decision>,
     control: ControlHandle,
 }
 
-impl AwaitedDecision {
+impl PendingDecision {
     pub fn new(answer: Receiver<Decision>, control: ControlHandle) -> Self {
         Self { answer, control }
     }
@@ -25,16 +25,16 @@
     }
 }
 
-impl Drop for AwaitedDecision {
+impl Drop for PendingDecision {
     fn drop(&mut self) {
         // Once closed, a decision is either here or returns to the control thread.
         self.answer.close();
         let Ok(unclaimed) = self.answer.try_recv() else {
             return;
         };
-        give_back(unclaimed, |lease| {
+        release_unclaimed(unclaimed, |lease| {
             self.control
-                .end(lease, Outcome::NotSent, StreamPacing::default());
+                .release(lease, Outcome::NotSent, StreamPacing::default());
         });
     }
 }
@@ -42,10 +42,10 @@
 /// Gives the place of a decision back that nobody waits for any more. With one that stays
 /// taken for each caller that left at this moment, a pool of three back ends with 6 slots
 /// refused a third of its requests for as long as the nodes lived.
-pub(crate) fn give_back(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
+pub(crate) fn release_unclaimed(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
     let Decision::Grant(grant) = unclaimed else {
         return;
     };
-    events::place_unclaimed(&grant.instance);
+    events::lease_unclaimed(&grant.instance);
     end(grant.lease);
 }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -1,7 +1,7 @@
 //! What a request's head tells: route, tenant, time and prompt.
 
-use crate::Vocabulary;
-use crate::own_answer::OwnAnswer;
+use crate::HeaderNames;
+use crate::local_reply::LocalReply;
 use eiderferry_dispatch::PromptPart;
 use eiderferry_routing::{AllowedRegions, PartId, Route, RouteMatch, RoutingTable, Tenant};
 use eiderferry_types::{RequestDigest, Span};
@@ -23,7 +23,7 @@
     pub tenant: Option<String>,
     pub rank: u8,
     /// Level at which engines admit it; 0 is the most urgent.
-    pub urgency: u8,
+    pub priority: u8,
     pub remaining: Span,
     pub allowed_regions: AllowedRegions,
     pub parts: Vec<PromptPart>,
@@ -36,28 +36,28 @@
     pub fn read(
         parts: &Parts,
         table: &RoutingTable,
-        vocabulary: &Vocabulary,
-    ) -> Result<Self, OwnAnswer> {
+        header_names: &HeaderNames,
+    ) -> Result<Self, LocalReply> {
         let headers = &parts.headers;
         let route = find_route(parts, table)?;
         let tenant = find_tenant(headers, table, route)?;
-        let id = text(headers, &vocabulary.request_id)
+        let id = text(headers, &header_names.request_id)
             .filter(|id| !id.is_empty())
-            .ok_or(OwnAnswer::BadHeader("request_id_missing"))?;
-        let remaining = remaining(headers, vocabulary, route)?;
-        let usage = text(headers, &vocabulary.token_usage).unwrap_or_default();
+            .ok_or(LocalReply::BadHeader("request_id_missing"))?;
+        let remaining = remaining(headers, header_names, route)?;
+        let usage = text(headers, &header_names.token_usage).unwrap_or_default();
         let (prompt_tokens, most_output) = token_usage(usage);
-        let hint = text(headers, &vocabulary.length_hint).and_then(|hint| hint.parse().ok());
+        let hint = text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
         let rank = tenant.and_then(|tenant| tenant.rank).unwrap_or(route.rank);
         Ok(Self {
             id: id.to_owned(),
             route: route.clone(),
             tenant: tenant.map(|tenant| tenant.name.clone()),
             rank,
-            urgency: table.urgency(route, tenant),
+            priority: table.priority(route, tenant),
             remaining,
             allowed_regions: route.regions_for(tenant),
-            parts: prompt_parts(text(headers, &vocabulary.prompt_parts).unwrap_or_default()),
+            parts: prompt_parts(text(headers, &header_names.prompt_parts).unwrap_or_default()),
             prompt_tokens,
             output_tokens: hint.or(most_output).unwrap_or(ASSUMED_OUTPUT_TOKENS),
         })
@@ -87,11 +87,11 @@
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
-fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, OwnAnswer> {
+fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, LocalReply> {
     let host = text(&parts.headers, &HOST).unwrap_or_default();
     match table.route(host, parts.uri.path()) {
         RouteMatch::Found(route) => Ok(route),
-        RouteMatch::Missing => Err(OwnAnswer::NoRoute),
+        RouteMatch::NoRoute => Err(LocalReply::NoRoute),
     }
 }
 
@@ -99,27 +99,27 @@
     headers: &HeaderMap,
     table: &'a RoutingTable,
     route: &Route,
-) -> Result<Option<&'a Tenant>, OwnAnswer> {
+) -> Result<Option<&'a Tenant>, LocalReply> {
     let key = text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER));
     let tenant = key.and_then(|key| table.tenant(key.trim()));
     let needs_key = !route.is_public && !table.document().tenants.is_empty();
     if needs_key && tenant.is_none() {
-        return Err(OwnAnswer::UnknownKey);
+        return Err(LocalReply::UnknownKey);
     }
     Ok(tenant)
 }
 
 fn remaining(
     headers: &HeaderMap,
-    vocabulary: &Vocabulary,
+    header_names: &HeaderNames,
     route: &Route,
-) -> Result<Span, OwnAnswer> {
-    let Some(value) = text(headers, &vocabulary.remaining_ms) else {
+) -> Result<Span, LocalReply> {
+    let Some(value) = text(headers, &header_names.remaining_ms) else {
         return Ok(route.timeout);
     };
     let milliseconds: f64 = value
         .parse()
-        .map_err(|_| OwnAnswer::BadHeader("remaining_time_unreadable"))?;
+        .map_err(|_| LocalReply::BadHeader("remaining_time_unreadable"))?;
     Ok(Span::from_seconds(milliseconds / 1_000.0).min(route.timeout))
 }
 
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -4,7 +4,7 @@
 use crate::attempts;
 use crate::caller_socket::{CallerSocket, Sending, SentBody};
 use crate::exchange::Traffic;
-use crate::own_answer::OwnAnswer;
+use crate::local_reply::LocalReply;
 use crate::progress::Progress;
 use crate::read_ahead::{CurrentStream, ReadAhead, SentStream, poll_current};
 use crate::request_memory::RequestMemory;
@@ -44,7 +44,7 @@
     /// No stop.
     Serving,
     /// Not ready for new callers; all requests are served.
-    Leaving,
+    NotReady,
     /// New requests are refused, kept connections closed.
     Refusing,
 }
@@ -58,7 +58,7 @@
     /// Closed when kept connections are to be closed.
     pub closing: async_channel::Receiver<Infallible>,
     /// Closed when requests without an answer get one from here.
-    pub ending: async_channel::Receiver<Infallible>,
+    pub force_stop: async_channel::Receiver<Infallible>,
 }
 
 struct OpenRequest {
@@ -152,15 +152,15 @@
         current: &CurrentStream,
     ) -> Response<RelayBody> {
         if self.phase.get() == Phase::Refusing {
-            let answer = OwnAnswer::NotRun(Reason::Draining, STOPPING_RETRY);
+            let answer = LocalReply::NotRun(Reason::Draining, STOPPING_RETRY);
             return closing(answer.response());
         }
         let open = OpenRequest::new(Rc::clone(&self));
         let memory = RequestMemory::new(Rc::clone(&self.traffic.memory));
         let progress = Progress::new(Rc::clone(&memory));
         let ending = async {
-            let _ = self.ending.recv().await;
-            progress.last_answer().response()
+            let _ = self.force_stop.recv().await;
+            progress.shutdown_reply().response()
         };
         let traffic = Rc::clone(&self.traffic);
         let response = attempts::serve(traffic, request, progress.clone())
@@ -266,7 +266,7 @@
     poll_fn(|context| match connection.as_mut().poll(context) {
         Poll::Ready(_) => Poll::Ready(()),
         Poll::Pending => {
-            if sending.needs_another_turn() {
+            if sending.needs_wakeup() {
                 context.waker().wake_by_ref();
             }
             poll_current(current, context)
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -1,6 +1,6 @@
 //! Streams of events, passed on as they come and taken up elsewhere when they break.
 
-use crate::answer::{BrokenAnswer, RelayBody};
+use crate::answer::{BrokenResponse, RelayBody};
 use crate::event_stream::EventSplitter;
 use crate::exchange::{AttemptEnd, Exchange};
 use crate::forwarding::answer;
@@ -63,41 +63,47 @@
             splitter: EventSplitter::default(),
             ready: None,
         };
-        let withdrawals = relay.exchange.traffic.withdrawals.clone();
+        let cancellations = relay.exchange.traffic.cancellations.clone();
         let digest = relay.exchange.digest;
-        let withdrawal = async { Err(withdrawals.of(digest).await) };
+        let cancellation = async { Err(cancellations.of(digest).await) };
         let first = async { Ok(relay.next_piece(true).await) };
-        let first = match first.or(withdrawal).await {
+        let first = match first.or(cancellation).await {
             Ok(piece) => piece,
             Err(until) => {
-                relay.finish_source(Outcome::Withdrawn);
-                relay.exchange.withdrawn_until = Some(until);
-                return (Some(relay.exchange), AttemptEnd::None(Outcome::Withdrawn));
+                relay.finish_source(Outcome::Cancelled);
+                relay.exchange.cancelled_until = Some(until);
+                return (
+                    Some(relay.exchange),
+                    AttemptEnd::NoResponse(Outcome::Cancelled),
+                );
             }
         };
         match first {
             Piece::Events(events) => {
-                relay.note_first_event();
+                relay.record_first_event();
                 relay.ready = Some(events);
-                (None, AttemptEnd::Answer(relay.into_response(&parts)))
+                (None, AttemptEnd::Response(relay.into_response(&parts)))
             }
             Piece::End => {
                 relay.finish_source(Outcome::Completed);
                 let response = answer(&parts, RelayBody::from(Bytes::new()));
-                (Some(relay.exchange), AttemptEnd::Answer(response))
+                (Some(relay.exchange), AttemptEnd::Response(response))
             }
             Piece::Broken(outcome) => {
                 relay.finish_source(outcome);
-                (Some(relay.exchange), AttemptEnd::None(outcome))
+                (Some(relay.exchange), AttemptEnd::NoResponse(outcome))
             }
             Piece::TimedOut => {
-                relay.finish_source(Outcome::Silent);
-                (Some(relay.exchange), AttemptEnd::None(Outcome::Silent))
+                relay.finish_source(Outcome::TimedOut);
+                (
+                    Some(relay.exchange),
+                    AttemptEnd::NoResponse(Outcome::TimedOut),
+                )
             }
         }
     }
 
-    fn note_first_event(&self) {
+    fn record_first_event(&self) {
         let exchange = &self.exchange;
         let now = exchange.traffic.clock.now();
         let elapsed = now.since(exchange.started);
@@ -113,7 +119,7 @@
         answer(parts, RelayBody::Pieces(Box::pin(pieces)))
     }
 
-    async fn next(mut self) -> Option<(Result<Bytes, BrokenAnswer>, Self)> {
+    async fn next(mut self) -> Option<(Result<Bytes, BrokenResponse>, Self)> {
         if let Some(events) = self.ready.take() {
             return Some((Ok(events), self));
         }
@@ -122,20 +128,20 @@
                 Piece::Events(events) => return Some((Ok(events), self)),
                 Piece::End => {
                     self.finish_source(Outcome::Completed);
-                    self.exchange.end("whole");
+                    self.exchange.finish("whole");
                     return None;
                 }
                 Piece::TimedOut => {
                     self.finish_source(Outcome::Abandoned);
-                    self.exchange.end("timed_out");
-                    return Some((Err(BrokenAnswer::TimedOut), self));
+                    self.exchange.finish("timed_out");
+                    return Some((Err(BrokenResponse::TimedOut), self));
                 }
                 Piece::Broken(outcome) => {
-                    self.note_break(outcome).await;
+                    self.record_break(outcome).await;
                     self.finish_source(outcome);
-                    if !self.go_on().await {
-                        self.exchange.end("broken_off");
-                        return Some((Err(BrokenAnswer::BackEnd), self));
+                    if !self.fail_over().await {
+                        self.exchange.finish("broken_off");
+                        return Some((Err(BrokenResponse::BackEnd), self));
                     }
                 }
             }
@@ -145,10 +151,10 @@
     /// The next whole events.
     async fn next_piece(&mut self, is_first: bool) -> Piece {
         loop {
-            let limit = self.patience(is_first);
+            let limit = self.response_timeout(is_first);
             let left = self.left();
             let Some(source) = &mut self.source else {
-                return Piece::Broken(Outcome::Broken);
+                return Piece::Broken(Outcome::IncompleteResponse);
             };
             let clock = self.exchange.traffic.clock;
             let timeout = async {
@@ -159,24 +165,26 @@
             match frame {
                 None if limit < left => {
                     if self.is_given_up().await {
-                        return Piece::Broken(Outcome::Silent);
+                        return Piece::Broken(Outcome::TimedOut);
                     }
                 }
                 None => return Piece::TimedOut,
-                Some(Some(Err(_))) => return Piece::Broken(Outcome::Broken),
+                Some(Some(Err(_))) => return Piece::Broken(Outcome::IncompleteResponse),
                 Some(None) if self.splitter.has_partial_event() => {
-                    return Piece::Broken(Outcome::Broken);
+                    return Piece::Broken(Outcome::IncompleteResponse);
                 }
                 Some(None) => return Piece::End,
                 Some(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    let before = self.splitter.handed_out();
+                    let before = self.splitter.emitted();
                     let events = self.splitter.push(&data);
                     if !events.is_empty() {
-                        let count = self.splitter.handed_out() - before;
-                        source.pacing.note(count, self.exchange.traffic.clock.now());
+                        let count = self.splitter.emitted() - before;
+                        source
+                            .pacing
+                            .record(count, self.exchange.traffic.clock.now());
                         return Piece::Events(events);
                     }
                 }
@@ -190,35 +198,39 @@
     }
 
     /// Longest silence before the stream goes on elsewhere.
-    fn patience(&self, is_first: bool) -> Span {
+    fn response_timeout(&self, is_first: bool) -> Span {
         let may_be_taken_over = !is_first && self.exchange.replica.is_some();
-        if !self.exchange.may_try_again() && !may_be_taken_over {
+        if !self.exchange.may_retry_elsewhere() && !may_be_taken_over {
             return Span(u64::MAX);
         }
         let expected = self.source.as_ref().map_or(Span::ZERO, |source| {
             source.lease.grant.candidate.first_event
         });
         if is_first {
-            return self.exchange.first_event_patience(expected);
+            return self.exchange.first_event_timeout(expected);
         }
-        self.exchange.pause_patience()
+        self.exchange.event_gap_timeout()
     }
 
     /// Whether a silent source is left. One whose run has a replica, and can't be asked for
     /// again otherwise, is left only if nothing else shows that it works: a slow engine is
     /// no faster for being changed.
     async fn is_given_up(&self) -> bool {
-        if self.exchange.may_try_again() {
+        if self.exchange.may_retry_elsewhere() {
             return true;
         }
         let Some(source) = &self.source else {
             return true;
         };
         let instance = source.lease.grant.instance.clone();
-        self.exchange.traffic.control.is_unheard(instance).await
+        self.exchange
+            .traffic
+            .control
+            .is_presumed_down(instance)
+            .await
     }
 
-    async fn note_break(&self, outcome: Outcome) {
+    async fn record_break(&self, outcome: Outcome) {
         let Some(source) = &self.source else {
             return;
         };
@@ -226,7 +238,7 @@
         let (back_end, address) = (&grant.instance, grant.address);
         let noted = self
             .exchange
-            .note_failed_attempt(back_end, address, outcome);
+            .record_failed_attempt(back_end, address, outcome);
         noted.await;
     }
 
@@ -237,7 +249,7 @@
         metrics::attempt(outcome.as_str());
         if outcome == Outcome::Completed {
             let upstream = &self.exchange.traffic.upstream;
-            upstream.keep(source.connection, &source.headers);
+            upstream.return_connection(source.connection, &source.headers);
         }
         let exchange = &self.exchange;
         events::stream_paced(&exchange.head.id, &source.pacing, exchange.started);
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -70,11 +70,11 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             SendError::Unreachable(cause) if cause.kind() == ErrorKind::ConnectionRefused => {
-                Outcome::Refused
+                Outcome::ConnectionRefused
             }
             SendError::Unreachable(_) => Outcome::Unreachable,
             SendError::NoConnection | SendError::Backlog => Outcome::NotSent,
-            SendError::Broken(_) => Outcome::Broken,
+            SendError::Broken(_) => Outcome::IncompleteResponse,
         }
     }
 }
@@ -181,11 +181,11 @@
         &self,
         grant: &Grant,
         mut request: Request<Full<Bytes>>,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let key = (grant.address, grant.instance.clone());
         let body = self.reserve(&key, request.body().size_hint().lower())?;
-        while let Some(mut connection) = self.take_idle(&key, may_repeat).await {
+        while let Some(mut connection) = self.take_idle(&key, may_retry).await {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
                     connection.body = Some(body);
@@ -224,8 +224,8 @@
         })
     }
 
-    async fn take_idle(&self, key: &Key, may_repeat: bool) -> Option<Connection> {
-        let most = if may_repeat {
+    async fn take_idle(&self, key: &Key, may_retry: bool) -> Option<Connection> {
+        let most = if may_retry {
             MAXIMUM_REST
         } else {
             MAXIMUM_REST_UNREPEATABLE
@@ -246,7 +246,7 @@
             .await
             .map_err(SendError::Unreachable)?;
         let round_trip = Span::from_seconds(begun.elapsed().as_secs_f64());
-        self.control.connected(key.1.clone(), round_trip);
+        self.control.record_round_trip(key.1.clone(), round_trip);
         let socket = stream.clone().into();
         let handshake = http1::Builder::new()
             .handshake(FuturesIo::new(stream))
@@ -281,7 +281,7 @@
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub fn keep(&self, mut connection: Connection, headers: &HeaderMap) {
+    pub fn return_connection(&self, mut connection: Connection, headers: &HeaderMap) {
         connection.body = None;
         let Some(limit) = allowed_rest(headers) else {
             return;
@@ -301,7 +301,7 @@
     }
 
     /// Closes connections that have rested too long.
-    pub fn close_rested(&self) {
+    pub fn close_idle(&self) {
         let mut closed = Vec::new();
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
@@ -365,7 +365,7 @@
     /// It was refused: the machine is there, its process is not.
     Refused,
     /// Nothing answered.
-    Silent,
+    TimedOut,
 }
 
 impl ConnectionCheck {
@@ -374,7 +374,7 @@
         match self {
             ConnectionCheck::Listening => "listening",
             ConnectionCheck::Refused => "refused",
-            ConnectionCheck::Silent => "silent",
+            ConnectionCheck::TimedOut => "silent",
         }
     }
 }
@@ -383,7 +383,7 @@
 pub(crate) async fn check_connection(address: SocketAddr) -> ConnectionCheck {
     match connect_stream(address).await {
         Ok(_) => ConnectionCheck::Listening,
-        Err(error) if error.kind() == ErrorKind::TimedOut => ConnectionCheck::Silent,
+        Err(error) if error.kind() == ErrorKind::TimedOut => ConnectionCheck::TimedOut,
         Err(_) => ConnectionCheck::Refused,
     }
 }
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -2,25 +2,25 @@
 
 use super::{HOST, KEY};
 use eiderferry_dispatch::{
-    CacheEvent, CacheEvents, CacheListing, Change, Content, DocumentKey, PromptPart,
+    CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
-use eiderferry_relay::{CacheProtocol, UnreadableAnswer, Vocabulary};
+use eiderferry_relay::{CacheProtocol, HeaderNames, MalformedResponse};
 use eiderferry_routing::{
-    BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaOffer, Route,
-    RouteKind, Split, TableDocument, Tenant, ZoneName,
+    BackEnd, EngineSpecification, InstanceId, Limits, PartId, Pool, PoolName, ReplicaSpecification,
+    Route, RouteKind, TableDocument, Tenant, TrafficSplit, ZoneName,
 };
 use eiderferry_types::Span;
 use http::HeaderName;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub fn vocabulary() -> Vocabulary {
-    Vocabulary {
+pub fn header_names() -> HeaderNames {
+    HeaderNames {
         request_id: HeaderName::from_static("request-id"),
         remaining_ms: HeaderName::from_static("remaining-ms"),
         expected_instance: HeaderName::from_static("expected-instance"),
         tenant: HeaderName::from_static("tenant"),
-        urgency: HeaderName::from_static("urgency"),
+        priority: HeaderName::from_static("urgency"),
         not_run: HeaderName::from_static("not-run"),
         leaving: HeaderName::from_static("leaving"),
         rate_limit: HeaderName::from_static("rate-limit"),
@@ -45,21 +45,21 @@
     replicas: None,
 };
 
-fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, UnreadableAnswer> {
+fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
     let text = String::from_utf8_lossy(body);
     let lines = text.lines().map(|line| {
         let words = line.split(' ').map(str::parse);
         words
             .collect::<Result<Vec<u64>, _>>()
-            .map_err(|_| UnreadableAnswer::new("line", line))
+            .map_err(|_| MalformedResponse::new("line", line))
     });
     lines.collect()
 }
 
-fn read_cache_events(body: &[u8]) -> Result<CacheEvents, UnreadableAnswer> {
+fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
     let lines = numbers(body)?;
     let [epoch, next, lost] = lines[0][..] else {
-        return Err(UnreadableAnswer::new("head", "other fields"));
+        return Err(MalformedResponse::new("head", "other fields"));
     };
     let events = lines[1..].iter().map(|line| CacheEvent {
         number: line[0],
@@ -74,7 +74,7 @@
     })
 }
 
-fn read_cache_listing(body: &[u8]) -> Result<CacheListing, UnreadableAnswer> {
+fn read_cache_listing(body: &[u8]) -> Result<CacheListing, MalformedResponse> {
     let events = read_cache_events(body)?;
     let kept = events.events.iter().map(|event| PromptPart {
         id: event.part,
@@ -106,9 +106,9 @@
         kind,
         timeout: Span::from_milliseconds(4_000),
         target: Span::from_milliseconds(2_000),
-        pause_target: Some(Span::from_milliseconds(1_000)),
+        event_gap_target: Some(Span::from_milliseconds(1_000)),
         rank: 2,
-        splits: vec![Split {
+        traffic_splits: vec![TrafficSplit {
             pool: PoolName::from("pool"),
             weight: 1.0,
         }],
@@ -126,7 +126,7 @@
         cache_tokens: 400_000,
         tokens_per_event: 4,
         cache_event_calls: 0,
-        replicas: Some(ReplicaOffer {
+        replicas: Some(ReplicaSpecification {
             lifetime: Span::from_milliseconds(5_000),
             bytes_per_token: 163_840,
         }),
@@ -147,7 +147,7 @@
     let mut patient_read = route("patient-read", RouteKind::Repeatable, 1);
     patient_read.timeout = Span::from_milliseconds(60_000);
     let mut paced = route("paced", RouteKind::Streaming, 1);
-    paced.pause_target = Some(Span::from_milliseconds(100));
+    paced.event_gap_target = Some(Span::from_milliseconds(100));
     let pool = Pool {
         health_path: "/health".to_owned(),
         maximum_connections: 400,
@@ -197,13 +197,13 @@
             zone: ZoneName::from("a"),
             slots: 64,
             draining: true,
-            cold_for: Some(Span::ZERO),
+            cold_remaining: Some(Span::ZERO),
             started_unix_ms: None,
         };
         Change {
             key: DocumentKey::BackEnd(instance),
             revision: 2.into(),
-            content: Content::BackEnd(back_end),
+            content: DocumentContent::BackEnd(back_end),
         }
     });
     listed.collect()
@@ -216,14 +216,14 @@
         Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision: 2.into(),
-            content: Content::BackEnd(BackEnd {
+            content: DocumentContent::BackEnd(BackEnd {
                 instance,
                 pool: PoolName::from("pool"),
                 address: *address,
                 zone: ZoneName::from("a"),
                 slots: 64,
                 draining: false,
-                cold_for: Some(Span::ZERO),
+                cold_remaining: Some(Span::ZERO),
                 started_unix_ms: None,
             }),
         }
@@ -231,7 +231,7 @@
     let table = Change {
         key: DocumentKey::Table,
         revision: 1.into(),
-        content: Content::Table(table(engine)),
+        content: DocumentContent::Table(table(engine)),
     };
     listed.chain([table]).collect()
 }
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/running.rs
@@ -1,9 +1,9 @@
 //! Relays in threads of their own.
 
-use super::documents::{ENGINE, cache_protocol, changes, engine, leaving, vocabulary};
+use super::documents::{ENGINE, cache_protocol, changes, engine, header_names, leaving};
 use super::{AMPLE_MEMORY, Answer, Caller, PATIENCE, SMALL_BUFFER, StandIn, write};
-use eiderferry_dispatch::{BudgetSettings, Change, ColdBound, Features};
-use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, Source, StopSettings};
+use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
+use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, ShutdownSettings, Source};
 use eiderferry_routing::{EngineSpecification, NodeName, ZoneName};
 use eiderferry_types::Span;
 use std::collections::BTreeMap;
@@ -179,38 +179,38 @@
         let settings = RelaySettings {
             node: NodeName::from(format!("node-{}", options.number)),
             zone: ZoneName::from("a"),
-            listen,
-            ready,
-            ready_path: "/ready".to_owned(),
-            metrics: None,
-            peer,
+            listen_address: listen,
+            readiness_address: ready,
+            readiness_path: "/ready".to_owned(),
+            metrics_address: None,
+            peer_address: peer,
             seeds: options.seeds,
-            budget: BudgetSettings {
+            retry_budget: RetryBudgetSettings {
                 ratio: 0.2,
                 allowance: 400.0,
                 window: Span::from_milliseconds(10_000),
             },
             link_mbps: 100,
             memory_budget: options.memory_budget,
-            apply_within: Span::from_milliseconds(2_000),
+            propagation_deadline: Span::from_milliseconds(2_000),
             regions: BTreeMap::new(),
             features: options.features,
-            cold_bound: ColdBound {
+            cold_rate_limit: ColdRateLimit {
                 overage: 1.5,
                 slack: 5.0,
             },
-            stop: StopSettings {
+            shutdown: ShutdownSettings {
                 refuse_after: Span::from_milliseconds(300),
-                end_after: Span::from_milliseconds(1_500),
+                terminate_after: Span::from_milliseconds(1_500),
             },
             cache_protocol: cache_protocol(),
-            vocabulary: vocabulary(),
+            header_names: header_names(),
         };
         let source: Source = Box::new(move |feed| {
             Box::pin(async move {
                 if let Some(documents) = documents {
                     smol::Timer::after(options.delay).await;
-                    feed.take(documents, 2.into());
+                    feed.apply_changes(documents, 2.into());
                 }
                 std::future::pending::<()>().await;
             })
