--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The state machine of a relay's decisions.
+//! The state machine behind a relay's routing decisions.
 
 mod aggregation;
 mod cache_index;
@@ -53,138 +53,138 @@
 use unknown_names::unknown_names;
 use zone_digest::ZoneDigests;
 
-/// Time between two ticks.
+/// Interval between two ticks.
 pub const TICK: Span = Span::from_milliseconds(100);
-/// Placements named in one message.
+/// Largest number of placements in one message.
 const PLACEMENTS_PER_MESSAGE: usize = 40;
-/// Time for which the outcomes at a back end are told.
+/// Time after a request's end for which this node still reports on its back end.
 const OUTCOME_LIFETIME: Span = Span::from_milliseconds(4_000);
 /// How long a back end that an earlier epoch removed is withheld when a restored store lists it
 /// again. Covers the expiry of its entry: three heartbeats at intervals of one to two seconds.
 const WITHHOLD_TIME: Span = Span::from_milliseconds(6_000);
 
-/// What a dispatcher is told at its start.
+/// Settings that a dispatcher is created with.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
-    /// This node.
+    /// Name of this node.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Its address for messages.
+    /// Address at which this node receives messages of its peers.
     pub address: SocketAddr,
-    /// Addresses of some other nodes, perhaps out of date.
+    /// Addresses of some other nodes; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Number of this run.
+    /// Incarnation of this process, which distinguishes restarts of a node.
     pub incarnation: u32,
-    /// Bound of repeats over all nodes.
+    /// Limit on retries over all nodes.
     pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
-    /// Time within which a change that the platform has confirmed has to be in force.
+    /// Time within which a change that the platform has confirmed must be in force.
     pub propagation_deadline: Span,
-    /// Bound of requests to a cold back end over all nodes.
+    /// Limit on the request rate to a cold back end over all nodes.
     pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
     pub regions: ZoneRegions,
-    /// Parts in use.
+    /// Optional parts that are switched on.
     pub features: Features,
 }
 
-/// What a tick asks for.
+/// Result of a tick.
 #[derive(Clone, Debug, Default)]
 pub struct TickOutput {
     /// Messages to send.
     pub messages: Vec<Envelope>,
-    /// What changed with peers.
+    /// Peers that were discovered, lost or recovered.
     pub peer_changes: Vec<PeerChange>,
-    /// Back ends that turned cold or warm, or got other senders.
+    /// Back ends that became cold or warm, or whose senders changed.
     pub warmup_changes: Vec<WarmupChange>,
-    /// Back ends whose rate limits changed, or this node's part in them.
+    /// Back ends whose rate limit changed, or this node's role for it.
     pub limit_changes: Vec<LimitChange>,
-    /// Pools whose engines are split in another way than before.
+    /// Pools whose split between streams and long prompts changed.
     pub split_changes: Vec<SplitChange>,
-    /// Requests that are no longer refused.
+    /// Requests whose quarantine has ended.
     pub quarantine_changes: Vec<QuarantineChange>,
-    /// Places that nobody gave back.
+    /// Leases that expired without being released.
     pub expired_leases: Vec<ExpiredLease>,
 }
 
-/// What a message asks for.
+/// Result of a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceiveOutput {
-    /// What changed with its sender.
+    /// Change in the state of the sending peer.
     pub change: Option<PeerChange>,
-    /// An answer is wanted.
+    /// Whether the sender wants a reply.
     pub wants_reply: bool,
-    /// The sender knows newer documents, which have to be fetched.
+    /// Whether the sender has newer documents, which have to be fetched.
     pub has_newer_documents: bool,
-    /// Changes that the message carried.
+    /// Document changes that the message carried.
     pub changes: Vec<ReceivedChange>,
-    /// Requests that are refused from now on, or no longer.
+    /// Requests whose quarantine has begun or ended.
     pub quarantine_changes: Vec<QuarantineChange>,
 }
 
-/// A change that came with a message.
+/// A received document change and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedChange {
-    /// Which item.
+    /// Key of the document.
     pub key: DocumentKey,
-    /// What became of the item.
+    /// Kind of the change, as a word for logs.
     pub kind: &'static str,
     /// Revision of the change.
     pub revision: Revision,
-    /// What came of it.
+    /// Whether the change was applied.
     pub outcome: ApplyOutcome,
-    /// Zones and regions that it names and the settings don't know.
+    /// Zones and regions that the document names and the settings don't contain.
     pub unknown_names: Vec<UnknownName>,
 }
 
-/// Figures for metrics.
+/// State of a dispatcher, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Peers that are there.
+    /// Peers held to be alive.
     pub live_peers: usize,
-    /// Listed back ends.
+    /// Known back ends.
     pub back_ends: usize,
-    /// Back ends that get no work for now.
+    /// Back ends ejected for failures, which get no requests for now.
     pub ejected_back_ends: usize,
-    /// Back ends that are cold.
+    /// Cold back ends.
     pub cold_back_ends: usize,
     /// Cold back ends to which this node may send.
     pub cold_sending_to: usize,
-    /// Back ends that have named a rate limit.
+    /// Back ends that have stated a rate limit.
     pub limited_back_ends: usize,
-    /// Those of them to which this node sends.
+    /// Rate-limited back ends to which this node sends.
     pub limited_sending_to: usize,
-    /// Whether this node aggregates for its zone.
+    /// Whether this node is an aggregator of its zone.
     pub is_aggregator: bool,
-    /// Other zones held to be cut off.
+    /// Other zones held to be partitioned from this one.
     pub silent_zones: usize,
-    /// Zones whose back ends get nothing new.
+    /// Evacuated zones, whose back ends get no new requests.
     pub evacuated_zones: usize,
-    /// Granted places.
+    /// Leases held at back ends.
     pub leases: usize,
-    /// Last known revision of the newest epoch.
+    /// Newest known revision of the newest epoch.
     pub newest_revision: Revision,
     /// Version of the routing table.
     pub table_version: u64,
-    /// Age of the youngest confirmation in seconds; infinite without any.
+    /// Age of the latest confirmation in seconds; infinite if there is none.
     pub confirmed_age_seconds: f64,
-    /// The split of the largest pool that is split.
+    /// Split of the largest pool that is split.
     pub largest_split: SplitStats,
     /// Engines whose caches this node follows.
     pub followed_caches: usize,
-    /// What following caches came to since the start.
+    /// Counts of cache following since the start.
     pub cache_counts: FollowCounts,
-    /// Requests under which back ends crashed.
+    /// Counts of requests that crash back ends.
     pub quarantine: QuarantineCounts,
-    /// Back ends that were looked at for requests since the start.
+    /// Back ends examined for requests since the start.
     pub examined_back_ends: u64,
-    /// Looks at which engines' caches to follow since the start.
+    /// Evaluations of which engines' caches to follow since the start.
     pub follow_evaluations: u64,
 }
 
-/// Decides for one node.
+/// Makes the routing decisions of one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
@@ -206,9 +206,10 @@
     started: Option<Timestamp>,
     /// Time of the last tick or message.
     now: Timestamp,
-    /// Documents wanted of other nodes.
+    /// Documents that other nodes have and this one lacks.
     wanted: WantedDocuments,
-    /// Back ends and evacuations whose entries lapsed, with the time at which they count as gone.
+    /// Back ends and evacuations whose entries in the store expired, with the time at which they
+    /// are removed here.
     lapsed: BTreeMap<DocumentKey, Timestamp>,
     /// Withheld back ends, with the time from which each may be released.
     withheld: BTreeMap<InstanceId, Timestamp>,
@@ -219,21 +220,21 @@
     round_trips: RoundTrips,
     home_scopes: HomeScopes,
     long_silent: PersistentSilence,
-    /// Zones whose back ends get nothing new.
+    /// Evacuated zones, whose back ends get no new requests.
     evacuated: BTreeSet<ZoneName>,
-    /// How likely a stream of each pool is to be lost.
+    /// Probability, by pool, that a stream is lost.
     losses: LossProbabilities,
     quarantine: Quarantine,
     crash_news: PendingCrashReports,
     /// Whether some back end was cold at the last tick.
     has_cold: bool,
-    /// Back ends that were looked at for requests.
+    /// Back ends examined for requests since the start.
     examined: u64,
     random: ChaCha8Rng,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet.
+    /// Creates a dispatcher without peers or documents.
     pub fn new(settings: DispatcherSettings) -> Self {
         let peers = Peers::new(
             settings.address,
@@ -242,7 +243,8 @@
         );
         let seed = settings.node.digest() ^ u64::from(settings.incarnation);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // Nodes that start together would tell the same peer in the same turn.
+        // Random starting points: nodes that start together would otherwise send to the same peer
+        // in the same tick.
         let (near_turn, far_turn) = (random.random::<u16>(), random.random::<u16>());
         Self {
             settings,
@@ -282,28 +284,29 @@
         }
     }
 
-    /// The documents known.
+    /// The store of known documents.
     pub fn document_store(&self) -> &DocumentStore {
         &self.document_store
     }
 
-    /// Takes over new seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.peers.set_seeds(seeds);
     }
 
-    /// Tells the other nodes from now on that this one is stopping.
+    /// Reports this node as stopping in all further messages.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// This process stood still: what it knows is old, and silence proves nothing.
+    /// Resets the silence timers after a pause of this process: silence before it shows nothing
+    /// about the peers.
     pub fn resume_after_pause(&mut self, now: Timestamp) {
         self.peers.reset_silence(now);
         self.aggregation.reset_silence(now);
     }
 
-    /// Takes a document over that is heard now.
+    /// Applies a document change received now.
     pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
         let applied = self.document_store.apply(change.clone());
@@ -351,7 +354,7 @@
         }
     }
 
-    /// Drops the state of a removed item.
+    /// Drops the state of a removed document.
     fn forget(&mut self, key: &DocumentKey, now: Timestamp) {
         self.lapsed.remove(key);
         match key {
@@ -373,8 +376,8 @@
         }
     }
 
-    /// Releases the back ends whose removal was not written again in time, as confirmed by the
-    /// platform.
+    /// Releases the withheld back ends whose removal was not written again in time, as confirmed by
+    /// the platform.
     fn release_withheld(&mut self, now: Timestamp) {
         let Some(confirmed) = self.confirmed_at(now) else {
             return;
@@ -392,7 +395,7 @@
         }
     }
 
-    /// An evacuation is over: the zone's back ends get requests again, as cold ones.
+    /// Ends the evacuation of a zone: its back ends get requests again and count as cold.
     fn take_zone_back(&mut self, zone: &ZoneName, now: Timestamp) {
         if !self.evacuated.remove(zone) {
             return;
@@ -403,7 +406,7 @@
         }
     }
 
-    /// A back end that started again holds nothing of what is known of the run before.
+    /// Drops cached state of a back end's previous run when the back end has restarted.
     fn forget_previous_run(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
         if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
@@ -412,14 +415,14 @@
         }
     }
 
-    /// Time of the platform's last confirmation.
+    /// Time of the platform's latest confirmation.
     fn confirmed_at(&self, now: Timestamp) -> Option<Timestamp> {
         let age = self.document_store.confirmed_age(now)?;
         Some(now - age)
     }
 
-    /// Removes lapsed items that were not written again in time. An evacuation ends only once the
-    /// platform has confirmed that it was not.
+    /// Removes expired documents that were not written again in time. An evacuation ends only once
+    /// the platform has confirmed that it was not renewed.
     fn forget_lapsed(&mut self, now: Timestamp) {
         let confirmed = self.confirmed_at(now);
         let is_due = |(key, until): &(&DocumentKey, &Timestamp)| match key {
@@ -433,13 +436,13 @@
         }
     }
 
-    /// Notes that the platform confirmed, to this node or to a peer, that no change is newer than
+    /// Records that the platform confirmed, to this node or to a peer, that no change is newer than
     /// the known ones.
     pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
         self.document_store.record_confirmation(known, at);
     }
 
-    /// Takes a peer's message in.
+    /// Handles a message from a peer.
     pub fn receive(
         &mut self,
         address: SocketAddr,
@@ -477,7 +480,7 @@
         }
     }
 
-    /// Whether the news of a message follow on what is known.
+    /// Whether the changes in a message directly follow the known ones.
     fn has_taken_all(&self, message: &Gossip) -> bool {
         let news = message.recent_changes.as_ref();
         news.is_some_and(|news| self.document_store.version_vector().includes(&news.base))
@@ -491,22 +494,22 @@
         changes.map(|change| self.apply(change, now)).collect()
     }
 
-    /// Whether this node aggregates for its zone.
+    /// Whether this node is an aggregator of its zone.
     pub fn is_aggregator(&self) -> bool {
         self.aggregation.is_active()
     }
 
-    /// Zones whose back ends get nothing new.
+    /// Evacuated zones, whose back ends get no new requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
-    /// Other zones of which nothing is heard.
+    /// Other zones from which nothing is heard.
     pub fn silent_zones(&self) -> &BTreeSet<ZoneName> {
         &self.silent_zones
     }
 
-    /// The distance between this node and another.
+    /// Network distance between this node and another.
     pub fn distance_to(&self, address: SocketAddr) -> Distance {
         let zone = self.peers.zone_of(address);
         zone.map_or(Distance::Unknown, |zone| {
@@ -527,7 +530,7 @@
             .unwrap_or_default()
     }
 
-    /// Figures for metrics.
+    /// State of a dispatcher, for metrics.
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
         let table = self.document_store.table();
         let age = self.document_store.confirmed_age(now);
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -1,9 +1,9 @@
-//! Aggregators: in a large zone two nodes collect what all of its nodes report, and tell
-//! each of them the sums over the whole fleet. A loaded node of 295 in five zones sends 24
-//! messages of control a second in place of 142, and 41 kB in place of 77 (counted in
-//! `tests/aggregation.rs`). Aggregators are the nodes that all name alike: strong links
-//! first, then by hashing. They keep nothing that is not reported again within half a second,
-//! so that any of them may be lost at any time.
+//! Aggregators: in a large zone two nodes collect the load reports of all its nodes, and send each
+//! of them the sums over the whole fleet. A loaded node of 295 in five zones sends 24 control
+//! messages a second instead of 142, and 41 kB instead of 77 (counted in `tests/aggregation.rs`).
+//! All nodes compute the same aggregators: nodes with fast links first, then by hash. Aggregators
+//! hold no state that is not reported again within half a second, so any of them may be lost at any
+//! time.
 
 use super::turns::round_robin;
 use super::{Dispatcher, TICK};
@@ -18,80 +18,78 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Bytes that a link of 1 Mbit/s carries in a second.
+/// Bytes per second on a link of 1 Mbit/s.
 const BYTES_A_MBIT: f64 = 125_000.0;
 /// Aggregators of a zone: one may be lost while the other goes on.
 const AGGREGATORS: usize = 2;
-/// Part of its link that an aggregator's summaries take.
+/// Share of an aggregator's link that its summaries take.
 const LINK_PART: f64 = 0.15;
-/// Size of a summary that this is reckoned with, in bytes: for each back end, and for 400
-/// placements at 13.
+/// Assumed size of a summary in bytes: for each back end, and for 400 placements at 13 bytes.
 const BYTES_PER_BACK_END: f64 = 18.0;
 const BYTES_OF_PLACEMENTS: f64 = 5_200.0;
-/// Nodes told in each tick at the most, so that a message a node each 0.4 s suffices in a zone
-/// of 60 and an aggregator sends no more than 150 a second.
+/// Largest number of nodes that get a summary in one tick, so that one message a node each 0.4 s
+/// suffices in a zone of 60 and an aggregator sends no more than 150 a second.
 const TOLD_PER_TICK: f64 = 15.0;
-/// Fewest ticks between two summaries to one node. With 2 in place of 4 in a zone of 24
-/// nodes, 1.8 of 13.7 million prompt tokens less were read again on a loaded day.
+/// Shortest interval, in ticks, between two summaries to one node. In a zone of 24 nodes, 2 ticks
+/// instead of 4 saved the recomputation of 1.8 of 13.7 million prompt tokens on a loaded day.
 const SHORTEST_PERIOD: u64 = 2;
-/// Most ticks, however weak the link is: what is told has to be fresh to be of use.
+/// Longest interval in ticks, however slow the link is: loads have to be recent to be of use.
 const LONGEST_PERIOD: u64 = 12;
-/// Silence of a new aggregator after which the next node takes its place: it collects
-/// reports first.
+/// Silence of a new aggregator after which the next node replaces it: it collects reports first.
 const FIRST_SUMMARY_WITHIN: Span = Span::from_milliseconds(2_500);
-/// Summaries that an aggregator may miss, and time besides, until it counts as silent.
+/// Summaries that an aggregator may miss, and additional time, before it counts as silent.
 const MISSED_SUMMARIES: u64 = 3;
 const SILENCE_MARGIN: Span = Span::from_milliseconds(500);
-/// Time for which a node that gets reports acts as an aggregator, whoever it holds to be
-/// one itself.
+/// Time for which a node that received a report acts as an aggregator, whichever nodes it computes
+/// to be the aggregators itself.
 const REPORTED_TO: Span = Span::from_milliseconds(1_000);
-/// Time that a new aggregator waits for the reports of all nodes before it tells sums.
+/// Time that a new aggregator waits for the reports of all nodes before it sends sums.
 const COLLECTING_TIME: Span = Span::from_milliseconds(700);
-/// Ticks after which a node reports even if nothing has changed.
+/// Ticks after which a node sends a report even if nothing has changed.
 const UNCHANGED_REPORT_TICKS: u64 = 5;
-/// Ticks in which the summaries to a node name all nodes of its zone: with 16, where each 13th
-/// message was lost, a node of 71 held another one to be lost that was there.
+/// Ticks within which the summaries to a node list all nodes of its zone: with 16, at a loss of one
+/// message in 13, a node of 71 wrongly held another one to be lost.
 const TICKS_TO_NAME_ALL: u64 = 12;
-/// The same for the nodes of other zones: a node works with them through others only. With 40,
-/// the busiest of 300 nodes sent 570 kB a second in place of 475.
+/// The same for the nodes of other zones, with which a node has contact only through others. With
+/// 40, the busiest of 300 nodes sent 570 kB a second instead of 475.
 const TICKS_TO_NAME_FAR: u64 = 80;
-/// Back ends named in one summary: those with most requests.
+/// Largest number of back ends in one summary; those with most requests are chosen.
 const MOST_SUMMED: usize = 400;
-/// Placements named in one summary; at 13 bytes each they take 5 kB.
+/// Largest number of placements in one summary; at 13 bytes each they take 5 kB.
 const MOST_PLACEMENTS: usize = 400;
 /// Ticks between two messages to single peers of the zone, which keep nodes known that no
 /// aggregator hears.
 pub(super) const PEER_TICKS: u64 = 2;
-/// Silence of a zone, as aggregators tell it, after which the way there counts as cut:
-/// its two aggregators tell of it each 0.4 s, and what they tell is passed on by others.
+/// Silence of a zone, as reported by aggregators, after which the network path to it counts as cut:
+/// its two aggregators report each 0.4 s, and other nodes forward their reports.
 const ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
-/// Time for which what aggregators tell of zones counts.
+/// Time for which an aggregator's report on the zones is valid.
 const ZONES_TOLD: Span = Span::from_milliseconds(1_300);
 
-/// An aggregator as others see it.
+/// An aggregator and the time by which its next summary is due.
 #[derive(Clone, Copy, Debug)]
 struct Watched {
     address: SocketAddr,
-    /// When it has to be heard next.
+    /// Time by which its next summary is due.
     until: Timestamp,
 }
 
-/// A placement that is to be told with the next summaries.
+/// A placement to be sent with the next summaries.
 #[derive(Clone, Copy, Debug)]
 struct Untold {
     placement: Placement,
     ticks_left: u64,
 }
 
-/// What a node knows of aggregators, and what it collects as one.
+/// A node's view of the aggregators, and what it collects as one of them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Aggregation {
-    /// The aggregators, first one first.
+    /// The aggregators in order of priority.
     watched: Vec<Watched>,
-    /// When this node began to act as an aggregator.
+    /// When this node became an aggregator; `None` if it isn't one.
     acting_since: Option<Timestamp>,
     reported_to: Option<Timestamp>,
-    /// Ticks in which each node of the zone gets a summary of this one.
+    /// Ticks within which each node of the zone gets one summary of this node.
     period: u64,
     told_turn: usize,
     placed: BTreeMap<(u32, PartId), Untold>,
@@ -109,7 +107,7 @@
         self.acting_since.is_some()
     }
 
-    /// Notes placements for the next summary.
+    /// Adds placements to the next summaries.
     pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
@@ -123,7 +121,7 @@
         }
     }
 
-    /// The placements for the summary of this tick.
+    /// Returns the placements for the summary of this tick.
     fn placements_to_tell(&mut self) -> Vec<Placement> {
         let told = self.placed.values().map(|untold| untold.placement);
         let told = told.collect();
@@ -134,7 +132,8 @@
         told
     }
 
-    /// Silence of the others before a pause of this process proves nothing.
+    /// Restarts the silence timers after a pause of this process: silence before it shows nothing
+    /// about the other nodes.
     pub(super) fn reset_silence(&mut self, now: Timestamp) {
         for watched in &mut self.watched {
             watched.until = now + FIRST_SUMMARY_WITHIN;
@@ -144,18 +143,18 @@
         }
     }
 
-    /// Notes a report to this node.
+    /// Records that a report was sent to this node.
     pub(super) fn record_report(&mut self, now: Timestamp) {
         self.reported_to = Some(now);
     }
 
-    /// Notes that something was counted in another zone at a moment.
+    /// Records that loads were counted in another zone at a time.
     pub(super) fn record_zone(&mut self, zone: &ZoneName, counted_at: Timestamp) {
         let heard = self.zones_heard.entry(zone.clone()).or_default();
         *heard = counted_at.max(*heard);
     }
 
-    /// Zones whose ways count as cut; `None` while no aggregator is heard.
+    /// Zones to which the network path counts as cut; `None` while no aggregator is heard.
     pub(super) fn silent_zones(&self, now: Timestamp) -> Option<BTreeSet<ZoneName>> {
         let heard = self.summary_heard;
         let is_told = heard.is_some_and(|heard| now.since(heard) < ZONES_TOLD);
@@ -167,14 +166,15 @@
         Some(silent.map(|(zone, _)| zone.clone()).collect())
     }
 
-    /// Which of the aggregators hears of a placement.
+    /// Whether a placement is reported to the aggregator `number` of `count`: each gets a share of
+    /// them.
     fn is_for(number: usize, count: usize, placement: &Placement) -> bool {
         placement.part.0 % count as u64 == number as u64
     }
 }
 
 impl Dispatcher {
-    /// Renews who aggregates. Returns aggregators that fell silent.
+    /// Updates the aggregators and this node's own role. Returns the aggregators that fell silent.
     pub(super) fn update_aggregators(&mut self, now: Timestamp) -> Vec<PeerChange> {
         if !self.peers.is_zone_large() {
             self.aggregation.watched.clear();
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Reports to the aggregators, if there is something new, and the summary for the zone,
-    /// if one is due.
+    /// Reports to the aggregators, if anything has changed, and the summary for the zone, if one is
+    /// due.
     pub(super) fn aggregation_messages(&mut self, now: Timestamp) -> Vec<Envelope> {
         let mut messages = self.reports(now);
         messages.extend(self.summary(now));
@@ -307,8 +307,8 @@
         })
     }
 
-    /// Nodes that are there, as this one hears them or is told by other zones. All summaries of a period
-    /// name the same ones, as each goes to other nodes.
+    /// Live nodes, as heard by this one or reported by other zones. All summaries of a period list
+    /// the same ones, as each summary goes to different nodes.
     fn members_named(&mut self, now: Timestamp) -> Vec<Member> {
         let period = self.aggregation.period;
         let near = self.peers.same_zone_count() as u64;
@@ -328,7 +328,7 @@
         members
     }
 
-    /// Ticks in which each node of the zone is told once: a weak link takes longer for it.
+    /// Ticks within which each node of the zone gets one summary: more on a slow link.
     fn summary_ticks(&self) -> u64 {
         let back_ends = self.back_ends.all().count() as f64;
         let summary_bytes = back_ends * BYTES_PER_BACK_END + BYTES_OF_PLACEMENTS;
@@ -338,7 +338,7 @@
         (ticks.ceil() as u64).clamp(SHORTEST_PERIOD, LONGEST_PERIOD)
     }
 
-    /// Place of this node among the aggregators: they tell other zones by turns.
+    /// Index of this node among the aggregators, which send to other zones in turn.
     pub(super) fn aggregator_number(&self) -> u64 {
         let own = self.settings.address;
         let mut watched = self.aggregation.watched.iter();
@@ -364,7 +364,7 @@
             .collect()
     }
 
-    /// Takes in what concerns aggregators.
+    /// Handles the parts of a message that concern aggregators.
     pub(super) fn apply_aggregation(
         &mut self,
         address: SocketAddr,
@@ -402,7 +402,7 @@
             self.aggregation.record_zone(&heard.zone, now - age);
         }
         self.back_ends.apply_placements(&summary.placements, now);
-        // An aggregator counts itself, from fresher reports.
+        // An aggregator computes its own sums, from more recent reports.
         if !self.aggregation.is_active() {
             let source = LoadSource::AllNodes {
                 reporter: aggregator,
@@ -411,8 +411,8 @@
         }
     }
 
-    /// Takes over the requests that a message's sender reports as its own, unless they
-    /// arrive here in sums.
+    /// Applies the loads that the sender reports as its own, unless they reach this node as part of
+    /// sums.
     pub(super) fn apply_own_loads(&mut self, message: &Gossip, now: Timestamp) {
         let Some(loads) = &message.loads else {
             return;
@@ -429,7 +429,7 @@
     }
 }
 
-/// The reports that say something; of these the ones with most requests.
+/// Returns the reports that have content, at most `most` of them: those with most running requests.
 pub(super) fn busiest(mut loads: Vec<LoadReport>, most: usize) -> Vec<LoadReport> {
     loads.retain(LoadReport::has_content);
     loads.sort_unstable_by_key(|load| (std::cmp::Reverse(load.running), load.back_end));
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -1,8 +1,8 @@
-//! Which engines' caches this node follows, and what comes of what they tell.
+//! Selects the engines whose caches this node follows, and applies their cache events.
 //!
-//! One node of an engine's zone follows it: the first by rendezvous hashing over the zone's
-//! living nodes that stay. A second one for a while does no harm, as what is told is a state
-//! and not a change of one.
+//! One node of an engine's zone follows it: the first by rendezvous hashing over the zone's live
+//! nodes that aren't stopping. It does no harm if a second one does for a while, as the events are
+//! reported as states, not as changes of a state.
 
 use super::{Dispatcher, PLACEMENTS_PER_MESSAGE};
 use crate::load::cache_index::{CacheCall, CacheIndex, CacheResponse, FollowCounts};
@@ -13,56 +13,56 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-/// Time after a start in which a node comes to know enough others of its zone to tell who
-/// follows which engine: peers are told each tenth of a second.
+/// Time after a start in which a node discovers enough others of its zone to compute which node
+/// follows which engine: peers are sent to each tenth of a second.
 const SETTLING_TIME: Span = Span::from_milliseconds(700);
-/// Engines that one node follows; a mirror of one takes some 100 kB.
+/// Largest number of engines that one node follows; the mirror of one cache takes some 100 kB.
 const MOST_FOLLOWED: usize = 24;
-/// Corrections told after one answer.
+/// Largest number of corrections sent after one response.
 const MOST_CORRECTIONS: usize = 12;
 
-/// A call that is due at an engine.
+/// A cache call that is due at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueCacheCall {
     /// The engine.
     pub instance: InstanceId,
     /// Its address.
     pub address: SocketAddr,
-    /// The engine's run, where it tells when it started.
+    /// Start time of the engine's run, if the engine states it.
     pub started_unix_ms: Option<u64>,
-    /// What it is asked.
+    /// The call to make.
     pub call: CacheCall,
 }
 
-/// What came of an answer.
+/// Result of a cache response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheUpdate {
-    /// Parts believed kept that the engine doesn't keep.
+    /// Prompt parts recorded as cached that the engine doesn't hold.
     pub stale: usize,
-    /// Parts that it keeps and that were not believed kept.
+    /// Prompt parts that it holds and that were not recorded as cached.
     pub missing: usize,
-    /// The counts of the engine since it is followed.
+    /// Counts of the engine since it has been followed.
     pub counts: FollowCounts,
-    /// Time since it is followed.
+    /// Time for which it has been followed.
     pub followed_for: Span,
 }
 
-/// Ticks between two looks at which engines to follow while engines come and go, and at the most:
-/// a look compares each engine of the zone with each node of the zone.
+/// Ticks between two evaluations of which engines to follow, while engines come and go and at the
+/// most: an evaluation compares each engine of the zone with each node of the zone.
 const CHANGES_TICKS: u64 = 5;
 const MOST_TICKS: u64 = 50;
 
-/// The engines that this node follows.
+/// The engines whose caches this node follows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheFollows {
     indices: BTreeMap<InstanceId, CacheIndex>,
     ended: FollowCounts,
-    /// What the last look at which engines to follow rests on, and when it was.
+    /// Basis of the last evaluation of which engines to follow, and its tick.
     examined: Option<(FollowBasis, u64)>,
     looks: u64,
 }
 
-/// What decides which engines a node follows.
+/// Inputs to the evaluation of which engines a node follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FollowBasis {
     may_follow: bool,
@@ -72,7 +72,8 @@
 }
 
 impl FollowBasis {
-    /// Whether another look can wait: nothing changed but some engines, a moment ago.
+    /// Whether the evaluation on this basis is still valid: nothing has changed, or only engines
+    /// have and the evaluation is recent.
     fn stands(&self, now: &Self, ticks: u64) -> bool {
         let is_same_but_for_engines = Self {
             back_ends_version: now.back_ends_version,
@@ -84,7 +85,7 @@
 }
 
 impl CacheFollows {
-    /// Ends the following of all engines but those that `stays` names.
+    /// Stops following the engines that `stays` rejects.
     fn retain(&mut self, stays: impl Fn(&InstanceId) -> bool) {
         let ended = &mut self.ended;
         self.indices.retain(|instance, index| {
@@ -96,7 +97,7 @@
         });
     }
 
-    /// Begins anew with an engine that has started again, if this node follows it.
+    /// Discards the cache mirror of an engine that has restarted.
     pub(super) fn forget(&mut self, instance: &InstanceId) {
         if let Some(index) = self.indices.remove(instance) {
             self.ended.add(index.counts());
@@ -105,7 +106,7 @@
 }
 
 impl Dispatcher {
-    /// Calls that are due at the engines that this node follows.
+    /// Returns the calls that are due at the followed engines.
     pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
         self.update_cache_follows(now);
         let placed = self.back_ends.drain_recent_placements();
@@ -138,7 +139,7 @@
         let basis = self.follow_basis(now);
         let examined = &self.cache_follows.examined;
         if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
-            // An engine that leaves is left at once, as before each call.
+            // An engine that is leaving is dropped at once; this is checked before each call.
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
                 let state = back_ends.get(instance);
@@ -179,7 +180,7 @@
         own.map(|state| state.back_end.instance.clone()).collect()
     }
 
-    /// Whether the engines of any pool tell what they keep.
+    /// Whether the engines of any pool report cache events.
     fn is_any_cache_told(&self) -> bool {
         let table = self.document_store.table();
         let mut pools = table
@@ -200,7 +201,7 @@
         tells && state.accepts_work() && self.peers.sender_index(state.digest) == 0
     }
 
-    /// Takes in what came of a call; `None` where the engine is not followed any more, or
+    /// Handles the response to a cache call. Returns `None` if the engine is no longer followed or
     /// nothing was learned.
     pub fn handle_cache_response(
         &mut self,
@@ -227,8 +228,8 @@
         Some(news)
     }
 
-    /// Where an engine's word differs from belief. What finds no room in the next messages is
-    /// still wrong at the next answer, and told then.
+    /// Differences between an engine's cache and what is recorded of it. Those that don't fit into
+    /// the next messages still exist at the next response, and are sent then.
     fn corrections(&self, instance: &InstanceId) -> Option<Vec<Placement>> {
         let index = self.cache_follows.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
@@ -242,9 +243,9 @@
         Some(gone.chain(kept).take(room.min(MOST_CORRECTIONS)).collect())
     }
 
-    /// Parts turn out to be shared: the followed engines that hold them are known to keep them
-    /// from now on. So the caches are known again with the first requests after a loss of all
-    /// nodes, though no word of an engine tells which of its parts are shared.
+    /// Records prompt parts that have turned out to be shared as cached at the followed engines
+    /// that hold them. So the caches are known again with the first requests after a loss of all
+    /// nodes, although cache events don't say which parts are shared.
     pub(super) fn restore_cached(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
         if self.cache_follows.indices.is_empty() {
             return;
@@ -268,12 +269,12 @@
         self.queue_observations(&recalled);
     }
 
-    /// Looks at which engines to follow since the start.
+    /// Number of evaluations of which engines to follow, since the start.
     pub(super) fn follow_evaluations(&self) -> u64 {
         self.cache_follows.looks
     }
 
-    /// What following came to since the start, and how many engines are followed.
+    /// Number of followed engines, and counts of following since the start.
     pub(super) fn cache_counts(&self) -> (usize, FollowCounts) {
         let mut counts = self.cache_follows.ended;
         for index in self.cache_follows.indices.values() {
@@ -282,7 +283,8 @@
         (self.cache_follows.indices.len(), counts)
     }
 
-    /// Tells what engines themselves told, in place of what was said of these parts before.
+    /// Queues observations of engine caches for the next messages, in place of earlier placements
+    /// of the same parts.
     fn queue_observations(&mut self, facts: &[Placement]) {
         let key = |placement: &Placement| (placement.back_end, placement.part);
         self.placements
@@ -290,7 +292,7 @@
         self.queue_placements(facts);
     }
 
-    /// Tells other nodes of parts with the next messages.
+    /// Queues placements for the next messages to other nodes.
     pub(super) fn queue_placements(&mut self, told: &[Placement]) {
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
         let told = &told[..told.len().min(room)];
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -1,4 +1,4 @@
-//! Which cold back ends this node may send requests to.
+//! Selects the cold back ends to which this node may send requests.
 
 use super::Dispatcher;
 use crate::fleet::peers::Peers;
@@ -11,16 +11,17 @@
 use std::collections::BTreeMap;
 
 impl Dispatcher {
-    /// How the back ends of a pool start, if they start cold.
+    /// Cold-start settings of a pool, if its back ends start cold.
     pub(super) fn cold_start(&self, pool: &PoolName) -> Option<ColdStart> {
         self.document_store.table()?.pool(pool)?.cold_start
     }
 
-    /// Renews which back ends are cold, and to which of its zone this node may send.
+    /// Updates which back ends are cold and to which cold ones of its zone this node may send.
+    /// Returns what changed.
     pub(super) fn update_cold_senders(&mut self, now: Timestamp) -> Vec<WarmupChange> {
         let starts = self.cold_starts();
         if starts.is_empty() && !self.has_cold {
-            // No pool starts cold: nothing to look for among thousands, ten times a second.
+            // No pool starts cold: avoids a scan over thousands of back ends at each tick.
             return Vec::new();
         }
         let may_send = self.may_be_sender(now);
@@ -46,7 +47,8 @@
         changes
     }
 
-    /// Whether this node knows the others of its zone well enough to tell who sends, and stays.
+    /// Whether this node isn't stopping and knows the other nodes of its zone well enough to tell
+    /// which of them send.
     pub(super) fn may_be_sender(&self, now: Timestamp) -> bool {
         let is_settled = self.uptime(now) >= SENDER_SETTLING_TIME
             && self.peers.time_since_zone_grew(now) >= GROWTH_SETTLING_TIME;
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -1,6 +1,7 @@
-//! From whom a node fetches documents that it lacks: from its own zone first. Links between
-//! zones and regions are dear, and all documents are large: 300 nodes that each asked whoever
-//! told them first carried 28 MB across borders at a start (`tests/borders.rs`).
+//! Selects the node from which missing documents are fetched: one of the own zone first. Links
+//! between zones and regions are expensive, and the full set of documents is large: 300 nodes that
+//! each fetched from the first node that announced them transferred 28 MB across borders at a start
+//! (`tests/borders.rs`).
 
 use super::Dispatcher;
 use crate::fleet::traffic::Distance;
@@ -10,45 +11,45 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Time in which a starting node that is no seed comes to know its zone, and one that got
-/// documents there tells it.
+/// Time in which a starting node that is not a seed discovers its zone, and in which a node that
+/// got documents there announces them.
 const START_PATIENCE: Span = Span::from_milliseconds(200);
-/// Additional patience for each node of the zone that is to go first: all documents take some
-/// 0.25 s on a link of 10 Mbit/s.
+/// Additional delay for each node of the zone that has precedence: the full set of documents takes
+/// some 0.25 s on a link of 10 Mbit/s.
 const PATIENCE_PER_NODE: Span = Span::from_milliseconds(250);
-/// Longest time without documents that the own zone could serve.
+/// Longest time for which a node waits for documents from its own zone.
 const LONGEST_PATIENCE: Span = Span::from_milliseconds(2_500);
-/// Time for which a node that could not serve documents isn't asked again.
+/// Time for which a node is not asked again after it was too busy to serve documents, or failed to.
 const AVOIDED_BUSY: Span = Span::from_milliseconds(150);
 const AVOIDED_FAILED: Span = Span::from_milliseconds(1_000);
 
-/// Time in which changes of back ends are left to the announcements that carry them: a message of
-/// another kind may tell of them sooner, and a fetch takes a connection and a call. Announcements
-/// reach the last of 300 nodes after 0.3 s at the most. Without it 585 nodes fetched 650 times
-/// while 325 changes were told to them in 2 s (`tests/fleet.rs`).
+/// Time for which changes of back ends are left to the announcements that carry them: a message of
+/// another kind may report them sooner, and a fetch costs a connection and a call. Announcements
+/// reach the last of 300 nodes after 0.3 s at the most. Without this delay 585 nodes made 650
+/// fetches while 325 changes were announced to them in 2 s (`tests/fleet.rs`).
 const ANNOUNCEMENT_PATIENCE: Span = Span::from_milliseconds(300);
 
-/// What others are known to have that this node lacks.
+/// State of a node while others are known to have more documents.
 #[derive(Clone, Debug)]
 struct Lacking {
-    /// What this node knew all the while.
+    /// What this node knew throughout.
     version_vector: VersionVector,
     since: Timestamp,
 }
 
-/// Documents that this node lacks.
+/// Documents that this node lacks and others have.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WantedDocuments {
     lacking: Option<Lacking>,
-    /// Stamp of the latest table that others have.
+    /// Stamp of the latest table that other nodes have.
     table_stamp: TableStamp,
-    /// Nodes that could not serve them, and until when they are not asked.
+    /// Nodes that could not serve documents, and until when they are not asked.
     avoided: HashMap<SocketAddr, Timestamp>,
 }
 
 impl WantedDocuments {
-    /// Since when others have been known to have more than this node, which has learned nothing
-    /// since.
+    /// Time since which others have been known to have more than this node, without this node
+    /// having learned anything new.
     fn lacking_since(&mut self, version_vector: &VersionVector, now: Timestamp) -> Timestamp {
         let lacking = self.lacking.take();
         let same = lacking.filter(|lacking| lacking.version_vector == *version_vector);
@@ -63,8 +64,8 @@
 }
 
 impl Dispatcher {
-    /// The node from which newer documents are to be fetched now, if others have any. One of
-    /// the own zone that has told of them just now is there and comes first.
+    /// The node from which newer documents are to be fetched now, if others have any. A node of the
+    /// own zone that announced them just now is reachable and comes first.
     pub fn document_source(
         &mut self,
         told_by: Option<SocketAddr>,
@@ -108,33 +109,33 @@
         nearest.choose(&mut self.random).copied()
     }
 
-    /// Whether what this node lacks is probably on its way to it. A table is not: it is too large
-    /// for an announcement.
+    /// Whether the missing documents are probably on their way in an announcement. A table is not:
+    /// it is too large for one.
     fn is_announcement_due(&self, since: Timestamp, now: Timestamp) -> bool {
         let lacks_table = self.wanted.table_stamp > self.document_store.table_stamp();
         !lacks_table && now.since(since) < ANNOUNCEMENT_PATIENCE
     }
 
-    /// Whether this node knows nothing of the newest epoch that its peers know, and so lacks
-    /// nearly all documents. This is also the case after its start.
+    /// Whether this node has nothing of the newest epoch that its peers know, and so lacks nearly
+    /// all documents. This is also the case after its start.
     fn lacks_newest_epoch(&self) -> bool {
         let newest = self.peers.newest_known_revision();
         newest.is_some_and(|newest| !self.document_store.version_vector().has_epoch(newest.epoch))
     }
 
-    /// Notes which table another node has.
+    /// Records the stamp of another node's table.
     pub(super) fn record_peer_table(&mut self, stamp: TableStamp) {
         let latest = &mut self.wanted.table_stamp;
         *latest = stamp.max(*latest);
     }
 
-    /// How long documents of other zones are left to others of this one.
+    /// How long fetches from other zones are left to other nodes of this zone.
     fn far_patience(&self, lacks_newest_epoch: bool, serves_near: bool) -> Span {
         if serves_near {
             return LONGEST_PATIENCE;
         }
-        // A node that knows the epoch lacks only small changes, and few nodes hear of them from
-        // other zones.
+        // A node that has documents of the epoch lacks only small changes, and few nodes hear of
+        // them from other zones.
         if !lacks_newest_epoch {
             return Span::ZERO;
         }
@@ -146,7 +147,7 @@
         (start + PATIENCE_PER_NODE * self.reader_rank()).min(LONGEST_PATIENCE)
     }
 
-    /// A node gave no documents: because it is busy, or for another reason.
+    /// Records that a node served no documents, because it is busy or for another reason.
     pub fn record_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
         let pause = if is_busy {
             AVOIDED_BUSY
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -1,4 +1,4 @@
-//! Places at back ends: granted, refused and given back.
+//! Leases on back ends: grants, refusals and releases.
 
 use super::Dispatcher;
 use super::replicating::KeptReplica;
@@ -15,77 +15,79 @@
 use eiderferry_routing::{InstanceId, PoolName, ZoneName};
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
 
-/// Part of a back end's connections that all nodes together use.
+/// Share of a back end's connection limit that all nodes together use.
 const CONNECTION_PART: f64 = 0.8;
-/// Connections that a node may always hold.
+/// Connections that each node may hold, however many nodes there are.
 const MINIMUM_CONNECTIONS: u32 = 4;
-/// Time after which a request without any back end is worth sending again.
+/// Retry delay of a request for which there is no back end.
 const NO_BACK_END_RETRY: Span = Span::from_milliseconds(500);
-/// Time after which a request for which all back ends are cold, or evacuated, is worth sending
-/// again: another node may be a sender, and each sender sends again after 1.3 s.
+/// Retry delay of a request for which all back ends are cold or evacuated: another node may be a
+/// sender, and each sender sends again after 1.3 s.
 const UNDER_WAY_RETRY: Span = Span::from_milliseconds(1_000);
-/// The same for a request that may run in no region where there are back ends: only a change
-/// of the configuration helps.
+/// Retry delay of a request whose allowed regions have no back ends: only a configuration change
+/// helps.
 const REGION_RETRY: Span = Span::from_milliseconds(5_000);
-/// Time after which a request refused for load is worth sending again.
+/// Retry delay of a request refused for load.
 const OVERLOAD_RETRY: Span = Span::from_milliseconds(400);
-/// Back ends of one zone that don't answer, within a window, which show that the way to the
-/// zone is cut.
+/// Back ends of one zone that fail to respond within [`CUT_WINDOW`], from which on the network path
+/// to the zone counts as cut.
 const UNREACHABLE_FOR_CUT: usize = 2;
-/// The same of those that refuse connections, as a part of all of the zone. A refusal comes from
-/// a machine that is there; several have crashed more often than a cut refuses.
+/// The same for back ends that refuse connections, as a share of all back ends of the zone. A
+/// refusal comes from a machine that is reachable, and several crashed back ends are more common
+/// than a partition that refuses connections.
 const REFUSING_FOR_CUT: f64 = 0.6;
 const CUT_WINDOW: Span = Span::from_milliseconds(3_000);
-/// Requests at a back end, as a multiple of its slots, beyond which none of the least
-/// urgent tier is added: what waits longer comes late anyway.
+/// Requests at a back end, as a multiple of its slots, beyond which none of the least urgent tier
+/// is added: a request that waits longer misses its target anyway.
 const FULLEST: f64 = 1.3;
-/// The same for the most urgent tier: while it is refused, no less urgent request may
-/// begin, and nodes see each other's requests some hundred milliseconds late.
+/// The same for the most urgent tier. It is higher because no less urgent request may start while
+/// this tier is refused, and because nodes see each other's requests with a delay of some hundred
+/// milliseconds.
 const FULLEST_MOST_URGENT: f64 = 2.0;
 
-/// Time after the end of a request's time in which its holder may still give its place back:
-/// callers get their last answers then, and a holder that stood still wakes up.
+/// Time after a request's deadline in which its holder may still release the lease: callers get
+/// their final replies then, and a paused holder may resume.
 const LEASE_MARGIN: Span = Span::from_milliseconds(5_000);
-/// Ticks between two looks for places that nobody gives back.
+/// Ticks between two scans for expired leases.
 const EXPIRY_TICKS: u64 = 10;
 
-/// A granted place.
+/// A slot at a back end, held by a request.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
     pub(super) instance: InstanceId,
-    /// The back end's run, where it tells when it started.
+    /// Start time of the back end's run, if the back end states it.
     pub(super) started_unix_ms: Option<u64>,
     replica: Option<KeptReplica>,
     request: RequestDigest,
-    /// Whether anything of its answer has come, as far as it comes in pieces.
+    /// Whether an event of the response has arrived; always true for a request that isn't streamed.
     has_events: bool,
     pub(super) granted_at: Timestamp,
-    /// When it is given back, whoever holds it.
+    /// When the lease is released even if its holder has not done so.
     expires: Timestamp,
 }
 
-/// A place whose holder did not give it back within its request's time.
+/// A lease that its holder did not release within the request's time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredLease {
-    /// The place.
+    /// The lease.
     pub lease: LeaseId,
-    /// The back end.
+    /// Its back end.
     pub instance: InstanceId,
 }
 
-/// A back end of another zone to which no connection came up.
+/// A failed connection to a back end of another zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedConnection {
     is_refusal: bool,
     at: Timestamp,
 }
 
-/// What changed when a place was given back.
+/// Changes caused by the release of a lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseRelease {
-    /// Back ends whose standing changed.
+    /// Back ends whose health changed.
     pub health_changes: Vec<(InstanceId, HealthChange)>,
-    /// The request, if it was held to crash back ends.
+    /// The request's change of quarantine status, if it was held to crash back ends.
     pub quarantine_change: Option<QuarantineChange>,
 }
 
@@ -97,12 +99,12 @@
             .or_insert_with(|| RetryBudget::new(settings))
     }
 
-    /// Counts a caller's request for a pool.
+    /// Counts a caller's request for a pool, which adds to the pool's retry budget.
     pub fn count_request(&mut self, pool: &PoolName, now: Timestamp) {
         self.budget(pool).record_request(now);
     }
 
-    /// Chooses a back end for a request, or refuses it.
+    /// Chooses a back end for a request and leases it, or refuses the request.
     pub fn dispatch(&mut self, demand: &Demand, now: Timestamp) -> Decision {
         if let Some(refusal) = self.refuse_crashing(demand, now) {
             return refusal;
@@ -138,7 +140,8 @@
             return Decision::Refuse(reason, self.retry_after(reason, demand, now));
         };
         let candidate = candidates[index];
-        // An engine admits the request whose replica it holds before all others.
+        // No limit applies to a takeover: the engine that holds the replica admits the request
+        // before all others.
         let is_takeover = demand.required_instance.is_some();
         if !is_takeover && self.is_full(&plans[index].instance, &candidate, demand, now) {
             return Decision::Refuse(Reason::QueueFull, OVERLOAD_RETRY);
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Whether a back end has so many requests that this one is not added.
+    /// Whether a back end has too many requests to add this one.
     fn is_full(
         &mut self,
         instance: &InstanceId,
@@ -173,7 +176,7 @@
         state.load.smoothed_concurrency(candidate.running, now) >= most
     }
 
-    /// Requests at a back end beyond which this one is not added.
+    /// Number of requests at a back end from which on this one is not added.
     fn most_running(&self, demand: &Demand, slots: u32) -> u32 {
         let table = self.document_store.table();
         let part = table.map_or(0.0, |table| {
@@ -241,17 +244,18 @@
         })
     }
 
-    /// Time after which a request that got no place is worth sending again.
+    /// Delay after which a refused request is worth retrying.
     fn retry_after(&self, reason: Reason, demand: &Demand, now: Timestamp) -> Span {
         match reason {
             Reason::RegionNotAllowed => REGION_RETRY,
             Reason::ColdBackEnds | Reason::ZoneEvacuated => UNDER_WAY_RETRY,
-            // They rest from this node alone: a caller that comes back soon may reach another.
+            // The backoff applies to this node only: a caller that retries soon may reach another
+            // node.
             Reason::BackEndsBackingOff => {
                 let rest = self.back_ends.shortest_backoff(&demand.pool, now);
                 rest.map_or(NO_BACK_END_RETRY, |rest| rest.min(NO_BACK_END_RETRY))
             }
-            // The limits hold for all nodes together: no other one takes the caller sooner.
+            // The limits apply to all nodes together: no other node accepts the request sooner.
             Reason::BackEndsLimited => {
                 let interval = self.back_ends.limited_interval(&demand.pool);
                 interval.unwrap_or_default().max(NO_BACK_END_RETRY)
@@ -269,14 +273,14 @@
         (share as u32).max(MINIMUM_CONNECTIONS)
     }
 
-    /// The first event, or the whole answer, of a request came.
+    /// Records that the first event, or the whole response, of a request arrived.
     pub fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
         if let Some(state) = self.state_of(lease) {
             state.load.first_event(lease, now);
         }
     }
 
-    /// How the events of a stream came, told before its place is given back.
+    /// Records the pacing of a stream's events; to be called before its lease is released.
     pub fn record_pacing(&mut self, lease: LeaseId, pacing: &StreamPacing) {
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.has_events |= pacing.events() > 0;
@@ -289,12 +293,12 @@
         self.back_ends.get_mut(&lease.instance)
     }
 
-    /// A place is given back.
+    /// Releases a lease and records the outcome of its request.
     pub fn release(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) -> LeaseRelease {
         let Some(record) = self.leases.remove(&lease) else {
             return LeaseRelease::default();
         };
-        // A stream that ends without an event may be one that a crash cut short.
+        // A stream that ends without an event may have been cut short by a crash.
         let ended_well = outcome == Outcome::Completed && record.has_events;
         let quarantine_change = ended_well
             .then(|| self.quarantine.record_completed(record.request, now))
@@ -305,8 +309,8 @@
         }
     }
 
-    /// Gives places back whose requests' time has long been over: a place that its holder lost
-    /// would count at its back end, on all nodes, for as long as this process lives.
+    /// Releases leases whose requests' time ended long ago: a lease that its holder lost would
+    /// otherwise count towards the back end's load, on all nodes, for the lifetime of this process.
     pub(super) fn expire_leases(&mut self, now: Timestamp) -> Vec<ExpiredLease> {
         if !self.ticks.is_multiple_of(EXPIRY_TICKS) {
             return Vec::new();
@@ -324,7 +328,7 @@
         expired
     }
 
-    /// Returns the back ends whose standing an outcome has changed.
+    /// Records an outcome at its back end. Returns the back ends whose health changed.
     fn record_back_end_outcome(
         &mut self,
         record: &Lease,
@@ -337,7 +341,8 @@
         }
         let state = self.back_ends.get(&record.instance);
         if state.is_none_or(|state| state.back_end.started_unix_ms != record.started_unix_ms) {
-            // That run is over; its end says nothing of the one that has its name now.
+            // The leased run has ended: the outcome shows nothing about the run that has its name
+            // now.
             return Vec::new();
         }
         self.ended_lately.insert(record.instance.clone(), now);
@@ -362,8 +367,8 @@
         changes
     }
 
-    /// Several back ends of another zone that can't be reached show that the way there is cut:
-    /// the rest of them gets no work for a while either.
+    /// Records a failed connection to another zone. Several of them show that the network path to
+    /// the zone is cut: all of its back ends are ejected then.
     fn record_missed(
         &mut self,
         zone: ZoneName,
--- a/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
+++ b/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
@@ -1,4 +1,5 @@
-//! Where the homes of prompts lie, and how far other zones are.
+//! Caches, for each pool, the scope within which the home engines of prompts are chosen, and
+//! records round-trip times to other zones.
 
 use super::Dispatcher;
 use crate::placement::locality::HomeScope;
@@ -8,35 +9,35 @@
 use eiderferry_types::Span;
 use std::collections::HashMap;
 
-/// Ticks between two looks at where homes lie: a change moves the homes of all prompts, and
-/// what prompts share grows over seconds.
+/// Ticks for which a home scope is valid: a change moves the homes of all prompts, and the number
+/// of tokens that prompts share grows over seconds.
 const HOME_SCOPE_TICKS: u64 = 20;
 
-/// Ticks between two looks while back ends of a large pool come and go: a look goes over all of
-/// them, and where thousands are replaced in turn one has changed before each request. A small
-/// pool is looked at after each change, as one engine less may be a quarter of a zone's.
+/// Ticks between two evaluations while back ends of a large pool come and go: an evaluation scans
+/// all of them, and during a rolling replacement of thousands one has changed before each request.
+/// A small pool is evaluated after each change, as one engine less may be a quarter of a zone's.
 const CHANGES_TICKS: u64 = 5;
 
-/// Where the homes of a pool's prompts lie, and when that was looked at.
+/// A home scope of a pool, and when it was evaluated.
 #[derive(Clone, Copy, Debug)]
 struct KnownScope {
     scope: HomeScope,
     at_tick: u64,
-    /// Whether a back end has changed since.
+    /// Whether a back end has been added or removed since.
     has_changed: bool,
-    /// Whether more than that has, so that it no longer holds.
+    /// Whether anything else has changed since, so that the scope is invalid at once.
     is_outdated: bool,
 }
 
-/// Where the homes of each pool's prompts lie.
+/// The home scope of each pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HomeScopes {
     in_force: HashMap<PoolName, KnownScope>,
 }
 
 impl HomeScopes {
-    /// A document came: of back ends there may be one more or less, any other may change where
-    /// all of them are.
+    /// Records a document change: a back end's may add or remove one back end, any other may change
+    /// the scopes of all pools.
     pub(super) fn record_document(&mut self, key: &DocumentKey) {
         self.record_back_end();
         let is_back_end = matches!(key, DocumentKey::BackEnd(_));
@@ -45,14 +46,14 @@
         }
     }
 
-    /// There may be a back end more or less that takes work.
+    /// Records that a back end may have started or stopped accepting work.
     pub(super) fn record_back_end(&mut self) {
         for looked in self.in_force.values_mut() {
             looked.has_changed = true;
         }
     }
 
-    /// What was found at the last look, unless it is time for another.
+    /// Returns the cached scope of a pool, unless it has to be evaluated again.
     fn up_to_date(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
         let looked = self.in_force.get(pool)?;
         let age = tick - looked.at_tick;
@@ -63,14 +64,14 @@
 }
 
 impl Dispatcher {
-    /// Notes how long a connection to a back end took to come up.
+    /// Records how long it took to establish a connection to a back end.
     pub fn record_round_trip(&mut self, instance: &InstanceId, round_trip: Span) {
         if let Some(state) = self.back_ends.get(instance) {
             self.round_trips.record(&state.back_end.zone, round_trip);
         }
     }
 
-    /// Where the homes of a pool's prompts lie.
+    /// Scope within which the home engines of a pool's prompts lie.
     pub(super) fn home_scope(&mut self, pool: &PoolName) -> HomeScope {
         if !self.settings.features.locality_costs {
             return HomeScope::ALL;
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells the other nodes, and when.
+//! Periodic and triggered messages to other nodes.
 
 use super::aggregation::PEER_TICKS;
 use super::turns::round_robin;
@@ -13,46 +13,46 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Ticks between two messages to other zones, whose bytes are dear.
+/// Ticks between two messages to other zones, where traffic is expensive.
 pub(crate) const CROSS_ZONE_TICKS: u64 = 4;
-/// Ticks between two attempts to reach nodes not known to be there.
+/// Ticks between two probes of nodes not known to be alive.
 const DOUBTFUL_TICKS: u64 = 10;
-/// Ticks between two messages that name other nodes unasked.
+/// Ticks between two messages that list other nodes without being asked.
 const MEMBER_TICKS: u64 = 20;
-/// Ticks between two questions to the seeds by a node that hears others, but lacks documents.
+/// Ticks between two queries to the seeds by a node that hears others but has no documents.
 const SEED_TICKS: u64 = 5;
-/// Ticks after a start during which these attempts are made more often.
+/// Ticks after a start during which probes are sent at the faster pace.
 const STARTING_TICKS: u64 = 50;
-/// The same, while starting or while nodes are known by hearsay only.
+/// Ticks between two probes after a start, or while some nodes are known only indirectly.
 const SEARCHING_TICKS: u64 = 2;
-/// Peers of the own zone told at each tick.
+/// Peers of the own zone that are sent to at each tick.
 pub(crate) const SAME_ZONE_FANOUT: usize = 12;
-/// Peers of other zones told at a time.
+/// Peers of other zones that are sent to at a time.
 pub(crate) const CROSS_ZONE_FANOUT: usize = 8;
-/// The same in a large zone, whose aggregators hear of other zones from theirs.
+/// The same in a large zone, whose aggregators hear of other zones from the aggregators there.
 pub(crate) const LARGE_ZONE_CROSS_ZONE_FANOUT: usize = 2;
-/// Doubtful addresses tried at a time.
+/// Nodes probed at a time.
 const DOUBTFUL_FANOUT: usize = 2;
-/// The same while nodes are known by hearsay only.
+/// The same while some nodes are known only indirectly.
 const SEARCHING_FANOUT: usize = 6;
-/// Peers told by a node that was told itself.
+/// Peers of the own and of other zones to which a node forwards an announcement that it received.
 const FORWARD_NEAR_FANOUT: usize = 3;
 const FORWARD_FAR_FANOUT: usize = 1;
-/// What a message may take on its way, the rounding of ages included: without it a
-/// confirmation that is passed on and back grows younger.
+/// Allowance for a message's transit time and the rounding of ages: without it a confirmation that
+/// is forwarded back and forth would appear ever more recent.
 const ON_THE_WAY: Span = Span::from_milliseconds(10);
-/// Ticks between two looks at how likely streams are to be lost.
+/// Ticks between two updates of the probability that streams are lost.
 const LOSS_TICKS: u64 = 5;
-/// Ticks between two looks at whether streams are placed apart.
+/// Ticks between two updates of the split of pools.
 const SPLIT_TICKS: u64 = 5;
-/// Most changes that one message carries, some 80 bytes each: with them it is as long as a
-/// summary of an aggregator. More are fetched from the teller, with a connection and a call by
-/// each node: a release that replaces 15 engines a second leaves 18 changes between two looks
-/// at the platform, one that replaces 53 leaves 64 (reckoned).
+/// Largest number of changes in one message, at some 80 bytes each: a full one is as long as an
+/// aggregator's summary. More are fetched from the sender, which costs each node a connection and a
+/// call. By calculation, a release that replaces 15 engines a second leaves 18 changes between two
+/// reads of the platform, one that replaces 53 leaves 64.
 const MOST_NEWS: usize = 96;
 
 impl Dispatcher {
-    /// Messages and changes that are due; to be called every [`TICK`](super::TICK).
+    /// Returns the messages and changes that are due; to be called every [`TICK`](super::TICK).
     pub fn tick(&mut self, now: Timestamp) -> TickOutput {
         self.ticks += 1;
         self.now = now;
@@ -76,7 +76,7 @@
         messages.extend(self.zone_digest(now));
         messages.extend(self.crash_announcement(now));
         if self.ticks.is_multiple_of(CROSS_ZONE_TICKS) {
-            // In a large zone the senders of digests speak for all of its nodes.
+            // In a large zone the senders of digests represent all of its nodes.
             if !self.is_spoken_for() {
                 messages.extend(self.message_to_other_zones(now));
             }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether other nodes speak for this one to other zones.
+    /// Whether other nodes represent this one towards other zones.
     fn is_spoken_for(&self) -> bool {
         self.settings.features.zone_representatives
             && self.peers.is_zone_large()
@@ -112,18 +112,20 @@
     fn update_silent_zones(&mut self, now: Timestamp) {
         match self.aggregation.silent_zones(now) {
             Some(zones) => self.silent_zones = zones,
-            // What aggregators told last stands until others have taken their place.
+            // The aggregators' last report holds until others have taken their place.
             None if self.is_spoken_for() => {}
             None => self.silent_zones = self.peers.silent_zones(now),
         }
     }
 
-    /// Seeds are asked in each tick until one is heard, then at times.
+    /// Whether to query the seeds in this tick: in each one until a peer is heard, less often after
+    /// that.
     fn is_time_to_ask_seeds(&self) -> bool {
         self.peers.live_count() == 0 || self.ticks.is_multiple_of(SEED_TICKS)
     }
 
-    /// Looks from time to time at how the engines of pools are split.
+    /// Updates every [`SPLIT_TICKS`] how the engines of pools are split between streams and long
+    /// prompts.
     fn update_splits(&mut self, now: Timestamp) -> Vec<SplitChange> {
         if !self.ticks.is_multiple_of(SPLIT_TICKS) {
             return Vec::new();
@@ -146,8 +148,8 @@
         self.back_ends.update_splits(is_usable, seconds, now)
     }
 
-    /// Messages to the own zone: its peers hear of this node's work themselves, or in a large
-    /// zone by its aggregators.
+    /// Messages to the own zone: its peers hear of this node's load directly, or in a large zone
+    /// through its aggregators.
     fn messages_to_zone(&mut self, now: Timestamp) -> Vec<Envelope> {
         if self.peers.is_zone_large() {
             let mut messages = self.aggregation_messages(now);
@@ -184,13 +186,13 @@
         envelope(MessageKind::Peer, far, message)
     }
 
-    /// A message that wants an answer.
+    /// A message that requests a reply.
     fn question(&mut self, to: Vec<SocketAddr>, now: Timestamp) -> Option<Envelope> {
         let message = self.gossip(true, now);
         envelope(MessageKind::Query, to, message)
     }
 
-    /// Ticks between two attempts to reach doubtful nodes, and how many are tried.
+    /// Ticks between two rounds of probes, and the number of nodes to probe.
     fn search_pace(&self) -> (u64, usize) {
         if self.peers.indirect_count() > 0 {
             return (SEARCHING_TICKS, SEARCHING_FANOUT);
@@ -201,7 +203,7 @@
         (DOUBTFUL_TICKS, DOUBTFUL_FANOUT)
     }
 
-    /// The answer to a node that wants one: it names others.
+    /// The reply to a query. It lists other nodes.
     pub fn reply(&mut self, to: SocketAddr, now: Timestamp) -> Gossip {
         let mut answer = self.gossip(false, now);
         let zone = self.peers.zone_of(to).cloned();
@@ -214,7 +216,7 @@
         answer
     }
 
-    /// The message that tells how this node stands, and its work at back ends.
+    /// A message with this node's state and its load at back ends.
     pub fn gossip(&mut self, wants_reply: bool, now: Timestamp) -> Gossip {
         let mut message = self.bare_gossip(wants_reply, now);
         let count = self.placements.len().min(PLACEMENTS_PER_MESSAGE);
@@ -223,7 +225,7 @@
         message
     }
 
-    /// The message that tells how this node stands, without its work.
+    /// A message with this node's state, without its load.
     pub(super) fn bare_gossip(&mut self, wants_reply: bool, now: Timestamp) -> Gossip {
         let names_members = wants_reply || self.ticks.is_multiple_of(MEMBER_TICKS);
         let members = if names_members {
@@ -267,8 +269,8 @@
             .collect()
     }
 
-    /// Messages that tell the peers at once of newer documents, which the platform or
-    /// a peer has told this node.
+    /// An announcement of newer documents, which this node got from the platform (`is_first_hand`)
+    /// or from a peer. It is sent at once.
     pub fn announce(&mut self, is_first_hand: bool, now: Timestamp) -> Envelope {
         let (near, far) = if is_first_hand {
             (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
@@ -288,9 +290,10 @@
         }
     }
 
-    /// Nodes of other zones told of newer documents: where zones speak through few nodes, one or
-    /// two of each zone by who heard of them first, and none by the others, as each further one
-    /// tells its own zone only.
+    /// Nodes of other zones that an announcement is sent to. Where a zone is represented by few
+    /// nodes, the first node to learn of a change sends it to one or two nodes of each zone, and
+    /// representatives forward it to one node of each zone. All others forward it inside their own
+    /// zone only.
     fn announced_beyond(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
         if !self.is_spoken_for() {
             return round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
@@ -307,7 +310,7 @@
         told
     }
 
-    /// The changes since the last announcement, if they fit a message.
+    /// The changes since the last announcement, if they fit into one message.
     fn news(&self) -> Option<ChangeBatch> {
         let (count, has_table) = self.document_store.count_after(&self.announced_to);
         (count <= MOST_NEWS && !has_table).then(|| ChangeBatch {
@@ -317,7 +320,7 @@
     }
 }
 
-/// A message to peers, if there are any.
+/// An envelope for a message, if there are recipients.
 fn envelope(kind: MessageKind, to: Vec<SocketAddr>, message: Gossip) -> Option<Envelope> {
     (!to.is_empty()).then_some(Envelope { kind, to, message })
 }
--- a/crates/coordination/dispatch/src/dispatcher/noticing.rs
+++ b/crates/coordination/dispatch/src/dispatcher/noticing.rs
@@ -1,4 +1,4 @@
-//! What back ends say of themselves in their answers, as it bears on this node's decisions.
+//! Notices that back ends attach to their responses: leaving, backoff and rate limits.
 
 use super::{Dispatcher, DueCacheCall};
 use crate::load::limiter::LimitNotice;
@@ -6,12 +6,12 @@
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Span, Timestamp};
 
-/// What a back end has answered.
+/// The exchange whose response carried a notice.
 #[derive(Clone, Copy, Debug)]
 pub enum NoticeSource<'a> {
-    /// A request, at a granted place.
+    /// A request that holds a lease.
     Request(LeaseId),
-    /// A call for what an engine keeps.
+    /// A call for the contents of an engine's cache.
     Call(&'a DueCacheCall),
 }
 
@@ -27,17 +27,17 @@
     }
 }
 
-/// The run of a back end that has answered.
+/// The run of a back end that sent a response.
 struct AnsweringRun {
     instance: InstanceId,
     started_unix_ms: Option<u64>,
-    /// When the request was sent, if it was one.
+    /// When the request was sent; `None` for a cache call.
     requested: Option<Timestamp>,
 }
 
 impl Dispatcher {
-    /// An answer says that its back end is leaving: the back end gets nothing more from here.
-    /// Returns it if that was not known.
+    /// Records that a back end is leaving, so that this node sends it no more requests. Returns the
+    /// back end if that is new.
     pub fn record_leaving<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
@@ -52,7 +52,7 @@
         is_new.then_some(run.instance)
     }
 
-    /// An answer says that its back end wants nothing from this node for so long.
+    /// Records that a back end asked this node to send no requests for a time.
     pub fn record_backoff<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// An answer names a rate limit of its back end, or none.
+    /// Records the rate limit that a response states, or that it states none.
     pub fn record_limit<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
@@ -76,8 +76,8 @@
         let Some(run) = self.answering_run(source.into()) else {
             return;
         };
-        // Answers overtake each other: that a limit is over is shown only by the answer to a
-        // request that was sent after the limit was named last.
+        // Responses may arrive out of order: only the response to a request sent after the limit
+        // was last stated shows that the limit is lifted.
         let reported_at = limit.map(|_| now).or(run.requested);
         if let Some(reported_at) = reported_at {
             let notice = LimitNotice { limit, reported_at };
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends crash: what this node notes, hears and tells of them.
+//! Quarantine of requests that crash back ends: records crashes, exchanges reports with peers and
+//! refuses such requests.
 
 use super::Dispatcher;
 use crate::fleet::message::{Envelope, Gossip};
@@ -7,11 +8,11 @@
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
 
-/// Shortest time between two messages that tell of crashes at once: all that ran on a back end
-/// breaks off within some milliseconds.
+/// Shortest interval between two crash announcements: all requests that ran on a crashed back end
+/// fail within some milliseconds.
 const SHORTEST_INTERVAL: Span = Span::from_milliseconds(50);
 
-/// What this node has still to tell of crashes.
+/// Whether crashes are still to be announced, and when the last announcement was sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PendingCrashReports {
     is_untold: bool,
@@ -19,10 +20,9 @@
 }
 
 impl Dispatcher {
-    /// The message that tells other nodes at once of crashes under this node's requests, if there
-    /// is something to tell and none was sent just now. With the messages of the next turn
-    /// alone, a node elsewhere hears of them up to 0.4 s later, while copies of the request
-    /// crash more.
+    /// Returns an announcement of crashes under this node's requests, if there are unannounced ones
+    /// and none was sent just now. With the periodic messages alone, a remote node learns of them
+    /// up to 0.4 s later, while copies of the request crash more back ends.
     pub fn crash_announcement(&mut self, now: Timestamp) -> Option<Envelope> {
         let last = self.crash_news.told_at;
         let is_soon = last.is_some_and(|last| now.since(last) < SHORTEST_INTERVAL);
@@ -36,7 +36,7 @@
         Some(self.announce(true, now))
     }
 
-    /// A back end crashed under a request of this node.
+    /// Records that a back end crashed under a request of this node.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
@@ -51,7 +51,7 @@
         self.quarantine.record_crash(request, back_end, now)
     }
 
-    /// Refuses a request under which back ends crash.
+    /// Returns the refusal of a request that is quarantined.
     pub(super) fn refuse_crashing(&self, demand: &Demand, now: Timestamp) -> Option<Decision> {
         if !self.settings.features.quarantine {
             return None;
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -1,4 +1,4 @@
-//! Rate limits that back ends name: what nodes tell each other, and this node's part in each.
+//! Rate limits stated by back ends: exchange with other nodes, and this node's share of each limit.
 
 use super::{Dispatcher, TICK};
 use crate::load::limit_notices::{Audience, NoticeOrigin};
@@ -7,14 +7,14 @@
 use eiderferry_types::{Span, Timestamp};
 use rand::Rng;
 
-/// Time after a start in which a node comes to know those of other zones. Before that it holds a
-/// zone to be without nodes, whose back ends it would send to, or the fleet to be small.
+/// Time after a start in which a node discovers those of other zones. Earlier it would hold a zone
+/// to have no nodes and send to its back ends, or hold the fleet to be small.
 const FLEET_SETTLING_TIME: Span = Span::from_milliseconds(10_000);
-/// Ticks between two turns at back ends of which nothing is heard.
+/// Ticks between two probes of back ends whose limit is stale.
 const PROBING_TICKS: u64 = PROBING_TURN.0 / TICK.0;
 
 impl Dispatcher {
-    /// Takes over what another node tells of limits.
+    /// Applies another node's reports of rate limits.
     pub(super) fn apply_limits(&mut self, message: &Gossip, now: Timestamp) {
         let heard_from = if message.zone == self.settings.zone {
             NoticeOrigin::OwnZone
@@ -25,14 +25,14 @@
             .apply_limit_reports(&message.limits, heard_from, now);
     }
 
-    /// What a message for an audience tells of limits.
+    /// Reports of rate limits for a message to an audience.
     pub(super) fn limits_for(&mut self, audience: Audience, now: Timestamp) -> Vec<LimitReport> {
         let notices = self.back_ends.limit_notices();
         notices.reports(audience, now, &mut self.random)
     }
 
-    /// Renews which limited back ends this node sends to, and gives it a turn at those of which
-    /// nothing is heard. Returns what has changed.
+    /// Updates which rate-limited back ends this node sends to, and lets it probe those whose limit
+    /// is stale. Returns what changed.
     pub(super) fn update_limit_roles(&mut self, now: Timestamp) -> Vec<LimitChange> {
         self.back_ends.expire_limits(now);
         let limited = self.back_ends.rate_limited();
@@ -54,8 +54,8 @@
             let may_send = if is_near { knows_zone } else { knows_fleet };
             let digest = state.digest;
             state.limiter.update_role(|limit| {
-                // By the most nodes ever known: those that are cut off from the others must not
-                // hold themselves to be alone and take the others' part as well.
+                // Uses the highest number of nodes ever known: nodes that are cut off from the
+                // others must not hold themselves to be alone and use the others' shares as well.
                 let senders = senders(limit, max_known);
                 let place = nodes.own_index(digest, zone, senders);
                 let place = place.filter(|_| may_send)?;
@@ -77,7 +77,7 @@
         changes
     }
 
-    /// Back ends with a limit, and those of them to which this node sends.
+    /// Counts of the back ends with a limit, and of those to which this node sends.
     pub(super) fn limit_counts(&self) -> (usize, usize) {
         let known = self.back_ends.rate_limited();
         let states = known
--- a/crates/coordination/dispatch/src/dispatcher/reading.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reading.rs
@@ -1,52 +1,53 @@
-//! Which nodes read the platform, and which hear of changes from them.
+//! Selects the nodes that read the platform; the others hear of changes from them.
 
 use super::Dispatcher;
 use crate::fleet::peers::RolePriority;
 use eiderferry_types::{Span, Timestamp};
 
-/// Age of the youngest confirmation at which a node reads the platform itself, at the
-/// least: a reader's call waits for up to 1.5 s.
+/// Lowest age of the latest confirmation from which on a node reads the platform itself: a reader's
+/// call waits for up to 1.5 s.
 const CONFIRMATION_LIMIT: Span = Span::from_milliseconds(1_900);
-/// The same as a part of the time within which a change has to be in force: the rest is
-/// for the nodes that read one after the other, and for the way to the others.
+/// The same as a share of the propagation deadline: the rest is for the nodes that start to read
+/// one after the other, and for propagation to the others.
 const CONFIRMATION_PART: f64 = 0.65;
-/// Time within which a change has to be in force from which on not every zone reads: two
-/// zones then do, and a node of a third hears of their confirmations 0.6 s later.
+/// Propagation deadline from which on only [`READING_ZONES`] zones read. A node of a third zone
+/// then hears of their confirmations 0.6 s later.
 const FEW_READERS_FROM: Span = Span::from_milliseconds(3_500);
-/// Time beyond that limit after which nodes have tried to read in vain: the first of them
-/// begins at once, and an answer takes milliseconds.
+/// Time beyond the confirmation limit after which nodes must have tried to read and failed: the
+/// first of them starts at once, and a response takes milliseconds.
 const VAIN_READING_TIME: Span = Span::from_milliseconds(1_000);
-/// Zones that read then: one may be lost while the other goes on. 18 nodes in five zones
-/// made 98 calls on a quiet day of 57 s, where a reader in each zone made 258.
+/// Zones that read when the propagation deadline is long: one may be lost while the other goes on.
+/// 18 nodes in five zones made 98 calls on a quiet day of 57 s; with a reader in each zone they
+/// made 258.
 const READING_ZONES: usize = 2;
-/// Time after a start within which a node comes to know the others of its zone.
+/// Time after a start within which a node discovers the others of its zone.
 const SETTLING_TIME: Span = Span::from_milliseconds(1_500);
-/// Time after a start in which the seeds may tell what they know before a node that is
-/// no seed reads the platform.
+/// Time after a start for which a node that is not a seed waits for the seeds' documents before it
+/// reads the platform.
 const START_PATIENCE: Span = Span::from_milliseconds(200);
 /// The same for a node that has heard peers.
 const START_PATIENCE_WITH_PEERS: Span = Span::from_milliseconds(300);
-/// Additional patience at a start for each node of the zone that is to read first.
+/// Additional delay at a start for each node of the zone that has precedence as a reader.
 const START_PATIENCE_PER_READER: Span = Span::from_milliseconds(100);
-/// The same later, when confirmations have grown old.
+/// The same after the start, when confirmations have become too old.
 const PATIENCE_PER_READER: Span = Span::from_milliseconds(150);
-/// The same beyond the first [`QUICK_READERS`]: where so many got no answer the platform is
-/// probably away for all, and each further node calls it in vain twice a second.
+/// The same beyond the first [`QUICK_READERS`] nodes: if so many got no response, the platform is
+/// probably down for all, and each further reader adds two failing calls a second.
 const PATIENCE_PER_LATE_READER: Span = Span::from_milliseconds(600);
 const QUICK_READERS: u64 = 3;
 
 /// Whether this node reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderRole {
-    /// It does.
+    /// It reads the platform itself.
     Reader,
-    /// It hears of changes from peers.
+    /// It receives changes from peers.
     Follower,
 }
 
 impl Dispatcher {
-    /// Whether this node reads the platform for its zone. One node of a zone does; the
-    /// others follow one after the other, as long as nothing fresh is heard.
+    /// Whether this node reads the platform for its zone. One node of a zone does; the others join
+    /// one after the other while no fresh confirmation arrives.
     pub fn reader_role(&self, now: Timestamp) -> ReaderRole {
         let rank = self.reader_rank();
         let is_due = match self.document_store.confirmed_age(now) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Nodes of the zone that are to read before this one: living ones, in an order
+    /// Number of live nodes of the zone that have precedence over this one as a reader, in an order
     /// that all nodes compute alike.
     pub(super) fn reader_rank(&self) -> u64 {
         let own = self.role_priority();
@@ -70,13 +71,13 @@
         before.count() as u64 + u64::from(self.is_stopping)
     }
 
-    /// Place of this node in the order of duties.
+    /// Priority of this node as a candidate for roles.
     pub(super) fn role_priority(&self) -> RolePriority {
         RolePriority::new(self.settings.address, self.settings.link_mbps)
     }
 
-    /// The first of its zone reads; the seeds do while a node knows too few others to
-    /// tell who is first.
+    /// Whether this node is the regular reader of its zone: the first in order, or a seed while a
+    /// node knows too few others to compute the order.
     fn is_appointed_reader(&self, rank: u64, now: Timestamp) -> bool {
         if self.uptime(now) < SETTLING_TIME {
             self.peers.is_seed()
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether the youngest confirmation is so old that nodes have tried to read in vain.
+    /// Whether the latest confirmation is so old that nodes must have tried to read and failed.
     pub fn is_confirmation_overdue(&self, now: Timestamp) -> bool {
         let age = self.document_store.confirmed_age(now);
         age.is_some_and(|age| age > self.confirmation_limit() + VAIN_READING_TIME)
@@ -96,7 +97,7 @@
         part.max(CONFIRMATION_LIMIT)
     }
 
-    /// Whether this node's zone is one of those that read, among the zones that it hears.
+    /// Whether this node's zone is one of the reading ones among the zones that it hears.
     fn is_zone_reading(&self) -> bool {
         if self.settings.propagation_deadline < FEW_READERS_FROM {
             return true;
@@ -108,7 +109,8 @@
         before < READING_ZONES
     }
 
-    /// At a start the seeds read first: all nodes ask them, whoever else is known yet.
+    /// Delay after a start before this node reads the platform. Seeds read at once: all nodes query
+    /// them, whichever other nodes they know.
     fn start_patience(&self, rank: u64) -> Span {
         if self.peers.is_seed() {
             Span::ZERO
@@ -120,7 +122,7 @@
     }
 }
 
-/// How long a node waits for those that are to read before it.
+/// How long a node waits for those that have precedence over it.
 fn patience(rank: u64) -> Span {
     let quick = rank.min(QUICK_READERS);
     PATIENCE_PER_READER * quick + PATIENCE_PER_LATE_READER * (rank - quick)
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -1,4 +1,4 @@
-//! Replicas of running streams: begun with a place, released with it.
+//! Replicas of running streams: placed together with a lease and released with it.
 
 use super::Dispatcher;
 use crate::placement::replication::{holder, replica_tokens, should_replicate};
@@ -7,7 +7,7 @@
 use eiderferry_routing::{InstanceId, PoolName};
 use eiderferry_types::Timestamp;
 
-/// A replica that is counted at its holder.
+/// A replica that counts towards the load of its holder.
 #[derive(Clone, Debug)]
 pub(super) struct KeptReplica {
     pub(super) target: ReplicaTarget,
@@ -15,14 +15,14 @@
 }
 
 impl Dispatcher {
-    /// Chooses the holder of a run's replica, and counts the replica there.
+    /// Chooses the holder of a stream's replica and adds the replica to the holder's load.
     pub(super) fn replicate(
         &mut self,
         demand: &Demand,
         source: &InstanceId,
         now: Timestamp,
     ) -> Option<KeptReplica> {
-        // A run that was taken over once is not replicated again.
+        // A stream that was taken over once is not replicated again.
         if demand.required_instance.is_some() || !self.settings.features.run_replicas {
             return None;
         }
@@ -63,15 +63,15 @@
         engine.is_some_and(|engine| engine.replicas.is_some())
     }
 
-    /// The run has ended here: its replica is no longer counted.
+    /// Removes the replica of an ended stream from its holder's load.
     pub(super) fn release_replica(&mut self, kept: &KeptReplica) {
         if let Some(state) = self.back_ends.get_mut(&kept.target.instance) {
             state.load.end_replica(kept.lease);
         }
     }
 
-    /// Whether nothing shows that an engine still works: its zone is not heard, it gets no work
-    /// for its failures, or it is listed no longer.
+    /// Whether an engine is presumed to be down: its zone is silent, it is ejected for failures, or
+    /// it is no longer listed.
     pub fn is_presumed_down(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(state) = self.back_ends.get(instance) else {
             return true;
--- a/crates/coordination/dispatch/src/dispatcher/turns.rs
+++ b/crates/coordination/dispatch/src/dispatcher/turns.rs
@@ -1,8 +1,8 @@
-//! Peers told one after the other.
+//! Round-robin selection of peers.
 
 use std::net::SocketAddr;
 
-/// The next peers in turn, so that each is told at a steady pace.
+/// Returns the next `most` peers in round-robin order, so that each is sent to at a steady rate.
 pub(super) fn round_robin(peers: &[SocketAddr], most: usize, turn: &mut usize) -> Vec<SocketAddr> {
     let count = most.min(peers.len());
     let start = *turn;
--- a/crates/coordination/dispatch/src/dispatcher/unknown_names.rs
+++ b/crates/coordination/dispatch/src/dispatcher/unknown_names.rs
@@ -1,20 +1,20 @@
-//! Zones and regions that documents name and the settings don't know.
+//! Zones and regions that documents name and the settings don't contain.
 
 use crate::{DocumentKey, DocumentStore};
 use eiderferry_routing::{RegionName, ZoneName, ZoneRegions};
 use std::collections::BTreeSet;
 
-/// A name that means nothing here.
+/// A zone or region name that the settings don't contain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnknownName {
-    /// A zone that is evacuated or given back.
+    /// Zone of an evacuation, whether begun or ended.
     Zone(ZoneName),
-    /// A region in which requests may run: none of the settings' zones lies in it.
+    /// A region in which requests may run; no zone of the settings lies in it.
     Region(RegionName),
 }
 
 impl UnknownName {
-    /// What it would name, as a word for logs.
+    /// Kind of the name, as a word for logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Zone(_) => "zone",
@@ -31,7 +31,7 @@
     }
 }
 
-/// The names in a document just taken that are not among the settings' zones and regions.
+/// Names in a document just applied that are not among the zones and regions of the settings.
 pub(super) fn unknown_names(
     key: &DocumentKey,
     document_store: &DocumentStore,
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -1,6 +1,6 @@
-//! Loads and placements of whole zones: in a large fleet no node hears each node of other
-//! zones often enough, so two nodes of each zone tell one node of each other zone what all
-//! nodes of theirs have at the back ends, and that node passes it on in its own zone.
+//! Digests of the loads and placements of whole zones. In a large fleet no node hears each node of
+//! other zones often enough, so two nodes of each zone send a digest of all its nodes to one node
+//! of each other zone, which forwards it in its own zone.
 
 use super::Dispatcher;
 use super::aggregation::busiest;
@@ -16,43 +16,44 @@
 
 /// Ticks between two digests by one node.
 const DIGEST_TICKS: u64 = 4;
-/// Nodes of a zone that send digests, in turn.
+/// Number of nodes of a zone that send digests, in turn.
 const DIGEST_SENDERS: u64 = 2;
-/// Back ends named in one digest: those with most requests.
+/// Largest number of back ends in one digest; those with most requests are chosen.
 const MOST_LOADS: usize = 200;
-/// Placements named in one digest.
+/// Largest number of placements in one digest.
 const MOST_PLACEMENTS: usize = 120;
-/// Digests of one node that name all nodes of its zone.
+/// Number of digests of one node that together list all nodes of its zone.
 const DIGESTS_TO_NAME_ALL: usize = 10;
-/// Time for which the sender of a digest gets those of the own zone: it sends each 0.4 s, to
-/// one of two. After that any node of its zone does, which passes them on.
+/// Time for which the sender of a digest gets the digests of the own zone: it sends each 0.4 s, to
+/// one of two nodes. After that any node of its zone gets them and forwards them.
 const SENDER_LIFETIME: Span = Span::from_milliseconds(1_500);
-/// Zones passed on in one message.
+/// Largest number of zones whose digests are forwarded in one message.
 const MOST_ZONES: usize = 4;
 
-/// A digest that this node has heard.
+/// A digest received from another zone.
 #[derive(Clone, Debug)]
 struct HeardDigest {
     reporter: u64,
     counted_at: Timestamp,
     loads: Vec<LoadReport>,
     placements: Vec<Placement>,
-    /// Ticks for which it is passed on in the own zone.
+    /// Ticks for which it is still forwarded in the own zone.
     ticks_left: u64,
 }
 
-/// Digests heard of other zones, and placements for the digest of the own one.
+/// Digests received from other zones, and placements for the digest of the own one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneDigests {
     heard: BTreeMap<ZoneName, HeardDigest>,
     placed: BTreeMap<(u32, PartId), Placement>,
-    /// Nodes whose digests of other zones arrived last.
+    /// For each other zone, the node whose digest arrived last, and until when it is preferred as a
+    /// receiver.
     senders: BTreeMap<ZoneName, (SocketAddr, Timestamp)>,
     member_turn: usize,
 }
 
 impl ZoneDigests {
-    /// Notes placements by nodes of the own zone.
+    /// Adds placements by nodes of the own zone to its next digest.
     pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Takes a digest over; false if one as young is known. Placements of the previous
-    /// one that were still to be passed on stay.
+    /// Stores a digest. Returns false if one at least as recent is known. Placements of the
+    /// previous digest that are still to be forwarded are kept.
     fn take(&mut self, zone: &ZoneName, mut digest: HeardDigest) -> bool {
         let known = self.heard.get(zone);
         if known.is_some_and(|known| known.counted_at >= digest.counted_at) {
@@ -79,7 +80,7 @@
         true
     }
 
-    /// Digests that are to be passed on with the messages of this tick.
+    /// Returns the digests to forward with the messages of this tick.
     pub(super) fn digests_to_forward(&mut self, now: Timestamp) -> Vec<ZoneDigest> {
         let mut digests_to_forward = Vec::new();
         for (zone, digest) in &mut self.heard {
@@ -100,12 +101,12 @@
 }
 
 impl Dispatcher {
-    /// Whether other zones have more nodes than this one tells at a time.
+    /// Whether other zones have more nodes than this one sends to at a time.
     pub(super) fn uses_zone_digests(&self) -> bool {
         self.peers.other_zone_count() > CROSS_ZONE_FANOUT
     }
 
-    /// A digest of this zone's loads, if it is this node's turn to send one.
+    /// Returns a digest of this zone's loads, if it is this node's turn to send one.
     pub(super) fn zone_digest(&mut self, now: Timestamp) -> Option<Envelope> {
         let number = self.digest_turn()?;
         let phase = number * DIGEST_TICKS / DIGEST_SENDERS;
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Nodes of the own zone, a few with each digest.
+    /// Some nodes of the own zone for a digest: all of them in turn.
     fn members_for_other_zones(&mut self, now: Timestamp) -> Vec<Member> {
         let count = self.peers.same_zone_count().div_ceil(DIGESTS_TO_NAME_ALL);
         let first = self.zone_digests.member_turn;
@@ -143,7 +144,7 @@
         self.peers.same_zone_members(first, count, now)
     }
 
-    /// Whether this node speaks for its zone to others.
+    /// Whether this node represents its zone towards others.
     pub(super) fn represents_zone(&self) -> bool {
         self.digest_turn().is_some()
     }
@@ -154,8 +155,8 @@
         self.aggregation.is_active() || !self.peers.is_zone_large()
     }
 
-    /// Whose turn a digest is at: that of aggregators in a large zone, otherwise that of the
-    /// first nodes in the order of duties.
+    /// Index of this node among the digest senders, if it is one: in a large zone these are the
+    /// aggregators, otherwise the first nodes in the order of readers.
     fn digest_turn(&self) -> Option<u64> {
         if self.peers.is_zone_large() {
             let is_active = self.aggregation.is_active();
@@ -165,8 +166,8 @@
         (rank < DIGEST_SENDERS).then_some(rank)
     }
 
-    /// One node of each other zone: the one whose digest was heard last, as it collects what
-    /// its zone is told, or any.
+    /// One node of each other zone: the one whose digest arrived last, as it collects what its zone
+    /// receives, or else any.
     pub(super) fn digest_receivers(&mut self) -> Vec<SocketAddr> {
         let mut receivers = self.peers.one_per_other_zone(&mut self.random);
         for (zone, (sender, until)) in &self.zone_digests.senders {
@@ -180,14 +181,14 @@
         receivers.into_values().collect()
     }
 
-    /// What all nodes of this zone have at the back ends, as far as this one knows.
+    /// Loads of all nodes of this zone at the back ends, as far as this one knows.
     fn loads_of_zone(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
         let loads = states.map(|state| state.load.report_of_zone(state.digest, now));
         busiest(loads.collect(), MOST_LOADS)
     }
 
-    /// Takes over the digests that a message carries.
+    /// Applies the digests that a message carries.
     pub(super) fn apply_zone_digests(
         &mut self,
         address: SocketAddr,
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Ticks after which all of the zone, or its aggregators, have been told.
+    /// Number of ticks within which all of the zone, or its aggregators, are reached.
     fn ticks_to_pass_on(&self) -> u64 {
         if self.peers.is_zone_large() {
             return 1;
@@ -248,8 +249,8 @@
         self.peers.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64
     }
 
-    /// Placements of a digest that this node has to pass on: an aggregator tells them in its
-    /// own summary.
+    /// Placements of a digest that this node has to forward: an aggregator sends them in its own
+    /// summary instead.
     fn placements_passed_on(&self, told: &ZoneDigest) -> Vec<Placement> {
         if self.aggregation.is_active() {
             Vec::new()
--- a/crates/coordination/dispatch/src/features.rs
+++ b/crates/coordination/dispatch/src/features.rs
@@ -1,26 +1,27 @@
-//! Parts of the dispatcher that an operator may switch off.
+//! Optional parts of the dispatcher.
 
-/// Which optional parts of the dispatcher are in use. What the deployment's configuration
-/// doesn't offer stays unused whatever stands here.
+/// Switches for the optional parts of the dispatcher. A part that the deployment's configuration
+/// doesn't provide for stays unused even if it is switched on here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Features {
-    /// Running streams are replicated to a second engine, and go on there when the first one
-    /// is lost.
+    /// Running streams are replicated to a second engine and resume there when the first one is
+    /// lost.
     pub run_replicas: bool,
-    /// What engines keep of prompts is read from their cache events.
+    /// The prompt parts that engines cache are tracked from their cache events.
     pub cache_index: bool,
-    /// The engines of a pool are split between streams and long prompts by their load.
+    /// The engines of a pool are split by load between streams and long prompts.
     pub pool_split: bool,
-    /// A back end in another zone or region costs what the way there takes.
+    /// The cost of a back end in another zone or region includes the network path to it.
     pub locality_costs: bool,
-    /// Few nodes speak for a large zone to others, and documents come from the own zone first.
+    /// Only a few nodes of a large zone send messages to other zones, and documents are fetched
+    /// from the node's own zone first.
     pub zone_representatives: bool,
-    /// Requests under which back ends crashed are refused on all nodes.
+    /// Requests that crash back ends are refused on all nodes.
     pub quarantine: bool,
 }
 
 impl Features {
-    /// All parts in use.
+    /// All parts switched on.
     pub const ALL: Self = Self {
         run_replicas: true,
         cache_index: true,
--- a/crates/coordination/dispatch/src/lib.rs
+++ b/crates/coordination/dispatch/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of a relay, free of I/O.
+//! Routing decisions of a relay node, free of I/O.
 //!
-//! The [`Dispatcher`] is told of requests, outcomes, documents and messages of
-//! other nodes, together with the time, and says what to do. Each node decides
-//! alone, from its own counts and from what its peers report of theirs; nothing is
-//! asked of another node while a request waits.
+//! The [`Dispatcher`] is a state machine: its caller passes in requests, outcomes, documents and
+//! messages of other nodes together with the current time, and carries out what it returns. Each
+//! node decides alone, from its own counts and from what its peers report of theirs; no other node
+//! is consulted while a request waits.
 
 #![forbid(unsafe_code)]
 
