--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -27,7 +27,7 @@
 
 use aggregation::Aggregation;
 use cache_index::CacheFollows;
-use document_source::WantedDocuments;
+use document_source::MissingDocuments;
 use granting::{FailedConnection, Lease};
 use home_scopes::HomeScopes;
 use quarantining::PendingCrashReports;
@@ -191,26 +191,26 @@
     document_store: DocumentStore,
     peers: Peers,
     back_ends: Registry,
-    budgets: HashMap<PoolName, RetryBudget>,
+    retry_budgets: HashMap<PoolName, RetryBudget>,
     leases: HashMap<LeaseId, Lease>,
-    ended_lately: HashMap<InstanceId, Timestamp>,
+    recently_released: HashMap<InstanceId, Timestamp>,
     failed_connections: HashMap<ZoneName, HashMap<InstanceId, FailedConnection>>,
     next_lease: u64,
     placements: Vec<Placement>,
     ticks: u64,
-    near_turn: usize,
-    far_turn: usize,
+    same_zone_cursor: usize,
+    other_zone_cursor: usize,
     /// Changes that were known at the last announcement.
-    announced_to: VersionVector,
+    announced_versions: VersionVector,
     is_stopping: bool,
     started: Option<Timestamp>,
     /// Time of the last tick or message.
     now: Timestamp,
     /// Documents that other nodes have and this one lacks.
-    wanted: WantedDocuments,
+    missing_documents: MissingDocuments,
     /// Back ends and evacuations whose entries in the store expired, with the time at which they
     /// are removed here.
-    lapsed: BTreeMap<DocumentKey, Timestamp>,
+    expired_entries: BTreeMap<DocumentKey, Timestamp>,
     /// Withheld back ends, with the time from which each may be released.
     withheld: BTreeMap<InstanceId, Timestamp>,
     zone_digests: ZoneDigests,
@@ -219,17 +219,17 @@
     silent_zones: BTreeSet<ZoneName>,
     round_trips: RoundTrips,
     home_scopes: HomeScopes,
-    long_silent: PersistentSilence,
+    persistent_silence: PersistentSilence,
     /// Evacuated zones, whose back ends get no new requests.
-    evacuated: BTreeSet<ZoneName>,
+    evacuated_zones: BTreeSet<ZoneName>,
     /// Probability, by pool, that a stream is lost.
     losses: LossProbabilities,
     quarantine: Quarantine,
-    crash_news: PendingCrashReports,
+    pending_crash_reports: PendingCrashReports,
     /// Whether some back end was cold at the last tick.
-    has_cold: bool,
+    has_cold_back_ends: bool,
     /// Back ends examined for requests since the start.
-    examined: u64,
+    examined_back_ends: u64,
     random: ChaCha8Rng,
 }
 
@@ -245,27 +245,28 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         // Random starting points: nodes that start together would otherwise send to the same peer
         // in the same tick.
-        let (near_turn, far_turn) = (random.random::<u16>(), random.random::<u16>());
+        let (same_zone_cursor, other_zone_cursor) =
+            (random.random::<u16>(), random.random::<u16>());
         Self {
             settings,
             document_store: DocumentStore::default(),
             peers,
             back_ends: Registry::default(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             leases: HashMap::new(),
-            ended_lately: HashMap::new(),
+            recently_released: HashMap::new(),
             failed_connections: HashMap::new(),
             next_lease: 0,
             placements: Vec::new(),
             ticks: 0,
-            near_turn: usize::from(near_turn),
-            far_turn: usize::from(far_turn),
-            announced_to: VersionVector::default(),
+            same_zone_cursor: usize::from(same_zone_cursor),
+            other_zone_cursor: usize::from(other_zone_cursor),
+            announced_versions: VersionVector::default(),
             is_stopping: false,
             started: None,
             now: Timestamp::default(),
-            wanted: WantedDocuments::default(),
-            lapsed: BTreeMap::new(),
+            missing_documents: MissingDocuments::default(),
+            expired_entries: BTreeMap::new(),
             withheld: BTreeMap::new(),
             zone_digests: ZoneDigests::default(),
             cache_follows: CacheFollows::default(),
@@ -273,13 +274,13 @@
             silent_zones: BTreeSet::new(),
             round_trips: RoundTrips::default(),
             home_scopes: HomeScopes::default(),
-            long_silent: PersistentSilence::default(),
-            evacuated: BTreeSet::new(),
+            persistent_silence: PersistentSilence::default(),
+            evacuated_zones: BTreeSet::new(),
             losses: LossProbabilities::default(),
             quarantine: Quarantine::default(),
-            crash_news: PendingCrashReports::default(),
-            has_cold: false,
-            examined: 0,
+            pending_crash_reports: PendingCrashReports::default(),
+            has_cold_back_ends: false,
+            examined_back_ends: 0,
             random,
         }
     }
@@ -309,60 +310,61 @@
     /// Applies a document change received now.
     pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
-        let applied = self.document_store.apply(change.clone());
+        let outcome = self.document_store.apply(change.clone());
         let mut unknown = Vec::new();
-        if applied == ApplyOutcome::Applied {
-            self.take(change, now);
+        if outcome == ApplyOutcome::Applied {
+            self.update_derived_state(change, now);
             unknown = unknown_names(&key, &self.document_store, &self.settings.regions);
         }
-        if applied == ApplyOutcome::Withheld {
+        if outcome == ApplyOutcome::Withheld {
             self.withhold(&key, now);
         }
         ReceivedChange {
             key,
             kind,
             revision,
-            outcome: applied,
+            outcome,
             unknown_names: unknown,
         }
     }
 
-    fn take(&mut self, change: Change, now: Timestamp) {
+    fn update_derived_state(&mut self, change: Change, now: Timestamp) {
         self.home_scopes.record_document(&change.key);
         let table = self.document_store.table().cloned();
         match (change.key, change.content) {
             (key @ DocumentKey::BackEnd(_), DocumentContent::BackEnd(back_end)) => {
-                self.lapsed.remove(&key);
+                self.expired_entries.remove(&key);
                 self.withheld.remove(&back_end.instance);
-                self.forget_previous_run(&back_end);
+                self.drop_previous_run_state(&back_end);
                 let table = table.as_deref();
                 self.back_ends.upsert(back_end, change.revision, table, now);
             }
             (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
-                self.lapsed.remove(&DocumentKey::Evacuation(zone.clone()));
-                self.evacuated.insert(zone);
+                self.expired_entries
+                    .remove(&DocumentKey::Evacuation(zone.clone()));
+                self.evacuated_zones.insert(zone);
             }
             (DocumentKey::Table, _) => {
                 if let Some(table) = table {
                     self.back_ends.apply_table(&table);
                 }
             }
-            (key, DocumentContent::Expired(within)) => {
-                self.lapsed.insert(key, now + within);
+            (key, DocumentContent::Expired(removal_delay)) => {
+                self.expired_entries.insert(key, now + removal_delay);
             }
-            (key, _) => self.forget(&key, now),
+            (key, _) => self.remove_document_state(&key, now),
         }
     }
 
     /// Drops the state of a removed document.
-    fn forget(&mut self, key: &DocumentKey, now: Timestamp) {
-        self.lapsed.remove(key);
+    fn remove_document_state(&mut self, key: &DocumentKey, now: Timestamp) {
+        self.expired_entries.remove(key);
         match key {
             DocumentKey::BackEnd(instance) => {
                 self.withheld.remove(instance);
                 self.back_ends.remove(instance);
             }
-            DocumentKey::Evacuation(zone) => self.take_zone_back(zone, now),
+            DocumentKey::Evacuation(zone) => self.end_evacuation(zone, now),
             DocumentKey::Table => {}
         }
     }
@@ -390,14 +392,14 @@
         for instance in due {
             self.withheld.remove(&instance);
             if let Some(change) = self.document_store.release_withheld(&instance) {
-                self.take(change, now);
+                self.update_derived_state(change, now);
             }
         }
     }
 
     /// Ends the evacuation of a zone: its back ends get requests again and count as cold.
-    fn take_zone_back(&mut self, zone: &ZoneName, now: Timestamp) {
-        if !self.evacuated.remove(zone) {
+    fn end_evacuation(&mut self, zone: &ZoneName, now: Timestamp) {
+        if !self.evacuated_zones.remove(zone) {
             return;
         }
         let states = self.back_ends.all_mut();
@@ -407,11 +409,11 @@
     }
 
     /// Drops cached state of a back end's previous run when the back end has restarted.
-    fn forget_previous_run(&mut self, back_end: &BackEnd) {
+    fn drop_previous_run_state(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
         if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
-            self.cache_follows.forget(&back_end.instance);
-            self.ended_lately.remove(&back_end.instance);
+            self.cache_follows.discard(&back_end.instance);
+            self.recently_released.remove(&back_end.instance);
         }
     }
 
@@ -423,16 +425,16 @@
 
     /// Removes expired documents that were not written again in time. An evacuation ends only once
     /// the platform has confirmed that it was not renewed.
-    fn forget_lapsed(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let confirmed = self.confirmed_at(now);
         let is_due = |(key, until): &(&DocumentKey, &Timestamp)| match key {
             DocumentKey::Evacuation(_) => confirmed.is_some_and(|confirmed| **until <= confirmed),
             _ => **until <= now,
         };
-        let lapsed = self.lapsed.iter().filter(is_due);
-        let gone: Vec<DocumentKey> = lapsed.map(|(key, _)| key.clone()).collect();
-        for key in gone {
-            self.forget(&key, now);
+        let due = self.expired_entries.iter().filter(is_due);
+        let keys: Vec<DocumentKey> = due.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.remove_document_state(&key, now);
         }
     }
 
@@ -456,14 +458,14 @@
         self.apply_aggregation(address, message, now);
         self.apply_zone_digests(address, message, now);
         self.back_ends.apply_placements(&message.placements, now);
-        let taken = self.apply_recent_changes(message, now);
+        let changes = self.apply_recent_changes(message, now);
         let quarantine_changes = self.apply_crashing_requests(message, now);
         self.apply_limits(message, now);
         let knows_all = self
             .document_store
             .version_vector()
             .includes(&message.version_vector)
-            || (self.has_taken_all(message) && message.recent_changes.is_some());
+            || (self.follows_known_changes(message) && message.recent_changes.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
@@ -475,22 +477,22 @@
             change,
             wants_reply: message.wants_reply,
             has_newer_documents: !knows_all,
-            changes: taken,
+            changes,
             quarantine_changes,
         }
     }
 
     /// Whether the changes in a message directly follow the known ones.
-    fn has_taken_all(&self, message: &Gossip) -> bool {
-        let news = message.recent_changes.as_ref();
-        news.is_some_and(|news| self.document_store.version_vector().includes(&news.base))
+    fn follows_known_changes(&self, message: &Gossip) -> bool {
+        let batch = message.recent_changes.as_ref();
+        batch.is_some_and(|batch| self.document_store.version_vector().includes(&batch.base))
     }
 
     fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
-        let Some(news) = message.recent_changes.as_ref() else {
+        let Some(batch) = message.recent_changes.as_ref() else {
             return Vec::new();
         };
-        let changes = news.changes.iter().cloned();
+        let changes = batch.changes.iter().cloned();
         changes.map(|change| self.apply(change, now)).collect()
     }
 
@@ -501,7 +503,7 @@
 
     /// Evacuated zones, whose back ends get no new requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<ZoneName> {
-        &self.evacuated
+        &self.evacuated_zones
     }
 
     /// Other zones from which nothing is heard.
@@ -555,7 +557,7 @@
             limited_sending_to,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
-            evacuated_zones: self.evacuated.len(),
+            evacuated_zones: self.evacuated_zones.len(),
             leases: self.leases.len(),
             newest_revision: self
                 .document_store
@@ -568,7 +570,7 @@
             followed_caches,
             cache_counts,
             quarantine: self.quarantine.counts(),
-            examined_back_ends: self.examined,
+            examined_back_ends: self.examined_back_ends,
             follow_evaluations: self.follow_evaluations(),
         }
     }
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -19,64 +19,64 @@
 use std::net::SocketAddr;
 
 /// Bytes per second on a link of 1 Mbit/s.
-const BYTES_A_MBIT: f64 = 125_000.0;
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 /// Aggregators of a zone: one may be lost while the other goes on.
 const AGGREGATORS: usize = 2;
 /// Share of an aggregator's link that its summaries take.
-const LINK_PART: f64 = 0.15;
+const LINK_SHARE: f64 = 0.15;
 /// Assumed size of a summary in bytes: for each back end, and for 400 placements at 13 bytes.
 const BYTES_PER_BACK_END: f64 = 18.0;
-const BYTES_OF_PLACEMENTS: f64 = 5_200.0;
+const PLACEMENT_BYTES: f64 = 5_200.0;
 /// Largest number of nodes that get a summary in one tick, so that one message a node each 0.4 s
 /// suffices in a zone of 60 and an aggregator sends no more than 150 a second.
-const TOLD_PER_TICK: f64 = 15.0;
+const MAX_SUMMARIES_PER_TICK: f64 = 15.0;
 /// Shortest interval, in ticks, between two summaries to one node. In a zone of 24 nodes, 2 ticks
 /// instead of 4 saved the recomputation of 1.8 of 13.7 million prompt tokens on a loaded day.
-const SHORTEST_PERIOD: u64 = 2;
+const MIN_SUMMARY_TICKS: u64 = 2;
 /// Longest interval in ticks, however slow the link is: loads have to be recent to be of use.
-const LONGEST_PERIOD: u64 = 12;
+const MAX_SUMMARY_TICKS: u64 = 12;
 /// Silence of a new aggregator after which the next node replaces it: it collects reports first.
-const FIRST_SUMMARY_WITHIN: Span = Span::from_milliseconds(2_500);
+const FIRST_SUMMARY_TIMEOUT: Span = Span::from_milliseconds(2_500);
 /// Summaries that an aggregator may miss, and additional time, before it counts as silent.
-const MISSED_SUMMARIES: u64 = 3;
+const MAX_MISSED_SUMMARIES: u64 = 3;
 const SILENCE_MARGIN: Span = Span::from_milliseconds(500);
 /// Time for which a node that received a report acts as an aggregator, whichever nodes it computes
 /// to be the aggregators itself.
-const REPORTED_TO: Span = Span::from_milliseconds(1_000);
+const REPORTS_RECEIVED_LIFETIME: Span = Span::from_milliseconds(1_000);
 /// Time that a new aggregator waits for the reports of all nodes before it sends sums.
-const COLLECTING_TIME: Span = Span::from_milliseconds(700);
+const COLLECTION_TIME: Span = Span::from_milliseconds(700);
 /// Ticks after which a node sends a report even if nothing has changed.
 const UNCHANGED_REPORT_TICKS: u64 = 5;
 /// Ticks within which the summaries to a node list all nodes of its zone: with 16, at a loss of one
 /// message in 13, a node of 71 wrongly held another one to be lost.
-const TICKS_TO_NAME_ALL: u64 = 12;
+const TICKS_TO_LIST_ZONE: u64 = 12;
 /// The same for the nodes of other zones, with which a node has contact only through others. With
 /// 40, the busiest of 300 nodes sent 570 kB a second instead of 475.
-const TICKS_TO_NAME_FAR: u64 = 80;
+const TICKS_TO_LIST_OTHER_ZONES: u64 = 80;
 /// Largest number of back ends in one summary; those with most requests are chosen.
-const MOST_SUMMED: usize = 400;
+const MAX_SUMMARY_LOADS: usize = 400;
 /// Largest number of placements in one summary; at 13 bytes each they take 5 kB.
-const MOST_PLACEMENTS: usize = 400;
+const MAX_SUMMARY_PLACEMENTS: usize = 400;
 /// Ticks between two messages to single peers of the zone, which keep nodes known that no
 /// aggregator hears.
 pub(super) const PEER_TICKS: u64 = 2;
-/// Silence of a zone, as reported by aggregators, after which the network path to it counts as cut:
-/// its two aggregators report each 0.4 s, and other nodes forward their reports.
+/// Silence of a zone, as reported by aggregators, after which it counts as partitioned from this
+/// one: its two aggregators report each 0.4 s, and other nodes forward their reports.
 const ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
 /// Time for which an aggregator's report on the zones is valid.
-const ZONES_TOLD: Span = Span::from_milliseconds(1_300);
+const ZONE_REPORT_LIFETIME: Span = Span::from_milliseconds(1_300);
 
 /// An aggregator and the time by which its next summary is due.
 #[derive(Clone, Copy, Debug)]
-struct Watched {
+struct WatchedAggregator {
     address: SocketAddr,
     /// Time by which its next summary is due.
-    until: Timestamp,
+    summary_due: Timestamp,
 }
 
 /// A placement to be sent with the next summaries.
 #[derive(Clone, Copy, Debug)]
-struct Untold {
+struct PendingPlacement {
     placement: Placement,
     ticks_left: u64,
 }
@@ -85,91 +85,96 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Aggregation {
     /// The aggregators in order of priority.
-    watched: Vec<Watched>,
+    aggregators: Vec<WatchedAggregator>,
     /// When this node became an aggregator; `None` if it isn't one.
-    acting_since: Option<Timestamp>,
-    reported_to: Option<Timestamp>,
+    active_since: Option<Timestamp>,
+    last_report_received: Option<Timestamp>,
     /// Ticks within which each node of the zone gets one summary of this node.
-    period: u64,
-    told_turn: usize,
-    placed: BTreeMap<(u32, PartId), Untold>,
+    summary_ticks: u64,
+    summary_cursor: usize,
+    pending_placements: BTreeMap<(u32, PartId), PendingPlacement>,
     last_report: Vec<LoadReport>,
     last_report_tick: u64,
-    member_turn: usize,
-    far_member_turn: usize,
-    summary_heard: Option<Timestamp>,
-    zones_heard: BTreeMap<ZoneName, Timestamp>,
+    member_cursor: usize,
+    other_zone_member_cursor: usize,
+    last_summary: Option<Timestamp>,
+    zones_last_heard: BTreeMap<ZoneName, Timestamp>,
 }
 
 impl Aggregation {
     /// Whether this node acts as an aggregator.
     pub(super) fn is_active(&self) -> bool {
-        self.acting_since.is_some()
+        self.active_since.is_some()
     }
 
     /// Adds placements to the next summaries.
     pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
-            if self.placed.len() < MOST_PLACEMENTS || self.placed.contains_key(&key) {
-                let untold = Untold {
+            if self.pending_placements.len() < MAX_SUMMARY_PLACEMENTS
+                || self.pending_placements.contains_key(&key)
+            {
+                let pending = PendingPlacement {
                     placement: *placement,
-                    ticks_left: self.period.max(SHORTEST_PERIOD),
+                    ticks_left: self.summary_ticks.max(MIN_SUMMARY_TICKS),
                 };
-                self.placed.insert(key, untold);
+                self.pending_placements.insert(key, pending);
             }
         }
     }
 
     /// Returns the placements for the summary of this tick.
-    fn placements_to_tell(&mut self) -> Vec<Placement> {
-        let told = self.placed.values().map(|untold| untold.placement);
-        let told = told.collect();
-        self.placed.retain(|_, untold| {
-            untold.ticks_left -= 1;
-            untold.ticks_left > 0
+    fn placements_to_send(&mut self) -> Vec<Placement> {
+        let placements = self
+            .pending_placements
+            .values()
+            .map(|pending| pending.placement);
+        let placements = placements.collect();
+        self.pending_placements.retain(|_, pending| {
+            pending.ticks_left -= 1;
+            pending.ticks_left > 0
         });
-        told
+        placements
     }
 
     /// Restarts the silence timers after a pause of this process: silence before it shows nothing
     /// about the other nodes.
     pub(super) fn reset_silence(&mut self, now: Timestamp) {
-        for watched in &mut self.watched {
-            watched.until = now + FIRST_SUMMARY_WITHIN;
+        for aggregator in &mut self.aggregators {
+            aggregator.summary_due = now + FIRST_SUMMARY_TIMEOUT;
         }
-        for heard in self.zones_heard.values_mut() {
+        for heard in self.zones_last_heard.values_mut() {
             *heard = now;
         }
     }
 
     /// Records that a report was sent to this node.
     pub(super) fn record_report(&mut self, now: Timestamp) {
-        self.reported_to = Some(now);
+        self.last_report_received = Some(now);
     }
 
     /// Records that loads were counted in another zone at a time.
     pub(super) fn record_zone(&mut self, zone: &ZoneName, counted_at: Timestamp) {
-        let heard = self.zones_heard.entry(zone.clone()).or_default();
+        let heard = self.zones_last_heard.entry(zone.clone()).or_default();
         *heard = counted_at.max(*heard);
     }
 
-    /// Zones to which the network path counts as cut; `None` while no aggregator is heard.
+    /// Zones that count as partitioned from this one; `None` while no aggregator is heard.
     pub(super) fn silent_zones(&self, now: Timestamp) -> Option<BTreeSet<ZoneName>> {
-        let heard = self.summary_heard;
-        let is_told = heard.is_some_and(|heard| now.since(heard) < ZONES_TOLD);
-        if !is_told && !self.is_active() {
+        let heard = self.last_summary;
+        let is_report_valid = heard.is_some_and(|heard| now.since(heard) < ZONE_REPORT_LIFETIME);
+        if !is_report_valid && !self.is_active() {
             return None;
         }
-        let zones = self.zones_heard.iter();
+        let zones = self.zones_last_heard.iter();
         let silent = zones.filter(|(_, heard)| now.since(**heard) > ZONE_SILENCE);
         Some(silent.map(|(zone, _)| zone.clone()).collect())
     }
 
     /// Whether a placement is reported to the aggregator `number` of `count`: each gets a share of
     /// them.
-    fn is_for(number: usize, count: usize, placement: &Placement) -> bool {
-        placement.part.0 % count as u64 == number as u64
+    fn is_assigned_to(index: usize, count: usize, placement: &Placement) -> bool {
+        placement.part.0 % count as u64 == index as u64
     }
 }
 
@@ -177,58 +182,62 @@
     /// Updates the aggregators and this node's own role. Returns the aggregators that fell silent.
     pub(super) fn update_aggregators(&mut self, now: Timestamp) -> Vec<PeerChange> {
         if !self.peers.is_zone_large() {
-            self.aggregation.watched.clear();
-            self.aggregation.acting_since = None;
+            self.aggregation.aggregators.clear();
+            self.aggregation.active_since = None;
             return Vec::new();
         }
         let own = self.settings.address;
-        let watched = self.aggregation.watched.iter();
-        let silent = watched.filter(|watched| watched.address != own && watched.until < now);
-        let silent: Vec<SocketAddr> = silent.map(|watched| watched.address).collect();
+        let aggregators = self.aggregation.aggregators.iter();
+        let silent = aggregators
+            .filter(|aggregator| aggregator.address != own && aggregator.summary_due < now);
+        let silent: Vec<SocketAddr> = silent.map(|aggregator| aggregator.address).collect();
         let changes = silent
             .into_iter()
             .filter_map(|address| self.peers.mark_lost(address))
             .collect();
-        let known = std::mem::take(&mut self.aggregation.watched);
+        let previous = std::mem::take(&mut self.aggregation.aggregators);
         let watch = |address: SocketAddr| {
-            let known = known.iter().find(|watched| watched.address == address);
-            known.copied().unwrap_or(Watched {
+            let previous = previous
+                .iter()
+                .find(|aggregator| aggregator.address == address);
+            previous.copied().unwrap_or(WatchedAggregator {
                 address,
-                until: now + FIRST_SUMMARY_WITHIN,
+                summary_due: now + FIRST_SUMMARY_TIMEOUT,
             })
         };
-        let appointed = self.appointed_aggregators();
-        self.aggregation.watched = appointed.into_iter().map(watch).collect();
+        let designated = self.designated_aggregators();
+        self.aggregation.aggregators = designated.into_iter().map(watch).collect();
         self.update_own_role(now);
         changes
     }
 
-    fn appointed_aggregators(&self) -> Vec<SocketAddr> {
-        let mut ranked = self.peers.role_candidates();
-        ranked.truncate(AGGREGATORS);
+    fn designated_aggregators(&self) -> Vec<SocketAddr> {
+        let mut candidates = self.peers.role_candidates();
+        candidates.truncate(AGGREGATORS);
         if !self.is_stopping {
             let own = self.settings.address;
-            ranked.push((self.role_priority(), own));
+            candidates.push((self.role_priority(), own));
         }
-        ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-        let ranked = ranked.into_iter().take(AGGREGATORS);
-        ranked.map(|(_, address)| address).collect()
+        candidates.sort_unstable_by_key(|(priority, _)| std::cmp::Reverse(*priority));
+        let candidates = candidates.into_iter().take(AGGREGATORS);
+        candidates.map(|(_, address)| address).collect()
     }
 
     fn update_own_role(&mut self, now: Timestamp) {
         let own = self.settings.address;
-        let period = self.summary_ticks();
+        let summary_ticks = self.compute_summary_ticks();
         let aggregation = &mut self.aggregation;
-        aggregation.period = period;
-        let mut watched = aggregation.watched.iter();
-        let is_appointed = watched.any(|watched| watched.address == own);
-        let reported = aggregation.reported_to;
-        let is_reported_to = reported.is_some_and(|at| now.since(at) < REPORTED_TO);
-        if is_appointed || is_reported_to {
-            aggregation.acting_since.get_or_insert(now);
+        aggregation.summary_ticks = summary_ticks;
+        let mut aggregators = aggregation.aggregators.iter();
+        let is_designated = aggregators.any(|aggregator| aggregator.address == own);
+        let reported = aggregation.last_report_received;
+        let has_recent_reports =
+            reported.is_some_and(|at| now.since(at) < REPORTS_RECEIVED_LIFETIME);
+        if is_designated || has_recent_reports {
+            aggregation.active_since.get_or_insert(now);
         } else {
-            aggregation.acting_since = None;
-            aggregation.placed.clear();
+            aggregation.active_since = None;
+            aggregation.pending_placements.clear();
         }
     }
 
@@ -243,18 +252,18 @@
     fn reports(&mut self, now: Timestamp) -> Vec<Envelope> {
         let loads = self.own_loads(now);
         let digests = self.zone_digests.digests_to_forward(now);
-        let rested = self.ticks - self.aggregation.last_report_tick;
+        let ticks_since_report = self.ticks - self.aggregation.last_report_tick;
         let has_changed = loads != self.aggregation.last_report
             || !self.placements.is_empty()
             || !digests.is_empty()
             || self.back_ends.limit_notices().has_unsent_changes(now);
-        if !has_changed && rested < UNCHANGED_REPORT_TICKS {
+        if !has_changed && ticks_since_report < UNCHANGED_REPORT_TICKS {
             return Vec::new();
         }
         self.aggregation.last_report_tick = self.ticks;
         self.aggregation.last_report.clone_from(&loads);
         let placements = std::mem::take(&mut self.placements);
-        let aggregators = self.aggregation.watched.clone();
+        let aggregators = self.aggregation.aggregators.clone();
         let mut message = self.bare_gossip(false, now);
         message.is_for_aggregator = true;
         message.loads = Some(loads);
@@ -262,16 +271,17 @@
         message.limits = self.limits_for(Audience::OwnZone, now);
         let count = aggregators.len();
         let mut reports = Vec::new();
-        for (number, Watched { address, .. }) in aggregators.into_iter().enumerate() {
-            let told = placements.iter().copied();
-            let told = told.filter(|placement| Aggregation::is_for(number, count, placement));
-            let told: Vec<Placement> = told.collect();
+        for (index, WatchedAggregator { address, .. }) in aggregators.into_iter().enumerate() {
+            let assigned = placements.iter().copied();
+            let assigned =
+                assigned.filter(|placement| Aggregation::is_assigned_to(index, count, placement));
+            let assigned: Vec<Placement> = assigned.collect();
             if address == self.settings.address {
-                self.aggregation.record_placements(&told);
+                self.aggregation.record_placements(&assigned);
                 continue;
             }
             let mut report = message.clone();
-            report.placements = told;
+            report.placements = assigned;
             reports.push(Envelope {
                 kind: MessageKind::Report,
                 to: vec![address],
@@ -282,23 +292,27 @@
     }
 
     fn summary(&mut self, now: Timestamp) -> Option<Envelope> {
-        let since = self.aggregation.acting_since?;
-        if now.since(since) < COLLECTING_TIME {
+        let since = self.aggregation.active_since?;
+        if now.since(since) < COLLECTION_TIME {
             return None;
         }
-        let period = self.aggregation.period;
-        let near = self.peers.same_zone_peers();
-        let told = near.len().div_ceil(period as usize);
-        let to = round_robin(&near, told, &mut self.aggregation.told_turn);
+        let summary_ticks = self.aggregation.summary_ticks;
+        let same_zone = self.peers.same_zone_peers();
+        let receiver_count = same_zone.len().div_ceil(summary_ticks as usize);
+        let to = round_robin(
+            &same_zone,
+            receiver_count,
+            &mut self.aggregation.summary_cursor,
+        );
         let mut message = self.bare_gossip(false, now);
-        message.members = self.members_named(now);
-        let round = TICK * period;
+        message.members = self.members_to_list(now);
+        let round = TICK * summary_ticks;
         message.limits = self.limits_for(Audience::ZoneMembers { round }, now);
         message.summary = Some(FleetSummary {
-            loads: self.loads_of_all(now),
-            placements: self.aggregation.placements_to_tell(),
-            zones: self.heard_zones(now),
-            next_summary_ms: (TICK * period).milliseconds() as u16,
+            loads: self.fleet_loads(now),
+            placements: self.aggregation.placements_to_send(),
+            zones: self.zone_ages(now),
+            next_summary_ms: (TICK * summary_ticks).milliseconds() as u16,
         });
         Some(Envelope {
             kind: MessageKind::Summary,
@@ -309,53 +323,59 @@
 
     /// Live nodes, as heard by this one or reported by other zones. All summaries of a period list
     /// the same ones, as each summary goes to different nodes.
-    fn members_named(&mut self, now: Timestamp) -> Vec<Member> {
-        let period = self.aggregation.period;
-        let near = self.peers.same_zone_count() as u64;
-        let named = (near * period).div_ceil(TICKS_TO_NAME_ALL) as usize;
-        if self.ticks.is_multiple_of(period) {
-            let turn = self.aggregation.member_turn;
-            self.aggregation.member_turn = turn.wrapping_add(named);
+    fn members_to_list(&mut self, now: Timestamp) -> Vec<Member> {
+        let summary_ticks = self.aggregation.summary_ticks;
+        let same_zone_count = self.peers.same_zone_count() as u64;
+        let count = (same_zone_count * summary_ticks).div_ceil(TICKS_TO_LIST_ZONE) as usize;
+        if self.ticks.is_multiple_of(summary_ticks) {
+            let cursor = self.aggregation.member_cursor;
+            self.aggregation.member_cursor = cursor.wrapping_add(count);
         }
-        let first = self.aggregation.member_turn;
-        let mut members = self.peers.same_zone_members(first, named, now);
-        let far = (self.peers.other_zone_count() as u64 * period).div_ceil(TICKS_TO_NAME_FAR);
-        let first = self.aggregation.far_member_turn;
-        if self.ticks.is_multiple_of(period) {
-            self.aggregation.far_member_turn = first.wrapping_add(far as usize);
+        let first = self.aggregation.member_cursor;
+        let mut members = self.peers.same_zone_members(first, count, now);
+        let other_zone_count = (self.peers.other_zone_count() as u64 * summary_ticks)
+            .div_ceil(TICKS_TO_LIST_OTHER_ZONES);
+        let first = self.aggregation.other_zone_member_cursor;
+        if self.ticks.is_multiple_of(summary_ticks) {
+            self.aggregation.other_zone_member_cursor =
+                first.wrapping_add(other_zone_count as usize);
         }
-        members.extend(self.peers.other_zone_members(first, far as usize, now));
+        members.extend(
+            self.peers
+                .other_zone_members(first, other_zone_count as usize, now),
+        );
         members
     }
 
     /// Ticks within which each node of the zone gets one summary: more on a slow link.
-    fn summary_ticks(&self) -> u64 {
+    fn compute_summary_ticks(&self) -> u64 {
         let back_ends = self.back_ends.all().count() as f64;
-        let summary_bytes = back_ends * BYTES_PER_BACK_END + BYTES_OF_PLACEMENTS;
-        let bytes_a_second = f64::from(self.settings.link_mbps) * BYTES_A_MBIT * LINK_PART;
-        let told_per_tick = bytes_a_second * TICK.seconds() / summary_bytes;
-        let ticks = self.peers.same_zone_count() as f64 / told_per_tick.clamp(1.0, TOLD_PER_TICK);
-        (ticks.ceil() as u64).clamp(SHORTEST_PERIOD, LONGEST_PERIOD)
+        let summary_bytes = back_ends * BYTES_PER_BACK_END + PLACEMENT_BYTES;
+        let bytes_per_second = f64::from(self.settings.link_mbps) * BYTES_PER_MEGABIT * LINK_SHARE;
+        let summaries_per_tick = bytes_per_second * TICK.seconds() / summary_bytes;
+        let ticks = self.peers.same_zone_count() as f64
+            / summaries_per_tick.clamp(1.0, MAX_SUMMARIES_PER_TICK);
+        (ticks.ceil() as u64).clamp(MIN_SUMMARY_TICKS, MAX_SUMMARY_TICKS)
     }
 
     /// Index of this node among the aggregators, which send to other zones in turn.
-    pub(super) fn aggregator_number(&self) -> u64 {
+    pub(super) fn aggregator_index(&self) -> u64 {
         let own = self.settings.address;
-        let mut watched = self.aggregation.watched.iter();
-        let number = watched.position(|watched| watched.address == own);
-        number.map_or(self.settings.node.digest() % AGGREGATORS as u64, |number| {
-            number as u64
+        let mut aggregators = self.aggregation.aggregators.iter();
+        let index = aggregators.position(|aggregator| aggregator.address == own);
+        index.map_or(self.settings.node.digest() % AGGREGATORS as u64, |index| {
+            index as u64
         })
     }
 
-    fn loads_of_all(&self, now: Timestamp) -> Vec<LoadReport> {
+    fn fleet_loads(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
         let loads = states.map(|state| state.load.report_of_all(state.digest, now));
-        busiest(loads.collect(), MOST_SUMMED)
+        busiest(loads.collect(), MAX_SUMMARY_LOADS)
     }
 
-    fn heard_zones(&self, now: Timestamp) -> Vec<ZoneAge> {
-        let zones = self.aggregation.zones_heard.iter();
+    fn zone_ages(&self, now: Timestamp) -> Vec<ZoneAge> {
+        let zones = self.aggregation.zones_last_heard.iter();
         zones
             .map(|(zone, heard)| ZoneAge {
                 zone: zone.clone(),
@@ -391,12 +411,12 @@
         now: Timestamp,
     ) {
         let next = Span::from_milliseconds(u64::from(summary.next_summary_ms));
-        let until = now + next * MISSED_SUMMARIES + SILENCE_MARGIN;
-        let watched = self.aggregation.watched.iter_mut();
-        for watched in watched.filter(|watched| watched.address == address) {
-            watched.until = until;
+        let summary_due = now + next * MAX_MISSED_SUMMARIES + SILENCE_MARGIN;
+        let aggregators = self.aggregation.aggregators.iter_mut();
+        for aggregator in aggregators.filter(|aggregator| aggregator.address == address) {
+            aggregator.summary_due = summary_due;
         }
-        self.aggregation.summary_heard = Some(now);
+        self.aggregation.last_summary = Some(now);
         for heard in &summary.zones {
             let age = Span::from_milliseconds(u64::from(heard.age_ms));
             self.aggregation.record_zone(&heard.zone, now - age);
@@ -430,9 +450,9 @@
 }
 
 /// Returns the reports that have content, at most `most` of them: those with most running requests.
-pub(super) fn busiest(mut loads: Vec<LoadReport>, most: usize) -> Vec<LoadReport> {
+pub(super) fn busiest(mut loads: Vec<LoadReport>, limit: usize) -> Vec<LoadReport> {
     loads.retain(LoadReport::has_content);
     loads.sort_unstable_by_key(|load| (std::cmp::Reverse(load.running), load.back_end));
-    loads.truncate(most);
+    loads.truncate(limit);
     loads
 }
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -17,9 +17,9 @@
 /// follows which engine: peers are sent to each tenth of a second.
 const SETTLING_TIME: Span = Span::from_milliseconds(700);
 /// Largest number of engines that one node follows; the mirror of one cache takes some 100 kB.
-const MOST_FOLLOWED: usize = 24;
+const MAX_FOLLOWED: usize = 24;
 /// Largest number of corrections sent after one response.
-const MOST_CORRECTIONS: usize = 12;
+const MAX_CORRECTIONS: usize = 12;
 
 /// A cache call that is due at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,17 +49,17 @@
 
 /// Ticks between two evaluations of which engines to follow, while engines come and go and at the
 /// most: an evaluation compares each engine of the zone with each node of the zone.
-const CHANGES_TICKS: u64 = 5;
-const MOST_TICKS: u64 = 50;
+const MIN_EVALUATION_TICKS: u64 = 5;
+const MAX_EVALUATION_TICKS: u64 = 50;
 
 /// The engines whose caches this node follows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheFollows {
     indices: BTreeMap<InstanceId, CacheIndex>,
-    ended: FollowCounts,
+    ended_counts: FollowCounts,
     /// Basis of the last evaluation of which engines to follow, and its tick.
-    examined: Option<(FollowBasis, u64)>,
-    looks: u64,
+    last_evaluation: Option<(FollowBasis, u64)>,
+    evaluations: u64,
 }
 
 /// Inputs to the evaluation of which engines a node follows.
@@ -74,33 +74,33 @@
 impl FollowBasis {
     /// Whether the evaluation on this basis is still valid: nothing has changed, or only engines
     /// have and the evaluation is recent.
-    fn stands(&self, now: &Self, ticks: u64) -> bool {
+    fn is_valid(&self, now: &Self, ticks: u64) -> bool {
         let is_same_but_for_engines = Self {
             back_ends_version: now.back_ends_version,
             ..*self
         } == *now;
-        let may_wait = *self == *now || ticks < CHANGES_TICKS;
-        is_same_but_for_engines && may_wait && ticks < MOST_TICKS
+        let may_wait = *self == *now || ticks < MIN_EVALUATION_TICKS;
+        is_same_but_for_engines && may_wait && ticks < MAX_EVALUATION_TICKS
     }
 }
 
 impl CacheFollows {
     /// Stops following the engines that `stays` rejects.
-    fn retain(&mut self, stays: impl Fn(&InstanceId) -> bool) {
-        let ended = &mut self.ended;
+    fn retain(&mut self, is_retained: impl Fn(&InstanceId) -> bool) {
+        let ended_counts = &mut self.ended_counts;
         self.indices.retain(|instance, index| {
-            let stays = stays(instance);
-            if !stays {
-                ended.add(index.counts());
+            let is_retained = is_retained(instance);
+            if !is_retained {
+                ended_counts.add(index.counts());
             }
-            stays
+            is_retained
         });
     }
 
     /// Discards the cache mirror of an engine that has restarted.
-    pub(super) fn forget(&mut self, instance: &InstanceId) {
+    pub(super) fn discard(&mut self, instance: &InstanceId) {
         if let Some(index) = self.indices.remove(instance) {
-            self.ended.add(index.counts());
+            self.ended_counts.add(index.counts());
         }
     }
 }
@@ -137,8 +137,9 @@
 
     fn update_cache_follows(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
-        let examined = &self.cache_follows.examined;
-        if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
+        let last_evaluation = &self.cache_follows.last_evaluation;
+        if last_evaluation.is_some_and(|(before, tick)| before.is_valid(&basis, self.ticks - tick))
+        {
             // An engine that is leaving is dropped at once; this is checked before each call.
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
@@ -147,8 +148,8 @@
             });
             return;
         }
-        self.cache_follows.examined = Some((basis, self.ticks));
-        self.cache_follows.looks += 1;
+        self.cache_follows.last_evaluation = Some((basis, self.ticks));
+        self.cache_follows.evaluations += 1;
         let own: HashSet<InstanceId> = self.caches_to_follow(&basis).into_iter().collect();
         let follows = &mut self.cache_follows;
         follows.retain(|instance| own.contains(instance));
@@ -159,9 +160,9 @@
     }
 
     fn follow_basis(&self, now: Timestamp) -> FollowBasis {
-        let is_on = self.settings.features.cache_index && self.is_any_cache_told();
+        let is_enabled = self.settings.features.cache_index && self.reports_any_cache_events();
         FollowBasis {
-            may_follow: is_on && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
+            may_follow: is_enabled && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
             table_stamp: self.document_store.table_stamp(),
             active_peers_version: self.peers.active_peers_version(),
             back_ends_version: self.back_ends.version(),
@@ -173,15 +174,15 @@
             return Vec::new();
         }
         let states = self.back_ends.of_zone(&self.settings.zone);
-        let own = states.filter(|state| self.has_to_follow(state));
+        let own = states.filter(|state| self.should_follow(state));
         let mut own: Vec<&BackEndState> = own.collect();
         own.sort_unstable_by_key(|state| state.digest);
-        let own = own.into_iter().take(MOST_FOLLOWED);
+        let own = own.into_iter().take(MAX_FOLLOWED);
         own.map(|state| state.back_end.instance.clone()).collect()
     }
 
     /// Whether the engines of any pool report cache events.
-    fn is_any_cache_told(&self) -> bool {
+    fn reports_any_cache_events(&self) -> bool {
         let table = self.document_store.table();
         let mut pools = table
             .into_iter()
@@ -192,13 +193,13 @@
         })
     }
 
-    fn has_to_follow(&self, state: &BackEndState) -> bool {
-        let tells = self
+    fn should_follow(&self, state: &BackEndState) -> bool {
+        let reports_events = self
             .document_store
             .table()
             .and_then(|table| table.pool(&state.back_end.pool)?.engine.as_ref())
             .is_some_and(|engine| engine.cache_event_calls > 0);
-        tells && state.accepts_work() && self.peers.sender_index(state.digest) == 0
+        reports_events && state.accepts_work() && self.peers.sender_index(state.digest) == 0
     }
 
     /// Handles the response to a cache call. Returns `None` if the engine is no longer followed or
@@ -206,26 +207,26 @@
     pub fn handle_cache_response(
         &mut self,
         instance: &InstanceId,
-        answer: CacheResponse,
+        response: CacheResponse,
         now: Timestamp,
     ) -> Option<CacheUpdate> {
         let index = self.cache_follows.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
-        if !index.handle_response(answer, now) {
+        if !index.handle_response(response, now) {
             let has_gap = index.counts().gaps > gaps;
             return has_gap.then(|| CacheUpdate::of(index, &[], now));
         }
-        let facts = self.corrections(instance)?;
+        let observations = self.corrections(instance)?;
         let cache = &mut self.back_ends.get_mut(instance)?.load.cache;
-        for fact in &facts {
-            cache.apply_observation(fact.part, fact.tokens, now);
+        for observation in &observations {
+            cache.apply_observation(observation.part, observation.tokens, now);
         }
         let index = self.cache_follows.indices.get_mut(instance)?;
         cache.confirm(|part| index.stored_tokens(part).is_some(), now);
-        index.record_corrections(facts.len(), now);
-        let news = CacheUpdate::of(index, &facts, now);
-        self.queue_observations(&facts);
-        Some(news)
+        index.record_corrections(observations.len(), now);
+        let update = CacheUpdate::of(index, &observations, now);
+        self.queue_observations(&observations);
+        Some(update)
     }
 
     /// Differences between an engine's cache and what is recorded of it. Those that don't fit into
@@ -234,13 +235,18 @@
         let index = self.cache_follows.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
         let cache = &state.load.cache;
-        let gone = index.stale_parts(cache).into_iter();
-        let gone = gone.map(|part| fact(state.digest, part, 0));
-        let kept = index.missing_parts(cache, &self.back_ends.cached_parts());
-        let kept = kept.into_iter();
-        let kept = kept.map(|part| fact(state.digest, part.id, part.tokens));
+        let stale = index.stale_parts(cache).into_iter();
+        let stale = stale.map(|part| observation(state.digest, part, 0));
+        let missing = index.missing_parts(cache, &self.back_ends.cached_parts());
+        let missing = missing.into_iter();
+        let missing = missing.map(|part| observation(state.digest, part.id, part.tokens));
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
-        Some(gone.chain(kept).take(room.min(MOST_CORRECTIONS)).collect())
+        Some(
+            stale
+                .chain(missing)
+                .take(room.min(MAX_CORRECTIONS))
+                .collect(),
+        )
     }
 
     /// Records prompt parts that have turned out to be shared as cached at the followed engines
@@ -250,7 +256,7 @@
         if self.cache_follows.indices.is_empty() {
             return;
         }
-        let mut recalled = Vec::new();
+        let mut restored = Vec::new();
         for part in parts {
             for (instance, index) in &self.cache_follows.indices {
                 let Some(tokens) = index.stored_tokens(part) else {
@@ -262,21 +268,21 @@
                 let cache = &mut state.load.cache;
                 if !cache.contains(part) {
                     cache.apply_observation(part, tokens, now);
-                    recalled.push(fact(state.digest, part, tokens));
+                    restored.push(observation(state.digest, part, tokens));
                 }
             }
         }
-        self.queue_observations(&recalled);
+        self.queue_observations(&restored);
     }
 
     /// Number of evaluations of which engines to follow, since the start.
     pub(super) fn follow_evaluations(&self) -> u64 {
-        self.cache_follows.looks
+        self.cache_follows.evaluations
     }
 
     /// Number of followed engines, and counts of following since the start.
     pub(super) fn cache_counts(&self) -> (usize, FollowCounts) {
-        let mut counts = self.cache_follows.ended;
+        let mut counts = self.cache_follows.ended_counts;
         for index in self.cache_follows.indices.values() {
             counts.add(index.counts());
         }
@@ -285,37 +291,43 @@
 
     /// Queues observations of engine caches for the next messages, in place of earlier placements
     /// of the same parts.
-    fn queue_observations(&mut self, facts: &[Placement]) {
+    fn queue_observations(&mut self, observations: &[Placement]) {
         let key = |placement: &Placement| (placement.back_end, placement.part);
-        self.placements
-            .retain(|known| !facts.iter().any(|fact| key(fact) == key(known)));
-        self.queue_placements(facts);
+        self.placements.retain(|known| {
+            !observations
+                .iter()
+                .any(|observation| key(observation) == key(known))
+        });
+        self.queue_placements(observations);
     }
 
     /// Queues placements for the next messages to other nodes.
-    pub(super) fn queue_placements(&mut self, told: &[Placement]) {
+    pub(super) fn queue_placements(&mut self, placements: &[Placement]) {
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
-        let told = &told[..told.len().min(room)];
-        self.placements.extend_from_slice(told);
+        let placements = &placements[..placements.len().min(room)];
+        self.placements.extend_from_slice(placements);
         if self.collects_placements() {
-            self.zone_digests.record_placements(told);
+            self.zone_digests.record_placements(placements);
         }
     }
 }
 
 impl CacheUpdate {
-    fn of(index: &CacheIndex, facts: &[Placement], now: Timestamp) -> Self {
-        let gone = facts.iter().filter(|fact| fact.tokens == 0).count();
+    fn of(index: &CacheIndex, observations: &[Placement], now: Timestamp) -> Self {
+        let stale = observations
+            .iter()
+            .filter(|observation| observation.tokens == 0)
+            .count();
         Self {
-            stale: gone,
-            missing: facts.len() - gone,
+            stale,
+            missing: observations.len() - stale,
             counts: index.counts(),
             followed_for: now.since(index.since()),
         }
     }
 }
 
-fn fact(back_end: u32, part: PartId, tokens: u32) -> Placement {
+fn observation(back_end: u32, part: PartId, tokens: u32) -> Placement {
     Placement {
         back_end,
         part,
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -19,23 +19,23 @@
     /// Updates which back ends are cold and to which cold ones of its zone this node may send.
     /// Returns what changed.
     pub(super) fn update_cold_senders(&mut self, now: Timestamp) -> Vec<WarmupChange> {
-        let starts = self.cold_starts();
-        if starts.is_empty() && !self.has_cold {
+        let cold_starts = self.cold_starts();
+        if cold_starts.is_empty() && !self.has_cold_back_ends {
             // No pool starts cold: avoids a scan over thousands of back ends at each tick.
             return Vec::new();
         }
         let may_send = self.may_be_sender(now);
         let mut changes = Vec::new();
-        self.has_cold = false;
+        self.has_cold_back_ends = false;
         for state in self.back_ends.all_mut() {
-            let start = starts.get(&state.back_end.pool);
+            let start = cold_starts.get(&state.back_end.pool);
             let cold = start.filter(|start| state.warmup.is_cold(start, now));
             let role = cold.map_or(ColdRole::Warm, |start| {
-                let is_near = state.back_end.zone == self.settings.zone;
+                let is_same_zone = state.back_end.zone == self.settings.zone;
                 let senders = self.settings.cold_rate_limit.senders(start);
-                role(may_send && is_near, &self.peers, state, senders)
+                role(may_send && is_same_zone, &self.peers, state, senders)
             });
-            self.has_cold |= role != ColdRole::Warm;
+            self.has_cold_back_ends |= role != ColdRole::Warm;
             if state.warmup.update_role(role) {
                 changes.push(WarmupChange {
                     instance: state.back_end.instance.clone(),
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -13,25 +13,25 @@
 
 /// Time in which a starting node that is not a seed discovers its zone, and in which a node that
 /// got documents there announces them.
-const START_PATIENCE: Span = Span::from_milliseconds(200);
+const START_DELAY: Span = Span::from_milliseconds(200);
 /// Additional delay for each node of the zone that has precedence: the full set of documents takes
 /// some 0.25 s on a link of 10 Mbit/s.
-const PATIENCE_PER_NODE: Span = Span::from_milliseconds(250);
+const DELAY_PER_NODE: Span = Span::from_milliseconds(250);
 /// Longest time for which a node waits for documents from its own zone.
-const LONGEST_PATIENCE: Span = Span::from_milliseconds(2_500);
+const MAX_CROSS_ZONE_DELAY: Span = Span::from_milliseconds(2_500);
 /// Time for which a node is not asked again after it was too busy to serve documents, or failed to.
-const AVOIDED_BUSY: Span = Span::from_milliseconds(150);
-const AVOIDED_FAILED: Span = Span::from_milliseconds(1_000);
+const BUSY_RETRY_DELAY: Span = Span::from_milliseconds(150);
+const FAILED_RETRY_DELAY: Span = Span::from_milliseconds(1_000);
 
 /// Time for which changes of back ends are left to the announcements that carry them: a message of
 /// another kind may report them sooner, and a fetch costs a connection and a call. Announcements
 /// reach the last of 300 nodes after 0.3 s at the most. Without this delay 585 nodes made 650
 /// fetches while 325 changes were announced to them in 2 s (`tests/fleet.rs`).
-const ANNOUNCEMENT_PATIENCE: Span = Span::from_milliseconds(300);
+const ANNOUNCEMENT_DELAY: Span = Span::from_milliseconds(300);
 
 /// State of a node while others are known to have more documents.
 #[derive(Clone, Debug)]
-struct Lacking {
+struct MissingSince {
     /// What this node knew throughout.
     version_vector: VersionVector,
     since: Timestamp,
@@ -39,26 +39,26 @@
 
 /// Documents that this node lacks and others have.
 #[derive(Clone, Debug, Default)]
-pub(super) struct WantedDocuments {
-    lacking: Option<Lacking>,
+pub(super) struct MissingDocuments {
+    missing: Option<MissingSince>,
     /// Stamp of the latest table that other nodes have.
     table_stamp: TableStamp,
     /// Nodes that could not serve documents, and until when they are not asked.
     avoided: HashMap<SocketAddr, Timestamp>,
 }
 
-impl WantedDocuments {
+impl MissingDocuments {
     /// Time since which others have been known to have more than this node, without this node
     /// having learned anything new.
-    fn lacking_since(&mut self, version_vector: &VersionVector, now: Timestamp) -> Timestamp {
-        let lacking = self.lacking.take();
-        let same = lacking.filter(|lacking| lacking.version_vector == *version_vector);
-        let lacking = same.unwrap_or_else(|| Lacking {
+    fn missing_since(&mut self, version_vector: &VersionVector, now: Timestamp) -> Timestamp {
+        let missing = self.missing.take();
+        let same = missing.filter(|missing| missing.version_vector == *version_vector);
+        let missing = same.unwrap_or_else(|| MissingSince {
             version_vector: version_vector.clone(),
             since: now,
         });
-        let since = lacking.since;
-        self.lacking = Some(lacking);
+        let since = missing.since;
+        self.missing = Some(missing);
         since
     }
 }
@@ -68,43 +68,47 @@
     /// own zone that announced them just now is reachable and comes first.
     pub fn document_source(
         &mut self,
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         now: Timestamp,
     ) -> Option<SocketAddr> {
         if !self.settings.features.zone_representatives {
-            return told_by;
+            return announced_by;
         }
         let known = self.document_store.version_vector();
-        let informed = self.peers.peers_ahead_of(known);
-        if informed.is_empty() {
-            self.wanted.lacking = None;
+        let candidates = self.peers.peers_ahead_of(known);
+        if candidates.is_empty() {
+            self.missing_documents.missing = None;
             return None;
         }
         let lacks_newest_epoch = self.lacks_newest_epoch();
-        let since = self.wanted.lacking_since(known, now);
+        let since = self.missing_documents.missing_since(known, now);
         if !lacks_newest_epoch && self.is_announcement_due(since, now) {
             return None;
         }
-        let avoided = &mut self.wanted.avoided;
+        let avoided = &mut self.missing_documents.avoided;
         avoided.retain(|_, until| *until > now);
-        let sources: Vec<(Distance, SocketAddr)> = informed
+        let sources: Vec<(Distance, SocketAddr)> = candidates
             .into_iter()
             .map(|address| (self.distance_to(address), address))
             .collect();
-        let is_near = |(distance, _): &&(Distance, SocketAddr)| *distance == Distance::SameZone;
-        let serves_near = sources.iter().any(|source| is_near(&source));
-        let may_go_far = now.since(since) >= self.far_patience(lacks_newest_epoch, serves_near);
-        let free = sources
+        let is_same_zone =
+            |(distance, _): &&(Distance, SocketAddr)| *distance == Distance::SameZone;
+        let has_same_zone_source = sources.iter().any(|source| is_same_zone(&source));
+        let may_cross_zones =
+            now.since(since) >= self.cross_zone_delay(lacks_newest_epoch, has_same_zone_source);
+        let available = sources
             .into_iter()
-            .filter(|(_, address)| !self.wanted.avoided.contains_key(address))
-            .filter(|(distance, _)| *distance == Distance::SameZone || may_go_far);
-        let free: Vec<(Distance, SocketAddr)> = free.collect();
-        let told_by = told_by.map(|address| (Distance::SameZone, address));
-        if let Some(near) = told_by.filter(|near| free.contains(near)) {
-            return Some(near.1);
+            .filter(|(_, address)| !self.missing_documents.avoided.contains_key(address))
+            .filter(|(distance, _)| *distance == Distance::SameZone || may_cross_zones);
+        let available: Vec<(Distance, SocketAddr)> = available.collect();
+        let announced_by = announced_by.map(|address| (Distance::SameZone, address));
+        if let Some(announcer) = announced_by.filter(|announcer| available.contains(announcer)) {
+            return Some(announcer.1);
         }
-        let nearest = free.iter().map(|(distance, _)| *distance).min()?;
-        let nearest = free.iter().filter(|(distance, _)| *distance == nearest);
+        let nearest = available.iter().map(|(distance, _)| *distance).min()?;
+        let nearest = available
+            .iter()
+            .filter(|(distance, _)| *distance == nearest);
         let nearest: Vec<SocketAddr> = nearest.map(|(_, address)| *address).collect();
         nearest.choose(&mut self.random).copied()
     }
@@ -112,8 +116,8 @@
     /// Whether the missing documents are probably on their way in an announcement. A table is not:
     /// it is too large for one.
     fn is_announcement_due(&self, since: Timestamp, now: Timestamp) -> bool {
-        let lacks_table = self.wanted.table_stamp > self.document_store.table_stamp();
-        !lacks_table && now.since(since) < ANNOUNCEMENT_PATIENCE
+        let lacks_table = self.missing_documents.table_stamp > self.document_store.table_stamp();
+        !lacks_table && now.since(since) < ANNOUNCEMENT_DELAY
     }
 
     /// Whether this node has nothing of the newest epoch that its peers know, and so lacks nearly
@@ -125,14 +129,14 @@
 
     /// Records the stamp of another node's table.
     pub(super) fn record_peer_table(&mut self, stamp: TableStamp) {
-        let latest = &mut self.wanted.table_stamp;
+        let latest = &mut self.missing_documents.table_stamp;
         *latest = stamp.max(*latest);
     }
 
     /// How long fetches from other zones are left to other nodes of this zone.
-    fn far_patience(&self, lacks_newest_epoch: bool, serves_near: bool) -> Span {
-        if serves_near {
-            return LONGEST_PATIENCE;
+    fn cross_zone_delay(&self, lacks_newest_epoch: bool, has_same_zone_source: bool) -> Span {
+        if has_same_zone_source {
+            return MAX_CROSS_ZONE_DELAY;
         }
         // A node that has documents of the epoch lacks only small changes, and few nodes hear of
         // them from other zones.
@@ -142,18 +146,18 @@
         let start = if self.peers.is_seed() {
             Span::ZERO
         } else {
-            START_PATIENCE
+            START_DELAY
         };
-        (start + PATIENCE_PER_NODE * self.reader_rank()).min(LONGEST_PATIENCE)
+        (start + DELAY_PER_NODE * self.reader_rank()).min(MAX_CROSS_ZONE_DELAY)
     }
 
     /// Records that a node served no documents, because it is busy or for another reason.
     pub fn record_failed_fetch(&mut self, source: SocketAddr, is_busy: bool, now: Timestamp) {
-        let pause = if is_busy {
-            AVOIDED_BUSY
+        let delay = if is_busy {
+            BUSY_RETRY_DELAY
         } else {
-            AVOIDED_FAILED
+            FAILED_RETRY_DELAY
         };
-        self.wanted.avoided.insert(source, now + pause);
+        self.missing_documents.avoided.insert(source, now + delay);
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -1,7 +1,7 @@
 //! Leases on back ends: grants, refusals and releases.
 
 use super::Dispatcher;
-use super::replicating::KeptReplica;
+use super::replicating::ReplicaLease;
 use crate::load::health::HealthChange;
 use crate::load::registry::BackEndState;
 use crate::placement::eligibility::refusal;
@@ -16,34 +16,34 @@
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
 
 /// Share of a back end's connection limit that all nodes together use.
-const CONNECTION_PART: f64 = 0.8;
+const CONNECTION_SHARE: f64 = 0.8;
 /// Connections that each node may hold, however many nodes there are.
-const MINIMUM_CONNECTIONS: u32 = 4;
+const MIN_CONNECTIONS: u32 = 4;
 /// Retry delay of a request for which there is no back end.
 const NO_BACK_END_RETRY: Span = Span::from_milliseconds(500);
 /// Retry delay of a request for which all back ends are cold or evacuated: another node may be a
 /// sender, and each sender sends again after 1.3 s.
-const UNDER_WAY_RETRY: Span = Span::from_milliseconds(1_000);
+const COLD_OR_EVACUATED_RETRY: Span = Span::from_milliseconds(1_000);
 /// Retry delay of a request whose allowed regions have no back ends: only a configuration change
 /// helps.
 const REGION_RETRY: Span = Span::from_milliseconds(5_000);
 /// Retry delay of a request refused for load.
 const OVERLOAD_RETRY: Span = Span::from_milliseconds(400);
-/// Back ends of one zone that fail to respond within [`CUT_WINDOW`], from which on the network path
-/// to the zone counts as cut.
-const UNREACHABLE_FOR_CUT: usize = 2;
+/// Number of back ends of one zone that fail to respond within [`PARTITION_WINDOW`], from which on
+/// the zone counts as partitioned from this one.
+const PARTITION_MIN_UNREACHABLE: usize = 2;
 /// The same for back ends that refuse connections, as a share of all back ends of the zone. A
 /// refusal comes from a machine that is reachable, and several crashed back ends are more common
 /// than a partition that refuses connections.
-const REFUSING_FOR_CUT: f64 = 0.6;
-const CUT_WINDOW: Span = Span::from_milliseconds(3_000);
+const PARTITION_REFUSING_SHARE: f64 = 0.6;
+const PARTITION_WINDOW: Span = Span::from_milliseconds(3_000);
 /// Requests at a back end, as a multiple of its slots, beyond which none of the least urgent tier
 /// is added: a request that waits longer misses its target anyway.
-const FULLEST: f64 = 1.3;
+const MAX_LOAD_FACTOR: f64 = 1.3;
 /// The same for the most urgent tier. It is higher because no less urgent request may start while
 /// this tier is refused, and because nodes see each other's requests with a delay of some hundred
 /// milliseconds.
-const FULLEST_MOST_URGENT: f64 = 2.0;
+const MAX_LOAD_FACTOR_MOST_URGENT: f64 = 2.0;
 
 /// Time after a request's deadline in which its holder may still release the lease: callers get
 /// their final replies then, and a paused holder may resume.
@@ -57,13 +57,13 @@
     pub(super) instance: InstanceId,
     /// Start time of the back end's run, if the back end states it.
     pub(super) started_unix_ms: Option<u64>,
-    replica: Option<KeptReplica>,
+    replica: Option<ReplicaLease>,
     request: RequestDigest,
     /// Whether an event of the response has arrived; always true for a request that isn't streamed.
     has_events: bool,
     pub(super) granted_at: Timestamp,
     /// When the lease is released even if its holder has not done so.
-    expires: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// A lease that its holder did not release within the request's time.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedConnection {
     is_refusal: bool,
-    at: Timestamp,
+    failed_at: Timestamp,
 }
 
 /// Changes caused by the release of a lease.
@@ -92,16 +92,16 @@
 }
 
 impl Dispatcher {
-    fn budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
+    fn retry_budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
         let settings = self.settings.retry_budget;
-        self.budgets
+        self.retry_budgets
             .entry(pool.clone())
             .or_insert_with(|| RetryBudget::new(settings))
     }
 
     /// Counts a caller's request for a pool, which adds to the pool's retry budget.
     pub fn count_request(&mut self, pool: &PoolName, now: Timestamp) {
-        self.budget(pool).record_request(now);
+        self.retry_budget(pool).record_request(now);
     }
 
     /// Chooses a back end for a request and leases it, or refuses the request.
@@ -117,7 +117,7 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated_zones: &self.evacuated,
+            evacuated_zones: &self.evacuated_zones,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
@@ -133,7 +133,7 @@
             mut plans,
             examined,
         } = plans(&self.back_ends, &view, demand, &mut self.random);
-        self.examined += examined as u64;
+        self.examined_back_ends += examined as u64;
         let candidates: Vec<Candidate> = plans.iter().map(|plan| plan.candidate).collect();
         let Some(index) = choose(&candidates) else {
             let reason = refusal(&self.back_ends, &view, demand);
@@ -148,7 +148,7 @@
         }
         if demand.is_retry {
             let nodes = self.peers.max_known();
-            if !self.budget(&demand.pool).try_spend(now, nodes) {
+            if !self.retry_budget(&demand.pool).try_spend(now, nodes) {
                 return Decision::Refuse(Reason::RetryBudget, NO_BACK_END_RETRY);
             }
         }
@@ -167,24 +167,24 @@
         demand: &Demand,
         now: Timestamp,
     ) -> bool {
-        let most = f64::from(self.most_running(demand, candidate.slots));
+        let limit = f64::from(self.max_running(demand, candidate.slots));
         let Some(state) = self.back_ends.get_mut(instance) else {
             return false;
         };
-        let rounds = state.load.batches_within(demand.target);
-        let most = most.max(rounds * f64::from(candidate.slots));
-        state.load.smoothed_concurrency(candidate.running, now) >= most
+        let batches = state.load.batches_within(demand.target);
+        let limit = limit.max(batches * f64::from(candidate.slots));
+        state.load.smoothed_concurrency(candidate.running, now) >= limit
     }
 
     /// Number of requests at a back end from which on this one is not added.
-    fn most_running(&self, demand: &Demand, slots: u32) -> u32 {
+    fn max_running(&self, demand: &Demand, slots: u32) -> u32 {
         let table = self.document_store.table();
-        let part = table.map_or(0.0, |table| {
+        let share = table.map_or(0.0, |table| {
             table.less_urgent_share(&demand.pool, demand.rank)
         });
-        let fullest = FULLEST + (FULLEST_MOST_URGENT - FULLEST) * part;
-        let most = (f64::from(slots) * fullest).ceil() as u32;
-        most.max(slots + 1)
+        let load_factor = MAX_LOAD_FACTOR + (MAX_LOAD_FACTOR_MOST_URGENT - MAX_LOAD_FACTOR) * share;
+        let limit = (f64::from(slots) * load_factor).ceil() as u32;
+        limit.max(slots + 1)
     }
 
     fn grant(&mut self, plan: Plan, demand: &Demand, now: Timestamp) -> Option<Grant> {
@@ -205,27 +205,29 @@
         let has_limit = state.limiter.limit().is_some();
         state.limiter.record_sent(now);
         let cache_observation_age = state.load.cache.observation_age(demand.shared_parts(), now);
-        let read_at = now + plan.candidate.first_event;
-        state.load.cache.insert(&demand.parts, read_at);
+        let prefilled_at = now + plan.candidate.first_event;
+        state.load.cache.insert(&demand.parts, prefilled_at);
         state.load.cache.record_shared(demand.shared_parts());
-        let answer = u64::from(demand.output_tokens);
-        state.load.cache.insert_unshared(answer);
+        let output_tokens = u64::from(demand.output_tokens);
+        state.load.cache.insert_unshared(output_tokens);
         let address = state.back_end.address;
         let started_unix_ms = state.back_end.started_unix_ms;
         let digest = state.digest;
         let placements = placements(digest, demand.shared_parts());
         self.back_ends.record_holder(demand.shared_parts(), digest);
         self.queue_placements(&placements);
-        let kept = self.replicate(demand, &plan.instance, now);
-        let replica = kept.as_ref().map(|kept| Box::new(kept.target.clone()));
+        let replica_lease = self.replicate(demand, &plan.instance, now);
+        let replica = replica_lease
+            .as_ref()
+            .map(|lease| Box::new(lease.target.clone()));
         let record = Lease {
             instance: plan.instance.clone(),
             started_unix_ms,
-            replica: kept,
+            replica: replica_lease,
             request: demand.digest,
             has_events: !demand.is_stream,
             granted_at: now,
-            expires: now + demand.remaining + LEASE_MARGIN,
+            expires_at: now + demand.remaining + LEASE_MARGIN,
         };
         self.leases.insert(lease, record);
         Some(Grant {
@@ -248,12 +250,12 @@
     fn retry_after(&self, reason: Reason, demand: &Demand, now: Timestamp) -> Span {
         match reason {
             Reason::RegionNotAllowed => REGION_RETRY,
-            Reason::ColdBackEnds | Reason::ZoneEvacuated => UNDER_WAY_RETRY,
+            Reason::ColdBackEnds | Reason::ZoneEvacuated => COLD_OR_EVACUATED_RETRY,
             // The backoff applies to this node only: a caller that retries soon may reach another
             // node.
             Reason::BackEndsBackingOff => {
-                let rest = self.back_ends.shortest_backoff(&demand.pool, now);
-                rest.map_or(NO_BACK_END_RETRY, |rest| rest.min(NO_BACK_END_RETRY))
+                let backoff = self.back_ends.shortest_backoff(&demand.pool, now);
+                backoff.map_or(NO_BACK_END_RETRY, |backoff| backoff.min(NO_BACK_END_RETRY))
             }
             // The limits apply to all nodes together: no other node accepts the request sooner.
             Reason::BackEndsLimited => {
@@ -268,14 +270,14 @@
         let table = self.document_store.table();
         let maximum = table
             .and_then(|table| table.pool(pool))
-            .map_or(MINIMUM_CONNECTIONS, |pool| pool.maximum_connections);
-        let share = f64::from(maximum) * CONNECTION_PART / f64::from(self.peers.max_known());
-        (share as u32).max(MINIMUM_CONNECTIONS)
+            .map_or(MIN_CONNECTIONS, |pool| pool.maximum_connections);
+        let share = f64::from(maximum) * CONNECTION_SHARE / f64::from(self.peers.max_known());
+        (share as u32).max(MIN_CONNECTIONS)
     }
 
     /// Records that the first event, or the whole response, of a request arrived.
     pub fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
-        if let Some(state) = self.state_of(lease) {
+        if let Some(state) = self.leased_back_end(lease) {
             state.load.first_event(lease, now);
         }
     }
@@ -288,7 +290,7 @@
         }
     }
 
-    fn state_of(&mut self, lease: LeaseId) -> Option<&mut BackEndState> {
+    fn leased_back_end(&mut self, lease: LeaseId) -> Option<&mut BackEndState> {
         let lease = self.leases.get(&lease)?;
         self.back_ends.get_mut(&lease.instance)
     }
@@ -299,8 +301,8 @@
             return LeaseRelease::default();
         };
         // A stream that ends without an event may have been cut short by a crash.
-        let ended_well = outcome == Outcome::Completed && record.has_events;
-        let quarantine_change = ended_well
+        let completed_with_events = outcome == Outcome::Completed && record.has_events;
+        let quarantine_change = completed_with_events
             .then(|| self.quarantine.record_completed(record.request, now))
             .flatten();
         LeaseRelease {
@@ -315,15 +317,18 @@
         if !self.ticks.is_multiple_of(EXPIRY_TICKS) {
             return Vec::new();
         }
-        let over = self.leases.iter().filter(|(_, lease)| lease.expires < now);
-        let expired: Vec<ExpiredLease> = over
+        let overdue = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at < now);
+        let expired: Vec<ExpiredLease> = overdue
             .map(|(lease, record)| ExpiredLease {
                 lease: *lease,
                 instance: record.instance.clone(),
             })
             .collect();
-        for over in &expired {
-            self.release(over.lease, Outcome::Abandoned, now);
+        for expired_lease in &expired {
+            self.release(expired_lease.lease, Outcome::Abandoned, now);
         }
         expired
     }
@@ -336,8 +341,8 @@
         lease: LeaseId,
         now: Timestamp,
     ) -> Vec<(InstanceId, HealthChange)> {
-        if let Some(kept) = &record.replica {
-            self.release_replica(kept);
+        if let Some(replica_lease) = &record.replica {
+            self.release_replica(replica_lease);
         }
         let state = self.back_ends.get(&record.instance);
         if state.is_none_or(|state| state.back_end.started_unix_ms != record.started_unix_ms) {
@@ -345,52 +350,52 @@
             // now.
             return Vec::new();
         }
-        self.ended_lately.insert(record.instance.clone(), now);
+        self.recently_released.insert(record.instance.clone(), now);
         let change = self
             .back_ends
             .record_outcome(&record.instance, outcome, now);
-        let own = change.map(|change| (record.instance.clone(), change));
+        let own_change = change.map(|change| (record.instance.clone(), change));
         let Some(state) = self.back_ends.get_mut(&record.instance) else {
             return Vec::new();
         };
         state.load.end(lease, outcome, now);
         let zone = state.back_end.zone.clone();
-        let mut changes: Vec<(InstanceId, HealthChange)> = own.into_iter().collect();
-        let is_missed = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
-        if is_missed && zone != self.settings.zone {
-            let miss = FailedConnection {
+        let mut changes: Vec<(InstanceId, HealthChange)> = own_change.into_iter().collect();
+        let is_unreachable = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
+        if is_unreachable && zone != self.settings.zone {
+            let failure = FailedConnection {
                 is_refusal: outcome == Outcome::ConnectionRefused,
-                at: now,
+                failed_at: now,
             };
-            changes.extend(self.record_missed(zone, record.instance.clone(), miss));
+            changes.extend(self.record_failed_connection(zone, record.instance.clone(), failure));
         }
         changes
     }
 
-    /// Records a failed connection to another zone. Several of them show that the network path to
-    /// the zone is cut: all of its back ends are ejected then.
-    fn record_missed(
+    /// Records a failed connection to another zone. Several of them show that the zone is
+    /// partitioned from this one: all of its back ends are ejected then.
+    fn record_failed_connection(
         &mut self,
         zone: ZoneName,
         instance: InstanceId,
-        miss: FailedConnection,
+        failure: FailedConnection,
     ) -> Vec<(InstanceId, HealthChange)> {
-        let now = miss.at;
-        let lately = self.failed_connections.entry(zone.clone()).or_default();
-        lately.retain(|_, miss| now.since(miss.at) < CUT_WINDOW);
-        lately.insert(instance, miss);
-        let refusing = lately.values().filter(|miss| miss.is_refusal).count();
-        let silent = lately.len() - refusing;
+        let now = failure.failed_at;
+        let recent = self.failed_connections.entry(zone.clone()).or_default();
+        recent.retain(|_, failure| now.since(failure.failed_at) < PARTITION_WINDOW);
+        recent.insert(instance, failure);
+        let refusing = recent.values().filter(|failure| failure.is_refusal).count();
+        let timed_out = recent.len() - refusing;
         let states = self.back_ends.all_mut();
-        let there = states.filter(|state| state.back_end.zone == zone);
-        let there: Vec<&mut BackEndState> = there.collect();
-        let is_cut = silent >= UNREACHABLE_FOR_CUT
-            || (lately.len() >= UNREACHABLE_FOR_CUT
-                && lately.len() as f64 >= REFUSING_FOR_CUT * there.len() as f64);
-        if !is_cut {
+        let in_zone = states.filter(|state| state.back_end.zone == zone);
+        let in_zone: Vec<&mut BackEndState> = in_zone.collect();
+        let is_partitioned = timed_out >= PARTITION_MIN_UNREACHABLE
+            || (recent.len() >= PARTITION_MIN_UNREACHABLE
+                && recent.len() as f64 >= PARTITION_REFUSING_SHARE * in_zone.len() as f64);
+        if !is_partitioned {
             return Vec::new();
         }
-        there
+        in_zone
             .into_iter()
             .filter_map(|state| {
                 let change = state.health.eject_if_active(now)?;
--- a/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
+++ b/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
@@ -20,19 +20,19 @@
 
 /// A home scope of a pool, and when it was evaluated.
 #[derive(Clone, Copy, Debug)]
-struct KnownScope {
+struct CachedScope {
     scope: HomeScope,
-    at_tick: u64,
+    evaluated_at_tick: u64,
     /// Whether a back end has been added or removed since.
-    has_changed: bool,
+    has_back_end_changed: bool,
     /// Whether anything else has changed since, so that the scope is invalid at once.
-    is_outdated: bool,
+    is_invalid: bool,
 }
 
 /// The home scope of each pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HomeScopes {
-    in_force: HashMap<PoolName, KnownScope>,
+    by_pool: HashMap<PoolName, CachedScope>,
 }
 
 impl HomeScopes {
@@ -41,25 +41,25 @@
     pub(super) fn record_document(&mut self, key: &DocumentKey) {
         self.record_back_end();
         let is_back_end = matches!(key, DocumentKey::BackEnd(_));
-        for looked in self.in_force.values_mut() {
-            looked.is_outdated |= !is_back_end;
+        for cached in self.by_pool.values_mut() {
+            cached.is_invalid |= !is_back_end;
         }
     }
 
     /// Records that a back end may have started or stopped accepting work.
     pub(super) fn record_back_end(&mut self) {
-        for looked in self.in_force.values_mut() {
-            looked.has_changed = true;
+        for cached in self.by_pool.values_mut() {
+            cached.has_back_end_changed = true;
         }
     }
 
     /// Returns the cached scope of a pool, unless it has to be evaluated again.
-    fn up_to_date(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
-        let looked = self.in_force.get(pool)?;
-        let age = tick - looked.at_tick;
+    fn valid_scope(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
+        let cached = self.by_pool.get(pool)?;
+        let age = tick - cached.evaluated_at_tick;
         let may_wait = pool_size > MAX_EXAMINED && age < CHANGES_TICKS;
-        let is_outdated = looked.is_outdated || (looked.has_changed && !may_wait);
-        (age < HOME_SCOPE_TICKS && !is_outdated).then_some(looked.scope)
+        let is_invalid = cached.is_invalid || (cached.has_back_end_changed && !may_wait);
+        (age < HOME_SCOPE_TICKS && !is_invalid).then_some(cached.scope)
     }
 }
 
@@ -77,8 +77,8 @@
             return HomeScope::ALL;
         }
         let size = self.back_ends.pool_size(pool);
-        let known = self.home_scopes.up_to_date(pool, size, self.ticks);
-        known.unwrap_or_else(|| self.update_home_scope(pool))
+        let cached = self.home_scopes.valid_scope(pool, size, self.ticks);
+        cached.unwrap_or_else(|| self.update_home_scope(pool))
     }
 
     fn update_home_scope(&mut self, pool: &PoolName) -> HomeScope {
@@ -87,22 +87,25 @@
         let engines: Vec<_> = self
             .back_ends
             .pool(pool)
-            .filter(|state| state.accepts_work() && !self.evacuated.contains(&state.back_end.zone))
+            .filter(|state| {
+                state.accepts_work() && !self.evacuated_zones.contains(&state.back_end.zone)
+            })
             .map(|state| {
                 let distance = Distance::between(zone, &state.back_end.zone, regions);
                 (distance, state)
             })
             .collect();
-        let shared = self.back_ends.cached_tokens(pool);
-        let before = self.home_scopes.in_force.get(pool);
-        let scope = HomeScope::nearest(&engines, shared, before.map(|looked| looked.scope));
-        let looked = KnownScope {
+        let shared_tokens = self.back_ends.cached_tokens(pool);
+        let previous = self.home_scopes.by_pool.get(pool);
+        let scope =
+            HomeScope::nearest(&engines, shared_tokens, previous.map(|cached| cached.scope));
+        let cached = CachedScope {
             scope,
-            at_tick: self.ticks,
-            has_changed: false,
-            is_outdated: false,
+            evaluated_at_tick: self.ticks,
+            has_back_end_changed: false,
+            is_invalid: false,
         };
-        self.home_scopes.in_force.insert(pool.clone(), looked);
+        self.home_scopes.by_pool.insert(pool.clone(), cached);
         scope
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -16,15 +16,15 @@
 /// Ticks between two messages to other zones, where traffic is expensive.
 pub(crate) const CROSS_ZONE_TICKS: u64 = 4;
 /// Ticks between two probes of nodes not known to be alive.
-const DOUBTFUL_TICKS: u64 = 10;
+const PROBE_TICKS: u64 = 10;
 /// Ticks between two messages that list other nodes without being asked.
 const MEMBER_TICKS: u64 = 20;
 /// Ticks between two queries to the seeds by a node that hears others but has no documents.
 const SEED_TICKS: u64 = 5;
 /// Ticks after a start during which probes are sent at the faster pace.
-const STARTING_TICKS: u64 = 50;
+const STARTUP_TICKS: u64 = 50;
 /// Ticks between two probes after a start, or while some nodes are known only indirectly.
-const SEARCHING_TICKS: u64 = 2;
+const FAST_PROBE_TICKS: u64 = 2;
 /// Peers of the own zone that are sent to at each tick.
 pub(crate) const SAME_ZONE_FANOUT: usize = 12;
 /// Peers of other zones that are sent to at a time.
@@ -32,15 +32,15 @@
 /// The same in a large zone, whose aggregators hear of other zones from the aggregators there.
 pub(crate) const LARGE_ZONE_CROSS_ZONE_FANOUT: usize = 2;
 /// Nodes probed at a time.
-const DOUBTFUL_FANOUT: usize = 2;
+const PROBE_FANOUT: usize = 2;
 /// The same while some nodes are known only indirectly.
-const SEARCHING_FANOUT: usize = 6;
+const INDIRECT_PROBE_FANOUT: usize = 6;
 /// Peers of the own and of other zones to which a node forwards an announcement that it received.
-const FORWARD_NEAR_FANOUT: usize = 3;
-const FORWARD_FAR_FANOUT: usize = 1;
+const FORWARD_SAME_ZONE_FANOUT: usize = 3;
+const FORWARD_CROSS_ZONE_FANOUT: usize = 1;
 /// Allowance for a message's transit time and the rounding of ages: without it a confirmation that
 /// is forwarded back and forth would appear ever more recent.
-const ON_THE_WAY: Span = Span::from_milliseconds(10);
+const TRANSIT_ALLOWANCE: Span = Span::from_milliseconds(10);
 /// Ticks between two updates of the probability that streams are lost.
 const LOSS_TICKS: u64 = 5;
 /// Ticks between two updates of the split of pools.
@@ -49,7 +49,7 @@
 /// aggregator's summary. More are fetched from the sender, which costs each node a connection and a
 /// call. By calculation, a release that replaces 15 engines a second leaves 18 changes between two
 /// reads of the platform, one that replaces 53 leaves 64.
-const MOST_NEWS: usize = 96;
+const MAX_CHANGES_PER_MESSAGE: usize = 96;
 
 impl Dispatcher {
     /// Returns the messages and changes that are due; to be called every [`TICK`](super::TICK).
@@ -57,14 +57,14 @@
         self.ticks += 1;
         self.now = now;
         self.started.get_or_insert(now);
-        self.forget_lapsed(now);
+        self.remove_expired(now);
         self.release_withheld(now);
         let mut peer_changes = self.peers.tick(now);
         let warmup_changes = self.update_cold_senders(now);
         let limit_changes = self.update_limit_roles(now);
         peer_changes.extend(self.update_aggregators(now));
         self.update_silent_zones(now);
-        self.ended_lately
+        self.recently_released
             .retain(|_, ended| now.since(*ended) < OUTCOME_LIFETIME);
         let split_changes = self.update_splits(now);
         let quarantine_changes = self.quarantine.expire(now);
@@ -77,19 +77,19 @@
         messages.extend(self.crash_announcement(now));
         if self.ticks.is_multiple_of(CROSS_ZONE_TICKS) {
             // In a large zone the senders of digests represent all of its nodes.
-            if !self.is_spoken_for() {
+            if !self.is_represented() {
                 messages.extend(self.message_to_other_zones(now));
             }
             self.placements.clear();
         }
-        if self.document_store.version_vector().is_empty() && self.is_time_to_ask_seeds() {
+        if self.document_store.version_vector().is_empty() && self.is_seed_query_due() {
             let seeds = self.peers.other_seeds();
-            messages.extend(self.question(seeds, now));
+            messages.extend(self.query(seeds, now));
         }
-        let (period, fanout) = self.search_pace();
+        let (period, fanout) = self.probe_pace();
         if self.ticks % period == 1 {
             let probe_targets = self.peers.probe_targets(fanout, &mut self.random);
-            messages.extend(self.question(probe_targets, now));
+            messages.extend(self.query(probe_targets, now));
         }
         TickOutput {
             messages,
@@ -103,7 +103,7 @@
     }
 
     /// Whether other nodes represent this one towards other zones.
-    fn is_spoken_for(&self) -> bool {
+    fn is_represented(&self) -> bool {
         self.settings.features.zone_representatives
             && self.peers.is_zone_large()
             && self.uses_zone_digests()
@@ -113,14 +113,14 @@
         match self.aggregation.silent_zones(now) {
             Some(zones) => self.silent_zones = zones,
             // The aggregators' last report holds until others have taken their place.
-            None if self.is_spoken_for() => {}
+            None if self.is_represented() => {}
             None => self.silent_zones = self.peers.silent_zones(now),
         }
     }
 
     /// Whether to query the seeds in this tick: in each one until a peer is heard, less often after
     /// that.
-    fn is_time_to_ask_seeds(&self) -> bool {
+    fn is_seed_query_due(&self) -> bool {
         self.peers.live_count() == 0 || self.ticks.is_multiple_of(SEED_TICKS)
     }
 
@@ -134,8 +134,8 @@
             self.back_ends.update_stream_isolation(now);
             return Vec::new();
         }
-        self.long_silent.record(&self.silent_zones);
-        let (silent, evacuated) = (&self.long_silent, &self.evacuated);
+        self.persistent_silence.record(&self.silent_zones);
+        let (silent, evacuated) = (&self.persistent_silence, &self.evacuated_zones);
         let is_usable = |state: &BackEndState| {
             let zone = &state.back_end.zone;
             state.accepts_work()
@@ -154,66 +154,71 @@
         if self.peers.is_zone_large() {
             let mut messages = self.aggregation_messages(now);
             if self.ticks.is_multiple_of(PEER_TICKS) {
-                let peers = round_robin(&self.peers.same_zone_peers(), 1, &mut self.near_turn);
+                let peers =
+                    round_robin(&self.peers.same_zone_peers(), 1, &mut self.same_zone_cursor);
                 let mut message = self.bare_gossip(false, now);
                 message.limits = self.limits_for(Audience::OwnZone, now);
                 messages.extend(envelope(MessageKind::Peer, peers, message));
             }
             return messages;
         }
-        let near = round_robin(
+        let receivers = round_robin(
             &self.peers.same_zone_peers(),
             SAME_ZONE_FANOUT,
-            &mut self.near_turn,
+            &mut self.same_zone_cursor,
         );
         let mut message = self.gossip(false, now);
         message.zone_digests = self.zone_digests.digests_to_forward(now);
         message.limits = self.limits_for(Audience::OwnZone, now);
-        envelope(MessageKind::Peer, near, message)
+        envelope(MessageKind::Peer, receivers, message)
             .into_iter()
             .collect()
     }
 
     fn message_to_other_zones(&mut self, now: Timestamp) -> Option<Envelope> {
         let fanout = self.peers.cross_zone_fanout();
-        let far = round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
+        let receivers = round_robin(
+            &self.peers.other_zone_peers(),
+            fanout,
+            &mut self.other_zone_cursor,
+        );
         let mut message = if self.uses_zone_digests() {
             self.bare_gossip(false, now)
         } else {
             self.gossip(false, now)
         };
         message.limits = self.limits_for(Audience::OtherZones, now);
-        envelope(MessageKind::Peer, far, message)
+        envelope(MessageKind::Peer, receivers, message)
     }
 
     /// A message that requests a reply.
-    fn question(&mut self, to: Vec<SocketAddr>, now: Timestamp) -> Option<Envelope> {
+    fn query(&mut self, to: Vec<SocketAddr>, now: Timestamp) -> Option<Envelope> {
         let message = self.gossip(true, now);
         envelope(MessageKind::Query, to, message)
     }
 
     /// Ticks between two rounds of probes, and the number of nodes to probe.
-    fn search_pace(&self) -> (u64, usize) {
+    fn probe_pace(&self) -> (u64, usize) {
         if self.peers.indirect_count() > 0 {
-            return (SEARCHING_TICKS, SEARCHING_FANOUT);
+            return (FAST_PROBE_TICKS, INDIRECT_PROBE_FANOUT);
         }
-        if self.ticks < STARTING_TICKS {
-            return (SEARCHING_TICKS, DOUBTFUL_FANOUT);
+        if self.ticks < STARTUP_TICKS {
+            return (FAST_PROBE_TICKS, PROBE_FANOUT);
         }
-        (DOUBTFUL_TICKS, DOUBTFUL_FANOUT)
+        (PROBE_TICKS, PROBE_FANOUT)
     }
 
     /// The reply to a query. It lists other nodes.
     pub fn reply(&mut self, to: SocketAddr, now: Timestamp) -> Gossip {
-        let mut answer = self.gossip(false, now);
+        let mut reply = self.gossip(false, now);
         let zone = self.peers.zone_of(to).cloned();
         if self.settings.features.quarantine {
-            answer.crashing_requests = self.quarantine.reports_at_start(now);
+            reply.crashing_requests = self.quarantine.reports_at_start(now);
         }
         let limits = self.back_ends.limit_notices();
-        answer.limits = limits.reports_at_start(now, &mut self.random);
-        answer.members = self.peers.sample_for(zone.as_ref(), now, &mut self.random);
-        answer
+        reply.limits = limits.reports_at_start(now, &mut self.random);
+        reply.members = self.peers.sample_for(zone.as_ref(), now, &mut self.random);
+        reply
     }
 
     /// A message with this node's state and its load at back ends.
@@ -245,7 +250,7 @@
             confirmed_ms: self
                 .document_store
                 .confirmed_age(now)
-                .map(|age| (age + ON_THE_WAY).milliseconds() as u32),
+                .map(|age| (age + TRANSIT_ALLOWANCE).milliseconds() as u32),
             loads: None,
             is_for_aggregator: false,
             zone_digests: Vec::new(),
@@ -260,7 +265,7 @@
 
     pub(super) fn own_loads(&self, now: Timestamp) -> Vec<LoadReport> {
         let running = self.leases.values().map(|lease| &lease.instance);
-        let busy: BTreeSet<&InstanceId> = running.chain(self.ended_lately.keys()).collect();
+        let busy: BTreeSet<&InstanceId> = running.chain(self.recently_released.keys()).collect();
         let states = busy
             .into_iter()
             .filter_map(|instance| self.back_ends.get(instance));
@@ -272,16 +277,20 @@
     /// An announcement of newer documents, which this node got from the platform (`is_first_hand`)
     /// or from a peer. It is sent at once.
     pub fn announce(&mut self, is_first_hand: bool, now: Timestamp) -> Envelope {
-        let (near, far) = if is_first_hand {
+        let (same_zone_fanout, cross_zone_fanout) = if is_first_hand {
             (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
         } else {
-            (FORWARD_NEAR_FANOUT, FORWARD_FAR_FANOUT)
+            (FORWARD_SAME_ZONE_FANOUT, FORWARD_CROSS_ZONE_FANOUT)
         };
-        let mut peers = round_robin(&self.peers.same_zone_peers(), near, &mut self.near_turn);
-        peers.extend(self.announced_beyond(is_first_hand, far));
+        let mut peers = round_robin(
+            &self.peers.same_zone_peers(),
+            same_zone_fanout,
+            &mut self.same_zone_cursor,
+        );
+        peers.extend(self.cross_zone_receivers(is_first_hand, cross_zone_fanout));
         let mut message = self.bare_gossip(false, now);
-        message.recent_changes = self.news();
-        self.announced_to
+        message.recent_changes = self.unannounced_changes();
+        self.announced_versions
             .clone_from(self.document_store.version_vector());
         Envelope {
             kind: MessageKind::Announcement,
@@ -294,28 +303,32 @@
     /// nodes, the first node to learn of a change sends it to one or two nodes of each zone, and
     /// representatives forward it to one node of each zone. All others forward it inside their own
     /// zone only.
-    fn announced_beyond(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
-        if !self.is_spoken_for() {
-            return round_robin(&self.peers.other_zone_peers(), fanout, &mut self.far_turn);
+    fn cross_zone_receivers(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
+        if !self.is_represented() {
+            return round_robin(
+                &self.peers.other_zone_peers(),
+                fanout,
+                &mut self.other_zone_cursor,
+            );
         }
         if !is_first_hand && !self.represents_zone() {
             return Vec::new();
         }
-        let mut told = self.digest_receivers();
+        let mut receivers = self.digest_receivers();
         let others = self.peers.one_per_other_zone(&mut self.random);
         let others = others.into_values().filter(|_| is_first_hand);
-        told.extend(others);
-        told.sort_unstable();
-        told.dedup();
-        told
+        receivers.extend(others);
+        receivers.sort_unstable();
+        receivers.dedup();
+        receivers
     }
 
     /// The changes since the last announcement, if they fit into one message.
-    fn news(&self) -> Option<ChangeBatch> {
-        let (count, has_table) = self.document_store.count_after(&self.announced_to);
-        (count <= MOST_NEWS && !has_table).then(|| ChangeBatch {
-            base: self.announced_to.clone(),
-            changes: self.document_store.changes_after(&self.announced_to),
+    fn unannounced_changes(&self) -> Option<ChangeBatch> {
+        let (count, has_table) = self.document_store.count_after(&self.announced_versions);
+        (count <= MAX_CHANGES_PER_MESSAGE && !has_table).then(|| ChangeBatch {
+            base: self.announced_versions.clone(),
+            changes: self.document_store.changes_after(&self.announced_versions),
         })
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/noticing.rs
+++ b/crates/coordination/dispatch/src/dispatcher/noticing.rs
@@ -22,17 +22,17 @@
 }
 
 impl<'a> From<&'a DueCacheCall> for NoticeSource<'a> {
-    fn from(order: &'a DueCacheCall) -> Self {
-        Self::Call(order)
+    fn from(call: &'a DueCacheCall) -> Self {
+        Self::Call(call)
     }
 }
 
 /// The run of a back end that sent a response.
-struct AnsweringRun {
+struct RespondingRun {
     instance: InstanceId,
     started_unix_ms: Option<u64>,
     /// When the request was sent; `None` for a cache call.
-    requested: Option<Timestamp>,
+    requested_at: Option<Timestamp>,
 }
 
 impl Dispatcher {
@@ -42,7 +42,7 @@
         &mut self,
         source: impl Into<NoticeSource<'a>>,
     ) -> Option<InstanceId> {
-        let run = self.answering_run(source.into())?;
+        let run = self.responding_run(source.into())?;
         let is_new = self
             .back_ends
             .record_leaving(&run.instance, run.started_unix_ms);
@@ -56,11 +56,11 @@
     pub fn record_backoff<'a>(
         &mut self,
         source: impl Into<NoticeSource<'a>>,
-        rest: Span,
+        backoff: Span,
         now: Timestamp,
     ) {
-        if let Some(run) = self.answering_run(source.into()) {
-            let until = now + rest;
+        if let Some(run) = self.responding_run(source.into()) {
+            let until = now + backoff;
             self.back_ends
                 .record_backoff(&run.instance, run.started_unix_ms, until);
         }
@@ -73,12 +73,12 @@
         limit: Option<RateLimit>,
         now: Timestamp,
     ) {
-        let Some(run) = self.answering_run(source.into()) else {
+        let Some(run) = self.responding_run(source.into()) else {
             return;
         };
         // Responses may arrive out of order: only the response to a request sent after the limit
         // was last stated shows that the limit is lifted.
-        let reported_at = limit.map(|_| now).or(run.requested);
+        let reported_at = limit.map(|_| now).or(run.requested_at);
         if let Some(reported_at) = reported_at {
             let notice = LimitNotice { limit, reported_at };
             self.back_ends
@@ -86,20 +86,20 @@
         }
     }
 
-    fn answering_run(&self, source: NoticeSource<'_>) -> Option<AnsweringRun> {
+    fn responding_run(&self, source: NoticeSource<'_>) -> Option<RespondingRun> {
         Some(match source {
             NoticeSource::Request(lease) => {
                 let lease = self.leases.get(&lease)?;
-                AnsweringRun {
+                RespondingRun {
                     instance: lease.instance.clone(),
                     started_unix_ms: lease.started_unix_ms,
-                    requested: Some(lease.granted_at),
+                    requested_at: Some(lease.granted_at),
                 }
             }
-            NoticeSource::Call(order) => AnsweringRun {
-                instance: order.instance.clone(),
-                started_unix_ms: order.started_unix_ms,
-                requested: None,
+            NoticeSource::Call(call) => RespondingRun {
+                instance: call.instance.clone(),
+                started_unix_ms: call.started_unix_ms,
+                requested_at: None,
             },
         })
     }
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -10,13 +10,13 @@
 
 /// Shortest interval between two crash announcements: all requests that ran on a crashed back end
 /// fail within some milliseconds.
-const SHORTEST_INTERVAL: Span = Span::from_milliseconds(50);
+const MIN_ANNOUNCEMENT_INTERVAL: Span = Span::from_milliseconds(50);
 
 /// Whether crashes are still to be announced, and when the last announcement was sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PendingCrashReports {
-    is_untold: bool,
-    told_at: Option<Timestamp>,
+    has_unannounced: bool,
+    announced_at: Option<Timestamp>,
 }
 
 impl Dispatcher {
@@ -24,14 +24,14 @@
     /// and none was sent just now. With the periodic messages alone, a remote node learns of them
     /// up to 0.4 s later, while copies of the request crash more back ends.
     pub fn crash_announcement(&mut self, now: Timestamp) -> Option<Envelope> {
-        let last = self.crash_news.told_at;
-        let is_soon = last.is_some_and(|last| now.since(last) < SHORTEST_INTERVAL);
-        if !self.crash_news.is_untold || is_soon {
+        let last = self.pending_crash_reports.announced_at;
+        let is_too_early = last.is_some_and(|last| now.since(last) < MIN_ANNOUNCEMENT_INTERVAL);
+        if !self.pending_crash_reports.has_unannounced || is_too_early {
             return None;
         }
-        self.crash_news = PendingCrashReports {
-            is_untold: false,
-            told_at: Some(now),
+        self.pending_crash_reports = PendingCrashReports {
+            has_unannounced: false,
+            announced_at: Some(now),
         };
         Some(self.announce(true, now))
     }
@@ -46,7 +46,7 @@
         if !self.settings.features.quarantine {
             return None;
         }
-        self.crash_news.is_untold = true;
+        self.pending_crash_reports.has_unannounced = true;
         let back_end = instance.digest() as u32;
         self.quarantine.record_crash(request, back_end, now)
     }
@@ -56,11 +56,8 @@
         if !self.settings.features.quarantine {
             return None;
         }
-        let quarantined = self.quarantine.status(demand.digest, now)?;
-        Some(Decision::Refuse(
-            Reason::CrashesBackEnds,
-            quarantined.remaining,
-        ))
+        let status = self.quarantine.status(demand.digest, now)?;
+        Some(Decision::Refuse(Reason::CrashesBackEnds, status.remaining))
     }
 
     pub(super) fn apply_crashing_requests(
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
@@ -16,13 +16,13 @@
 impl Dispatcher {
     /// Applies another node's reports of rate limits.
     pub(super) fn apply_limits(&mut self, message: &Gossip, now: Timestamp) {
-        let heard_from = if message.zone == self.settings.zone {
+        let origin = if message.zone == self.settings.zone {
             NoticeOrigin::OwnZone
         } else {
             NoticeOrigin::OtherZone
         };
         self.back_ends
-            .apply_limit_reports(&message.limits, heard_from, now);
+            .apply_limit_reports(&message.limits, origin, now);
     }
 
     /// Reports of rate limits for a message to an audience.
@@ -41,8 +41,8 @@
         }
         let knows_zone = self.may_be_sender(now);
         let knows_fleet = knows_zone && self.uptime(now) >= FLEET_SETTLING_TIME;
-        let has_turn = knows_fleet && self.ticks.is_multiple_of(PROBING_TICKS);
-        let nodes = self.peers.by_zone();
+        let is_probe_due = knows_fleet && self.ticks.is_multiple_of(PROBING_TICKS);
+        let nodes_by_zone = self.peers.by_zone();
         let max_known = self.peers.max_known() as usize;
         let mut changes = Vec::new();
         for instance in limited {
@@ -50,22 +50,23 @@
                 continue;
             };
             let zone = &state.back_end.zone;
-            let is_near = *zone == self.settings.zone;
-            let may_send = if is_near { knows_zone } else { knows_fleet };
+            let is_same_zone = *zone == self.settings.zone;
+            let may_send = if is_same_zone {
+                knows_zone
+            } else {
+                knows_fleet
+            };
             let digest = state.digest;
             state.limiter.update_role(|limit| {
                 // Uses the highest number of nodes ever known: nodes that are cut off from the
                 // others must not hold themselves to be alone and use the others' shares as well.
                 let senders = senders(limit, max_known);
-                let place = nodes.own_index(digest, zone, senders);
-                let place = place.filter(|_| may_send)?;
-                Some(SenderShare {
-                    index: place,
-                    senders,
-                })
+                let index = nodes_by_zone.own_index(digest, zone, senders);
+                let index = index.filter(|_| may_send)?;
+                Some(SenderShare { index, senders })
             });
-            let silent = state.limiter.stale_limit(now).filter(|_| has_turn);
-            if let Some(limit) = silent
+            let stale = state.limiter.stale_limit(now).filter(|_| is_probe_due);
+            if let Some(limit) = stale
                 && self
                     .random
                     .random_bool(probing_probability(limit, max_known))
--- a/crates/coordination/dispatch/src/dispatcher/reading.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reading.rs
@@ -9,13 +9,13 @@
 const CONFIRMATION_LIMIT: Span = Span::from_milliseconds(1_900);
 /// The same as a share of the propagation deadline: the rest is for the nodes that start to read
 /// one after the other, and for propagation to the others.
-const CONFIRMATION_PART: f64 = 0.65;
+const CONFIRMATION_SHARE: f64 = 0.65;
 /// Propagation deadline from which on only [`READING_ZONES`] zones read. A node of a third zone
 /// then hears of their confirmations 0.6 s later.
-const FEW_READERS_FROM: Span = Span::from_milliseconds(3_500);
+const FEW_READERS_MIN_DEADLINE: Span = Span::from_milliseconds(3_500);
 /// Time beyond the confirmation limit after which nodes must have tried to read and failed: the
 /// first of them starts at once, and a response takes milliseconds.
-const VAIN_READING_TIME: Span = Span::from_milliseconds(1_000);
+const FAILED_READ_TIME: Span = Span::from_milliseconds(1_000);
 /// Zones that read when the propagation deadline is long: one may be lost while the other goes on.
 /// 18 nodes in five zones made 98 calls on a quiet day of 57 s; with a reader in each zone they
 /// made 258.
@@ -24,16 +24,16 @@
 const SETTLING_TIME: Span = Span::from_milliseconds(1_500);
 /// Time after a start for which a node that is not a seed waits for the seeds' documents before it
 /// reads the platform.
-const START_PATIENCE: Span = Span::from_milliseconds(200);
+const START_DELAY: Span = Span::from_milliseconds(200);
 /// The same for a node that has heard peers.
-const START_PATIENCE_WITH_PEERS: Span = Span::from_milliseconds(300);
+const START_DELAY_WITH_PEERS: Span = Span::from_milliseconds(300);
 /// Additional delay at a start for each node of the zone that has precedence as a reader.
-const START_PATIENCE_PER_READER: Span = Span::from_milliseconds(100);
+const START_DELAY_PER_READER: Span = Span::from_milliseconds(100);
 /// The same after the start, when confirmations have become too old.
-const PATIENCE_PER_READER: Span = Span::from_milliseconds(150);
+const DELAY_PER_READER: Span = Span::from_milliseconds(150);
 /// The same beyond the first [`QUICK_READERS`] nodes: if so many got no response, the platform is
 /// probably down for all, and each further reader adds two failing calls a second.
-const PATIENCE_PER_LATE_READER: Span = Span::from_milliseconds(600);
+const DELAY_PER_LATE_READER: Span = Span::from_milliseconds(600);
 const QUICK_READERS: u64 = 3;
 
 /// Whether this node reads the platform.
@@ -51,9 +51,9 @@
     pub fn reader_role(&self, now: Timestamp) -> ReaderRole {
         let rank = self.reader_rank();
         let is_due = match self.document_store.confirmed_age(now) {
-            Some(_) if self.is_appointed_reader(rank, now) => true,
-            Some(age) => age > self.confirmation_limit() + patience(rank),
-            None => self.uptime(now) >= self.start_patience(rank),
+            Some(_) if self.is_designated_reader(rank, now) => true,
+            Some(age) => age > self.confirmation_limit() + takeover_delay(rank),
+            None => self.uptime(now) >= self.start_delay(rank),
         };
         if is_due {
             ReaderRole::Reader
@@ -66,9 +66,9 @@
     /// that all nodes compute alike.
     pub(super) fn reader_rank(&self) -> u64 {
         let own = self.role_priority();
-        let ranked = self.peers.role_candidates();
-        let before = ranked.iter().filter(|(rank, _)| *rank >= own);
-        before.count() as u64 + u64::from(self.is_stopping)
+        let candidates = self.peers.role_candidates();
+        let preceding = candidates.iter().filter(|(priority, _)| *priority >= own);
+        preceding.count() as u64 + u64::from(self.is_stopping)
     }
 
     /// Priority of this node as a candidate for roles.
@@ -78,7 +78,7 @@
 
     /// Whether this node is the regular reader of its zone: the first in order, or a seed while a
     /// node knows too few others to compute the order.
-    fn is_appointed_reader(&self, rank: u64, now: Timestamp) -> bool {
+    fn is_designated_reader(&self, rank: u64, now: Timestamp) -> bool {
         if self.uptime(now) < SETTLING_TIME {
             self.peers.is_seed()
         } else {
@@ -89,41 +89,44 @@
     /// Whether the latest confirmation is so old that nodes must have tried to read and failed.
     pub fn is_confirmation_overdue(&self, now: Timestamp) -> bool {
         let age = self.document_store.confirmed_age(now);
-        age.is_some_and(|age| age > self.confirmation_limit() + VAIN_READING_TIME)
+        age.is_some_and(|age| age > self.confirmation_limit() + FAILED_READ_TIME)
     }
 
     fn confirmation_limit(&self) -> Span {
-        let part = self.settings.propagation_deadline.scaled(CONFIRMATION_PART);
-        part.max(CONFIRMATION_LIMIT)
+        let limit = self
+            .settings
+            .propagation_deadline
+            .scaled(CONFIRMATION_SHARE);
+        limit.max(CONFIRMATION_LIMIT)
     }
 
     /// Whether this node's zone is one of the reading ones among the zones that it hears.
     fn is_zone_reading(&self) -> bool {
-        if self.settings.propagation_deadline < FEW_READERS_FROM {
+        if self.settings.propagation_deadline < FEW_READERS_MIN_DEADLINE {
             return true;
         }
         let own = self.settings.zone.digest();
         let others = self.peers.other_zones();
         let heard = others.filter(|zone| !self.silent_zones.contains(*zone));
-        let before = heard.filter(|zone| zone.digest() > own).count();
-        before < READING_ZONES
+        let preceding = heard.filter(|zone| zone.digest() > own).count();
+        preceding < READING_ZONES
     }
 
     /// Delay after a start before this node reads the platform. Seeds read at once: all nodes query
     /// them, whichever other nodes they know.
-    fn start_patience(&self, rank: u64) -> Span {
+    fn start_delay(&self, rank: u64) -> Span {
         if self.peers.is_seed() {
             Span::ZERO
         } else if self.peers.live_count() == 0 {
-            START_PATIENCE
+            START_DELAY
         } else {
-            START_PATIENCE_WITH_PEERS + START_PATIENCE_PER_READER * rank
+            START_DELAY_WITH_PEERS + START_DELAY_PER_READER * rank
         }
     }
 }
 
 /// How long a node waits for those that have precedence over it.
-fn patience(rank: u64) -> Span {
+fn takeover_delay(rank: u64) -> Span {
     let quick = rank.min(QUICK_READERS);
-    PATIENCE_PER_READER * quick + PATIENCE_PER_LATE_READER * (rank - quick)
+    DELAY_PER_READER * quick + DELAY_PER_LATE_READER * (rank - quick)
 }
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -9,7 +9,7 @@
 
 /// A replica that counts towards the load of its holder.
 #[derive(Clone, Debug)]
-pub(super) struct KeptReplica {
+pub(super) struct ReplicaLease {
     pub(super) target: ReplicaTarget,
     lease: LeaseId,
 }
@@ -21,12 +21,12 @@
         demand: &Demand,
         source: &InstanceId,
         now: Timestamp,
-    ) -> Option<KeptReplica> {
+    ) -> Option<ReplicaLease> {
         // A stream that was taken over once is not replicated again.
         if demand.required_instance.is_some() || !self.settings.features.run_replicas {
             return None;
         }
-        if !self.keeps_replicas(&demand.pool) {
+        if !self.supports_replicas(&demand.pool) {
             return None;
         }
         let cold_start = self.cold_start(&demand.pool);
@@ -35,7 +35,7 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated_zones: &self.evacuated,
+            evacuated_zones: &self.evacuated_zones,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
@@ -49,14 +49,14 @@
         let target = holder(&self.back_ends, &view, demand, state, &mut self.random)?;
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
-        let held_by = self.back_ends.get_mut(&target.instance)?;
-        held_by
+        let holder_state = self.back_ends.get_mut(&target.instance)?;
+        holder_state
             .load
             .begin_replica(lease, replica_tokens(demand), now);
-        Some(KeptReplica { target, lease })
+        Some(ReplicaLease { target, lease })
     }
 
-    fn keeps_replicas(&self, pool: &PoolName) -> bool {
+    fn supports_replicas(&self, pool: &PoolName) -> bool {
         let table = self.document_store.table();
         let pool = table.and_then(|table| table.pool(pool));
         let engine = pool.and_then(|pool| pool.engine.as_ref());
@@ -64,9 +64,9 @@
     }
 
     /// Removes the replica of an ended stream from its holder's load.
-    pub(super) fn release_replica(&mut self, kept: &KeptReplica) {
-        if let Some(state) = self.back_ends.get_mut(&kept.target.instance) {
-            state.load.end_replica(kept.lease);
+    pub(super) fn release_replica(&mut self, replica_lease: &ReplicaLease) {
+        if let Some(state) = self.back_ends.get_mut(&replica_lease.target.instance) {
+            state.load.end_replica(replica_lease.lease);
         }
     }
 
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -19,20 +19,20 @@
 /// Number of nodes of a zone that send digests, in turn.
 const DIGEST_SENDERS: u64 = 2;
 /// Largest number of back ends in one digest; those with most requests are chosen.
-const MOST_LOADS: usize = 200;
+const MAX_LOADS: usize = 200;
 /// Largest number of placements in one digest.
-const MOST_PLACEMENTS: usize = 120;
+const MAX_PLACEMENTS: usize = 120;
 /// Number of digests of one node that together list all nodes of its zone.
-const DIGESTS_TO_NAME_ALL: usize = 10;
+const DIGESTS_TO_LIST_ZONE: usize = 10;
 /// Time for which the sender of a digest gets the digests of the own zone: it sends each 0.4 s, to
 /// one of two nodes. After that any node of its zone gets them and forwards them.
 const SENDER_LIFETIME: Span = Span::from_milliseconds(1_500);
 /// Largest number of zones whose digests are forwarded in one message.
-const MOST_ZONES: usize = 4;
+const MAX_ZONES_PER_MESSAGE: usize = 4;
 
 /// A digest received from another zone.
 #[derive(Clone, Debug)]
-struct HeardDigest {
+struct ReceivedDigest {
     reporter: u64,
     counted_at: Timestamp,
     loads: Vec<LoadReport>,
@@ -44,12 +44,12 @@
 /// Digests received from other zones, and placements for the digest of the own one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneDigests {
-    heard: BTreeMap<ZoneName, HeardDigest>,
-    placed: BTreeMap<(u32, PartId), Placement>,
+    received: BTreeMap<ZoneName, ReceivedDigest>,
+    pending_placements: BTreeMap<(u32, PartId), Placement>,
     /// For each other zone, the node whose digest arrived last, and until when it is preferred as a
     /// receiver.
     senders: BTreeMap<ZoneName, (SocketAddr, Timestamp)>,
-    member_turn: usize,
+    member_cursor: usize,
 }
 
 impl ZoneDigests {
@@ -57,38 +57,40 @@
     pub(super) fn record_placements(&mut self, placements: &[Placement]) {
         for placement in placements {
             let key = (placement.back_end, placement.part);
-            if self.placed.len() < MOST_PLACEMENTS || self.placed.contains_key(&key) {
-                self.placed.insert(key, *placement);
+            if self.pending_placements.len() < MAX_PLACEMENTS
+                || self.pending_placements.contains_key(&key)
+            {
+                self.pending_placements.insert(key, *placement);
             }
         }
     }
 
     /// Stores a digest. Returns false if one at least as recent is known. Placements of the
     /// previous digest that are still to be forwarded are kept.
-    fn take(&mut self, zone: &ZoneName, mut digest: HeardDigest) -> bool {
-        let known = self.heard.get(zone);
+    fn insert_newer(&mut self, zone: &ZoneName, mut digest: ReceivedDigest) -> bool {
+        let known = self.received.get(zone);
         if known.is_some_and(|known| known.counted_at >= digest.counted_at) {
             return false;
         }
         if let Some(known) = known.filter(|known| known.ticks_left > 0) {
-            let room = MOST_PLACEMENTS.saturating_sub(digest.placements.len());
-            let kept = known.placements.iter().take(room);
-            digest.placements.extend(kept.copied());
+            let room = MAX_PLACEMENTS.saturating_sub(digest.placements.len());
+            let remaining = known.placements.iter().take(room);
+            digest.placements.extend(remaining.copied());
             digest.ticks_left = digest.ticks_left.max(known.ticks_left);
         }
-        self.heard.insert(zone.clone(), digest);
+        self.received.insert(zone.clone(), digest);
         true
     }
 
     /// Returns the digests to forward with the messages of this tick.
     pub(super) fn digests_to_forward(&mut self, now: Timestamp) -> Vec<ZoneDigest> {
-        let mut digests_to_forward = Vec::new();
-        for (zone, digest) in &mut self.heard {
-            if digest.ticks_left == 0 || digests_to_forward.len() == MOST_ZONES {
+        let mut digests = Vec::new();
+        for (zone, digest) in &mut self.received {
+            if digest.ticks_left == 0 || digests.len() == MAX_ZONES_PER_MESSAGE {
                 continue;
             }
             digest.ticks_left -= 1;
-            digests_to_forward.push(ZoneDigest {
+            digests.push(ZoneDigest {
                 zone: zone.clone(),
                 reporter: digest.reporter,
                 age_ms: now.since(digest.counted_at).milliseconds() as u32,
@@ -96,7 +98,7 @@
                 placements: digest.placements.clone(),
             });
         }
-        digests_to_forward
+        digests
     }
 }
 
@@ -108,8 +110,8 @@
 
     /// Returns a digest of this zone's loads, if it is this node's turn to send one.
     pub(super) fn zone_digest(&mut self, now: Timestamp) -> Option<Envelope> {
-        let number = self.digest_turn()?;
-        let phase = number * DIGEST_TICKS / DIGEST_SENDERS;
+        let index = self.digest_sender_index()?;
+        let phase = index * DIGEST_TICKS / DIGEST_SENDERS;
         let is_due = self.ticks % DIGEST_TICKS == phase % DIGEST_TICKS;
         if !is_due || !self.uses_zone_digests() {
             return None;
@@ -124,7 +126,7 @@
             reporter: self.settings.node.digest(),
             age_ms: 0,
             loads: self.loads_of_zone(now),
-            placements: std::mem::take(&mut self.zone_digests.placed)
+            placements: std::mem::take(&mut self.zone_digests.pending_placements)
                 .into_values()
                 .collect(),
         });
@@ -138,15 +140,15 @@
 
     /// Some nodes of the own zone for a digest: all of them in turn.
     fn members_for_other_zones(&mut self, now: Timestamp) -> Vec<Member> {
-        let count = self.peers.same_zone_count().div_ceil(DIGESTS_TO_NAME_ALL);
-        let first = self.zone_digests.member_turn;
-        self.zone_digests.member_turn = first.wrapping_add(count);
+        let count = self.peers.same_zone_count().div_ceil(DIGESTS_TO_LIST_ZONE);
+        let first = self.zone_digests.member_cursor;
+        self.zone_digests.member_cursor = first.wrapping_add(count);
         self.peers.same_zone_members(first, count, now)
     }
 
     /// Whether this node represents its zone towards others.
     pub(super) fn represents_zone(&self) -> bool {
-        self.digest_turn().is_some()
+        self.digest_sender_index().is_some()
     }
 
     /// Whether this node collects its zone's placements for a digest: in a large zone only
@@ -157,10 +159,10 @@
 
     /// Index of this node among the digest senders, if it is one: in a large zone these are the
     /// aggregators, otherwise the first nodes in the order of readers.
-    fn digest_turn(&self) -> Option<u64> {
+    fn digest_sender_index(&self) -> Option<u64> {
         if self.peers.is_zone_large() {
             let is_active = self.aggregation.is_active();
-            return is_active.then(|| self.aggregator_number());
+            return is_active.then(|| self.aggregator_index());
         }
         let rank = self.reader_rank();
         (rank < DIGEST_SENDERS).then_some(rank)
@@ -185,7 +187,7 @@
     fn loads_of_zone(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
         let loads = states.map(|state| state.load.report_of_zone(state.digest, now));
-        busiest(loads.collect(), MOST_LOADS)
+        busiest(loads.collect(), MAX_LOADS)
     }
 
     /// Applies the digests that a message carries.
@@ -195,54 +197,60 @@
         message: &Gossip,
         now: Timestamp,
     ) {
-        let is_first_hand = message.zone != self.settings.zone;
-        if !is_first_hand && self.collects_placements() {
+        let is_from_other_zone = message.zone != self.settings.zone;
+        if !is_from_other_zone && self.collects_placements() {
             self.zone_digests.record_placements(&message.placements);
         }
         for zone_digest in &message.zone_digests {
             if zone_digest.zone == self.settings.zone {
                 continue;
             }
-            if is_first_hand {
+            if is_from_other_zone {
                 let zone = zone_digest.zone.clone();
                 self.zone_digests
                     .senders
                     .insert(zone, (address, now + SENDER_LIFETIME));
             }
-            self.apply_zone_digest(zone_digest, is_first_hand, now);
+            self.apply_zone_digest(zone_digest, is_from_other_zone, now);
         }
     }
 
-    fn apply_zone_digest(&mut self, told: &ZoneDigest, is_first_hand: bool, now: Timestamp) {
-        self.back_ends.apply_placements(&told.placements, now);
+    fn apply_zone_digest(
+        &mut self,
+        received: &ZoneDigest,
+        is_from_other_zone: bool,
+        now: Timestamp,
+    ) {
+        self.back_ends.apply_placements(&received.placements, now);
         if self.aggregation.is_active() {
-            self.aggregation.record_placements(&told.placements);
+            self.aggregation.record_placements(&received.placements);
         }
-        let counted_at = now - Span::from_milliseconds(u64::from(told.age_ms));
-        self.aggregation.record_zone(&told.zone, counted_at);
-        let ticks_left = if is_first_hand {
-            self.ticks_to_pass_on()
+        let counted_at = now - Span::from_milliseconds(u64::from(received.age_ms));
+        self.aggregation.record_zone(&received.zone, counted_at);
+        let ticks_left = if is_from_other_zone {
+            self.forward_ticks()
         } else {
             0
         };
-        let digest = HeardDigest {
-            reporter: told.reporter,
+        let digest = ReceivedDigest {
+            reporter: received.reporter,
             counted_at,
-            loads: told.loads.clone(),
-            placements: self.placements_passed_on(told),
+            loads: received.loads.clone(),
+            placements: self.placements_to_forward(received),
             ticks_left,
         };
-        if self.zone_digests.take(&told.zone, digest) {
+        if self.zone_digests.insert_newer(&received.zone, digest) {
             let source = LoadSource::Zone {
-                zone: told.zone.digest(),
-                reporter: told.reporter,
+                zone: received.zone.digest(),
+                reporter: received.reporter,
             };
-            self.back_ends.apply_loads(source, &told.loads, counted_at);
+            self.back_ends
+                .apply_loads(source, &received.loads, counted_at);
         }
     }
 
     /// Number of ticks within which all of the zone, or its aggregators, are reached.
-    fn ticks_to_pass_on(&self) -> u64 {
+    fn forward_ticks(&self) -> u64 {
         if self.peers.is_zone_large() {
             return 1;
         }
@@ -251,11 +259,11 @@
 
     /// Placements of a digest that this node has to forward: an aggregator sends them in its own
     /// summary instead.
-    fn placements_passed_on(&self, told: &ZoneDigest) -> Vec<Placement> {
+    fn placements_to_forward(&self, received: &ZoneDigest) -> Vec<Placement> {
         if self.aggregation.is_active() {
             Vec::new()
         } else {
-            told.placements.clone()
+            received.placements.clone()
         }
     }
 }
