--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -193,12 +193,17 @@
     back_ends: Registry,
     retry_budgets: HashMap<PoolName, RetryBudget>,
     leases: HashMap<LeaseId, Lease>,
+    /// Back ends whose leases were released lately, with the time of the latest release.
     recently_released: HashMap<InstanceId, Timestamp>,
+    /// Recent failed connections to back ends of other zones.
     failed_connections: HashMap<ZoneName, HashMap<InstanceId, FailedConnection>>,
     next_lease: u64,
+    /// Placements queued for the next messages.
     placements: Vec<Placement>,
     ticks: u64,
+    /// Round-robin position among the peers of the own zone.
     same_zone_cursor: usize,
+    /// Round-robin position among the peers of other zones.
     other_zone_cursor: usize,
     /// Changes that were known at the last announcement.
     announced_versions: VersionVector,
@@ -328,6 +333,7 @@
         }
     }
 
+    /// Updates the state that is derived from documents after a change was applied.
     fn update_derived_state(&mut self, change: Change, now: Timestamp) {
         self.home_scopes.record_document(&change.key);
         let table = self.document_store.table().cloned();
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -24,8 +24,9 @@
 const AGGREGATORS: usize = 2;
 /// Share of an aggregator's link that its summaries take.
 const LINK_SHARE: f64 = 0.15;
-/// Assumed size of a summary in bytes: for each back end, and for 400 placements at 13 bytes.
+/// Assumed size of a summary in bytes, for each back end.
 const BYTES_PER_BACK_END: f64 = 18.0;
+/// The same for 400 placements at 13 bytes.
 const PLACEMENT_BYTES: f64 = 5_200.0;
 /// Largest number of nodes that get a summary in one tick, so that one message a node each 0.4 s
 /// suffices in a zone of 60 and an aggregator sends no more than 150 a second.
@@ -37,8 +38,9 @@
 const MAX_SUMMARY_TICKS: u64 = 12;
 /// Silence of a new aggregator after which the next node replaces it: it collects reports first.
 const FIRST_SUMMARY_TIMEOUT: Span = Span::from_milliseconds(2_500);
-/// Summaries that an aggregator may miss, and additional time, before it counts as silent.
+/// Number of summaries that an aggregator may miss before it counts as silent.
 const MAX_MISSED_SUMMARIES: u64 = 3;
+/// Additional silence that is allowed before it counts as silent.
 const SILENCE_MARGIN: Span = Span::from_milliseconds(500);
 /// Time for which a node that received a report acts as an aggregator, whichever nodes it computes
 /// to be the aggregators itself.
@@ -449,7 +451,7 @@
     }
 }
 
-/// Returns the reports that have content, at most `most` of them: those with most running requests.
+/// Returns the reports that have content, at most `limit` of them: those with most running requests.
 pub(super) fn busiest(mut loads: Vec<LoadReport>, limit: usize) -> Vec<LoadReport> {
     loads.retain(LoadReport::has_content);
     loads.sort_unstable_by_key(|load| (std::cmp::Reverse(load.running), load.back_end));
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -47,9 +47,10 @@
     pub followed_for: Span,
 }
 
-/// Ticks between two evaluations of which engines to follow, while engines come and go and at the
-/// most: an evaluation compares each engine of the zone with each node of the zone.
+/// Fewest ticks between two evaluations of which engines to follow while engines come and go: an
+/// evaluation compares each engine of the zone with each node of the zone.
 const MIN_EVALUATION_TICKS: u64 = 5;
+/// Ticks after which the engines to follow are evaluated even if nothing has changed.
 const MAX_EVALUATION_TICKS: u64 = 50;
 
 /// The engines whose caches this node follows.
@@ -85,7 +86,7 @@
 }
 
 impl CacheFollows {
-    /// Stops following the engines that `stays` rejects.
+    /// Stops following the engines that `is_retained` rejects.
     fn retain(&mut self, is_retained: impl Fn(&InstanceId) -> bool) {
         let ended_counts = &mut self.ended_counts;
         self.indices.retain(|instance, index| {
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -1,7 +1,7 @@
 //! Selects the node from which missing documents are fetched: one of the own zone first. Links
 //! between zones and regions are expensive, and the full set of documents is large: 300 nodes that
-//! each fetched from the first node that announced them transferred 28 MB across borders at a start
-//! (`tests/borders.rs`).
+//! each fetched from the first node that announced them transferred 28 MB over such links at a
+//! start (`tests/borders.rs`).
 
 use super::Dispatcher;
 use crate::fleet::traffic::Distance;
@@ -19,8 +19,9 @@
 const DELAY_PER_NODE: Span = Span::from_milliseconds(250);
 /// Longest time for which a node waits for documents from its own zone.
 const MAX_CROSS_ZONE_DELAY: Span = Span::from_milliseconds(2_500);
-/// Time for which a node is not asked again after it was too busy to serve documents, or failed to.
+/// Time for which a node that was too busy to serve documents is not asked again.
 const BUSY_RETRY_DELAY: Span = Span::from_milliseconds(150);
+/// Time for which a node that failed to serve documents for another reason is not asked again.
 const FAILED_RETRY_DELAY: Span = Span::from_milliseconds(1_000);
 
 /// Time for which changes of back ends are left to the announcements that carry them: a message of
@@ -133,7 +134,8 @@
         *latest = stamp.max(*latest);
     }
 
-    /// How long fetches from other zones are left to other nodes of this zone.
+    /// Delay before this node fetches from other zones, so that nodes of its own zone can fetch or
+    /// serve the documents first.
     fn cross_zone_delay(&self, lacks_newest_epoch: bool, has_same_zone_source: bool) -> Span {
         if has_same_zone_source {
             return MAX_CROSS_ZONE_DELAY;
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/granting.rs
@@ -29,13 +29,14 @@
 const REGION_RETRY: Span = Span::from_milliseconds(5_000);
 /// Retry delay of a request refused for load.
 const OVERLOAD_RETRY: Span = Span::from_milliseconds(400);
-/// Number of back ends of one zone that fail to respond within [`PARTITION_WINDOW`], from which on
-/// the zone counts as partitioned from this one.
+/// Number of back ends of one zone that must fail to respond within [`PARTITION_WINDOW`] for the
+/// zone to count as partitioned from this one.
 const PARTITION_MIN_UNREACHABLE: usize = 2;
-/// The same for back ends that refuse connections, as a share of all back ends of the zone. A
-/// refusal comes from a machine that is reachable, and several crashed back ends are more common
-/// than a partition that refuses connections.
+/// Share of a zone's back ends that must fail for the same if some of them refuse connections
+/// instead. A refusal comes from a machine that is reachable, and several crashed back ends are
+/// more common than a partition that refuses connections.
 const PARTITION_REFUSING_SHARE: f64 = 0.6;
+/// Time for which a failed connection to a back end of another zone counts.
 const PARTITION_WINDOW: Span = Span::from_milliseconds(3_000);
 /// Requests at a back end, as a multiple of its slots, beyond which none of the least urgent tier
 /// is added: a request that waits longer misses its target anyway.
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -25,18 +25,19 @@
 const STARTUP_TICKS: u64 = 50;
 /// Ticks between two probes after a start, or while some nodes are known only indirectly.
 const FAST_PROBE_TICKS: u64 = 2;
-/// Peers of the own zone that are sent to at each tick.
+/// Number of peers of the own zone that get a message at each tick.
 pub(crate) const SAME_ZONE_FANOUT: usize = 12;
-/// Peers of other zones that are sent to at a time.
+/// Number of peers of other zones that get a message at a time.
 pub(crate) const CROSS_ZONE_FANOUT: usize = 8;
 /// The same in a large zone, whose aggregators hear of other zones from the aggregators there.
 pub(crate) const LARGE_ZONE_CROSS_ZONE_FANOUT: usize = 2;
-/// Nodes probed at a time.
+/// Number of nodes probed at a time.
 const PROBE_FANOUT: usize = 2;
 /// The same while some nodes are known only indirectly.
 const INDIRECT_PROBE_FANOUT: usize = 6;
-/// Peers of the own and of other zones to which a node forwards an announcement that it received.
+/// Number of peers of the own zone to which a node forwards an announcement that it received.
 const FORWARD_SAME_ZONE_FANOUT: usize = 3;
+/// The same for peers of other zones.
 const FORWARD_CROSS_ZONE_FANOUT: usize = 1;
 /// Allowance for a message's transit time and the rounding of ages: without it a confirmation that
 /// is forwarded back and forth would appear ever more recent.
--- a/crates/coordination/dispatch/src/dispatcher/reading.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reading.rs
@@ -34,6 +34,7 @@
 /// The same beyond the first [`QUICK_READERS`] nodes: if so many got no response, the platform is
 /// probably down for all, and each further reader adds two failing calls a second.
 const DELAY_PER_LATE_READER: Span = Span::from_milliseconds(600);
+/// Number of nodes of a zone that join as readers at the shorter intervals.
 const QUICK_READERS: u64 = 3;
 
 /// Whether this node reads the platform.
--- a/crates/coordination/dispatch/src/dispatcher/turns.rs
+++ b/crates/coordination/dispatch/src/dispatcher/turns.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// Returns the next `most` peers in round-robin order, so that each is sent to at a steady rate.
+/// Returns the next peers, at most `limit`, in round-robin order, so that each is sent to at a
+/// steady rate.
 pub(super) fn round_robin(
     peers: &[SocketAddr],
     limit: usize,
