--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The state machine of a relay's decisions.
+//! The state machine behind a relay's routing decisions.
 
 mod aggregation;
 mod cache_index;
@@ -27,7 +27,7 @@
 
 use aggregation::Aggregation;
 use cache_index::CacheFollows;
-use document_source::WantedDocuments;
+use document_source::MissingDocuments;
 use granting::{FailedConnection, Lease};
 use home_scopes::HomeScopes;
 use quarantining::PendingCrashReports;
@@ -53,163 +53,169 @@
 use unknown_names::unknown_names;
 use zone_digest::ZoneDigests;
 
-/// Time between two ticks.
+/// Interval between two ticks.
 pub const TICK: Span = Span::from_milliseconds(100);
-/// Placements named in one message.
+/// Largest number of placements in one message.
 const PLACEMENTS_PER_MESSAGE: usize = 40;
-/// Time for which the outcomes at a back end are told.
+/// Time after a request's end for which this node still reports on its back end.
 const OUTCOME_LIFETIME: Span = Span::from_milliseconds(4_000);
 /// How long a back end that an earlier epoch removed is withheld when a restored store lists it
 /// again. Covers the expiry of its entry: three heartbeats at intervals of one to two seconds.
 const WITHHOLD_TIME: Span = Span::from_milliseconds(6_000);
 
-/// What a dispatcher is told at its start.
+/// Settings that a dispatcher is created with.
 #[derive(Clone, Debug)]
 pub struct DispatcherSettings {
-    /// This node.
+    /// Name of this node.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Its address for messages.
+    /// Address at which this node receives messages of its peers.
     pub address: SocketAddr,
-    /// Addresses of some other nodes, perhaps out of date.
+    /// Addresses of some other nodes; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Number of this run.
+    /// Incarnation of this process, which distinguishes restarts of a node.
     pub incarnation: u32,
-    /// Bound of repeats over all nodes.
+    /// Limit on retries over all nodes.
     pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
-    /// Time within which a change that the platform has confirmed has to be in force.
+    /// Time within which a change that the platform has confirmed must be in force.
     pub propagation_deadline: Span,
-    /// Bound of requests to a cold back end over all nodes.
+    /// Limit on the request rate to a cold back end over all nodes.
     pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
     pub regions: ZoneRegions,
-    /// Parts in use.
+    /// Optional parts that are switched on.
     pub features: Features,
 }
 
-/// What a tick asks for.
+/// Result of a tick.
 #[derive(Clone, Debug, Default)]
 pub struct TickOutput {
     /// Messages to send.
     pub messages: Vec<Envelope>,
-    /// What changed with peers.
+    /// Peers that were discovered, lost or recovered.
     pub peer_changes: Vec<PeerChange>,
-    /// Back ends that turned cold or warm, or got other senders.
+    /// Back ends that became cold or warm, or whose senders changed.
     pub warmup_changes: Vec<WarmupChange>,
-    /// Back ends whose rate limits changed, or this node's part in them.
+    /// Back ends whose rate limit changed, or this node's role for it.
     pub limit_changes: Vec<LimitChange>,
-    /// Pools whose engines are split in another way than before.
+    /// Pools whose split between streams and long prompts changed.
     pub split_changes: Vec<SplitChange>,
-    /// Requests that are no longer refused.
+    /// Requests whose quarantine has ended.
     pub quarantine_changes: Vec<QuarantineChange>,
-    /// Places that nobody gave back.
+    /// Leases that expired without being released.
     pub expired_leases: Vec<ExpiredLease>,
 }
 
-/// What a message asks for.
+/// Result of a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceiveOutput {
-    /// What changed with its sender.
+    /// Change in the state of the sending peer.
     pub change: Option<PeerChange>,
-    /// An answer is wanted.
+    /// Whether the sender wants a reply.
     pub wants_reply: bool,
-    /// The sender knows newer documents, which have to be fetched.
+    /// Whether the sender has newer documents, which have to be fetched.
     pub has_newer_documents: bool,
-    /// Changes that the message carried.
+    /// Document changes that the message carried.
     pub changes: Vec<ReceivedChange>,
-    /// Requests that are refused from now on, or no longer.
+    /// Requests whose quarantine has begun or ended.
     pub quarantine_changes: Vec<QuarantineChange>,
 }
 
-/// A change that came with a message.
+/// A received document change and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedChange {
-    /// Which item.
+    /// Key of the document.
     pub key: DocumentKey,
-    /// What became of the item.
+    /// Kind of the change, as a word for logs.
     pub kind: &'static str,
     /// Revision of the change.
     pub revision: Revision,
-    /// What came of it.
+    /// Whether the change was applied.
     pub outcome: ApplyOutcome,
-    /// Zones and regions that it names and the settings don't know.
+    /// Zones and regions that the document names and the settings don't contain.
     pub unknown_names: Vec<UnknownName>,
 }
 
-/// Figures for metrics.
+/// State of a dispatcher, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Peers that are there.
+    /// Peers held to be alive.
     pub live_peers: usize,
-    /// Listed back ends.
+    /// Known back ends.
     pub back_ends: usize,
-    /// Back ends that get no work for now.
+    /// Back ends ejected for failures, which get no requests for now.
     pub ejected_back_ends: usize,
-    /// Back ends that are cold.
+    /// Cold back ends.
     pub cold_back_ends: usize,
     /// Cold back ends to which this node may send.
     pub cold_sending_to: usize,
-    /// Back ends that have named a rate limit.
+    /// Back ends that have stated a rate limit.
     pub limited_back_ends: usize,
-    /// Those of them to which this node sends.
+    /// Rate-limited back ends to which this node sends.
     pub limited_sending_to: usize,
-    /// Whether this node aggregates for its zone.
+    /// Whether this node is an aggregator of its zone.
     pub is_aggregator: bool,
-    /// Other zones held to be cut off.
+    /// Other zones held to be partitioned from this one.
     pub silent_zones: usize,
-    /// Zones whose back ends get nothing new.
+    /// Evacuated zones, whose back ends get no new requests.
     pub evacuated_zones: usize,
-    /// Granted places.
+    /// Leases held at back ends.
     pub leases: usize,
-    /// Last known revision of the newest epoch.
+    /// Newest known revision of the newest epoch.
     pub newest_revision: Revision,
     /// Version of the routing table.
     pub table_version: u64,
-    /// Age of the youngest confirmation in seconds; infinite without any.
+    /// Age of the latest confirmation in seconds; infinite if there is none.
     pub confirmed_age_seconds: f64,
-    /// The split of the largest pool that is split.
+    /// Split of the largest pool that is split.
     pub largest_split: SplitStats,
     /// Engines whose caches this node follows.
     pub followed_caches: usize,
-    /// What following caches came to since the start.
+    /// Counts of cache following since the start.
     pub cache_counts: FollowCounts,
-    /// Requests under which back ends crashed.
+    /// Counts of requests that crash back ends.
     pub quarantine: QuarantineCounts,
-    /// Back ends that were looked at for requests since the start.
+    /// Back ends examined for requests since the start.
     pub examined_back_ends: u64,
-    /// Looks at which engines' caches to follow since the start.
+    /// Evaluations of which engines' caches to follow since the start.
     pub follow_evaluations: u64,
 }
 
-/// Decides for one node.
+/// Makes the routing decisions of one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
     document_store: DocumentStore,
     peers: Peers,
     back_ends: Registry,
-    budgets: HashMap<PoolName, RetryBudget>,
+    retry_budgets: HashMap<PoolName, RetryBudget>,
     leases: HashMap<LeaseId, Lease>,
-    ended_lately: HashMap<InstanceId, Timestamp>,
+    /// Back ends whose leases were released lately, with the time of the latest release.
+    recently_released: HashMap<InstanceId, Timestamp>,
+    /// Recent failed connections to back ends of other zones.
     failed_connections: HashMap<ZoneName, HashMap<InstanceId, FailedConnection>>,
     next_lease: u64,
+    /// Placements queued for the next messages.
     placements: Vec<Placement>,
     ticks: u64,
-    near_turn: usize,
-    far_turn: usize,
+    /// Round-robin position among the peers of the own zone.
+    same_zone_cursor: usize,
+    /// Round-robin position among the peers of other zones.
+    other_zone_cursor: usize,
     /// Changes that were known at the last announcement.
-    announced_to: VersionVector,
+    announced_versions: VersionVector,
     is_stopping: bool,
     started: Option<Timestamp>,
     /// Time of the last tick or message.
     now: Timestamp,
-    /// Documents wanted of other nodes.
-    wanted: WantedDocuments,
-    /// Back ends and evacuations whose entries lapsed, with the time at which they count as gone.
-    lapsed: BTreeMap<DocumentKey, Timestamp>,
+    /// Documents that other nodes have and this one lacks.
+    missing_documents: MissingDocuments,
+    /// Back ends and evacuations whose entries in the store expired, with the time at which they
+    /// are removed here.
+    expired_entries: BTreeMap<DocumentKey, Timestamp>,
     /// Withheld back ends, with the time from which each may be released.
     withheld: BTreeMap<InstanceId, Timestamp>,
     zone_digests: ZoneDigests,
@@ -218,22 +224,22 @@
     silent_zones: BTreeSet<ZoneName>,
     round_trips: RoundTrips,
     home_scopes: HomeScopes,
-    long_silent: PersistentSilence,
-    /// Zones whose back ends get nothing new.
-    evacuated: BTreeSet<ZoneName>,
-    /// How likely a stream of each pool is to be lost.
+    persistent_silence: PersistentSilence,
+    /// Evacuated zones, whose back ends get no new requests.
+    evacuated_zones: BTreeSet<ZoneName>,
+    /// Probability, by pool, that a stream is lost.
     losses: LossProbabilities,
     quarantine: Quarantine,
-    crash_news: PendingCrashReports,
+    pending_crash_reports: PendingCrashReports,
     /// Whether some back end was cold at the last tick.
-    has_cold: bool,
-    /// Back ends that were looked at for requests.
-    examined: u64,
+    has_cold_back_ends: bool,
+    /// Back ends examined for requests since the start.
+    examined_back_ends: u64,
     random: ChaCha8Rng,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet.
+    /// Creates a dispatcher without peers or documents.
     pub fn new(settings: DispatcherSettings) -> Self {
         let peers = Peers::new(
             settings.address,
@@ -242,28 +248,30 @@
         );
         let seed = settings.node.digest() ^ u64::from(settings.incarnation);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // Nodes that start together would tell the same peer in the same turn.
-        let (near_turn, far_turn) = (random.random::<u16>(), random.random::<u16>());
+        // Random starting points: nodes that start together would otherwise send to the same peer
+        // in the same tick.
+        let (same_zone_cursor, other_zone_cursor) =
+            (random.random::<u16>(), random.random::<u16>());
         Self {
             settings,
             document_store: DocumentStore::default(),
             peers,
             back_ends: Registry::default(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             leases: HashMap::new(),
-            ended_lately: HashMap::new(),
+            recently_released: HashMap::new(),
             failed_connections: HashMap::new(),
             next_lease: 0,
             placements: Vec::new(),
             ticks: 0,
-            near_turn: usize::from(near_turn),
-            far_turn: usize::from(far_turn),
-            announced_to: VersionVector::default(),
+            same_zone_cursor: usize::from(same_zone_cursor),
+            other_zone_cursor: usize::from(other_zone_cursor),
+            announced_versions: VersionVector::default(),
             is_stopping: false,
             started: None,
             now: Timestamp::default(),
-            wanted: WantedDocuments::default(),
-            lapsed: BTreeMap::new(),
+            missing_documents: MissingDocuments::default(),
+            expired_entries: BTreeMap::new(),
             withheld: BTreeMap::new(),
             zone_digests: ZoneDigests::default(),
             cache_follows: CacheFollows::default(),
@@ -271,95 +279,98 @@
             silent_zones: BTreeSet::new(),
             round_trips: RoundTrips::default(),
             home_scopes: HomeScopes::default(),
-            long_silent: PersistentSilence::default(),
-            evacuated: BTreeSet::new(),
+            persistent_silence: PersistentSilence::default(),
+            evacuated_zones: BTreeSet::new(),
             losses: LossProbabilities::default(),
             quarantine: Quarantine::default(),
-            crash_news: PendingCrashReports::default(),
-            has_cold: false,
-            examined: 0,
+            pending_crash_reports: PendingCrashReports::default(),
+            has_cold_back_ends: false,
+            examined_back_ends: 0,
             random,
         }
     }
 
-    /// The documents known.
+    /// The store of known documents.
     pub fn document_store(&self) -> &DocumentStore {
         &self.document_store
     }
 
-    /// Takes over new seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.peers.set_seeds(seeds);
     }
 
-    /// Tells the other nodes from now on that this one is stopping.
+    /// Reports this node as stopping in all further messages.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// This process stood still: what it knows is old, and silence proves nothing.
+    /// Resets the silence timers after a pause of this process: silence before it shows nothing
+    /// about the peers.
     pub fn resume_after_pause(&mut self, now: Timestamp) {
         self.peers.reset_silence(now);
         self.aggregation.reset_silence(now);
     }
 
-    /// Takes a document over that is heard now.
+    /// Applies a document change received now.
     pub fn apply(&mut self, change: Change, now: Timestamp) -> ReceivedChange {
         let (key, kind, revision) = (change.key.clone(), change.content.kind(), change.revision);
-        let applied = self.document_store.apply(change.clone());
+        let outcome = self.document_store.apply(change.clone());
         let mut unknown = Vec::new();
-        if applied == ApplyOutcome::Applied {
-            self.take(change, now);
+        if outcome == ApplyOutcome::Applied {
+            self.update_derived_state(change, now);
             unknown = unknown_names(&key, &self.document_store, &self.settings.regions);
         }
-        if applied == ApplyOutcome::Withheld {
+        if outcome == ApplyOutcome::Withheld {
             self.withhold(&key, now);
         }
         ReceivedChange {
             key,
             kind,
             revision,
-            outcome: applied,
+            outcome,
             unknown_names: unknown,
         }
     }
 
-    fn take(&mut self, change: Change, now: Timestamp) {
+    /// Updates the state that is derived from documents after a change was applied.
+    fn update_derived_state(&mut self, change: Change, now: Timestamp) {
         self.home_scopes.record_document(&change.key);
         let table = self.document_store.table().cloned();
         match (change.key, change.content) {
             (key @ DocumentKey::BackEnd(_), DocumentContent::BackEnd(back_end)) => {
-                self.lapsed.remove(&key);
+                self.expired_entries.remove(&key);
                 self.withheld.remove(&back_end.instance);
-                self.forget_previous_run(&back_end);
+                self.drop_previous_run_state(&back_end);
                 let table = table.as_deref();
                 self.back_ends.upsert(back_end, change.revision, table, now);
             }
             (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
-                self.lapsed.remove(&DocumentKey::Evacuation(zone.clone()));
-                self.evacuated.insert(zone);
+                self.expired_entries
+                    .remove(&DocumentKey::Evacuation(zone.clone()));
+                self.evacuated_zones.insert(zone);
             }
             (DocumentKey::Table, _) => {
                 if let Some(table) = table {
                     self.back_ends.apply_table(&table);
                 }
             }
-            (key, DocumentContent::Expired(within)) => {
-                self.lapsed.insert(key, now + within);
+            (key, DocumentContent::Expired(removal_delay)) => {
+                self.expired_entries.insert(key, now + removal_delay);
             }
-            (key, _) => self.forget(&key, now),
+            (key, _) => self.remove_document_state(&key, now),
         }
     }
 
-    /// Drops the state of a removed item.
-    fn forget(&mut self, key: &DocumentKey, now: Timestamp) {
-        self.lapsed.remove(key);
+    /// Drops the state of a removed document.
+    fn remove_document_state(&mut self, key: &DocumentKey, now: Timestamp) {
+        self.expired_entries.remove(key);
         match key {
             DocumentKey::BackEnd(instance) => {
                 self.withheld.remove(instance);
                 self.back_ends.remove(instance);
             }
-            DocumentKey::Evacuation(zone) => self.take_zone_back(zone, now),
+            DocumentKey::Evacuation(zone) => self.end_evacuation(zone, now),
             DocumentKey::Table => {}
         }
     }
@@ -373,8 +384,8 @@
         }
     }
 
-    /// Releases the back ends whose removal was not written again in time, as confirmed by the
-    /// platform.
+    /// Releases the withheld back ends whose removal was not written again in time, as confirmed by
+    /// the platform.
     fn release_withheld(&mut self, now: Timestamp) {
         let Some(confirmed) = self.confirmed_at(now) else {
             return;
@@ -387,14 +398,14 @@
         for instance in due {
             self.withheld.remove(&instance);
             if let Some(change) = self.document_store.release_withheld(&instance) {
-                self.take(change, now);
+                self.update_derived_state(change, now);
             }
         }
     }
 
-    /// An evacuation is over: the zone's back ends get requests again, as cold ones.
-    fn take_zone_back(&mut self, zone: &ZoneName, now: Timestamp) {
-        if !self.evacuated.remove(zone) {
+    /// Ends the evacuation of a zone: its back ends get requests again and count as cold.
+    fn end_evacuation(&mut self, zone: &ZoneName, now: Timestamp) {
+        if !self.evacuated_zones.remove(zone) {
             return;
         }
         let states = self.back_ends.all_mut();
@@ -403,43 +414,43 @@
         }
     }
 
-    /// A back end that started again holds nothing of what is known of the run before.
-    fn forget_previous_run(&mut self, back_end: &BackEnd) {
+    /// Drops cached state of a back end's previous run when the back end has restarted.
+    fn drop_previous_run_state(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
         if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
-            self.cache_follows.forget(&back_end.instance);
-            self.ended_lately.remove(&back_end.instance);
+            self.cache_follows.discard(&back_end.instance);
+            self.recently_released.remove(&back_end.instance);
         }
     }
 
-    /// Time of the platform's last confirmation.
+    /// Time of the platform's latest confirmation.
     fn confirmed_at(&self, now: Timestamp) -> Option<Timestamp> {
         let age = self.document_store.confirmed_age(now)?;
         Some(now - age)
     }
 
-    /// Removes lapsed items that were not written again in time. An evacuation ends only once the
-    /// platform has confirmed that it was not.
-    fn forget_lapsed(&mut self, now: Timestamp) {
+    /// Removes expired documents that were not written again in time. An evacuation ends only once
+    /// the platform has confirmed that it was not renewed.
+    fn remove_expired(&mut self, now: Timestamp) {
         let confirmed = self.confirmed_at(now);
         let is_due = |(key, until): &(&DocumentKey, &Timestamp)| match key {
             DocumentKey::Evacuation(_) => confirmed.is_some_and(|confirmed| **until <= confirmed),
             _ => **until <= now,
         };
-        let lapsed = self.lapsed.iter().filter(is_due);
-        let gone: Vec<DocumentKey> = lapsed.map(|(key, _)| key.clone()).collect();
-        for key in gone {
-            self.forget(&key, now);
+        let due = self.expired_entries.iter().filter(is_due);
+        let keys: Vec<DocumentKey> = due.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.remove_document_state(&key, now);
         }
     }
 
-    /// Notes that the platform confirmed, to this node or to a peer, that no change is newer than
+    /// Records that the platform confirmed, to this node or to a peer, that no change is newer than
     /// the known ones.
     pub fn record_confirmation(&mut self, known: &VersionVector, at: Timestamp) {
         self.document_store.record_confirmation(known, at);
     }
 
-    /// Takes a peer's message in.
+    /// Handles a message from a peer.
     pub fn receive(
         &mut self,
         address: SocketAddr,
@@ -453,14 +464,14 @@
         self.apply_aggregation(address, message, now);
         self.apply_zone_digests(address, message, now);
         self.back_ends.apply_placements(&message.placements, now);
-        let taken = self.apply_recent_changes(message, now);
+        let changes = self.apply_recent_changes(message, now);
         let quarantine_changes = self.apply_crashing_requests(message, now);
         self.apply_limits(message, now);
         let knows_all = self
             .document_store
             .version_vector()
             .includes(&message.version_vector)
-            || (self.has_taken_all(message) && message.recent_changes.is_some());
+            || (self.follows_known_changes(message) && message.recent_changes.is_some());
         if let Some(age) = message.confirmed_ms
             && knows_all
         {
@@ -472,41 +483,41 @@
             change,
             wants_reply: message.wants_reply,
             has_newer_documents: !knows_all,
-            changes: taken,
+            changes,
             quarantine_changes,
         }
     }
 
-    /// Whether the news of a message follow on what is known.
-    fn has_taken_all(&self, message: &Gossip) -> bool {
-        let news = message.recent_changes.as_ref();
-        news.is_some_and(|news| self.document_store.version_vector().includes(&news.base))
+    /// Whether the changes in a message directly follow the known ones.
+    fn follows_known_changes(&self, message: &Gossip) -> bool {
+        let batch = message.recent_changes.as_ref();
+        batch.is_some_and(|batch| self.document_store.version_vector().includes(&batch.base))
     }
 
     fn apply_recent_changes(&mut self, message: &Gossip, now: Timestamp) -> Vec<ReceivedChange> {
-        let Some(news) = message.recent_changes.as_ref() else {
+        let Some(batch) = message.recent_changes.as_ref() else {
             return Vec::new();
         };
-        let changes = news.changes.iter().cloned();
+        let changes = batch.changes.iter().cloned();
         changes.map(|change| self.apply(change, now)).collect()
     }
 
-    /// Whether this node aggregates for its zone.
+    /// Whether this node is an aggregator of its zone.
     pub fn is_aggregator(&self) -> bool {
         self.aggregation.is_active()
     }
 
-    /// Zones whose back ends get nothing new.
+    /// Evacuated zones, whose back ends get no new requests.
     pub fn evacuated_zones(&self) -> &BTreeSet<ZoneName> {
-        &self.evacuated
+        &self.evacuated_zones
     }
 
-    /// Other zones of which nothing is heard.
+    /// Other zones from which nothing is heard.
     pub fn silent_zones(&self) -> &BTreeSet<ZoneName> {
         &self.silent_zones
     }
 
-    /// The distance between this node and another.
+    /// Network distance between this node and another.
     pub fn distance_to(&self, address: SocketAddr) -> Distance {
         let zone = self.peers.zone_of(address);
         zone.map_or(Distance::Unknown, |zone| {
@@ -527,7 +538,7 @@
             .unwrap_or_default()
     }
 
-    /// Figures for metrics.
+    /// State of a dispatcher, for metrics.
     pub fn snapshot(&self, now: Timestamp) -> Snapshot {
         let table = self.document_store.table();
         let age = self.document_store.confirmed_age(now);
@@ -552,7 +563,7 @@
             limited_sending_to,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
-            evacuated_zones: self.evacuated.len(),
+            evacuated_zones: self.evacuated_zones.len(),
             leases: self.leases.len(),
             newest_revision: self
                 .document_store
@@ -565,7 +576,7 @@
             followed_caches,
             cache_counts,
             quarantine: self.quarantine.counts(),
-            examined_back_ends: self.examined,
+            examined_back_ends: self.examined_back_ends,
             follow_evaluations: self.follow_evaluations(),
         }
     }
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -1,8 +1,8 @@
-//! Which engines' caches this node follows, and what comes of what they tell.
+//! Selects the engines whose caches this node follows, and applies their cache events.
 //!
-//! One node of an engine's zone follows it: the first by rendezvous hashing over the zone's
-//! living nodes that stay. A second one for a while does no harm, as what is told is a state
-//! and not a change of one.
+//! One node of an engine's zone follows it: the first by rendezvous hashing over the zone's live
+//! nodes that aren't stopping. It does no harm if a second one does for a while, as the events are
+//! reported as states, not as changes of a state.
 
 use super::{Dispatcher, PLACEMENTS_PER_MESSAGE};
 use crate::load::cache_index::{CacheCall, CacheIndex, CacheResponse, FollowCounts};
@@ -13,56 +13,57 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-/// Time after a start in which a node comes to know enough others of its zone to tell who
-/// follows which engine: peers are told each tenth of a second.
+/// Time after a start in which a node discovers enough others of its zone to compute which node
+/// follows which engine: peers are sent to each tenth of a second.
 const SETTLING_TIME: Span = Span::from_milliseconds(700);
-/// Engines that one node follows; a mirror of one takes some 100 kB.
-const MOST_FOLLOWED: usize = 24;
-/// Corrections told after one answer.
-const MOST_CORRECTIONS: usize = 12;
+/// Largest number of engines that one node follows; the mirror of one cache takes some 100 kB.
+const MAX_FOLLOWED: usize = 24;
+/// Largest number of corrections sent after one response.
+const MAX_CORRECTIONS: usize = 12;
 
-/// A call that is due at an engine.
+/// A cache call that is due at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueCacheCall {
     /// The engine.
     pub instance: InstanceId,
     /// Its address.
     pub address: SocketAddr,
-    /// The engine's run, where it tells when it started.
+    /// Start time of the engine's run, if the engine states it.
     pub started_unix_ms: Option<u64>,
-    /// What it is asked.
+    /// The call to make.
     pub call: CacheCall,
 }
 
-/// What came of an answer.
+/// Result of a cache response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheUpdate {
-    /// Parts believed kept that the engine doesn't keep.
+    /// Prompt parts recorded as cached that the engine doesn't hold.
     pub stale: usize,
-    /// Parts that it keeps and that were not believed kept.
+    /// Prompt parts that it holds and that were not recorded as cached.
     pub missing: usize,
-    /// The counts of the engine since it is followed.
+    /// Counts of the engine since it has been followed.
     pub counts: FollowCounts,
-    /// Time since it is followed.
+    /// Time for which it has been followed.
     pub followed_for: Span,
 }
 
-/// Ticks between two looks at which engines to follow while engines come and go, and at the most:
-/// a look compares each engine of the zone with each node of the zone.
-const CHANGES_TICKS: u64 = 5;
-const MOST_TICKS: u64 = 50;
+/// Fewest ticks between two evaluations of which engines to follow while engines come and go: an
+/// evaluation compares each engine of the zone with each node of the zone.
+const MIN_EVALUATION_TICKS: u64 = 5;
+/// Ticks after which the engines to follow are evaluated even if nothing has changed.
+const MAX_EVALUATION_TICKS: u64 = 50;
 
-/// The engines that this node follows.
+/// The engines whose caches this node follows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheFollows {
     indices: BTreeMap<InstanceId, CacheIndex>,
-    ended: FollowCounts,
-    /// What the last look at which engines to follow rests on, and when it was.
-    examined: Option<(FollowBasis, u64)>,
-    looks: u64,
+    ended_counts: FollowCounts,
+    /// Basis of the last evaluation of which engines to follow, and its tick.
+    last_evaluation: Option<(FollowBasis, u64)>,
+    evaluations: u64,
 }
 
-/// What decides which engines a node follows.
+/// Inputs to the evaluation of which engines a node follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FollowBasis {
     may_follow: bool,
@@ -72,40 +73,41 @@
 }
 
 impl FollowBasis {
-    /// Whether another look can wait: nothing changed but some engines, a moment ago.
-    fn stands(&self, now: &Self, ticks: u64) -> bool {
+    /// Whether the evaluation on this basis is still valid: nothing has changed, or only engines
+    /// have and the evaluation is recent.
+    fn is_valid(&self, now: &Self, ticks: u64) -> bool {
         let is_same_but_for_engines = Self {
             back_ends_version: now.back_ends_version,
             ..*self
         } == *now;
-        let may_wait = *self == *now || ticks < CHANGES_TICKS;
-        is_same_but_for_engines && may_wait && ticks < MOST_TICKS
+        let may_wait = *self == *now || ticks < MIN_EVALUATION_TICKS;
+        is_same_but_for_engines && may_wait && ticks < MAX_EVALUATION_TICKS
     }
 }
 
 impl CacheFollows {
-    /// Ends the following of all engines but those that `stays` names.
-    fn retain(&mut self, stays: impl Fn(&InstanceId) -> bool) {
-        let ended = &mut self.ended;
+    /// Stops following the engines that `is_retained` rejects.
+    fn retain(&mut self, is_retained: impl Fn(&InstanceId) -> bool) {
+        let ended_counts = &mut self.ended_counts;
         self.indices.retain(|instance, index| {
-            let stays = stays(instance);
-            if !stays {
-                ended.add(index.counts());
+            let is_retained = is_retained(instance);
+            if !is_retained {
+                ended_counts.add(index.counts());
             }
-            stays
+            is_retained
         });
     }
 
-    /// Begins anew with an engine that has started again, if this node follows it.
-    pub(super) fn forget(&mut self, instance: &InstanceId) {
+    /// Discards the cache mirror of an engine that has restarted.
+    pub(super) fn discard(&mut self, instance: &InstanceId) {
         if let Some(index) = self.indices.remove(instance) {
-            self.ended.add(index.counts());
+            self.ended_counts.add(index.counts());
         }
     }
 }
 
 impl Dispatcher {
-    /// Calls that are due at the engines that this node follows.
+    /// Returns the calls that are due at the followed engines.
     pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
         self.update_cache_follows(now);
         let placed = self.back_ends.drain_recent_placements();
@@ -136,9 +138,10 @@
 
     fn update_cache_follows(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
-        let examined = &self.cache_follows.examined;
-        if examined.is_some_and(|(before, tick)| before.stands(&basis, self.ticks - tick)) {
-            // An engine that leaves is left at once, as before each call.
+        let last_evaluation = &self.cache_follows.last_evaluation;
+        if last_evaluation.is_some_and(|(before, tick)| before.is_valid(&basis, self.ticks - tick))
+        {
+            // An engine that is leaving is dropped at once; this is checked before each call.
             let back_ends = &self.back_ends;
             self.cache_follows.retain(|instance| {
                 let state = back_ends.get(instance);
@@ -146,8 +149,8 @@
             });
             return;
         }
-        self.cache_follows.examined = Some((basis, self.ticks));
-        self.cache_follows.looks += 1;
+        self.cache_follows.last_evaluation = Some((basis, self.ticks));
+        self.cache_follows.evaluations += 1;
         let own: HashSet<InstanceId> = self.caches_to_follow(&basis).into_iter().collect();
         let follows = &mut self.cache_follows;
         follows.retain(|instance| own.contains(instance));
@@ -158,9 +161,9 @@
     }
 
     fn follow_basis(&self, now: Timestamp) -> FollowBasis {
-        let is_on = self.settings.features.cache_index && self.is_any_cache_told();
+        let is_enabled = self.settings.features.cache_index && self.reports_any_cache_events();
         FollowBasis {
-            may_follow: is_on && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
+            may_follow: is_enabled && !self.is_stopping && self.uptime(now) >= SETTLING_TIME,
             table_stamp: self.document_store.table_stamp(),
             active_peers_version: self.peers.active_peers_version(),
             back_ends_version: self.back_ends.version(),
@@ -172,15 +175,15 @@
             return Vec::new();
         }
         let states = self.back_ends.of_zone(&self.settings.zone);
-        let own = states.filter(|state| self.has_to_follow(state));
+        let own = states.filter(|state| self.should_follow(state));
         let mut own: Vec<&BackEndState> = own.collect();
         own.sort_unstable_by_key(|state| state.digest);
-        let own = own.into_iter().take(MOST_FOLLOWED);
+        let own = own.into_iter().take(MAX_FOLLOWED);
         own.map(|state| state.back_end.instance.clone()).collect()
     }
 
-    /// Whether the engines of any pool tell what they keep.
-    fn is_any_cache_told(&self) -> bool {
+    /// Whether the engines of any pool report cache events.
+    fn reports_any_cache_events(&self) -> bool {
         let table = self.document_store.table();
         let mut pools = table
             .into_iter()
@@ -191,65 +194,70 @@
         })
     }
 
-    fn has_to_follow(&self, state: &BackEndState) -> bool {
-        let tells = self
+    fn should_follow(&self, state: &BackEndState) -> bool {
+        let reports_events = self
             .document_store
             .table()
             .and_then(|table| table.pool(&state.back_end.pool)?.engine.as_ref())
             .is_some_and(|engine| engine.cache_event_calls > 0);
-        tells && state.accepts_work() && self.peers.sender_index(state.digest) == 0
+        reports_events && state.accepts_work() && self.peers.sender_index(state.digest) == 0
     }
 
-    /// Takes in what came of a call; `None` where the engine is not followed any more, or
+    /// Handles the response to a cache call. Returns `None` if the engine is no longer followed or
     /// nothing was learned.
     pub fn handle_cache_response(
         &mut self,
         instance: &InstanceId,
-        answer: CacheResponse,
+        response: CacheResponse,
         now: Timestamp,
     ) -> Option<CacheUpdate> {
         let index = self.cache_follows.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
-        if !index.handle_response(answer, now) {
+        if !index.handle_response(response, now) {
             let has_gap = index.counts().gaps > gaps;
             return has_gap.then(|| CacheUpdate::of(index, &[], now));
         }
-        let facts = self.corrections(instance)?;
+        let observations = self.corrections(instance)?;
         let cache = &mut self.back_ends.get_mut(instance)?.load.cache;
-        for fact in &facts {
-            cache.apply_observation(fact.part, fact.tokens, now);
+        for observation in &observations {
+            cache.apply_observation(observation.part, observation.tokens, now);
         }
         let index = self.cache_follows.indices.get_mut(instance)?;
         cache.confirm(|part| index.stored_tokens(part).is_some(), now);
-        index.record_corrections(facts.len(), now);
-        let news = CacheUpdate::of(index, &facts, now);
-        self.queue_observations(&facts);
-        Some(news)
+        index.record_corrections(observations.len(), now);
+        let update = CacheUpdate::of(index, &observations, now);
+        self.queue_observations(&observations);
+        Some(update)
     }
 
-    /// Where an engine's word differs from belief. What finds no room in the next messages is
-    /// still wrong at the next answer, and told then.
+    /// Differences between an engine's cache and what is recorded of it. Those that don't fit into
+    /// the next messages still exist at the next response, and are sent then.
     fn corrections(&self, instance: &InstanceId) -> Option<Vec<Placement>> {
         let index = self.cache_follows.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
         let cache = &state.load.cache;
-        let gone = index.stale_parts(cache).into_iter();
-        let gone = gone.map(|part| fact(state.digest, part, 0));
-        let kept = index.missing_parts(cache, &self.back_ends.cached_parts());
-        let kept = kept.into_iter();
-        let kept = kept.map(|part| fact(state.digest, part.id, part.tokens));
+        let stale = index.stale_parts(cache).into_iter();
+        let stale = stale.map(|part| observation(state.digest, part, 0));
+        let missing = index.missing_parts(cache, &self.back_ends.cached_parts());
+        let missing = missing.into_iter();
+        let missing = missing.map(|part| observation(state.digest, part.id, part.tokens));
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
-        Some(gone.chain(kept).take(room.min(MOST_CORRECTIONS)).collect())
+        Some(
+            stale
+                .chain(missing)
+                .take(room.min(MAX_CORRECTIONS))
+                .collect(),
+        )
     }
 
-    /// Parts turn out to be shared: the followed engines that hold them are known to keep them
-    /// from now on. So the caches are known again with the first requests after a loss of all
-    /// nodes, though no word of an engine tells which of its parts are shared.
+    /// Records prompt parts that have turned out to be shared as cached at the followed engines
+    /// that hold them. So the caches are known again with the first requests after a loss of all
+    /// nodes, although cache events don't say which parts are shared.
     pub(super) fn restore_cached(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
         if self.cache_follows.indices.is_empty() {
             return;
         }
-        let mut recalled = Vec::new();
+        let mut restored = Vec::new();
         for part in parts {
             for (instance, index) in &self.cache_follows.indices {
                 let Some(tokens) = index.stored_tokens(part) else {
@@ -261,59 +269,66 @@
                 let cache = &mut state.load.cache;
                 if !cache.contains(part) {
                     cache.apply_observation(part, tokens, now);
-                    recalled.push(fact(state.digest, part, tokens));
+                    restored.push(observation(state.digest, part, tokens));
                 }
             }
         }
-        self.queue_observations(&recalled);
+        self.queue_observations(&restored);
     }
 
-    /// Looks at which engines to follow since the start.
+    /// Number of evaluations of which engines to follow, since the start.
     pub(super) fn follow_evaluations(&self) -> u64 {
-        self.cache_follows.looks
+        self.cache_follows.evaluations
     }
 
-    /// What following came to since the start, and how many engines are followed.
+    /// Number of followed engines, and counts of following since the start.
     pub(super) fn cache_counts(&self) -> (usize, FollowCounts) {
-        let mut counts = self.cache_follows.ended;
+        let mut counts = self.cache_follows.ended_counts;
         for index in self.cache_follows.indices.values() {
             counts.add(index.counts());
         }
         (self.cache_follows.indices.len(), counts)
     }
 
-    /// Tells what engines themselves told, in place of what was said of these parts before.
-    fn queue_observations(&mut self, facts: &[Placement]) {
+    /// Queues observations of engine caches for the next messages, in place of earlier placements
+    /// of the same parts.
+    fn queue_observations(&mut self, observations: &[Placement]) {
         let key = |placement: &Placement| (placement.back_end, placement.part);
-        self.placements
-            .retain(|known| !facts.iter().any(|fact| key(fact) == key(known)));
-        self.queue_placements(facts);
+        self.placements.retain(|known| {
+            !observations
+                .iter()
+                .any(|observation| key(observation) == key(known))
+        });
+        self.queue_placements(observations);
     }
 
-    /// Tells other nodes of parts with the next messages.
-    pub(super) fn queue_placements(&mut self, told: &[Placement]) {
+    /// Queues placements for the next messages to other nodes.
+    pub(super) fn queue_placements(&mut self, placements: &[Placement]) {
         let room = PLACEMENTS_PER_MESSAGE.saturating_sub(self.placements.len());
-        let told = &told[..told.len().min(room)];
-        self.placements.extend_from_slice(told);
+        let placements = &placements[..placements.len().min(room)];
+        self.placements.extend_from_slice(placements);
         if self.collects_placements() {
-            self.zone_digests.record_placements(told);
+            self.zone_digests.record_placements(placements);
         }
     }
 }
 
 impl CacheUpdate {
-    fn of(index: &CacheIndex, facts: &[Placement], now: Timestamp) -> Self {
-        let gone = facts.iter().filter(|fact| fact.tokens == 0).count();
+    fn of(index: &CacheIndex, observations: &[Placement], now: Timestamp) -> Self {
+        let stale = observations
+            .iter()
+            .filter(|observation| observation.tokens == 0)
+            .count();
         Self {
-            stale: gone,
-            missing: facts.len() - gone,
+            stale,
+            missing: observations.len() - stale,
             counts: index.counts(),
             followed_for: now.since(index.since()),
         }
     }
 }
 
-fn fact(back_end: u32, part: PartId, tokens: u32) -> Placement {
+fn observation(back_end: u32, part: PartId, tokens: u32) -> Placement {
     Placement {
         back_end,
         part,
--- a/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
+++ b/crates/coordination/dispatch/src/dispatcher/home_scopes.rs
@@ -1,4 +1,5 @@
-//! Where the homes of prompts lie, and how far other zones are.
+//! Caches, for each pool, the scope within which the home engines of prompts are chosen, and
+//! records round-trip times to other zones.
 
 use super::Dispatcher;
 use crate::placement::locality::HomeScope;
@@ -8,76 +9,76 @@
 use eiderferry_types::Span;
 use std::collections::HashMap;
 
-/// Ticks between two looks at where homes lie: a change moves the homes of all prompts, and
-/// what prompts share grows over seconds.
+/// Ticks for which a home scope is valid: a change moves the homes of all prompts, and the number
+/// of tokens that prompts share grows over seconds.
 const HOME_SCOPE_TICKS: u64 = 20;
 
-/// Ticks between two looks while back ends of a large pool come and go: a look goes over all of
-/// them, and where thousands are replaced in turn one has changed before each request. A small
-/// pool is looked at after each change, as one engine less may be a quarter of a zone's.
+/// Ticks between two evaluations while back ends of a large pool come and go: an evaluation scans
+/// all of them, and during a rolling replacement of thousands one has changed before each request.
+/// A small pool is evaluated after each change, as one engine less may be a quarter of a zone's.
 const CHANGES_TICKS: u64 = 5;
 
-/// Where the homes of a pool's prompts lie, and when that was looked at.
+/// A home scope of a pool, and when it was evaluated.
 #[derive(Clone, Copy, Debug)]
-struct KnownScope {
+struct CachedScope {
     scope: HomeScope,
-    at_tick: u64,
-    /// Whether a back end has changed since.
-    has_changed: bool,
-    /// Whether more than that has, so that it no longer holds.
-    is_outdated: bool,
+    evaluated_at_tick: u64,
+    /// Whether a back end has been added or removed since.
+    has_back_end_changed: bool,
+    /// Whether anything else has changed since, so that the scope is invalid at once.
+    is_invalid: bool,
 }
 
-/// Where the homes of each pool's prompts lie.
+/// The home scope of each pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HomeScopes {
-    in_force: HashMap<PoolName, KnownScope>,
+    by_pool: HashMap<PoolName, CachedScope>,
 }
 
 impl HomeScopes {
-    /// A document came: of back ends there may be one more or less, any other may change where
-    /// all of them are.
+    /// Records a document change: a back end's may add or remove one back end, any other may change
+    /// the scopes of all pools.
     pub(super) fn record_document(&mut self, key: &DocumentKey) {
         self.record_back_end();
         let is_back_end = matches!(key, DocumentKey::BackEnd(_));
-        for looked in self.in_force.values_mut() {
-            looked.is_outdated |= !is_back_end;
+        for cached in self.by_pool.values_mut() {
+            cached.is_invalid |= !is_back_end;
         }
     }
 
-    /// There may be a back end more or less that takes work.
+    /// Records that a back end may have started or stopped accepting work.
     pub(super) fn record_back_end(&mut self) {
-        for looked in self.in_force.values_mut() {
-            looked.has_changed = true;
+        for cached in self.by_pool.values_mut() {
+            cached.has_back_end_changed = true;
         }
     }
 
-    /// What was found at the last look, unless it is time for another.
-    fn up_to_date(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
-        let looked = self.in_force.get(pool)?;
-        let age = tick - looked.at_tick;
+    /// Returns the cached scope of a pool, unless it has to be evaluated again.
+    fn valid_scope(&self, pool: &PoolName, pool_size: usize, tick: u64) -> Option<HomeScope> {
+        let cached = self.by_pool.get(pool)?;
+        let age = tick - cached.evaluated_at_tick;
         let may_wait = pool_size > MAX_EXAMINED && age < CHANGES_TICKS;
-        let is_outdated = looked.is_outdated || (looked.has_changed && !may_wait);
-        (age < HOME_SCOPE_TICKS && !is_outdated).then_some(looked.scope)
+        let is_invalid = cached.is_invalid || (cached.has_back_end_changed && !may_wait);
+        (age < HOME_SCOPE_TICKS && !is_invalid).then_some(cached.scope)
     }
 }
 
 impl Dispatcher {
-    /// Notes how long a connection to a back end took to come up.
+    /// Records how long it took to establish a connection to a back end.
     pub fn record_round_trip(&mut self, instance: &InstanceId, round_trip: Span) {
         if let Some(state) = self.back_ends.get(instance) {
             self.round_trips.record(&state.back_end.zone, round_trip);
         }
     }
 
-    /// Where the homes of a pool's prompts lie.
+    /// Scope within which the home engines of a pool's prompts lie.
     pub(super) fn home_scope(&mut self, pool: &PoolName) -> HomeScope {
         if !self.settings.features.locality_costs {
             return HomeScope::ALL;
         }
         let size = self.back_ends.pool_size(pool);
-        let known = self.home_scopes.up_to_date(pool, size, self.ticks);
-        known.unwrap_or_else(|| self.update_home_scope(pool))
+        let cached = self.home_scopes.valid_scope(pool, size, self.ticks);
+        cached.unwrap_or_else(|| self.update_home_scope(pool))
     }
 
     fn update_home_scope(&mut self, pool: &PoolName) -> HomeScope {
@@ -86,22 +87,25 @@
         let engines: Vec<_> = self
             .back_ends
             .pool(pool)
-            .filter(|state| state.accepts_work() && !self.evacuated.contains(&state.back_end.zone))
+            .filter(|state| {
+                state.accepts_work() && !self.evacuated_zones.contains(&state.back_end.zone)
+            })
             .map(|state| {
                 let distance = Distance::between(zone, &state.back_end.zone, regions);
                 (distance, state)
             })
             .collect();
-        let shared = self.back_ends.cached_tokens(pool);
-        let before = self.home_scopes.in_force.get(pool);
-        let scope = HomeScope::nearest(&engines, shared, before.map(|looked| looked.scope));
-        let looked = KnownScope {
+        let shared_tokens = self.back_ends.cached_tokens(pool);
+        let previous = self.home_scopes.by_pool.get(pool);
+        let scope =
+            HomeScope::nearest(&engines, shared_tokens, previous.map(|cached| cached.scope));
+        let cached = CachedScope {
             scope,
-            at_tick: self.ticks,
-            has_changed: false,
-            is_outdated: false,
+            evaluated_at_tick: self.ticks,
+            has_back_end_changed: false,
+            is_invalid: false,
         };
-        self.home_scopes.in_force.insert(pool.clone(), looked);
+        self.home_scopes.by_pool.insert(pool.clone(), cached);
         scope
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/quarantining.rs
+++ b/crates/coordination/dispatch/src/dispatcher/quarantining.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends crash: what this node notes, hears and tells of them.
+//! Quarantine of requests that crash back ends: records crashes, exchanges reports with peers and
+//! refuses such requests.
 
 use super::Dispatcher;
 use crate::fleet::message::{Envelope, Gossip};
@@ -7,36 +8,35 @@
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
 
-/// Shortest time between two messages that tell of crashes at once: all that ran on a back end
-/// breaks off within some milliseconds.
-const SHORTEST_INTERVAL: Span = Span::from_milliseconds(50);
+/// Shortest interval between two crash announcements: all requests that ran on a crashed back end
+/// fail within some milliseconds.
+const MIN_ANNOUNCEMENT_INTERVAL: Span = Span::from_milliseconds(50);
 
-/// What this node has still to tell of crashes.
+/// Whether crashes are still to be announced, and when the last announcement was sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PendingCrashReports {
-    is_untold: bool,
-    told_at: Option<Timestamp>,
+    has_unannounced: bool,
+    announced_at: Option<Timestamp>,
 }
 
 impl Dispatcher {
-    /// The message that tells other nodes at once of crashes under this node's requests, if there
-    /// is something to tell and none was sent just now. With the messages of the next turn
-    /// alone, a node elsewhere hears of them up to 0.4 s later, while copies of the request
-    /// crash more.
+    /// Returns an announcement of crashes under this node's requests, if there are unannounced ones
+    /// and none was sent just now. With the periodic messages alone, a remote node learns of them
+    /// up to 0.4 s later, while copies of the request crash more back ends.
     pub fn crash_announcement(&mut self, now: Timestamp) -> Option<Envelope> {
-        let last = self.crash_news.told_at;
-        let is_soon = last.is_some_and(|last| now.since(last) < SHORTEST_INTERVAL);
-        if !self.crash_news.is_untold || is_soon {
+        let last = self.pending_crash_reports.announced_at;
+        let is_too_early = last.is_some_and(|last| now.since(last) < MIN_ANNOUNCEMENT_INTERVAL);
+        if !self.pending_crash_reports.has_unannounced || is_too_early {
             return None;
         }
-        self.crash_news = PendingCrashReports {
-            is_untold: false,
-            told_at: Some(now),
+        self.pending_crash_reports = PendingCrashReports {
+            has_unannounced: false,
+            announced_at: Some(now),
         };
         Some(self.announce(true, now))
     }
 
-    /// A back end crashed under a request of this node.
+    /// Records that a back end crashed under a request of this node.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
@@ -46,21 +46,18 @@
         if !self.settings.features.quarantine {
             return None;
         }
-        self.crash_news.is_untold = true;
+        self.pending_crash_reports.has_unannounced = true;
         let back_end = instance.digest() as u32;
         self.quarantine.record_crash(request, back_end, now)
     }
 
-    /// Refuses a request under which back ends crash.
+    /// Returns the refusal of a request that is quarantined.
     pub(super) fn refuse_crashing(&self, demand: &Demand, now: Timestamp) -> Option<Decision> {
         if !self.settings.features.quarantine {
             return None;
         }
-        let quarantined = self.quarantine.status(demand.digest, now)?;
-        Some(Decision::Refuse(
-            Reason::CrashesBackEnds,
-            quarantined.remaining,
-        ))
+        let status = self.quarantine.status(demand.digest, now)?;
+        Some(Decision::Refuse(Reason::CrashesBackEnds, status.remaining))
     }
 
     pub(super) fn apply_crashing_requests(
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicating.rs
@@ -1,4 +1,4 @@
-//! Replicas of running streams: begun with a place, released with it.
+//! Replicas of running streams: placed together with a lease and released with it.
 
 use super::Dispatcher;
 use crate::placement::replication::{holder, replica_tokens, should_replicate};
@@ -7,26 +7,26 @@
 use eiderferry_routing::{InstanceId, PoolName};
 use eiderferry_types::Timestamp;
 
-/// A replica that is counted at its holder.
+/// A replica that counts towards the load of its holder.
 #[derive(Clone, Debug)]
-pub(super) struct KeptReplica {
+pub(super) struct ReplicaLease {
     pub(super) target: ReplicaTarget,
     lease: LeaseId,
 }
 
 impl Dispatcher {
-    /// Chooses the holder of a run's replica, and counts the replica there.
+    /// Chooses the holder of a stream's replica and adds the replica to the holder's load.
     pub(super) fn replicate(
         &mut self,
         demand: &Demand,
         source: &InstanceId,
         now: Timestamp,
-    ) -> Option<KeptReplica> {
-        // A run that was taken over once is not replicated again.
+    ) -> Option<ReplicaLease> {
+        // A stream that was taken over once is not replicated again.
         if demand.required_instance.is_some() || !self.settings.features.run_replicas {
             return None;
         }
-        if !self.keeps_replicas(&demand.pool) {
+        if !self.supports_replicas(&demand.pool) {
             return None;
         }
         let cold_start = self.cold_start(&demand.pool);
@@ -35,7 +35,7 @@
             zone: &self.settings.zone,
             silent_zones: &self.silent_zones,
             regions: &self.settings.regions,
-            evacuated_zones: &self.evacuated,
+            evacuated_zones: &self.evacuated_zones,
             cold_start,
             round_trips: &self.round_trips,
             home_scope,
@@ -49,29 +49,29 @@
         let target = holder(&self.back_ends, &view, demand, state, &mut self.random)?;
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
-        let held_by = self.back_ends.get_mut(&target.instance)?;
-        held_by
+        let holder_state = self.back_ends.get_mut(&target.instance)?;
+        holder_state
             .load
             .begin_replica(lease, replica_tokens(demand), now);
-        Some(KeptReplica { target, lease })
+        Some(ReplicaLease { target, lease })
     }
 
-    fn keeps_replicas(&self, pool: &PoolName) -> bool {
+    fn supports_replicas(&self, pool: &PoolName) -> bool {
         let table = self.document_store.table();
         let pool = table.and_then(|table| table.pool(pool));
         let engine = pool.and_then(|pool| pool.engine.as_ref());
         engine.is_some_and(|engine| engine.replicas.is_some())
     }
 
-    /// The run has ended here: its replica is no longer counted.
-    pub(super) fn release_replica(&mut self, kept: &KeptReplica) {
-        if let Some(state) = self.back_ends.get_mut(&kept.target.instance) {
-            state.load.end_replica(kept.lease);
+    /// Removes the replica of an ended stream from its holder's load.
+    pub(super) fn release_replica(&mut self, replica_lease: &ReplicaLease) {
+        if let Some(state) = self.back_ends.get_mut(&replica_lease.target.instance) {
+            state.load.end_replica(replica_lease.lease);
         }
     }
 
-    /// Whether nothing shows that an engine still works: its zone is not heard, it gets no work
-    /// for its failures, or it is listed no longer.
+    /// Whether an engine is presumed to be down: its zone is silent, it is ejected for failures, or
+    /// it is no longer listed.
     pub fn is_presumed_down(&self, instance: &InstanceId, now: Timestamp) -> bool {
         let Some(state) = self.back_ends.get(instance) else {
             return true;
