--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -14,18 +14,18 @@
 const SUMMARY_LIFETIME: Span = Span::from_milliseconds(1_500);
 /// Time after which a request is held in the sums of an aggregator: its node reports at the
 /// next tick.
-const REPORTED_AFTER: Span = Span::from_milliseconds(110);
+const REPORTING_DELAY: Span = Span::from_milliseconds(110);
 /// Prompt tokens that an engine reads in a millisecond, until its answers tell (measured
 /// at the first deployment, whose engines read 37).
-const ASSUMED_TOKENS_PER_MS: f64 = 38.0;
+const ASSUMED_PREFILL_TOKENS_PER_MS: f64 = 38.0;
 /// Weight of the newest observation of an engine's speed.
-const SPEED_SMOOTHING: f64 = 0.15;
+const SLOWNESS_SMOOTHING: f64 = 0.15;
 /// Slowest and fastest that an engine is believed to be against the assumption.
-const SPEED_BOUNDS: (f64, f64) = (0.5, 8.0);
+const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 8.0);
 /// Prompts shorter than this tell nothing of an engine's speed.
 const MINIMUM_OBSERVED_TOKENS: u32 = 1_500;
 /// Unit in which messages tell tokens, and parts of a stream.
-const HUNDRED: u64 = 100;
+const REPORT_SCALE: u64 = 100;
 
 /// What a request takes of a back end, and how it and the others there disturb each
 /// other.
@@ -44,27 +44,27 @@
 
 /// A request that this node has at a back end.
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct RunningRequest {
     footprint: Footprint,
-    pending_before: u64,
-    started: Timestamp,
-    begun: Option<Timestamp>,
+    pending_tokens_before: u64,
+    started_at: Timestamp,
+    first_event_at: Option<Timestamp>,
     /// Whether only a replica of a request that runs elsewhere is here: it takes memory,
     /// and no place in the batch.
     is_replica: bool,
 }
 
-impl Running {
+impl RunningRequest {
     /// Whether its first event had come by then.
-    fn had_begun(&self, at: Timestamp) -> bool {
-        self.begun.is_some_and(|begun| begun <= at)
+    fn had_first_event(&self, at: Timestamp) -> bool {
+        self.first_event_at.is_some_and(|first| first <= at)
     }
 
-    fn add_to(&self, occupancy: &mut Occupancy, has_begun: bool) {
+    fn add_to(&self, occupancy: &mut Occupancy, has_first_event: bool) {
         if self.is_replica {
             occupancy.unshared_tokens += u64::from(self.footprint.unshared_tokens);
         } else {
-            occupancy.add(&self.footprint, has_begun);
+            occupancy.add(&self.footprint, has_first_event);
         }
     }
 }
@@ -95,72 +95,74 @@
         }
     }
 
-    fn minus(self, part: Self) -> Self {
+    fn minus(self, other: Self) -> Self {
         Self {
-            running: self.running.saturating_sub(part.running),
-            exposed_streams: (self.exposed_streams - part.exposed_streams).max(0.0),
-            long_prefills: self.long_prefills.saturating_sub(part.long_prefills),
-            unshared_tokens: self.unshared_tokens.saturating_sub(part.unshared_tokens),
-            pending_tokens: self.pending_tokens.saturating_sub(part.pending_tokens),
+            running: self.running.saturating_sub(other.running),
+            exposed_streams: (self.exposed_streams - other.exposed_streams).max(0.0),
+            long_prefills: self.long_prefills.saturating_sub(other.long_prefills),
+            unshared_tokens: self.unshared_tokens.saturating_sub(other.unshared_tokens),
+            pending_tokens: self.pending_tokens.saturating_sub(other.pending_tokens),
         }
     }
 
-    fn add(&mut self, footprint: &Footprint, has_begun: bool) {
+    fn add(&mut self, footprint: &Footprint, has_first_event: bool) {
         self.running += 1;
         self.exposed_streams += footprint.exposure;
         self.long_prefills += u32::from(footprint.is_long_prefill);
         self.unshared_tokens += u64::from(footprint.unshared_tokens);
-        if !has_begun {
+        if !has_first_event {
             self.pending_tokens += u64::from(footprint.uncached_tokens);
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct ReceivedReport {
     occupancy: Occupancy,
     outcomes: OutcomeCounts,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
-impl Report {
-    fn new(report: &LoadReport, at: Timestamp) -> Self {
+impl ReceivedReport {
+    fn new(report: &LoadReport, received_at: Timestamp) -> Self {
         Self {
             occupancy: Occupancy {
                 running: u32::from(report.running),
-                exposed_streams: f64::from(report.exposed_hundredths) / HUNDRED as f64,
+                exposed_streams: f64::from(report.exposed_hundredths) / REPORT_SCALE as f64,
                 long_prefills: u32::from(report.long_prefills),
-                unshared_tokens: u64::from(report.unshared_hundreds) * HUNDRED,
-                pending_tokens: u64::from(report.pending_hundreds) * HUNDRED,
+                unshared_tokens: u64::from(report.unshared_hundreds) * REPORT_SCALE,
+                pending_tokens: u64::from(report.pending_hundreds) * REPORT_SCALE,
             },
             outcomes: OutcomeCounts {
                 completed: u32::from(report.completed),
                 failed: u32::from(report.failed),
             },
-            at,
+            received_at,
         }
     }
 
     fn is_fresh(&self, now: Timestamp) -> bool {
-        now.since(self.at) < REPORT_LIFETIME
+        now.since(self.received_at) < REPORT_LIFETIME
     }
 
     fn to_message(self, back_end: u32, placed: u64) -> LoadReport {
         LoadReport {
             back_end,
-            running: saturate(u64::from(self.occupancy.running)),
-            exposed_hundredths: saturate((self.occupancy.exposed_streams * HUNDRED as f64) as u64),
-            long_prefills: saturate(u64::from(self.occupancy.long_prefills)),
-            unshared_hundreds: saturate(self.occupancy.unshared_tokens / HUNDRED),
-            pending_hundreds: saturate(self.occupancy.pending_tokens / HUNDRED),
-            placed_hundreds: placed / HUNDRED,
-            completed: saturate(u64::from(self.outcomes.completed)),
-            failed: saturate(u64::from(self.outcomes.failed)),
+            running: saturate_to_u16(u64::from(self.occupancy.running)),
+            exposed_hundredths: saturate_to_u16(
+                (self.occupancy.exposed_streams * REPORT_SCALE as f64) as u64,
+            ),
+            long_prefills: saturate_to_u16(u64::from(self.occupancy.long_prefills)),
+            unshared_hundreds: saturate_to_u16(self.occupancy.unshared_tokens / REPORT_SCALE),
+            pending_hundreds: saturate_to_u16(self.occupancy.pending_tokens / REPORT_SCALE),
+            placed_hundreds: placed / REPORT_SCALE,
+            completed: saturate_to_u16(u64::from(self.outcomes.completed)),
+            failed: saturate_to_u16(u64::from(self.outcomes.failed)),
         }
     }
 }
 
-fn saturate(value: u64) -> u16 {
+fn saturate_to_u16(value: u64) -> u16 {
     u16::try_from(value).unwrap_or(u16::MAX)
 }
 
@@ -214,28 +216,28 @@
 
 /// Tokens of single requests that others ever placed at a back end.
 #[derive(Clone, Copy, Debug)]
-struct Placed {
+struct PlacedTokens {
     reporter: u64,
-    placed: u64,
-    at: Timestamp,
+    tokens: u64,
+    received_at: Timestamp,
 }
 
 /// Load of one back end.
 #[derive(Clone, Debug)]
 pub struct BackEndLoad {
-    running: BTreeMap<LeaseId, Running>,
-    reports: HashMap<LoadScope, Report>,
+    running: BTreeMap<LeaseId, RunningRequest>,
+    reports: HashMap<LoadScope, ReceivedReport>,
     /// Tokens of single requests that this node ever placed there, and those that it has
     /// heard of since its start.
-    own_placed: u64,
-    placed_by_nodes: u64,
-    placed_by_zones: u64,
+    own_placed_tokens: u64,
+    tokens_placed_by_nodes: u64,
+    tokens_placed_by_zones: u64,
     /// The same of all nodes, however this node hears of it.
     placed_by_all: u64,
     /// What each source told last.
-    placed_by: HashMap<LoadScope, Placed>,
+    last_placed_by_scope: HashMap<LoadScope, PlacedTokens>,
     /// What all nodes have there, as an aggregator told it.
-    sum: Option<Report>,
+    aggregate: Option<ReceivedReport>,
     slowness: f64,
     outcomes: RecentOutcomes,
     concurrency: ConcurrencyEstimate,
@@ -251,12 +253,12 @@
         Self {
             running: BTreeMap::new(),
             reports: HashMap::new(),
-            own_placed: 0,
-            placed_by_nodes: 0,
-            placed_by_zones: 0,
+            own_placed_tokens: 0,
+            tokens_placed_by_nodes: 0,
+            tokens_placed_by_zones: 0,
             placed_by_all: 0,
-            placed_by: HashMap::new(),
-            sum: None,
+            last_placed_by_scope: HashMap::new(),
+            aggregate: None,
             slowness: 1.0,
             outcomes: RecentOutcomes::default(),
             concurrency: ConcurrencyEstimate::default(),
@@ -295,16 +297,16 @@
         let waiting = self
             .running
             .values()
-            .filter(|running| running.begun.is_none());
-        let rate = ASSUMED_TOKENS_PER_MS / self.slowness;
+            .filter(|running| running.first_event_at.is_none());
+        let rate = ASSUMED_PREFILL_TOKENS_PER_MS / self.slowness;
         let total: u64 = waiting
             .clone()
             .map(|running| u64::from(running.footprint.uncached_tokens))
             .sum();
-        let oldest = waiting.map(|running| running.started).min();
-        let elapsed = oldest.map_or(0, |started| now.since(started).milliseconds());
-        let read = (elapsed as f64 * rate / 2.0) as u64;
-        total.saturating_sub(read.min(total / 2))
+        let oldest = waiting.map(|running| running.started_at).min();
+        let elapsed = oldest.map_or(0, |started_at| now.since(started_at).milliseconds());
+        let processed = (elapsed as f64 * rate / 2.0) as u64;
+        total.saturating_sub(processed.min(total / 2))
     }
 
     /// What this node's requests take there.
@@ -321,30 +323,37 @@
     /// What all nodes' requests take there.
     pub fn occupancy(&self, now: Timestamp) -> Occupancy {
         let own = self.own_occupancy(now);
-        if let Some(sum) = self.fresh_sum(now) {
-            return own.plus(sum.occupancy.minus(self.own_part_of(sum)));
+        if let Some(aggregate) = self.fresh_aggregate(now) {
+            return own.plus(
+                aggregate
+                    .occupancy
+                    .minus(self.own_part_of_aggregate(aggregate)),
+            );
         }
-        let others = self.fresh(now).map(|report| report.occupancy);
+        let others = self.fresh_reports(now).map(|report| report.occupancy);
         others.fold(own, Occupancy::plus)
     }
 
-    fn fresh_sum(&self, now: Timestamp) -> Option<&Report> {
-        let sum = self.sum.as_ref();
-        sum.filter(|sum| now.since(sum.at) < SUMMARY_LIFETIME)
+    fn fresh_aggregate(&self, now: Timestamp) -> Option<&ReceivedReport> {
+        let aggregate = self.aggregate.as_ref();
+        aggregate.filter(|aggregate| now.since(aggregate.received_at) < SUMMARY_LIFETIME)
     }
 
     /// What a sum holds of this node's own requests.
-    fn own_part_of(&self, sum: &Report) -> Occupancy {
-        let mut part = Occupancy::default();
+    fn own_part_of_aggregate(&self, aggregate: &ReceivedReport) -> Occupancy {
+        let mut included = Occupancy::default();
         for running in self.running.values() {
-            if sum.at.since(running.started) >= REPORTED_AFTER {
-                running.add_to(&mut part, running.had_begun(sum.at));
+            if aggregate.received_at.since(running.started_at) >= REPORTING_DELAY {
+                running.add_to(
+                    &mut included,
+                    running.had_first_event(aggregate.received_at),
+                );
             }
         }
-        part
+        included
     }
 
-    fn fresh(&self, now: Timestamp) -> impl Iterator<Item = &Report> {
+    fn fresh_reports(&self, now: Timestamp) -> impl Iterator<Item = &ReceivedReport> {
         let reports = self.reports.values();
         reports.filter(move |report| report.is_fresh(now))
     }
@@ -356,16 +365,16 @@
 
     /// Expected time to read so many prompt tokens.
     pub fn prefill_time(&self, tokens: u64) -> Span {
-        let milliseconds = tokens as f64 / ASSUMED_TOKENS_PER_MS * self.slowness;
+        let milliseconds = tokens as f64 / ASSUMED_PREFILL_TOKENS_PER_MS * self.slowness;
         Span::from_seconds(milliseconds / 1_000.0)
     }
 
     /// Takes over what a source reports of requests there.
     pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
-        self.record_placed(source, report.placed_hundreds * HUNDRED, at);
-        let report = Report::new(report, at);
+        self.record_placed(source, report.placed_hundreds * REPORT_SCALE, at);
+        let report = ReceivedReport::new(report, at);
         match source.scope() {
-            LoadScope::AllNodes => self.sum = Some(report),
+            LoadScope::AllNodes => self.aggregate = Some(report),
             scope => {
                 self.reports.insert(scope, report);
             }
@@ -378,57 +387,62 @@
     fn record_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
         let scope = source.scope();
         let reporter = source.reporter();
-        let known = self.placed_by.get(&scope).copied();
-        let is_followed = known.is_none_or(|known| known.reporter == reporter);
-        let is_heard = known.is_some_and(|known| at.since(known.at) < SUMMARY_LIFETIME);
-        if !is_followed && is_heard {
+        let previous = self.last_placed_by_scope.get(&scope).copied();
+        let is_same_reporter = previous.is_none_or(|previous| previous.reporter == reporter);
+        let is_recent =
+            previous.is_some_and(|previous| at.since(previous.received_at) < SUMMARY_LIFETIME);
+        if !is_same_reporter && is_recent {
             return;
         }
-        let before = known.filter(|_| is_followed);
-        let since = before.map_or(0, |before| placed.saturating_sub(before.placed));
-        self.cache.insert_unshared(since);
+        let baseline = previous.filter(|_| is_same_reporter);
+        let newly_placed = baseline.map_or(0, |baseline| placed.saturating_sub(baseline.tokens));
+        self.cache.insert_unshared(newly_placed);
         match scope {
-            LoadScope::Node(_) => self.placed_by_nodes += since,
-            LoadScope::Zone(_) => self.placed_by_zones += since,
-            LoadScope::AllNodes => self.placed_by_all += since,
+            LoadScope::Node(_) => self.tokens_placed_by_nodes += newly_placed,
+            LoadScope::Zone(_) => self.tokens_placed_by_zones += newly_placed,
+            LoadScope::AllNodes => self.placed_by_all += newly_placed,
         }
-        if scope != LoadScope::AllNodes && self.fresh_sum(at).is_none() {
-            self.placed_by_all += since;
+        if scope != LoadScope::AllNodes && self.fresh_aggregate(at).is_none() {
+            self.placed_by_all += newly_placed;
         }
-        let placed = Placed {
+        let placed = PlacedTokens {
             reporter,
-            placed,
-            at,
+            tokens: placed,
+            received_at: at,
         };
-        self.placed_by.insert(scope, placed);
+        self.last_placed_by_scope.insert(scope, placed);
     }
 
     /// What this node has there, as one report.
     pub(crate) fn own_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|_| false, now)
-            .to_message(back_end, self.own_placed)
+            .to_message(back_end, self.own_placed_tokens)
     }
 
     /// What the nodes have there that report to this one, and it itself, as one report.
     pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
-            .to_message(back_end, self.own_placed + self.placed_by_nodes)
+            .to_message(
+                back_end,
+                self.own_placed_tokens + self.tokens_placed_by_nodes,
+            )
     }
 
     /// What all nodes have there, as one report.
     pub(crate) fn report_of_all(&self, back_end: u32, now: Timestamp) -> LoadReport {
-        let placed = self.own_placed + self.placed_by_nodes + self.placed_by_zones;
+        let placed =
+            self.own_placed_tokens + self.tokens_placed_by_nodes + self.tokens_placed_by_zones;
         self.report_of(|_| true, now).to_message(back_end, placed)
     }
 
-    fn report_of(&self, is_counted: impl Fn(LoadScope) -> bool, now: Timestamp) -> Report {
-        let mut total = Report {
+    fn report_of(&self, is_included: impl Fn(LoadScope) -> bool, now: Timestamp) -> ReceivedReport {
+        let mut total = ReceivedReport {
             occupancy: self.own_occupancy(now),
             outcomes: self.own_outcomes(now),
-            at: now,
+            received_at: now,
         };
         let reports = self.reports.iter();
-        for (_, report) in reports.filter(|(scope, _)| is_counted(**scope)) {
+        for (_, report) in reports.filter(|(scope, _)| is_included(**scope)) {
             if report.is_fresh(now) {
                 total.occupancy = total.occupancy.plus(report.occupancy);
                 total.outcomes = total.outcomes.plus(report.outcomes);
@@ -440,7 +454,7 @@
     /// Forgets what a source reported.
     pub(crate) fn forget(&mut self, scope: LoadScope) {
         match scope {
-            LoadScope::AllNodes => self.sum = None,
+            LoadScope::AllNodes => self.aggregate = None,
             scope => {
                 self.reports.remove(&scope);
             }
@@ -448,16 +462,16 @@
     }
 
     pub(crate) fn begin(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
-        self.own_placed += u64::from(footprint.unshared_tokens);
-        if self.fresh_sum(now).is_none() {
+        self.own_placed_tokens += u64::from(footprint.unshared_tokens);
+        if self.fresh_aggregate(now).is_none() {
             // A sum holds what this node places, too.
             self.placed_by_all += u64::from(footprint.unshared_tokens);
         }
-        let running = Running {
+        let running = RunningRequest {
             footprint,
-            pending_before: self.occupancy(now).pending_tokens,
-            started: now,
-            begun: None,
+            pending_tokens_before: self.occupancy(now).pending_tokens,
+            started_at: now,
+            first_event_at: None,
             is_replica: false,
         };
         self.running.insert(lease, running);
@@ -465,15 +479,15 @@
 
     /// A replica of a request that runs elsewhere is kept up here.
     pub(crate) fn begin_replica(&mut self, lease: LeaseId, tokens: u32, now: Timestamp) {
-        self.own_placed += u64::from(tokens);
-        let running = Running {
+        self.own_placed_tokens += u64::from(tokens);
+        let running = RunningRequest {
             footprint: Footprint {
                 unshared_tokens: tokens,
                 ..Footprint::default()
             },
-            pending_before: 0,
-            started: now,
-            begun: Some(now),
+            pending_tokens_before: 0,
+            started_at: now,
+            first_event_at: Some(now),
             is_replica: true,
         };
         self.running.insert(lease, running);
@@ -489,22 +503,22 @@
         let Some(running) = self.running.get_mut(&lease) else {
             return;
         };
-        if running.begun.is_some() {
+        if running.first_event_at.is_some() {
             return;
         }
-        running.begun = Some(now);
+        running.first_event_at = Some(now);
         let running = *running;
         if running.footprint.uncached_tokens >= MINIMUM_OBSERVED_TOKENS {
-            self.observe_speed(&running, now);
+            self.observe_prefill(&running, now);
         }
     }
 
-    fn observe_speed(&mut self, running: &Running, now: Timestamp) {
-        let tokens = running.pending_before + u64::from(running.footprint.uncached_tokens);
-        let expected = tokens as f64 / ASSUMED_TOKENS_PER_MS;
-        let observed = now.since(running.started).milliseconds() as f64;
-        let ratio = (observed / expected).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1);
-        self.slowness += SPEED_SMOOTHING * (ratio - self.slowness);
+    fn observe_prefill(&mut self, running: &RunningRequest, now: Timestamp) {
+        let tokens = running.pending_tokens_before + u64::from(running.footprint.uncached_tokens);
+        let expected = tokens as f64 / ASSUMED_PREFILL_TOKENS_PER_MS;
+        let observed = now.since(running.started_at).milliseconds() as f64;
+        let ratio = (observed / expected).clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
+        self.slowness += SLOWNESS_SMOOTHING * (ratio - self.slowness);
     }
 
     /// What this node has seen end there lately.
@@ -514,11 +528,11 @@
 
     /// What all nodes have seen end there lately.
     pub(crate) fn recent_outcomes(&self, now: Timestamp) -> OutcomeCounts {
-        if let Some(sum) = self.fresh_sum(now) {
+        if let Some(aggregate) = self.fresh_aggregate(now) {
             // Its own outcomes count twice: they are a small part, and the newest.
-            return sum.outcomes.plus(self.own_outcomes(now));
+            return aggregate.outcomes.plus(self.own_outcomes(now));
         }
-        let reports = self.fresh(now).map(|report| report.outcomes);
+        let reports = self.fresh_reports(now).map(|report| report.outcomes);
         reports.fold(self.own_outcomes(now), OutcomeCounts::plus)
     }
 
@@ -530,7 +544,7 @@
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let ended = self.running.remove(&lease);
         if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
-            self.concurrency.record_response(now.since(call.started));
+            self.concurrency.record_response(now.since(call.started_at));
         }
         self.outcomes.record(outcome, now);
     }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -7,22 +7,22 @@
 
 /// Parts remembered of one engine, those that it dropped included. An engine with 470,000
 /// tokens holds some 1,900 parts of 250 tokens.
-const MOST_PARTS: usize = 4_096;
+const MAX_PARTS: usize = 4_096;
 /// Time for which an event may be under way: what was expected to be read later than this
 /// before an answer isn't contradicted by it.
 pub(crate) const EVENT_DELAY: Span = Span::from_milliseconds(1_000);
 /// Shortest and longest time between two calls at an engine. Calls that return early are
 /// priced, so the pace follows what they gain.
-const SHORTEST_PACE: Span = Span::from_milliseconds(1_000);
-const LONGEST_PACE: Span = Span::from_milliseconds(16_000);
+const MIN_CALL_INTERVAL: Span = Span::from_milliseconds(1_000);
+const MAX_CALL_INTERVAL: Span = Span::from_milliseconds(16_000);
 /// Answers without a correction, at the longest pace, after which an engine is left alone.
-const VAIN_ANSWERS: u32 = 2;
+const MAX_UNCORRECTED_RESPONSES: u32 = 2;
 /// Time for which it is left alone.
-const REST: Span = Span::from_milliseconds(60_000);
+const IDLE_CALL_INTERVAL: Span = Span::from_milliseconds(60_000);
 /// Pause after a call that gave nothing, doubled with each further one.
-const FAILURE_PAUSE: Span = Span::from_milliseconds(1_000);
+const INITIAL_RETRY_DELAY: Span = Span::from_milliseconds(1_000);
 /// Most times that the pause is doubled.
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_RETRY_DOUBLINGS: u32 = 5;
 /// Time for which an engine may hold a call.
 pub(crate) const LONG_POLL_TIME: Span = Span::from_milliseconds(1_000);
 
@@ -109,7 +109,7 @@
 
 /// What an engine is known to hold of a part.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct StoredPart {
     tokens: u32,
     number: u64,
 }
@@ -119,16 +119,16 @@
 pub(crate) struct CacheIndex {
     since: Timestamp,
     epoch: Option<u64>,
-    next: u64,
+    next_event: u64,
     /// Events before this number are in the listing.
-    listed_to: u64,
-    held: HashMap<PartId, Held>,
-    heard: Timestamp,
+    listed_through: u64,
+    stored: HashMap<PartId, StoredPart>,
+    last_response_at: Timestamp,
     next_call: Timestamp,
-    pace: Span,
-    answers_in_vain: u32,
-    failures: u32,
-    is_asked: bool,
+    call_interval: Span,
+    uncorrected_responses: u32,
+    consecutive_failures: u32,
+    is_call_pending: bool,
     counts: FollowCounts,
 }
 
@@ -150,15 +150,15 @@
         Self {
             since: now,
             epoch: None,
-            next: 0,
-            listed_to: 0,
-            held: HashMap::new(),
-            heard: Timestamp::default(),
+            next_event: 0,
+            listed_through: 0,
+            stored: HashMap::new(),
+            last_response_at: Timestamp::default(),
             next_call: now,
-            pace: SHORTEST_PACE,
-            answers_in_vain: 0,
-            failures: 0,
-            is_asked: false,
+            call_interval: MIN_CALL_INTERVAL,
+            uncorrected_responses: 0,
+            consecutive_failures: 0,
+            is_call_pending: false,
             counts: FollowCounts::default(),
         }
     }
@@ -175,25 +175,25 @@
 
     /// The call that is due; there is never more than one under way.
     pub fn call(&mut self, now: Timestamp) -> Option<CacheCall> {
-        if self.is_asked || now < self.next_call {
+        if self.is_call_pending || now < self.next_call {
             return None;
         }
-        self.is_asked = true;
+        self.is_call_pending = true;
         Some(match self.epoch {
             None => CacheCall::List,
             Some(_) => CacheCall::Events {
-                after: self.next,
+                after: self.next_event,
                 wait: LONG_POLL_TIME,
             },
         })
     }
 
     /// Takes an answer in; whether what the engine keeps is known by it.
-    pub fn handle_response(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
-        self.is_asked = false;
-        match answer {
+    pub fn handle_response(&mut self, response: CacheResponse, now: Timestamp) -> bool {
+        self.is_call_pending = false;
+        match response {
             CacheResponse::Listing(listing) => self.apply_listing(listing, now),
-            CacheResponse::Events(events) => self.take_events(events, now),
+            CacheResponse::Events(events) => self.apply_events(events, now),
             CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Malformed => {
                 self.record_failed_call(now);
                 false
@@ -203,21 +203,21 @@
 
     fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
         let number = listing.next.saturating_sub(1);
-        let kept = listing.kept.iter().take(MOST_PARTS);
-        let held = kept.map(|part| {
+        let kept = listing.kept.iter().take(MAX_PARTS);
+        let stored = kept.map(|part| {
             let tokens = part.tokens;
-            (part.id, Held { tokens, number })
+            (part.id, StoredPart { tokens, number })
         });
-        self.held = held.collect();
+        self.stored = stored.collect();
         self.epoch = Some(listing.epoch);
-        self.next = listing.next;
-        self.listed_to = number;
+        self.next_event = listing.next;
+        self.listed_through = number;
         self.counts.listings += 1;
-        self.record_heard(now);
+        self.record_successful_call(now);
         true
     }
 
-    fn take_events(&mut self, report: CacheEvents, now: Timestamp) -> bool {
+    fn apply_events(&mut self, report: CacheEvents, now: Timestamp) -> bool {
         if report.has_gap || self.epoch != Some(report.epoch) {
             self.counts.gaps += 1;
             self.epoch = None;
@@ -225,86 +225,86 @@
             return false;
         }
         for event in &report.events {
-            self.take_event(event);
+            self.apply_event(event);
         }
-        self.next = self.next.max(report.next);
+        self.next_event = self.next_event.max(report.next);
         self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
-        self.forget_dropped();
-        self.record_heard(now);
+        self.prune_removed();
+        self.record_successful_call(now);
         true
     }
 
     /// The event with the highest number counts for a part, in whatever order they come.
-    fn take_event(&mut self, event: &CacheEvent) {
-        let known = self.held.get(&event.part);
-        let is_older = known.is_some_and(|held| held.number > event.number);
-        if is_older || event.number < self.listed_to {
+    fn apply_event(&mut self, event: &CacheEvent) {
+        let previous = self.stored.get(&event.part);
+        let is_older = previous.is_some_and(|stored| stored.number > event.number);
+        if is_older || event.number < self.listed_through {
             return;
         }
-        let held = Held {
+        let stored = StoredPart {
             tokens: event.tokens,
             number: event.number,
         };
-        self.held.insert(event.part, held);
+        self.stored.insert(event.part, stored);
     }
 
     /// Dropped parts are remembered only against events that come out of order.
-    fn forget_dropped(&mut self) {
-        if self.held.len() > MOST_PARTS {
-            self.held.retain(|_, held| held.tokens > 0);
+    fn prune_removed(&mut self) {
+        if self.stored.len() > MAX_PARTS {
+            self.stored.retain(|_, stored| stored.tokens > 0);
         }
-        if self.held.len() > MOST_PARTS {
+        if self.stored.len() > MAX_PARTS {
             // More than an engine can hold: it is asked for all of it again.
             self.epoch = None;
-            self.held.clear();
+            self.stored.clear();
         }
     }
 
-    fn record_heard(&mut self, now: Timestamp) {
-        self.heard = now;
-        self.failures = 0;
-        self.next_call = now + self.pace;
+    fn record_successful_call(&mut self, now: Timestamp) {
+        self.last_response_at = now;
+        self.consecutive_failures = 0;
+        self.next_call = now + self.call_interval;
     }
 
     fn record_failed_call(&mut self, now: Timestamp) {
         self.counts.failed_calls += 1;
-        let doublings = self.failures.min(MOST_DOUBLINGS);
-        self.failures += 1;
-        self.next_call = now + FAILURE_PAUSE * (1 << doublings);
+        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
+        self.consecutive_failures += 1;
+        self.next_call = now + INITIAL_RETRY_DELAY * (1 << doublings);
     }
 
     /// Sets the pace by what the last answer corrected.
     pub fn record_corrections(&mut self, count: usize, now: Timestamp) {
         self.counts.corrections += count as u64;
         if count > 0 {
-            self.answers_in_vain = 0;
-            self.pace = Span(self.pace.0 / 2).max(SHORTEST_PACE);
+            self.uncorrected_responses = 0;
+            self.call_interval = Span(self.call_interval.0 / 2).max(MIN_CALL_INTERVAL);
         } else {
-            self.pace = (self.pace * 2).min(LONGEST_PACE);
-            self.answers_in_vain += u32::from(self.pace == LONGEST_PACE);
+            self.call_interval = (self.call_interval * 2).min(MAX_CALL_INTERVAL);
+            self.uncorrected_responses += u32::from(self.call_interval == MAX_CALL_INTERVAL);
         }
-        self.next_call = now + self.pace;
-        if self.answers_in_vain > VAIN_ANSWERS {
-            self.answers_in_vain = 0;
-            self.next_call = now + REST;
+        self.next_call = now + self.call_interval;
+        if self.uncorrected_responses > MAX_UNCORRECTED_RESPONSES {
+            self.uncorrected_responses = 0;
+            self.next_call = now + IDLE_CALL_INTERVAL;
         }
     }
 
     pub fn stored_tokens(&self, part: PartId) -> Option<u32> {
-        let held = self.held.get(&part)?;
-        (held.tokens > 0).then_some(held.tokens)
+        let stored = self.stored.get(&part)?;
+        (stored.tokens > 0).then_some(stored.tokens)
     }
 
     /// Parts believed kept that the engine doesn't hold.
     pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
-        let settled = self.heard - EVENT_DELAY;
-        let parts = believed.read_before(settled);
-        let mut wrong: Vec<PartId> = parts
+        let cutoff = self.last_response_at - EVENT_DELAY;
+        let parts = believed.computed_before(cutoff);
+        let mut stale: Vec<PartId> = parts
             .filter(|part| self.stored_tokens(*part).is_none())
             .collect();
-        wrong.sort_unstable();
-        wrong
+        stale.sort_unstable();
+        stale
     }
 
     /// Parts that the engine holds and that aren't believed kept, of those that requests are
@@ -314,15 +314,16 @@
         believed: &PrefixCache,
         shared: &HashSet<PartId>,
     ) -> Vec<PromptPart> {
-        let held = self.held.iter().filter(|(_, held)| held.tokens > 0);
-        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
-        let mut unknown: Vec<PromptPart> = unknown
-            .map(|(part, held)| PromptPart {
+        let stored = self.stored.iter().filter(|(_, stored)| stored.tokens > 0);
+        let missing =
+            stored.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
+        let mut missing: Vec<PromptPart> = missing
+            .map(|(part, stored)| PromptPart {
                 id: *part,
-                tokens: held.tokens,
+                tokens: stored.tokens,
             })
             .collect();
-        unknown.sort_unstable_by_key(|part| part.id);
-        unknown
+        missing.sort_unstable_by_key(|part| part.id);
+        missing
     }
 }
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -15,9 +15,9 @@
 const SENDING_INTERVAL: Span = Span::from_milliseconds(1_300);
 /// Sets of senders for which the bound has room: the nodes on both sides of a cut, or before
 /// and after a node was lost, choose different ones.
-const SETS_OF_SENDERS: f64 = 2.0;
+const SENDER_SETS: f64 = 2.0;
 /// What a message may take on its way: a back end is warm no sooner than it said.
-const ON_THE_WAY: Span = Span::from_milliseconds(100);
+const MAX_MESSAGE_DELAY: Span = Span::from_milliseconds(100);
 /// Time after a start in which a node comes to know the others of its zone: one that knows
 /// few of them would hold itself to be among the first.
 pub(crate) const SENDER_SETTLING_TIME: Span = Span::from_milliseconds(2_000);
@@ -41,9 +41,9 @@
 impl ColdRateLimit {
     /// Nodes that send to one cold back end.
     pub fn senders(&self, start: &ColdStart) -> usize {
-        let most = start.requests_per_second * self.overage + self.slack;
+        let max_rate = start.requests_per_second * self.overage + self.slack;
         // Saturates: a negative figure leaves one sender.
-        ((most / SETS_OF_SENDERS) as usize).max(1)
+        ((max_rate / SENDER_SETS) as usize).max(1)
     }
 }
 
@@ -52,8 +52,8 @@
 pub(crate) struct WarmupState {
     listed_at: Timestamp,
     cold_remaining: Option<Span>,
-    returned_at: Option<Timestamp>,
-    last_sent: Option<Timestamp>,
+    zone_returned_at: Option<Timestamp>,
+    last_sent_at: Option<Timestamp>,
     role: ColdRole,
 }
 
@@ -89,22 +89,23 @@
 
     /// Its zone was evacuated and gets requests again: it starts as after a restart.
     pub fn record_zone_return(&mut self, now: Timestamp) {
-        self.returned_at = Some(now);
+        self.zone_returned_at = Some(now);
     }
 
     /// When it is warm. A back end that doesn't tell counts as just started.
     pub fn cold_until(&self, start: &ColdStart) -> Timestamp {
-        let told = self
+        let reported = self
             .cold_remaining
             .unwrap_or(start.duration)
             .min(MAX_COLD_PERIOD);
-        let after_listing = if told == Span::ZERO {
+        let after_listing = if reported == Span::ZERO {
             self.listed_at
         } else {
-            self.listed_at + told + ON_THE_WAY
+            self.listed_at + reported + MAX_MESSAGE_DELAY
         };
-        let returned = self.returned_at;
-        let after_return = returned.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + ON_THE_WAY);
+        let returned = self.zone_returned_at;
+        let after_return =
+            returned.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + MAX_MESSAGE_DELAY);
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
@@ -118,13 +119,13 @@
         if !self.is_cold(start, now) {
             return true;
         }
-        let last = self.last_sent;
+        let last = self.last_sent_at;
         self.role == ColdRole::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
     }
 
     /// Notes a request of this node.
     pub fn record_sent(&mut self, now: Timestamp) {
-        self.last_sent = Some(now);
+        self.last_sent_at = Some(now);
     }
 
     /// How this node stands to it.
--- a/crates/coordination/dispatch/src/load/concurrency.rs
+++ b/crates/coordination/dispatch/src/load/concurrency.rs
@@ -10,38 +10,38 @@
 use eiderferry_types::{Span, Timestamp};
 
 /// Time over which counts are averaged: some ten of the sums that a node is told.
-const MEMORY: Span = Span::from_milliseconds(2_000);
+const AVERAGING_TIME: Span = Span::from_milliseconds(2_000);
 /// Most that a single count weighs, however long nothing was asked before it.
-const MOST_WEIGHT: f64 = 0.5;
+const MAX_SAMPLE_WEIGHT: f64 = 0.5;
 
 /// Weight of the newest answer in the usual time of one.
-const ANSWER_SMOOTHING: f64 = 0.1;
+const RESPONSE_TIME_SMOOTHING: f64 = 0.1;
 /// Most rounds of calls that one may wait for, however short they are: a back end's own queue
 /// holds a few, and what is beyond it comes back as not run.
-const MOST_ROUNDS: f64 = 4.0;
+const MAX_BATCHES: f64 = 4.0;
 
 /// Mean number of requests at a back end, and how long it usually takes to answer one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConcurrencyEstimate {
     mean: f64,
-    noted_at: Timestamp,
-    answer_time: Option<Span>,
+    updated_at: Timestamp,
+    mean_response_time: Option<Span>,
 }
 
 impl ConcurrencyEstimate {
     /// Takes a count in. Returns the mean with it.
     pub fn record(&mut self, running: u32, now: Timestamp) -> f64 {
-        let part = now.since(self.noted_at).0 as f64 / MEMORY.0 as f64;
-        self.mean += part.min(MOST_WEIGHT) * (f64::from(running) - self.mean);
-        self.noted_at = now;
+        let weight = now.since(self.updated_at).0 as f64 / AVERAGING_TIME.0 as f64;
+        self.mean += weight.min(MAX_SAMPLE_WEIGHT) * (f64::from(running) - self.mean);
+        self.updated_at = now;
         self.mean
     }
 
     /// Takes in how long an answer took.
-    pub fn record_response(&mut self, took: Span) {
-        let known = self.answer_time.unwrap_or(took);
-        let part = took.scaled(ANSWER_SMOOTHING);
-        self.answer_time = Some(known.scaled(1.0 - ANSWER_SMOOTHING) + part);
+    pub fn record_response(&mut self, response_time: Span) {
+        let mean = self.mean_response_time.unwrap_or(response_time);
+        let newest = response_time.scaled(RESPONSE_TIME_SMOOTHING);
+        self.mean_response_time = Some(mean.scaled(1.0 - RESPONSE_TIME_SMOOTHING) + newest);
     }
 
     /// Rounds of calls that fit a target, the call's own included: with so many times its slots
@@ -50,9 +50,10 @@
     /// with 1.3 times the slots as the bound some 16 in 100 were refused though the back end was
     /// half idle. Where it is not, answers take longer and the bound falls.
     pub fn batches_within(&self, target: Span) -> f64 {
-        let Some(answer_time) = self.answer_time.filter(|time| *time > Span::ZERO) else {
+        let Some(mean_response_time) = self.mean_response_time.filter(|time| *time > Span::ZERO)
+        else {
             return 1.0;
         };
-        (target.0 as f64 / answer_time.0 as f64).clamp(1.0, MOST_ROUNDS)
+        (target.0 as f64 / mean_response_time.0 as f64).clamp(1.0, MAX_BATCHES)
     }
 }
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -12,9 +12,9 @@
 
 /// Time of a step that reads a piece of a prompt, until streams have been seen (53 to
 /// 78 ms at three deployments, as the learned quantile told it).
-const ASSUMED_READING_STEP_MS: f64 = 70.0;
+const ASSUMED_PREFILL_STEP_MS: f64 = 70.0;
 /// Time of a step without reading, until streams have been seen (measured there, too).
-const ASSUMED_STEP_MS: f64 = 6.0;
+const ASSUMED_DECODE_STEP_MS: f64 = 6.0;
 /// Tokens of an event where the configuration tells nothing.
 const ASSUMED_TOKENS_PER_EVENT: u32 = 1;
 /// Part of the streams whose longest pause stays under the learned one: the streams that
@@ -23,53 +23,56 @@
 /// The same where long prompts have engines enough of their own: few streams there run beside
 /// a prompt of the longest, and what it does to others must not be forgotten. With 0.9 the split
 /// of 90 engines ended itself at times: 52 of 2,000 streams late, load played.
-const PAUSE_QUANTILE_BESIDE: f64 = 0.98;
+const MIXED_PAUSE_QUANTILE: f64 = 0.98;
 /// Part of the streams whose spacing stays under the learned one: those that ran almost
 /// without disturbance.
 const SPACING_QUANTILE: f64 = 0.25;
 /// Largest change of a learned quantile by one stream, as a part of it.
 const LEARNING_RATE: f64 = 0.06;
 /// Streams shorter than this tell too little.
-const MINIMUM_EVENTS: u64 = 5;
+const MIN_OBSERVED_EVENTS: u64 = 5;
 /// A learned figure stays within this factor of where it began: faults of a few
 /// seconds must not make it useless.
-const MOST_DRIFT: f64 = 4.0;
+const MAX_DRIFT_FACTOR: f64 = 4.0;
 /// Slowest and fastest that an engine is believed to be against its pool.
-const RELATIVE_SPEED: (f64, f64) = (0.6, 3.0);
+const RELATIVE_SLOWNESS_BOUNDS: (f64, f64) = (0.6, 3.0);
 /// Longest pauses of streams beside a long prompt, against the learned quantile: the
 /// middle one, and their spread on a logarithmic scale (measured on 3,500 streams).
-const MIDDLE_OF_PAUSES: f64 = 0.9;
-const SPREAD_OF_PAUSES: f64 = 0.15;
+const MEDIAN_PAUSE_RATIO: f64 = 0.9;
+const PAUSE_LOG_SPREAD: f64 = 0.15;
 
 /// A quantile that follows a series of samples.
 #[derive(Clone, Copy, Debug)]
-struct Quantile {
+struct QuantileEstimate {
     value: f64,
-    start: f64,
-    part: f64,
+    initial: f64,
+    level: f64,
 }
 
-impl Quantile {
-    fn new(start: f64, part: f64) -> Self {
+impl QuantileEstimate {
+    fn new(initial: f64, level: f64) -> Self {
         Self {
-            value: start,
-            start,
-            part,
+            value: initial,
+            initial,
+            level,
         }
     }
 
-    fn learn(&mut self, sample: f64) {
-        self.learn_part(sample, self.part);
+    fn observe(&mut self, sample: f64) {
+        self.observe_at_level(sample, self.level);
     }
 
     /// Learns from a sample of a series of which this part stays under the quantile.
-    fn learn_part(&mut self, sample: f64, part: f64) {
+    fn observe_at_level(&mut self, sample: f64, level: f64) {
         let step = if sample > self.value {
-            part
+            level
         } else {
-            part - 1.0
+            level - 1.0
         };
-        let bounds = (self.start / MOST_DRIFT, self.start * MOST_DRIFT);
+        let bounds = (
+            self.initial / MAX_DRIFT_FACTOR,
+            self.initial * MAX_DRIFT_FACTOR,
+        );
         self.value = (self.value * (LEARNING_RATE * step).exp()).clamp(bounds.0, bounds.1);
     }
 }
@@ -81,15 +84,15 @@
 /// What is learned of the engines of a pool together.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolModel {
-    reading_pause_ms: Quantile,
-    spacing_ms: Quantile,
+    prefill_pause_ms: QuantileEstimate,
+    spacing_ms: QuantileEstimate,
     has_seen_streams: bool,
 }
 
 /// How fast one engine is against its pool.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
-    spacing_ms: Quantile,
+    spacing_ms: QuantileEstimate,
     /// Whether a stream has told anything of it; until then it is as fast as its pool.
     has_observations: bool,
 }
@@ -100,8 +103,11 @@
         let tokens = engine.map_or(ASSUMED_TOKENS_PER_EVENT, |engine| engine.tokens_per_event);
         let tokens = f64::from(tokens.max(1));
         Self {
-            reading_pause_ms: Quantile::new(tokens * ASSUMED_READING_STEP_MS, PAUSE_QUANTILE),
-            spacing_ms: Quantile::new(tokens * ASSUMED_STEP_MS, SPACING_QUANTILE),
+            prefill_pause_ms: QuantileEstimate::new(
+                tokens * ASSUMED_PREFILL_STEP_MS,
+                PAUSE_QUANTILE,
+            ),
+            spacing_ms: QuantileEstimate::new(tokens * ASSUMED_DECODE_STEP_MS, SPACING_QUANTILE),
             has_seen_streams: false,
         }
     }
@@ -113,33 +119,33 @@
 
     /// Learns from a stream that has ended.
     pub fn observe_stream(&mut self, pacing: &StreamPacing) {
-        let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) else {
+        let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) else {
             return;
         };
         self.has_seen_streams = true;
-        self.spacing_ms.learn(milliseconds(spacing));
-        self.reading_pause_ms
-            .learn(milliseconds(pacing.longest_pause()));
+        self.spacing_ms.observe(milliseconds(spacing));
+        self.prefill_pause_ms
+            .observe(milliseconds(pacing.longest_pause()));
     }
 
     /// The same from a stream at an engine that long prompts are kept apart at.
     pub fn learn_mixed(&mut self, pacing: &StreamPacing) {
-        let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) else {
+        let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) else {
             return;
         };
         self.has_seen_streams = true;
-        self.spacing_ms.learn(milliseconds(spacing));
+        self.spacing_ms.observe(milliseconds(spacing));
         let pause = milliseconds(pacing.longest_pause());
-        self.reading_pause_ms
-            .learn_part(pause, PAUSE_QUANTILE_BESIDE);
+        self.prefill_pause_ms
+            .observe_at_level(pause, MIXED_PAUSE_QUANTILE);
     }
 
     /// The same from a stream that was kept apart from long prompts: it tells nothing of how
     /// long they make others pause, and would make that be forgotten.
     pub fn learn_isolated(&mut self, pacing: &StreamPacing) {
-        if let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) {
+        if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_seen_streams = true;
-            self.spacing_ms.learn(milliseconds(spacing));
+            self.spacing_ms.observe(milliseconds(spacing));
         }
     }
 
@@ -153,29 +159,34 @@
 
     /// Longest pause that reading makes at an engine, however long the prompt is.
     pub fn prefill_pause(&self, speed: &EngineSpeed) -> Span {
-        Span::from_seconds(self.reading_pause_ms.value * self.relative(speed) / 1_000.0)
+        Span::from_seconds(self.prefill_pause_ms.value * self.relative_slowness(speed) / 1_000.0)
     }
 
     /// Time between two events of an undisturbed stream at an engine.
     pub fn spacing(&self, speed: &EngineSpeed) -> Span {
-        Span::from_seconds(self.spacing_ms.value * self.relative(speed) / 1_000.0)
+        Span::from_seconds(self.spacing_ms.value * self.relative_slowness(speed) / 1_000.0)
     }
 
-    fn relative(&self, speed: &EngineSpeed) -> f64 {
+    fn relative_slowness(&self, speed: &EngineSpeed) -> f64 {
         if !speed.has_observations {
             return 1.0;
         }
-        let relative = speed.spacing_ms.value / self.spacing_ms.value;
-        relative.clamp(RELATIVE_SPEED.0, RELATIVE_SPEED.1)
+        let relative_slowness = speed.spacing_ms.value / self.spacing_ms.value;
+        relative_slowness.clamp(RELATIVE_SLOWNESS_BOUNDS.0, RELATIVE_SLOWNESS_BOUNDS.1)
     }
 
     /// Chance that a stream exceeds its target for pauses, 0 to 1, when a prompt that
     /// takes so long to read is read beside it.
-    pub fn late_event_probability(&self, speed: &EngineSpeed, target: Span, reading: Span) -> f64 {
-        let longest = milliseconds(self.prefill_pause(speed)) * MIDDLE_OF_PAUSES;
-        let pause = (milliseconds(self.spacing(speed)) + milliseconds(reading)).min(longest);
-        let excess = (pause / milliseconds(target).max(1.0)).ln() / SPREAD_OF_PAUSES;
-        1.0 / (1.0 + (-excess).exp())
+    pub fn late_event_probability(
+        &self,
+        speed: &EngineSpeed,
+        target: Span,
+        prefill_time: Span,
+    ) -> f64 {
+        let longest = milliseconds(self.prefill_pause(speed)) * MEDIAN_PAUSE_RATIO;
+        let pause = (milliseconds(self.spacing(speed)) + milliseconds(prefill_time)).min(longest);
+        let log_ratio = (pause / milliseconds(target).max(1.0)).ln() / PAUSE_LOG_SPREAD;
+        1.0 / (1.0 + (-log_ratio).exp())
     }
 
     /// The same for prompts so long that no longer one would make a difference.
@@ -186,16 +197,16 @@
     /// Part of the streams that the longest reading would make late which one of this
     /// length makes late, 0 to 1. Their targets are taken to lie at the longest pause:
     /// of those far above none is late, and far below there are few.
-    pub fn delayed_share(&self, speed: &EngineSpeed, reading: Span) -> f64 {
-        let target = self.prefill_pause(speed).scaled(MIDDLE_OF_PAUSES);
+    pub fn delayed_share(&self, speed: &EngineSpeed, prefill_time: Span) -> f64 {
+        let target = self.prefill_pause(speed).scaled(MEDIAN_PAUSE_RATIO);
         let longest = self.delay_probability_beside_long_prompts(speed, target);
-        self.late_event_probability(speed, target, reading) / longest
+        self.late_event_probability(speed, target, prefill_time) / longest
     }
 
     /// Whether a prompt that takes so long to read disturbs others noticeably: half as
     /// much as the longest can.
-    pub fn is_long_prefill(&self, speed: &EngineSpeed, reading: Span) -> bool {
-        reading.0 * 2 >= self.prefill_pause(speed).0
+    pub fn is_long_prefill(&self, speed: &EngineSpeed, prefill_time: Span) -> bool {
+        prefill_time.0 * 2 >= self.prefill_pause(speed).0
     }
 }
 
@@ -207,13 +218,13 @@
 
     /// Learns from a stream that has ended there.
     pub fn observe_stream(&mut self, pacing: &StreamPacing) {
-        if let Some(spacing) = pacing.spacing().filter(|_| tells_enough(pacing)) {
+        if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_observations = true;
-            self.spacing_ms.learn(milliseconds(spacing));
+            self.spacing_ms.observe(milliseconds(spacing));
         }
     }
 }
 
-fn tells_enough(pacing: &StreamPacing) -> bool {
-    pacing.events() >= MINIMUM_EVENTS
+fn has_enough_events(pacing: &StreamPacing) -> bool {
+    pacing.events() >= MIN_OBSERVED_EVENTS
 }
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -4,19 +4,19 @@
 use eiderferry_types::{Span, Timestamp};
 
 /// Failures in a row after which a back end gets no work for a while.
-const FAILURES_IN_A_ROW: u32 = 3;
+const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
 /// First time without work.
-const FIRST_EJECTION: Span = Span::from_milliseconds(1_000);
+const INITIAL_EJECTION: Span = Span::from_milliseconds(1_000);
 /// Longest time without work.
-const LONGEST_EJECTION: Span = Span::from_milliseconds(8_000);
+const MAX_EJECTION: Span = Span::from_milliseconds(8_000);
 /// Weight of the newest answer in the share of failures.
-const SMOOTHING: f64 = 0.12;
+const FAILURE_SHARE_SMOOTHING: f64 = 0.12;
 /// Share of failures above that of the pool at which a back end is ejected.
-const EXCESS_SHARE: f64 = 0.22;
+const EXCESS_FAILURE_SHARE: f64 = 0.22;
 /// Answers needed before the share counts.
-const MINIMUM_ANSWERS: u32 = 8;
+const MIN_RESPONSES: u32 = 8;
 /// Time after which a back end that answers is fully trusted again.
-const PROBATION: Span = Span::from_milliseconds(10_000);
+const PROBATION_PERIOD: Span = Span::from_milliseconds(10_000);
 
 /// What changed with a back end's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,9 +30,9 @@
 /// The standing of one back end.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     failure_share: f64,
-    answers: u32,
+    responses: u32,
     ejected_until: Option<Timestamp>,
     ejected_at: Option<Timestamp>,
     ejections: u32,
@@ -67,8 +67,9 @@
             Outcome::Completed | Outcome::Rejected => false,
             _ => true,
         };
-        self.answers = self.answers.saturating_add(1);
-        self.failure_share += SMOOTHING * (f64::from(u8::from(is_failure)) - self.failure_share);
+        self.responses = self.responses.saturating_add(1);
+        self.failure_share +=
+            FAILURE_SHARE_SMOOTHING * (f64::from(u8::from(is_failure)) - self.failure_share);
         if is_failure {
             return self.record_failure(outcome, pool_share, now);
         }
@@ -76,12 +77,15 @@
     }
 
     fn record_success(&mut self, now: Timestamp) -> Option<HealthChange> {
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
             return Some(HealthChange::Restored);
         }
-        if self.ejected_at.is_some_and(|at| now.since(at) > PROBATION) {
+        if self
+            .ejected_at
+            .is_some_and(|at| now.since(at) > PROBATION_PERIOD)
+        {
             self.ejections = 0;
             self.ejected_at = None;
         }
@@ -94,24 +98,24 @@
         pool_share: f64,
         now: Timestamp,
     ) -> Option<HealthChange> {
-        self.failures_in_a_row += 1;
+        self.consecutive_failures += 1;
         let was_ejected = self.is_ejected(now);
         self.is_replaced |= outcome == Outcome::InstanceReplaced;
         if was_ejected {
             return None;
         }
-        let is_gone = matches!(
+        let is_unavailable = matches!(
             outcome,
             Outcome::Unreachable | Outcome::ConnectionRefused | Outcome::InstanceReplaced
         );
-        let in_a_row = self.failures_in_a_row >= FAILURES_IN_A_ROW;
-        let too_many =
-            self.answers >= MINIMUM_ANSWERS && self.failure_share > pool_share + EXCESS_SHARE;
-        (is_gone || in_a_row || too_many).then(|| self.eject(now))
+        let has_consecutive_failures = self.consecutive_failures >= CONSECUTIVE_FAILURE_LIMIT;
+        let exceeds_pool_share = self.responses >= MIN_RESPONSES
+            && self.failure_share > pool_share + EXCESS_FAILURE_SHARE;
+        (is_unavailable || has_consecutive_failures || exceeds_pool_share).then(|| self.eject(now))
     }
 
     fn eject(&mut self, now: Timestamp) -> HealthChange {
-        let span = Span((FIRST_EJECTION.0 << self.ejections.min(3)).min(LONGEST_EJECTION.0));
+        let span = Span((INITIAL_EJECTION.0 << self.ejections.min(3)).min(MAX_EJECTION.0));
         self.ejections += 1;
         self.ejected_at = Some(now);
         self.ejected_until = Some(now + span);
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -15,28 +15,28 @@
 
 /// Runs whose notice is kept, some 100 bytes each: nearly half of a fleet of 10,000 back ends may
 /// be limited at once.
-const MOST_RUNS: usize = 4_096;
+const MAX_RUNS: usize = 4_096;
 /// Time for which what has changed is told with each message to the own zone: its peers, or its
 /// aggregators, hear it several times in it, so that single messages may be lost.
-const NEAR_TELLING_TIME: Span = Span::from_milliseconds(500);
+const SAME_ZONE_REPORTING_PERIOD: Span = Span::from_milliseconds(500);
 /// The same to other zones, which are told less often.
-const FAR_TELLING_TIME: Span = Span::from_milliseconds(2_000);
+const OTHER_ZONES_REPORTING_PERIOD: Span = Span::from_milliseconds(2_000);
 /// Rounds in which an aggregator tells what has changed; there are two aggregators.
-const ROUNDS_TOLD: f64 = 1.5;
+const AGGREGATOR_REPORTING_ROUNDS: f64 = 1.5;
 /// Changed notices told in one message, at some 15 bytes each: with them a message is a third
 /// longer than a summary of an aggregator.
-const MOST_CHANGED_TOLD: usize = 96;
+const MAX_CHANGED_REPORTS: usize = 96;
 /// Notices told to a node that has just started.
-const MOST_TOLD_AT_START: usize = 64;
+const MAX_REPORTS_AT_START: usize = 64;
 /// Time for which it is remembered that a limit is over: older notices of it may still be on
 /// their way.
-const OVER_KEPT: Span = Span::from_milliseconds(60_000);
+const LIFTED_LIMIT_RETENTION: Span = Span::from_milliseconds(60_000);
 /// What the messages of one notice may take on their way in all. The same limit, said no later than
 /// that after the known notice, is taken for that one: passed on and back it would never age.
-const LATEST_ECHO: Span = Span::from_milliseconds(500);
+const ECHO_WINDOW: Span = Span::from_milliseconds(500);
 /// What a message may take on its way, added where a limit is said to be over: passed on and
 /// back, that notice must not grow younger than one that names the limit.
-const ON_THE_WAY: Span = Span::from_milliseconds(10);
+const LIFTED_NOTICE_MARGIN: Span = Span::from_milliseconds(10);
 
 /// What a back end said of its limit, as nodes tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -79,26 +79,26 @@
 impl Audience {
     /// Whether it has not been told by those from whom this node heard: back and forth, each
     /// notice would fill the messages of all nodes.
-    fn lacks(self, heard_from: NoticeOrigin) -> bool {
+    fn needs_notice_from(self, origin: NoticeOrigin) -> bool {
         match self {
-            Audience::OwnZone => heard_from != NoticeOrigin::OwnZone,
+            Audience::OwnZone => origin != NoticeOrigin::OwnZone,
             Audience::ZoneMembers { .. } => true,
-            Audience::OtherZones => heard_from != NoticeOrigin::OtherZone,
+            Audience::OtherZones => origin != NoticeOrigin::OtherZone,
         }
     }
 
     /// Time for which it is told what has changed.
-    fn telling_time(self) -> Span {
+    fn reporting_period(self) -> Span {
         match self {
-            Audience::OwnZone => NEAR_TELLING_TIME,
-            Audience::OtherZones => FAR_TELLING_TIME,
-            Audience::ZoneMembers { round } => round.scaled(ROUNDS_TOLD),
+            Audience::OwnZone => SAME_ZONE_REPORTING_PERIOD,
+            Audience::OtherZones => OTHER_ZONES_REPORTING_PERIOD,
+            Audience::ZoneMembers { round } => round.scaled(AGGREGATOR_REPORTING_ROUNDS),
         }
     }
 
     /// Notices told in each message besides, drawn anew: nodes that were cut off, paused or started
     /// anew hear of them, and all hear that a limit still holds.
-    fn others_told(self) -> usize {
+    fn unchanged_report_count(self) -> usize {
         match self {
             Audience::OwnZone => 1,
             Audience::OtherZones | Audience::ZoneMembers { .. } => 4,
@@ -110,34 +110,35 @@
 struct Entry {
     started_unix_ms: Option<u64>,
     notice: LimitNotice,
-    heard_from: NoticeOrigin,
+    origin: NoticeOrigin,
     /// When this node heard of the limit, or that it is over.
     changed_at: Timestamp,
 }
 
 impl Entry {
     /// Takes over what the same run said, if it is later.
-    fn update(&mut self, notice: LimitNotice, heard_from: NoticeOrigin, now: Timestamp) {
+    fn update(&mut self, notice: LimitNotice, origin: NoticeOrigin, now: Timestamp) {
         let is_change = notice.limit != self.notice.limit;
-        let margin = if is_change { Span::ZERO } else { LATEST_ECHO };
+        let margin = if is_change { Span::ZERO } else { ECHO_WINDOW };
         if notice.reported_at <= self.notice.reported_at + margin {
             return;
         }
         if is_change {
             self.changed_at = now;
-            self.heard_from = heard_from;
+            self.origin = origin;
         }
         self.notice = notice;
     }
 
     /// Whether it has changed lately and an audience has to hear it from this node.
-    fn is_news(&self, audience: Audience, now: Timestamp) -> bool {
-        now.since(self.changed_at) < audience.telling_time() && audience.lacks(self.heard_from)
+    fn needs_reporting(&self, audience: Audience, now: Timestamp) -> bool {
+        now.since(self.changed_at) < audience.reporting_period()
+            && audience.needs_notice_from(self.origin)
     }
 
     fn report(&self, back_end: u32, now: Timestamp) -> LimitReport {
         let margin = if self.notice.limit.is_none() {
-            ON_THE_WAY
+            LIFTED_NOTICE_MARGIN
         } else {
             Span::ZERO
         };
@@ -170,8 +171,8 @@
     /// What a listed run said last.
     pub fn of(&self, digest: u32, back_end: &BackEnd) -> Option<LimitNotice> {
         let entry = self.entries.get(&digest)?;
-        let is_its_own = back_end.may_have_started(entry.started_unix_ms);
-        is_its_own.then_some(entry.notice)
+        let is_same_run = back_end.may_have_started(entry.started_unix_ms);
+        is_same_run.then_some(entry.notice)
     }
 
     /// Back ends that have, or had lately, a limit.
@@ -185,14 +186,14 @@
         &mut self,
         run: BackEndRun,
         notice: LimitNotice,
-        heard_from: NoticeOrigin,
+        origin: NoticeOrigin,
         now: Timestamp,
     ) -> Option<u32> {
         let known = self.entries.get_mut(&run.back_end);
-        let is_same =
+        let is_same_run =
             |entry: &&mut Entry| may_be_same_start(entry.started_unix_ms, run.started_unix_ms);
-        if let Some(entry) = known.filter(is_same) {
-            entry.update(notice, heard_from, now);
+        if let Some(entry) = known.filter(is_same_run) {
+            entry.update(notice, origin, now);
             entry.started_unix_ms = run.started_unix_ms.or(entry.started_unix_ms);
             return None;
         }
@@ -202,7 +203,7 @@
         let entry = Entry {
             started_unix_ms: run.started_unix_ms,
             notice,
-            heard_from,
+            origin,
             changed_at: now,
         };
         self.entries.insert(run.back_end, entry);
@@ -213,13 +214,13 @@
     pub fn expire(&mut self, is_gone: impl Fn(u32) -> bool, now: Timestamp) {
         self.entries.retain(|back_end, entry| {
             let age = now.since(entry.notice.reported_at);
-            age < OVER_KEPT || (entry.notice.limit.is_some() && !is_gone(*back_end))
+            age < LIFTED_LIMIT_RETENTION || (entry.notice.limit.is_some() && !is_gone(*back_end))
         });
     }
 
     /// The notice heard longest ago gives way.
     fn make_room(&mut self) -> Option<u32> {
-        if self.entries.len() < MOST_RUNS {
+        if self.entries.len() < MAX_RUNS {
             return None;
         }
         let oldest = self.entries.iter();
@@ -232,7 +233,7 @@
     /// Whether anything has changed that nodes of the own zone have to hear from this one.
     pub fn has_unsent_changes(&self, now: Timestamp) -> bool {
         let mut entries = self.entries.values();
-        entries.any(|entry| entry.is_news(Audience::OwnZone, now))
+        entries.any(|entry| entry.needs_reporting(Audience::OwnZone, now))
     }
 
     /// What a message tells: what has changed lately, and some of the others.
@@ -246,32 +247,37 @@
             return Vec::new();
         }
         let entries = self.entries.iter();
-        let (news, others): (Vec<Known<'_>>, Vec<Known<'_>>) =
-            entries.partition(|(_, entry)| entry.is_news(audience, now));
-        let mut told = drawn(news, MOST_CHANGED_TOLD, random);
-        told.extend(drawn(others, audience.others_told(), random));
-        reports_of(told, now)
+        let (changed, unchanged): (Vec<NoticeEntry<'_>>, Vec<NoticeEntry<'_>>) =
+            entries.partition(|(_, entry)| entry.needs_reporting(audience, now));
+        let mut selected = sample(changed, MAX_CHANGED_REPORTS, random);
+        selected.extend(sample(unchanged, audience.unchanged_report_count(), random));
+        to_reports(selected, now)
     }
 
     /// What a node that has just started is told.
     pub fn reports_at_start(&self, now: Timestamp, random: &mut impl Rng) -> Vec<LimitReport> {
         let entries = self.entries.iter().collect();
-        reports_of(drawn(entries, MOST_TOLD_AT_START, random), now)
+        to_reports(sample(entries, MAX_REPORTS_AT_START, random), now)
     }
 }
 
-type Known<'a> = (&'a u32, &'a Entry);
+type NoticeEntry<'a> = (&'a u32, &'a Entry);
 
 /// Some of the entries where there are more: others for each receiver, however its turns come.
-fn drawn<'a>(entries: Vec<Known<'a>>, most: usize, random: &mut impl Rng) -> Vec<Known<'a>> {
-    if entries.len() <= most {
+fn sample<'a>(
+    entries: Vec<NoticeEntry<'a>>,
+    max_count: usize,
+    random: &mut impl Rng,
+) -> Vec<NoticeEntry<'a>> {
+    if entries.len() <= max_count {
         return entries;
     }
-    entries.into_iter().choose_multiple(random, most)
+    entries.into_iter().choose_multiple(random, max_count)
 }
 
-fn reports_of(told: Vec<Known<'_>>, now: Timestamp) -> Vec<LimitReport> {
-    let told = told.into_iter();
-    told.map(|(back_end, entry)| entry.report(*back_end, now))
+fn to_reports(selected: Vec<NoticeEntry<'_>>, now: Timestamp) -> Vec<LimitReport> {
+    let selected = selected.into_iter();
+    selected
+        .map(|(back_end, entry)| entry.report(*back_end, now))
         .collect()
 }
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -12,18 +12,18 @@
 
 /// Requests a second from which on a further node sends: with fewer for each, more nodes would
 /// add up to more than the limit within a few seconds, as each sends whole requests.
-const RATE_OF_A_SENDER: f64 = 1.0;
+const MIN_RATE_PER_SENDER: f64 = 1.0;
 /// Lowest rate at which a back end is sent requests, whatever it names: with none nobody would
 /// hear that the limit is over.
-const LOWEST_RATE: f64 = 1.0 / 60.0;
+const MIN_RATE: f64 = 1.0 / 60.0;
 /// Silence of a limited back end after which other nodes look whether the limit still holds: the
 /// senders may have no requests for it. It is longer than all nodes take to tell each other of an
 /// answer.
-const SHORTEST_SILENCE: Span = Span::from_milliseconds(10_000);
+const MIN_SILENCE: Span = Span::from_milliseconds(10_000);
 /// The same in times between two requests at the limit.
 const SILENT_INTERVALS: f64 = 3.0;
 /// Part of the limit that these looks take together.
-const PROBING_PART: f64 = 0.5;
+const PROBING_SHARE: f64 = 0.5;
 /// Time for which a node may send such a request once it is its turn.
 pub(crate) const PROBING_TURN: Span = Span::from_milliseconds(1_000);
 
@@ -57,7 +57,7 @@
 
 /// Rate at which requests are sent under a limit, of all nodes.
 fn rate(limit: RateLimit) -> f64 {
-    limit.requests_per_second().max(LOWEST_RATE)
+    limit.requests_per_second().max(MIN_RATE)
 }
 
 /// Time between two requests of all nodes.
@@ -66,21 +66,21 @@
 }
 
 /// Time in which back ends with these limits together take one request.
-pub(crate) fn interval_of(limits: impl Iterator<Item = RateLimit>) -> Option<Span> {
-    let together: f64 = limits.map(rate).sum();
-    (together > 0.0).then(|| Span::from_seconds(1.0 / together))
+pub(crate) fn combined_interval(limits: impl Iterator<Item = RateLimit>) -> Option<Span> {
+    let total_rate: f64 = limits.map(rate).sum();
+    (total_rate > 0.0).then(|| Span::from_seconds(1.0 / total_rate))
 }
 
 /// Nodes among which a limit is shared, in a fleet of so many.
 pub(crate) fn senders(limit: RateLimit, nodes: usize) -> usize {
     // Saturates: an absurdly high limit is shared by all.
-    let senders = (rate(limit) / RATE_OF_A_SENDER) as usize;
+    let senders = (rate(limit) / MIN_RATE_PER_SENDER) as usize;
     senders.clamp(1, nodes.max(1))
 }
 
 /// Chance of each of so many nodes to have a turn at a back end of which nothing is heard.
 pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
-    let turns = rate(limit) * PROBING_PART * PROBING_TURN.seconds();
+    let turns = rate(limit) * PROBING_SHARE * PROBING_TURN.seconds();
     (turns / nodes.max(1) as f64).min(1.0)
 }
 
@@ -89,11 +89,11 @@
 pub(crate) struct Limiter {
     notice: Option<LimitNotice>,
     role: LimitRole,
-    last_sent: Option<Timestamp>,
+    last_sent_at: Option<Timestamp>,
     /// When this node's first request as a sender may be sent.
-    first_at: Timestamp,
-    probes_until: Option<Timestamp>,
-    logged: Option<(RateLimit, LimitRole)>,
+    first_send_at: Timestamp,
+    probing_until: Option<Timestamp>,
+    last_reported_state: Option<(RateLimit, LimitRole)>,
 }
 
 impl Limiter {
@@ -114,22 +114,22 @@
 
     /// Whether a request may be sent to the back end now.
     pub fn may_send_request(&self, now: Timestamp) -> bool {
-        let is_probe = self.probes_until.is_some_and(|until| now < until);
-        self.limit().is_none() || is_probe || self.is_paced(now)
+        let is_probe = self.probing_until.is_some_and(|until| now < until);
+        self.limit().is_none() || is_probe || self.is_scheduled_send_due(now)
     }
 
-    fn is_paced(&self, now: Timestamp) -> bool {
+    fn is_scheduled_send_due(&self, now: Timestamp) -> bool {
         let LimitRole::Sender(interval) = self.role else {
             return false;
         };
-        let last = self.last_sent;
-        now >= self.first_at && last.is_none_or(|last| now.since(last) >= interval)
+        let last = self.last_sent_at;
+        now >= self.first_send_at && last.is_none_or(|last| now.since(last) >= interval)
     }
 
     /// Notes a request of this node.
     pub fn record_sent(&mut self, now: Timestamp) {
-        self.last_sent = Some(now);
-        self.probes_until = None;
+        self.last_sent_at = Some(now);
+        self.probing_until = None;
     }
 
     /// Renews this node's part in the limit; `share` tells it by the limit.
@@ -145,8 +145,8 @@
         if before == LimitRole::OtherNodes {
             // Another sender may have sent what was answered last, so that it counts here. Those
             // that begin together are spread over the time between two requests.
-            let after = 1.0 + share.index as f64 / share.senders as f64;
-            self.first_at = reported_at + interval.scaled(after);
+            let intervals = 1.0 + share.index as f64 / share.senders as f64;
+            self.first_send_at = reported_at + interval.scaled(intervals);
         }
         self.role = LimitRole::Sender(interval);
     }
@@ -155,8 +155,8 @@
     /// senders probably have no requests for the back end.
     pub fn stale_limit(&self, now: Timestamp) -> Option<RateLimit> {
         let (limit, reported_at) = self.limit_and_time()?;
-        let longest = SHORTEST_SILENCE.max(interval(limit).scaled(SILENT_INTERVALS));
-        let is_silent = now.since(reported_at) > longest;
+        let max_silence = MIN_SILENCE.max(interval(limit).scaled(SILENT_INTERVALS));
+        let is_silent = now.since(reported_at) > max_silence;
         (self.role == LimitRole::OtherNodes && is_silent).then_some(limit)
     }
 
@@ -168,16 +168,16 @@
 
     /// This node may send one request to hear whether the limit still holds.
     pub fn begin_probing(&mut self, now: Timestamp) {
-        self.probes_until = Some(now + PROBING_TURN);
+        self.probing_until = Some(now + PROBING_TURN);
     }
 
     /// How the limit of the back end stands for this node, if that has changed since the last call.
     pub fn change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
-        let stands = self.limit().map(|limit| (limit, self.role));
-        let before = std::mem::replace(&mut self.logged, stands);
-        (before != stands).then(|| LimitChange {
+        let state = self.limit().map(|limit| (limit, self.role));
+        let before = std::mem::replace(&mut self.last_reported_state, state);
+        (before != state).then(|| LimitChange {
             instance: instance.clone(),
-            state: stands,
+            state,
         })
     }
 }
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -10,7 +10,7 @@
 /// Runs whose notices are kept beyond their entries, some 100 bytes each: those of four hours in a
 /// fleet of 10,000 back ends, a tenth of which is replaced within an hour. A listed back end keeps
 /// its own in any case.
-const MOST_RUNS: usize = 4_096;
+const MAX_RUNS: usize = 4_096;
 
 /// What a run said of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,24 +18,24 @@
     /// It is leaving.
     pub is_leaving: bool,
     /// Until when it wants nothing from this node.
-    rests_until: Option<Timestamp>,
+    backoff_until: Option<Timestamp>,
 }
 
 impl Notice {
     /// It wants nothing from this node until then, or for longer if it said so before.
     pub fn back_off_until(&mut self, until: Timestamp) {
-        self.rests_until = self.rests_until.max(Some(until));
+        self.backoff_until = self.backoff_until.max(Some(until));
     }
 
     /// How long it wants nothing from this node from now on, if at all.
     pub fn remaining_backoff(self, now: Timestamp) -> Option<Span> {
-        let until = self.rests_until.filter(|until| *until > now)?;
+        let until = self.backoff_until.filter(|until| *until > now)?;
         Some(now.until(until))
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct NoticedRun {
+struct RunNotice {
     started_unix_ms: Option<u64>,
     notice: Notice,
 }
@@ -43,17 +43,17 @@
 /// The notices of all runs that said anything.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Notices {
-    runs: HashMap<InstanceId, NoticedRun>,
+    runs: HashMap<InstanceId, RunNotice>,
     /// Its back ends, those that spoke first in front.
-    order: VecDeque<InstanceId>,
+    insertion_order: VecDeque<InstanceId>,
 }
 
 impl Notices {
     /// What a listed run said.
     pub fn of(&self, back_end: &BackEnd) -> Notice {
-        let noticed = self.runs.get(&back_end.instance);
-        let noticed = noticed.filter(|run| back_end.may_have_started(run.started_unix_ms));
-        noticed.map(|run| run.notice).unwrap_or_default()
+        let run = self.runs.get(&back_end.instance);
+        let run = run.filter(|run| back_end.may_have_started(run.started_unix_ms));
+        run.map(|run| run.notice).unwrap_or_default()
     }
 
     /// A run, started then, says something.
@@ -65,21 +65,21 @@
     ) {
         if !self.runs.contains_key(instance) {
             self.make_room();
-            self.order.push_back(instance.clone());
+            self.insertion_order.push_back(instance.clone());
         }
         let run = self.runs.entry(instance.clone()).or_default();
         if !may_be_same_start(run.started_unix_ms, started_unix_ms) {
-            *run = NoticedRun::default();
+            *run = RunNotice::default();
         }
         run.started_unix_ms = started_unix_ms.or(run.started_unix_ms);
         change(&mut run.notice);
     }
 
     fn make_room(&mut self) {
-        if self.order.len() < MOST_RUNS {
+        if self.insertion_order.len() < MAX_RUNS {
             return;
         }
-        if let Some(oldest) = self.order.pop_front() {
+        if let Some(oldest) = self.insertion_order.pop_front() {
             self.runs.remove(&oldest);
         }
     }
--- a/crates/coordination/dispatch/src/load/outcomes.rs
+++ b/crates/coordination/dispatch/src/load/outcomes.rs
@@ -5,10 +5,10 @@
 use std::collections::VecDeque;
 
 /// Width of a bucket, and buckets that count.
-const BUCKET: Span = Span::from_milliseconds(1_000);
-const BUCKETS: u64 = 4;
+const BUCKET_WIDTH: Span = Span::from_milliseconds(1_000);
+const BUCKET_COUNT: u64 = 4;
 /// Answers assumed to have been well: a single failure proves little.
-const ASSUMED_WELL: f64 = 3.0;
+const ASSUMED_COMPLETED: f64 = 3.0;
 
 /// Requests that ended, well and not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -35,8 +35,8 @@
 
     /// Share of failures, 0 to 1, cautious where little is known.
     pub fn failure_share(self) -> f64 {
-        let all = f64::from(self.completed + self.failed) + ASSUMED_WELL;
-        f64::from(self.failed) / all
+        let total = f64::from(self.completed + self.failed) + ASSUMED_COMPLETED;
+        f64::from(self.failed) / total
     }
 }
 
@@ -49,11 +49,11 @@
 impl RecentOutcomes {
     /// Notes an outcome.
     pub fn record(&mut self, outcome: Outcome, now: Timestamp) {
-        let number = now.0 / BUCKET.0;
+        let number = now.0 / BUCKET_WIDTH.0;
         while self
             .buckets
             .front()
-            .is_some_and(|(first, _)| first + BUCKETS <= number)
+            .is_some_and(|(first, _)| first + BUCKET_COUNT <= number)
         {
             self.buckets.pop_front();
         }
@@ -72,12 +72,12 @@
 
     /// What was seen in the last seconds.
     pub fn counts(&self, now: Timestamp) -> OutcomeCounts {
-        let number = now.0 / BUCKET.0;
-        let fresh = self
+        let number = now.0 / BUCKET_WIDTH.0;
+        let recent = self
             .buckets
             .iter()
-            .filter(|(bucket, _)| bucket + BUCKETS > number);
-        fresh.fold(OutcomeCounts::default(), |sum, (_, counts)| {
+            .filter(|(bucket, _)| bucket + BUCKET_COUNT > number);
+        recent.fold(OutcomeCounts::default(), |sum, (_, counts)| {
             sum.plus(*counts)
         })
     }
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -14,7 +14,7 @@
 /// Most back ends of a group on the average; with twice as many there are twice as many groups.
 /// A group is gone through for each request: with 32 to 64 of them a prompt has as many
 /// candidates as in a pool that is small enough to be compared whole.
-const MOST_IN_GROUP: usize = 64;
+const MAX_MEAN_GROUP_SIZE: usize = 64;
 /// Seed of the hash that sorts back ends into groups.
 const GROUP_SEED: u64 = 0x0067_726f_7570;
 
@@ -37,7 +37,10 @@
 
 /// Number of groups for so many back ends.
 fn group_count(back_ends: usize) -> usize {
-    back_ends.div_ceil(MOST_IN_GROUP).max(1).next_power_of_two()
+    back_ends
+        .div_ceil(MAX_MEAN_GROUP_SIZE)
+        .max(1)
+        .next_power_of_two()
 }
 
 fn group_hash(back_end: u32) -> u64 {
@@ -45,22 +48,22 @@
 }
 
 impl HashGroups {
-    fn position(&self, hash: u64) -> usize {
+    fn group_index(&self, hash: u64) -> usize {
         let bits = self.groups.len().trailing_zeros();
         hash.checked_shr(u64::BITS - bits).unwrap_or(0) as usize
     }
 
     fn add(&mut self, back_end: u32, instance: &InstanceId) {
         let hash = group_hash(back_end);
-        let position = self.position(hash);
-        self.groups[position].push((hash, instance.clone()));
+        let group_index = self.group_index(hash);
+        self.groups[group_index].push((hash, instance.clone()));
         self.count += 1;
         self.regroup();
     }
 
     fn remove(&mut self, back_end: u32, instance: &InstanceId) {
-        let position = self.position(group_hash(back_end));
-        let group = &mut self.groups[position];
+        let group_index = self.group_index(group_hash(back_end));
+        let group = &mut self.groups[group_index];
         let before = group.len();
         group.retain(|(_, member)| member != instance);
         self.count -= before - group.len();
@@ -69,16 +72,16 @@
 
     /// Sorts all anew if their number asks for more groups, or fewer.
     fn regroup(&mut self) {
-        let wanted = group_count(self.count);
-        if wanted == self.groups.len() {
+        let target_count = group_count(self.count);
+        if target_count == self.groups.len() {
             return;
         }
         let members = std::mem::take(&mut self.groups).into_iter().flatten();
         let members: Vec<(u64, InstanceId)> = members.collect();
-        self.groups.resize_with(wanted, Vec::new);
+        self.groups.resize_with(target_count, Vec::new);
         for (hash, instance) in members {
-            let position = self.position(hash);
-            self.groups[position].push((hash, instance));
+            let group_index = self.group_index(hash);
+            self.groups[group_index].push((hash, instance));
         }
     }
 
@@ -94,7 +97,7 @@
         hash: u64,
     ) -> impl Iterator<Item = impl Iterator<Item = &InstanceId>> {
         let hash = xxh3_64_with_seed(&hash.to_le_bytes(), GROUP_SEED);
-        let first = self.position(hash);
+        let first = self.group_index(hash);
         let (before, after) = self.groups.split_at(first);
         let groups = after.iter().chain(before);
         groups.map(|group| group.iter().map(|(_, instance)| instance))
@@ -103,11 +106,11 @@
     /// Some back ends drawn at random, perhaps the same one twice.
     pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<&InstanceId> {
         // Groups differ in size: an empty one is no draw.
-        let drawn = (0..count).filter_map(|_| {
+        let sampled = (0..count).filter_map(|_| {
             let group = self.groups.choose(random)?;
             group.choose(random)
         });
-        drawn.map(|(_, instance)| instance).collect()
+        sampled.map(|(_, instance)| instance).collect()
     }
 }
 
--- a/crates/coordination/dispatch/src/load/rate_limit.rs
+++ b/crates/coordination/dispatch/src/load/rate_limit.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Units of a limit in one request a second.
-const UNITS: f64 = 1_000.0;
+const UNITS_PER_REQUEST: f64 = 1_000.0;
 
 /// Requests a second that a back end takes from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -19,13 +19,13 @@
     pub fn from_requests_per_second(rate: f64) -> Option<Self> {
         let is_limit = rate.is_finite() && rate >= 0.0;
         is_limit.then_some(Self {
-            thousandths: (rate * UNITS) as u64,
+            thousandths: (rate * UNITS_PER_REQUEST) as u64,
         })
     }
 
     /// Requests a second.
     pub fn requests_per_second(self) -> f64 {
-        self.thousandths as f64 / UNITS
+        self.thousandths as f64 / UNITS_PER_REQUEST
     }
 }
 
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -27,14 +27,14 @@
 /// Memory assumed for a back end that is no model engine.
 const NO_ENGINE_TOKENS: u64 = 0;
 /// Tokens whose reading time tells an engine's rate: long enough that rounding is nothing.
-const READING_SAMPLE: u64 = 100_000;
+const PREFILL_SAMPLE_TOKENS: u64 = 100_000;
 
 /// One part in so many stands for all where the parts of a pool are counted: 100 parts at
 /// each of 320 engines are then counted in 0.1 ms.
-const SAMPLED_EACH: u64 = 8;
+const PART_SAMPLING_INTERVAL: u64 = 8;
 
 /// Parts noted between two looks at them.
-const MOST_PLACED_LATELY: usize = 512;
+const MAX_RECENT_PLACEMENTS: usize = 512;
 
 /// One back end.
 #[derive(Clone, Debug)]
@@ -67,12 +67,12 @@
     pools: HashMap<PoolName, PoolIndex>,
     by_address: HashMap<SocketAddr, (Revision, InstanceId)>,
     by_digest: HashMap<u32, InstanceId>,
-    reported: HashMap<LoadScope, Vec<u32>>,
+    reported_digests: HashMap<LoadScope, Vec<u32>>,
     models: HashMap<PoolName, PoolModel>,
     stream_isolation: HashMap<PoolName, bool>,
     splits: HashMap<PoolName, PoolSplit>,
     /// Shared parts placed anywhere since they were last taken.
-    placed_lately: Vec<PartId>,
+    recent_placements: Vec<PartId>,
     holders: Holders,
     notices: Notices,
     limit_notices: LimitNotices,
@@ -97,19 +97,20 @@
 /// What runs at some back ends of a pool together.
 fn pool_load<'a>(states: impl Iterator<Item = &'a BackEndState>, now: Timestamp) -> PoolLoad {
     let mut load = PoolLoad::default();
-    let mut rates = 0.0;
+    let mut total_prefill_rate = 0.0;
     for state in states {
-        let there = state.load.occupancy(now);
+        let occupancy = state.load.occupancy(now);
         load.engines += 1;
         load.slots += state.back_end.slots;
         load.memory_tokens += state.load.cache.engine_tokens();
-        load.running += there.running;
-        load.exposed_streams += there.exposed_streams;
-        load.long_requests += there.long_prefills;
-        load.unshared_tokens += there.unshared_tokens;
-        rates += READING_SAMPLE as f64 / state.load.prefill_time(READING_SAMPLE).seconds();
-    }
-    load.prefill_rate = rates / f64::from(load.engines.max(1));
+        load.running += occupancy.running;
+        load.exposed_streams += occupancy.exposed_streams;
+        load.long_requests += occupancy.long_prefills;
+        load.unshared_tokens += occupancy.unshared_tokens;
+        total_prefill_rate +=
+            PREFILL_SAMPLE_TOKENS as f64 / state.load.prefill_time(PREFILL_SAMPLE_TOKENS).seconds();
+    }
+    load.prefill_rate = total_prefill_rate / f64::from(load.engines.max(1));
     load
 }
 
@@ -188,14 +189,14 @@
         let sum = self.failure_sums.entry(pool.clone()).or_default();
         let before = state.health.failure_share();
         // The sum is kept so that an outcome costs the same in a pool of any size.
-        let of_others = (*sum - before).max(0.0);
+        let sum_of_others = (*sum - before).max(0.0);
         let pool_share = if others == 0 {
             0.0
         } else {
-            of_others / others as f64
+            sum_of_others / others as f64
         };
         let change = state.health.record(outcome, pool_share, now);
-        *sum = of_others + state.health.failure_share();
+        *sum = sum_of_others + state.health.failure_share();
         change
     }
 
@@ -219,24 +220,24 @@
         self.version += 1;
         let instance = back_end.instance.clone();
         let cold_remaining = back_end.cold_remaining;
-        if let Some((newest, holder)) = self.by_address.get(&back_end.address) {
-            let is_other = *holder != instance;
+        if let Some((newest, registered)) = self.by_address.get(&back_end.address) {
+            let is_other = *registered != instance;
             if is_other && *newest > revision {
                 self.remove(&instance);
                 return;
             }
             if is_other {
-                let holder = holder.clone();
-                self.remove(&holder);
+                let registered = registered.clone();
+                self.remove(&registered);
             }
         }
-        let starts_anew = self.states.get(&instance).is_some_and(|state| {
+        let must_replace = self.states.get(&instance).is_some_and(|state| {
             state.back_end.pool != back_end.pool
                 || state.back_end.address != back_end.address
                 || state.back_end.zone != back_end.zone
                 || back_end.is_different_run(&state.back_end)
         });
-        if starts_anew {
+        if must_replace {
             self.remove(&instance);
         }
         self.by_address
@@ -288,8 +289,8 @@
             *sum = (*sum - state.health.failure_share()).max(0.0);
         }
         let address = state.back_end.address;
-        let holds_address = self.by_address.get(&address);
-        if holds_address.is_some_and(|(_, holder)| holder == instance) {
+        let registered = self.by_address.get(&address);
+        if registered.is_some_and(|(_, holder)| holder == instance) {
             self.by_address.remove(&address);
         }
     }
@@ -322,8 +323,8 @@
                 slots += state.back_end.slots;
             }
             let before = self.stream_isolation.get(pool).copied().unwrap_or(false);
-            let apart = should_isolate_streams(exposed, slots, before);
-            self.stream_isolation.insert(pool.clone(), apart);
+            let is_isolated = should_isolate_streams(exposed, slots, before);
+            self.stream_isolation.insert(pool.clone(), is_isolated);
         }
     }
 
@@ -333,10 +334,10 @@
         let mut sampled = HashMap::new();
         for state in self.pool(pool) {
             let parts = state.load.cache.parts_with_lengths();
-            sampled.extend(parts.filter(|(part, _)| part.0 % SAMPLED_EACH == 0));
+            sampled.extend(parts.filter(|(part, _)| part.0 % PART_SAMPLING_INTERVAL == 0));
         }
         let tokens: u64 = sampled.values().map(|tokens| u64::from(*tokens)).sum();
-        tokens * SAMPLED_EACH
+        tokens * PART_SAMPLING_INTERVAL
     }
 
     /// The split of a pool between streams and long prompts, where pools are split by load.
@@ -409,9 +410,9 @@
         }
         state.load.speed.observe_stream(pacing);
         let split = self.splits.get(pool).filter(|split| split.is_active());
-        let was_apart = split.map(|split| split.serves_streams(state.digest));
+        let is_stream_engine = split.map(|split| split.serves_streams(state.digest));
         if let Some(model) = self.models.get_mut(pool) {
-            match was_apart {
+            match is_stream_engine {
                 None => model.observe_stream(pacing),
                 Some(false) => model.learn_mixed(pacing),
                 Some(true) => model.learn_isolated(pacing),
@@ -446,7 +447,7 @@
     pub fn apply_loads(&mut self, source: LoadSource, loads: &[LoadReport], now: Timestamp) {
         let scope = source.scope();
         let digests = loads.iter().map(|report| report.back_end).collect();
-        let previous = self.reported.insert(scope, digests);
+        let previous = self.reported_digests.insert(scope, digests);
         for digest in previous.unwrap_or_default() {
             if let Some(state) = self.by_digest_mut(digest) {
                 state.load.forget(scope);
@@ -476,10 +477,10 @@
                     .cache
                     .apply_observation(part.id, part.tokens, now);
             } else {
-                let waiting = state.load.occupancy(now).pending_tokens;
-                let tokens = waiting.max(u64::from(part.tokens));
-                let read_at = now + state.load.prefill_time(tokens);
-                state.load.cache.insert(&[part], read_at);
+                let pending_tokens = state.load.occupancy(now).pending_tokens;
+                let tokens = pending_tokens.max(u64::from(part.tokens));
+                let computed_at = now + state.load.prefill_time(tokens);
+                state.load.cache.insert(&[part], computed_at);
                 state.load.cache.record_shared(&[part]);
             }
             if placement.tokens > 0 {
@@ -490,13 +491,14 @@
 
     /// Notes shared parts that requests were placed with.
     pub fn record_placed(&mut self, parts: impl Iterator<Item = PartId>) {
-        let room = MOST_PLACED_LATELY.saturating_sub(self.placed_lately.len());
-        self.placed_lately.extend(parts.take(room));
+        let remaining_capacity = MAX_RECENT_PLACEMENTS.saturating_sub(self.recent_placements.len());
+        self.recent_placements
+            .extend(parts.take(remaining_capacity));
     }
 
     /// Shared parts placed anywhere since the last call.
     pub fn drain_recent_placements(&mut self) -> Vec<PartId> {
-        std::mem::take(&mut self.placed_lately)
+        std::mem::take(&mut self.recent_placements)
     }
 
     /// Shared parts that any engine is believed to keep.
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -3,7 +3,7 @@
 use super::{Registry, instance_digest};
 use crate::LimitReport;
 use crate::load::limit_notices::{BackEndRun, LimitNotices, NoticeOrigin};
-use crate::load::limiter::{LimitNotice, interval_of};
+use crate::load::limiter::{LimitNotice, combined_interval};
 use crate::load::notices::Notice;
 use eiderferry_routing::{InstanceId, PoolName};
 use eiderferry_types::{Span, Timestamp};
@@ -11,7 +11,8 @@
 impl Registry {
     /// A run that started then says that it is leaving. Returns whether that is new.
     pub fn record_leaving(&mut self, instance: &InstanceId, started_unix_ms: Option<u64>) -> bool {
-        let notice = self.record(instance, started_unix_ms, |notice| notice.is_leaving = true);
+        let notice =
+            self.record_notice(instance, started_unix_ms, |notice| notice.is_leaving = true);
         let is_new = notice.is_some_and(|before| !before.is_leaving);
         self.version += u64::from(is_new);
         is_new
@@ -24,31 +25,31 @@
         started_unix_ms: Option<u64>,
         until: Timestamp,
     ) {
-        self.record(instance, started_unix_ms, |notice| {
+        self.record_notice(instance, started_unix_ms, |notice| {
             notice.back_off_until(until)
         });
     }
 
     /// Time until the first of a pool's back ends that rest wants requests again.
     pub fn shortest_backoff(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
-        let working = self.pool(pool).filter(|state| state.accepts_work());
-        let rests = working.filter_map(|state| state.notice.remaining_backoff(now));
-        rests.min()
+        let accepting = self.pool(pool).filter(|state| state.accepts_work());
+        let backoffs = accepting.filter_map(|state| state.notice.remaining_backoff(now));
+        backoffs.min()
     }
 
     /// A run that started then says something of itself. Returns what it had said before;
     /// `None` where it is not listed, or another run has its name now.
-    fn record(
+    fn record_notice(
         &mut self,
         instance: &InstanceId,
         started_unix_ms: Option<u64>,
         change: impl FnOnce(&mut Notice),
     ) -> Option<Notice> {
         let state = self.states.get_mut(instance);
-        let is_over = state
+        let is_other_run = state
             .as_ref()
             .is_some_and(|state| !state.back_end.may_have_started(started_unix_ms));
-        if is_over {
+        if is_other_run {
             return None;
         }
         self.notices.record(instance, started_unix_ms, change);
@@ -76,7 +77,7 @@
     pub fn apply_limit_reports(
         &mut self,
         reports: &[LimitReport],
-        heard_from: NoticeOrigin,
+        origin: NoticeOrigin,
         now: Timestamp,
     ) {
         for report in reports {
@@ -89,7 +90,7 @@
                 back_end: report.back_end,
                 started_unix_ms: report.started_unix_ms,
             };
-            self.record_limit_of(run, notice, heard_from, now);
+            self.record_limit_of(run, notice, origin, now);
         }
     }
 
@@ -97,14 +98,14 @@
         &mut self,
         run: BackEndRun,
         notice: LimitNotice,
-        heard_from: NoticeOrigin,
+        origin: NoticeOrigin,
         now: Timestamp,
     ) {
         let state = self.by_digest_mut(run.back_end);
         if state.is_some_and(|state| !state.back_end.may_have_started(run.started_unix_ms)) {
             return;
         }
-        let evicted = self.limit_notices.record(run, notice, heard_from, now);
+        let evicted = self.limit_notices.record(run, notice, origin, now);
         for changed in evicted.into_iter().chain([run.back_end]) {
             self.update_limiter(changed);
         }
@@ -139,7 +140,7 @@
 
     /// Time in which the limited back ends of a pool together take one request.
     pub fn limited_interval(&self, pool: &PoolName) -> Option<Span> {
-        let working = self.pool(pool).filter(|state| state.accepts_work());
-        interval_of(working.filter_map(|state| state.limiter.limit()))
+        let accepting = self.pool(pool).filter(|state| state.accepts_work());
+        combined_interval(accepting.filter_map(|state| state.limiter.limit()))
     }
 }
