--- a/crates/coordination/dispatch/src/load.rs
+++ b/crates/coordination/dispatch/src/load.rs
@@ -1,4 +1,4 @@
-//! What is known of each back end: its load, its speed, its health, what it keeps.
+//! This node's state for each back end: its load, speed, health, prefix cache and rate limit.
 
 pub(crate) mod back_end_load;
 pub(crate) mod cache;
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -1,4 +1,4 @@
-//! How loaded a back end is, as this node knows it.
+//! Load of one back end, as estimated by this node.
 
 use crate::load::concurrency::ConcurrencyEstimate;
 use crate::{
@@ -7,55 +7,57 @@
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time for which another node's report counts.
+/// Time after which a load report from another node expires.
 pub const REPORT_LIFETIME: Span = Span::from_milliseconds(2_500);
-/// Time for which the sums of an aggregator count: one with a weak link tells them each
-/// 1.2 s.
+/// Time after which an aggregator's report expires. An aggregator with a slow link sends one
+/// every 1.2 s.
 const SUMMARY_LIFETIME: Span = Span::from_milliseconds(1_500);
-/// Time after which a request is held in the sums of an aggregator: its node reports at the
-/// next tick.
+/// Time after which a request is assumed to be included in an aggregator's report: its node sends
+/// a report at the next tick.
 const REPORTING_DELAY: Span = Span::from_milliseconds(110);
-/// Prompt tokens that an engine reads in a millisecond, until its answers tell (measured
-/// at the first deployment, whose engines read 37).
+/// Prefill rate of an engine, in prompt tokens per millisecond, assumed until requests have been
+/// observed (engines at the first deployment were measured at 37).
 const ASSUMED_PREFILL_TOKENS_PER_MS: f64 = 38.0;
-/// Weight of the newest observation of an engine's speed.
+/// Weight of the newest observation in the moving average of the slowness.
 const SLOWNESS_SMOOTHING: f64 = 0.15;
-/// Slowest and fastest that an engine is believed to be against the assumption.
+/// Lowest and highest ratio of observed to assumed prefill time that one observation may
+/// contribute.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 8.0);
-/// Prompts shorter than this tell nothing of an engine's speed.
+/// Prompts with fewer uncached tokens than this are too short to estimate the prefill rate from.
 const MINIMUM_OBSERVED_TOKENS: u32 = 1_500;
-/// Unit in which messages tell tokens, and parts of a stream.
+/// Load reports count tokens in hundreds and exposed streams in hundredths.
 const REPORT_SCALE: u64 = 100;
 
-/// What a request takes of a back end, and how it and the others there disturb each
-/// other.
+/// Resources that a request uses at a back end, and how it and the other requests there slow each
+/// other down.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Footprint {
-    /// Prompt tokens that have to be read.
+    /// Prompt tokens that are not cached and must be prefilled.
     pub uncached_tokens: u32,
-    /// Tokens of memory at its end that no other request shares, its answer included.
-    /// What requests share stands there once, and gives way where nobody uses it.
+    /// Tokens of memory, including the response, that the request holds when it ends and shares
+    /// with no other request. Shared tokens are stored once, and are evicted when no request uses
+    /// them.
     pub unshared_tokens: u32,
-    /// Chance that a long prompt read beside it makes it late.
+    /// Probability that the stream is late when a long prompt is prefilled beside it.
     pub exposure: f64,
-    /// Whether its own prompt takes long to read.
+    /// Whether the prefill of its own prompt takes long.
     pub is_long_prefill: bool,
 }
 
-/// A request that this node has at a back end.
+/// A request that this node has placed at the back end.
 #[derive(Clone, Copy, Debug)]
 struct RunningRequest {
     footprint: Footprint,
     pending_tokens_before: u64,
     started_at: Timestamp,
     first_event_at: Option<Timestamp>,
-    /// Whether only a replica of a request that runs elsewhere is here: it takes memory,
-    /// and no place in the batch.
+    /// Whether this is only a replica of a request that runs at another back end: it uses memory,
+    /// but no slot in the batch.
     is_replica: bool,
 }
 
 impl RunningRequest {
-    /// Whether its first event had come by then.
+    /// Whether its first event had arrived by that time.
     fn had_first_event(&self, at: Timestamp) -> bool {
         self.first_event_at.is_some_and(|first| first <= at)
     }
@@ -69,18 +71,18 @@
     }
 }
 
-/// What all nodes' requests take of a back end together.
+/// Resources in use at a back end by the requests of one or more nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
-    /// Requests.
+    /// Number of requests.
     pub running: u32,
-    /// Streams that a long prompt would make late, in expectation.
+    /// Expected number of streams that a long prompt would make late.
     pub exposed_streams: f64,
-    /// Requests whose own prompts take long to read.
+    /// Number of requests whose own prefill takes long.
     pub long_prefills: u32,
-    /// Tokens of memory at their ends that only one request has.
+    /// Tokens of memory that requests hold when they end and don't share with other requests.
     pub unshared_tokens: u64,
-    /// Prompt tokens that are still to be read.
+    /// Prompt tokens whose prefill is not finished.
     pub pending_tokens: u64,
 }
 
@@ -166,31 +168,32 @@
     u16::try_from(value).unwrap_or(u16::MAX)
 }
 
-/// Whose requests a report counts, and who tells of them: digests of names.
+/// Which requests a load report covers and which node sent it. Zones and nodes are identified by
+/// digests of their names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
-    /// A node tells of its own requests.
+    /// A node reports its own requests.
     Node(u64),
-    /// A node tells of those of another zone.
+    /// A node reports the requests of another zone.
     Zone {
-        /// The zone.
+        /// Digest of the zone's name.
         zone: u64,
-        /// The node.
+        /// Digest of the reporting node's name.
         reporter: u64,
     },
-    /// An aggregator tells of those of all nodes.
+    /// An aggregator reports the requests of all nodes.
     AllNodes {
-        /// The aggregator.
+        /// Digest of the aggregator's name.
         reporter: u64,
     },
 }
 
-/// What a report counts, whoever tells it.
+/// Which requests a load report covers, regardless of the node that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LoadScope {
     /// Requests of one node.
     Node(u64),
-    /// Requests of another zone's nodes.
+    /// Requests of the nodes of another zone.
     Zone(u64),
     /// Requests of all nodes.
     AllNodes,
@@ -214,7 +217,8 @@
     }
 }
 
-/// Tokens of single requests that others ever placed at a back end.
+/// Cumulative count of unshared tokens that the nodes covered by a report have placed at a back
+/// end.
 #[derive(Clone, Copy, Debug)]
 struct PlacedTokens {
     reporter: u64,
@@ -227,28 +231,30 @@
 pub struct BackEndLoad {
     running: BTreeMap<LeaseId, RunningRequest>,
     reports: HashMap<LoadScope, ReceivedReport>,
-    /// Tokens of single requests that this node ever placed there, and those that it has
-    /// heard of since its start.
+    /// Cumulative counts of unshared tokens placed at the back end: by this node, and by others
+    /// in the reports received since this node started.
     own_placed_tokens: u64,
     tokens_placed_by_nodes: u64,
     tokens_placed_by_zones: u64,
-    /// The same of all nodes, however this node hears of it.
+    /// Unshared tokens placed by all nodes, whether learned from an aggregator or from single
+    /// reports.
     placed_by_all: u64,
-    /// What each source told last.
+    /// Latest cumulative count for each scope.
     last_placed_by_scope: HashMap<LoadScope, PlacedTokens>,
-    /// What all nodes have there, as an aggregator told it.
+    /// Load of all nodes, as last reported by an aggregator.
     aggregate: Option<ReceivedReport>,
     slowness: f64,
     outcomes: RecentOutcomes,
     concurrency: ConcurrencyEstimate,
-    /// Its speed against its pool.
+    /// Speed of the engine relative to its pool.
     pub speed: EngineSpeed,
-    /// Prompts it is believed to keep.
+    /// Prompt parts that the back end is believed to have cached.
     pub cache: PrefixCache,
 }
 
 impl BackEndLoad {
-    /// A back end that nothing is known of, with memory for so many tokens.
+    /// Creates the load of a back end without observations, with memory for `engine_tokens`
+    /// tokens.
     pub fn new(engine_tokens: u64, speed: EngineSpeed) -> Self {
         Self {
             running: BTreeMap::new(),
@@ -267,15 +273,16 @@
         }
     }
 
-    /// Requests of this node there.
+    /// Number of this node's requests at the back end, without replicas.
     pub fn own_running(&self) -> u32 {
         let running = self.running.values();
         running.filter(|running| !running.is_replica).count() as u32
     }
 
-    /// Requests there by which it is judged to be full; `running` is the latest count. Streams at
-    /// an engine run for seconds, so that the count stands; of calls to a plain back end only this
-    /// node's own are known as they are.
+    /// Number of requests by which the back end is judged to be full; `running` is the latest
+    /// count. Streams at an engine run for seconds, so the latest count is used there. Calls to
+    /// other back ends are short and only this node's own count of them is current, so the count
+    /// is averaged, but is never lower than this node's own.
     pub(crate) fn smoothed_concurrency(&mut self, running: u32, now: Timestamp) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return f64::from(running);
@@ -284,7 +291,8 @@
         mean.max(f64::from(self.own_running()))
     }
 
-    /// Times its slots that may be at a plain back end for a call to come within a target.
+    /// Factor by which the calls at a back end that is not an engine may exceed its slots while a
+    /// call still finishes within the target. It is 1 for an engine.
     pub(crate) fn batches_within(&self, target: Span) -> f64 {
         if self.cache.engine_tokens() > 0 {
             return 1.0;
@@ -292,7 +300,7 @@
         self.concurrency.batches_within(target)
     }
 
-    /// Prompt tokens of this node's requests that are still to be read there.
+    /// Prompt tokens of this node's requests that the back end has not prefilled yet.
     pub fn own_pending_tokens(&self, now: Timestamp) -> u64 {
         let waiting = self
             .running
@@ -309,18 +317,18 @@
         total.saturating_sub(processed.min(total / 2))
     }
 
-    /// What this node's requests take there.
+    /// Resources in use by this node's requests.
     pub fn own_occupancy(&self, now: Timestamp) -> Occupancy {
         let mut own = Occupancy::default();
         for running in self.running.values() {
-            // What waits is reckoned with what has been read since, below.
+            // Pending tokens are set below, less the estimated prefill progress.
             running.add_to(&mut own, true);
         }
         own.pending_tokens = self.own_pending_tokens(now);
         own
     }
 
-    /// What all nodes' requests take there.
+    /// Resources in use by the requests of all nodes.
     pub fn occupancy(&self, now: Timestamp) -> Occupancy {
         let own = self.own_occupancy(now);
         if let Some(aggregate) = self.fresh_aggregate(now) {
@@ -339,7 +347,7 @@
         aggregate.filter(|aggregate| now.since(aggregate.received_at) < SUMMARY_LIFETIME)
     }
 
-    /// What a sum holds of this node's own requests.
+    /// The share of this node's own requests that an aggregator's report already includes.
     fn own_part_of_aggregate(&self, aggregate: &ReceivedReport) -> Occupancy {
         let mut included = Occupancy::default();
         for running in self.running.values() {
@@ -358,18 +366,19 @@
         reports.filter(move |report| report.is_fresh(now))
     }
 
-    /// Tokens of single requests placed there by all nodes since this one listed it.
+    /// Unshared tokens placed at the back end by all nodes since this node added it to the
+    /// registry.
     pub fn placed_by_all(&self) -> u64 {
         self.placed_by_all
     }
 
-    /// Expected time to read so many prompt tokens.
+    /// Expected time to prefill this number of prompt tokens.
     pub fn prefill_time(&self, tokens: u64) -> Span {
         let milliseconds = tokens as f64 / ASSUMED_PREFILL_TOKENS_PER_MS * self.slowness;
         Span::from_seconds(milliseconds / 1_000.0)
     }
 
-    /// Takes over what a source reports of requests there.
+    /// Stores a load report, replacing the previous one of the same scope.
     pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
         self.record_placed(source, report.placed_hundreds * REPORT_SCALE, at);
         let report = ReceivedReport::new(report, at);
@@ -381,9 +390,10 @@
         }
     }
 
-    /// Others have ever placed so many tokens of single requests there. After a restart of
-    /// the teller the figure begins anew. The figures of two tellers differ by what one of
-    /// them has not heard, so that only one is followed for as long as it is heard.
+    /// Adds the increase of a reporter's cumulative count of placed unshared tokens. The count
+    /// starts from zero when the reporter restarts. Two reporters of the same scope may have
+    /// received different reports, so their counts can't be compared: one reporter is followed
+    /// until its reports stop arriving.
     fn record_placed(&mut self, source: LoadSource, placed: u64, at: Timestamp) {
         let scope = source.scope();
         let reporter = source.reporter();
@@ -413,13 +423,13 @@
         self.last_placed_by_scope.insert(scope, placed);
     }
 
-    /// What this node has there, as one report.
+    /// Report of this node's own requests.
     pub(crate) fn own_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|_| false, now)
             .to_message(back_end, self.own_placed_tokens)
     }
 
-    /// What the nodes have there that report to this one, and it itself, as one report.
+    /// Report of the requests of this node and of all nodes that report directly to it.
     pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
             .to_message(
@@ -428,7 +438,7 @@
             )
     }
 
-    /// What all nodes have there, as one report.
+    /// Report of the requests of all nodes.
     pub(crate) fn report_of_all(&self, back_end: u32, now: Timestamp) -> LoadReport {
         let placed =
             self.own_placed_tokens + self.tokens_placed_by_nodes + self.tokens_placed_by_zones;
@@ -451,7 +461,7 @@
         total
     }
 
-    /// Forgets what a source reported.
+    /// Discards the last report of a scope.
     pub(crate) fn forget(&mut self, scope: LoadScope) {
         match scope {
             LoadScope::AllNodes => self.aggregate = None,
@@ -464,7 +474,8 @@
     pub(crate) fn begin(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
         self.own_placed_tokens += u64::from(footprint.unshared_tokens);
         if self.fresh_aggregate(now).is_none() {
-            // A sum holds what this node places, too.
+            // If there is a fresh aggregate, these tokens are counted when an aggregator reports
+            // them.
             self.placed_by_all += u64::from(footprint.unshared_tokens);
         }
         let running = RunningRequest {
@@ -477,7 +488,7 @@
         self.running.insert(lease, running);
     }
 
-    /// A replica of a request that runs elsewhere is kept up here.
+    /// Records that this back end keeps a replica of a request that runs elsewhere.
     pub(crate) fn begin_replica(&mut self, lease: LeaseId, tokens: u32, now: Timestamp) {
         self.own_placed_tokens += u64::from(tokens);
         let running = RunningRequest {
@@ -493,12 +504,12 @@
         self.running.insert(lease, running);
     }
 
-    /// A replica is no longer kept.
+    /// Records that a replica is no longer kept.
     pub(crate) fn end_replica(&mut self, lease: LeaseId) {
         self.running.remove(&lease);
     }
 
-    /// The first event of a request came.
+    /// Records the first event of a request.
     pub(crate) fn first_event(&mut self, lease: LeaseId, now: Timestamp) {
         let Some(running) = self.running.get_mut(&lease) else {
             return;
@@ -521,22 +532,23 @@
         self.slowness += SLOWNESS_SMOOTHING * (ratio - self.slowness);
     }
 
-    /// What this node has seen end there lately.
+    /// Recent outcomes of this node's requests.
     pub fn own_outcomes(&self, now: Timestamp) -> OutcomeCounts {
         self.outcomes.counts(now)
     }
 
-    /// What all nodes have seen end there lately.
+    /// Recent outcomes of the requests of all nodes.
     pub(crate) fn recent_outcomes(&self, now: Timestamp) -> OutcomeCounts {
         if let Some(aggregate) = self.fresh_aggregate(now) {
-            // Its own outcomes count twice: they are a small part, and the newest.
+            // This node's own outcomes are counted twice here; they are a small part of the total
+            // and the most recent.
             return aggregate.outcomes.plus(self.own_outcomes(now));
         }
         let reports = self.fresh_reports(now).map(|report| report.outcomes);
         reports.fold(self.own_outcomes(now), OutcomeCounts::plus)
     }
 
-    /// Share of failures among what all nodes have seen end there lately.
+    /// Share of failures among the recent outcomes of all nodes.
     pub fn failure_share(&self, now: Timestamp) -> f64 {
         self.recent_outcomes(now).failure_share()
     }
--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -1,4 +1,4 @@
-//! What a node believes an engine keeps of the prompts it has read.
+//! This node's estimate of the prompt parts in an engine's prefix cache.
 
 use super::cache_index::EVENT_DELAY;
 use crate::PromptPart;
@@ -6,27 +6,27 @@
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Part of an engine's memory assumed to hold kept prompts.
+/// Share of an engine's memory assumed to be available for cached prompts.
 const USABLE_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
     tokens: u32,
     sequence: u64,
-    /// When it has been read, as far as that can be expected.
+    /// Expected time at which the prefill of the part is complete.
     computed_at: Timestamp,
-    /// When the engine itself told that it keeps it.
+    /// When the engine last reported that it has the part cached.
     observed_at: Option<Timestamp>,
-    /// Whether requests are known to share it.
+    /// Whether more than one request is known to use the part.
     is_shared: bool,
 }
 
-/// What was read or made at one moment.
+/// An entry in the eviction order.
 #[derive(Clone, Copy, Debug)]
 enum Entry {
-    /// A part that requests share.
+    /// A prompt part that requests can share.
     Shared(PartId),
-    /// So many tokens that only one request has.
+    /// A number of tokens that only one request uses.
     Unshared(u64),
 }
 
@@ -34,8 +34,7 @@
     (engine_tokens as f64 * USABLE_SHARE) as u64
 }
 
-/// Parts of prompts that an engine is believed to keep, least recently used first
-/// to go.
+/// Prompt parts that an engine is believed to have cached, with least-recently-used eviction.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     engine_tokens: u64,
@@ -47,7 +46,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache of an engine with memory for so many tokens.
+    /// Creates an empty cache for an engine with memory for `engine_tokens` tokens.
     pub fn new(engine_tokens: u64) -> Self {
         Self {
             engine_tokens,
@@ -59,36 +58,37 @@
         }
     }
 
-    /// The engine has memory for so many tokens.
+    /// Sets the engine's memory, in tokens, and evicts what no longer fits.
     pub fn set_engine_tokens(&mut self, engine_tokens: u64) {
         self.engine_tokens = engine_tokens;
         self.capacity = usable_tokens(engine_tokens);
         self.evict();
     }
 
-    /// Tokens that the engine has memory for; 0 for a back end that is no engine.
+    /// Memory of the engine, in tokens; 0 for a back end that is not an engine.
     pub fn engine_tokens(&self) -> u64 {
         self.engine_tokens
     }
 
-    /// Tokens of kept prompts that it is assumed to have room for.
+    /// Number of cached prompt tokens for which the engine is assumed to have room.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// The parts kept, with their lengths.
+    /// Cached parts with their lengths in tokens.
     pub fn parts_with_lengths(&self) -> impl Iterator<Item = (PartId, u32)> {
         let parts = self.parts.iter();
         parts.map(|(part, cached)| (*part, cached.tokens))
     }
 
-    /// Tokens at the beginning of the prompt that need not be read.
+    /// Number of tokens at the start of the prompt that are cached and need no prefill.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
         let cached = parts.iter().take_while(|part| self.contains(part.id));
         cached.map(|part| part.tokens).sum()
     }
 
-    /// The same of what has been read by now: what is still being read can't be copied.
+    /// Like `cached_tokens`, but only counts parts whose prefill is complete: parts that are
+    /// still being computed can't be copied to another engine.
     pub fn computed_tokens(&self, parts: &[PromptPart], now: Timestamp) -> u32 {
         let cached = parts
             .iter()
@@ -97,12 +97,12 @@
         computed.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Whether a part is kept.
+    /// Whether the part is believed to be cached.
     pub fn contains(&self, part: PartId) -> bool {
         self.parts.contains_key(&part)
     }
 
-    /// Notes that a prompt will have been read by then.
+    /// Inserts the parts of a prompt whose prefill is expected to be complete at `computed_at`.
     pub fn insert(&mut self, parts: &[PromptPart], computed_at: Timestamp) {
         for part in parts.iter().rev() {
             self.touch(*part, computed_at);
@@ -110,7 +110,7 @@
         self.evict();
     }
 
-    /// Notes that these parts, which are kept, are ones that requests share.
+    /// Marks those of the parts that are cached as shared between requests.
     pub fn record_shared(&mut self, parts: &[PromptPart]) {
         for part in parts {
             if let Some(cached) = self.parts.get_mut(&part.id) {
@@ -124,12 +124,12 @@
         shared.map(|(part, cached)| (*part, cached))
     }
 
-    /// Shared parts that are believed kept.
+    /// Cached parts that requests share.
     pub fn parts(&self) -> impl Iterator<Item = PartId> {
         self.shared_parts().map(|(part, _)| part)
     }
 
-    /// Shared parts believed kept that have been read by a moment.
+    /// Shared parts whose prefill was complete before this moment.
     pub(crate) fn computed_before(&self, moment: Timestamp) -> impl Iterator<Item = PartId> {
         let computed = self
             .shared_parts()
@@ -137,8 +137,8 @@
         computed.map(|(part, _)| part)
     }
 
-    /// The engine itself told how much it keeps of a part. What is being read there just now
-    /// may not have reached that word.
+    /// Applies the engine's own report of how many tokens of a part it has cached. A report of 0
+    /// is ignored while the part may be too new to be included in it.
     pub fn apply_observation(&mut self, part: PartId, tokens: u32, now: Timestamp) {
         let known = self.parts.get(&part);
         if tokens == 0 {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The engine told just now what it holds.
+    /// Records that the engine has just reported the parts for which `is_stored` holds.
     pub(crate) fn confirm(&mut self, is_stored: impl Fn(PartId) -> bool, now: Timestamp) {
         for (part, cached) in &mut self.parts {
             if is_stored(*part) {
@@ -165,8 +165,8 @@
         }
     }
 
-    /// How long ago the engine itself told that it keeps what is expected of the beginning of
-    /// a prompt; `None` where that is only believed, or nothing is kept.
+    /// Time since the engine reported the expected cached start of the prompt, by its oldest
+    /// part; `None` if any of its parts was never reported, or nothing is cached.
     pub fn observation_age(&self, parts: &[PromptPart], now: Timestamp) -> Option<Span> {
         let cached = parts.iter().map_while(|part| self.parts.get(&part.id));
         let ages = cached.map(|cached| cached.observed_at.map(|at| now.since(at)));
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Notes tokens that take room and that no other request shares.
+    /// Adds tokens that occupy memory and that no other request shares.
     pub fn insert_unshared(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -1,126 +1,129 @@
-//! What one engine has told of its cache, and where that differs from what is believed.
+//! The contents of one engine's prefix cache as the engine reports them, and the differences from
+//! this node's estimate.
 
 use crate::{PrefixCache, PromptPart};
 use eiderferry_routing::PartId;
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{HashMap, HashSet};
 
-/// Parts remembered of one engine, those that it dropped included. An engine with 470,000
-/// tokens holds some 1,900 parts of 250 tokens.
+/// Parts remembered for one engine, including removed ones. An engine with memory for 470,000
+/// tokens holds about 1,900 parts of 250 tokens.
 const MAX_PARTS: usize = 4_096;
-/// Time for which an event may be under way: what was expected to be read later than this
-/// before an answer isn't contradicted by it.
+/// Time that an event may take to arrive. A response doesn't contradict a part whose prefill was
+/// expected to be complete less than this before it.
 pub(crate) const EVENT_DELAY: Span = Span::from_milliseconds(1_000);
-/// Shortest and longest time between two calls at an engine. Calls that return early are
-/// priced, so the pace follows what they gain.
+/// Shortest and longest time between two calls to an engine. Calls that return early have a cost,
+/// so the interval depends on how many corrections they yield.
 const MIN_CALL_INTERVAL: Span = Span::from_milliseconds(1_000);
 const MAX_CALL_INTERVAL: Span = Span::from_milliseconds(16_000);
-/// Answers without a correction, at the longest pace, after which an engine is left alone.
+/// Responses without a correction at the longest interval; when one more follows, the engine is
+/// not called for `IDLE_CALL_INTERVAL`.
 const MAX_UNCORRECTED_RESPONSES: u32 = 2;
-/// Time for which it is left alone.
+/// Time without calls to an engine whose responses yield no corrections.
 const IDLE_CALL_INTERVAL: Span = Span::from_milliseconds(60_000);
-/// Pause after a call that gave nothing, doubled with each further one.
+/// Delay after the first failed call; it doubles with each further failure.
 const INITIAL_RETRY_DELAY: Span = Span::from_milliseconds(1_000);
-/// Most times that the pause is doubled.
+/// Maximum number of times that the delay is doubled.
 const MAX_RETRY_DOUBLINGS: u32 = 5;
-/// Time for which an engine may hold a call.
+/// Time for which an engine may hold a long-polling call open.
 pub(crate) const LONG_POLL_TIME: Span = Span::from_milliseconds(1_000);
 
-/// A change of what an engine keeps.
+/// A change in an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Its number; the engine counts its events.
+    /// Sequence number that the engine gives the event.
     pub number: u64,
-    /// The part.
+    /// The prompt part that changed.
     pub part: PartId,
-    /// Tokens of it that are kept from now on.
+    /// Number of its tokens that are cached from now on; 0 if it was removed.
     pub tokens: u32,
 }
 
-/// The events that follow on a number.
+/// Response to a call for the events after a sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvents {
-    /// Run of the engine's cache: another one after each restart.
+    /// Identifies one lifetime of the engine's cache; it changes with each restart.
     pub epoch: u64,
-    /// Where the next call goes on.
+    /// Sequence number from which the next call continues.
     pub next: u64,
-    /// Events before these are lost.
+    /// Whether events before these have been lost.
     pub has_gap: bool,
-    /// The events.
+    /// The events; they may be out of order.
     pub events: Vec<CacheEvent>,
 }
 
-/// All that an engine keeps.
+/// The complete contents of an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheListing {
-    /// Run of the engine's cache.
+    /// Identifies one lifetime of the engine's cache.
     pub epoch: u64,
-    /// Where the first call for events goes on.
+    /// Sequence number from which the first call for events continues.
     pub next: u64,
-    /// The parts.
+    /// The cached prompt parts.
     pub kept: Vec<PromptPart>,
 }
 
-/// What an engine is to be asked.
+/// A call to be made to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheCall {
-    /// All that it keeps.
+    /// Requests the complete contents of the cache.
     List,
-    /// What changed.
+    /// Requests the events after a sequence number.
     Events {
-        /// The number to go on from.
+        /// The sequence number to continue from.
         after: u64,
-        /// How long the engine may hold the call.
+        /// How long the engine may hold the call open.
         wait: Span,
     },
 }
 
-/// What came of a call.
+/// Result of a call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheResponse {
-    /// All that the engine keeps.
+    /// The complete contents of the cache.
     Listing(CacheListing),
-    /// What changed.
+    /// Changes since the previous call.
     Events(CacheEvents),
-    /// Too many such calls are held there.
+    /// The engine already holds too many such calls open.
     Refused,
-    /// No answer came.
+    /// No response was received.
     Failed,
-    /// The answer has no known shape.
+    /// The response could not be parsed.
     Malformed,
 }
 
-/// How an engine is followed, for metrics and the log.
+/// Counters of the calls to an engine and their results, for metrics and the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowCounts {
-    /// Listings taken.
+    /// Listings applied.
     pub listings: u64,
-    /// Answers with events taken.
+    /// Responses with events applied.
     pub responses: u64,
-    /// Events taken.
+    /// Events applied.
     pub events: u64,
-    /// Gaps, and restarts of the engine's cache.
+    /// Gaps in the events, including restarts of the engine's cache.
     pub gaps: u64,
-    /// Beliefs that were corrected.
+    /// Corrections made to the estimate of the cache.
     pub corrections: u64,
-    /// Calls that gave nothing.
+    /// Calls that failed, were refused, or returned a malformed response.
     pub failed_calls: u64,
 }
 
-/// What an engine is known to hold of a part.
+/// A prompt part as the engine last reported it. Removed parts have 0 tokens.
 #[derive(Clone, Copy, Debug)]
 struct StoredPart {
     tokens: u32,
     number: u64,
 }
 
-/// What one engine has told of its cache.
+/// The contents of one engine's cache, as reported by the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheIndex {
     since: Timestamp,
     epoch: Option<u64>,
     next_event: u64,
-    /// Events before this number are in the listing.
+    /// Sequence number of the last event reflected in the listing; events with lower numbers are
+    /// ignored.
     listed_through: u64,
     stored: HashMap<PartId, StoredPart>,
     last_response_at: Timestamp,
@@ -133,7 +136,7 @@
 }
 
 impl FollowCounts {
-    /// Adds those of another engine.
+    /// Adds the counters of another engine.
     pub(crate) fn add(&mut self, other: Self) {
         self.listings += other.listings;
         self.responses += other.responses;
@@ -145,7 +148,7 @@
 }
 
 impl CacheIndex {
-    /// An engine followed from now on.
+    /// Starts following an engine.
     pub fn new(now: Timestamp) -> Self {
         Self {
             since: now,
@@ -163,17 +166,17 @@
         }
     }
 
-    /// When it began to be followed.
+    /// When this node started to follow the engine.
     pub fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// How it is followed.
+    /// Counters of the calls to the engine and their results.
     pub fn counts(&self) -> FollowCounts {
         self.counts
     }
 
-    /// The call that is due; there is never more than one under way.
+    /// Returns the call that is due, if any. At most one call is pending at a time.
     pub fn call(&mut self, now: Timestamp) -> Option<CacheCall> {
         if self.is_call_pending || now < self.next_call {
             return None;
@@ -188,7 +191,8 @@
         })
     }
 
-    /// Takes an answer in; whether what the engine keeps is known by it.
+    /// Applies the result of a call. Returns whether the contents of the engine's cache are known
+    /// after it.
     pub fn handle_response(&mut self, response: CacheResponse, now: Timestamp) -> bool {
         self.is_call_pending = false;
         match response {
@@ -235,7 +239,8 @@
         true
     }
 
-    /// The event with the highest number counts for a part, in whatever order they come.
+    /// Events may arrive out of order: the one with the highest number determines the state of a
+    /// part.
     fn apply_event(&mut self, event: &CacheEvent) {
         let previous = self.stored.get(&event.part);
         let is_older = previous.is_some_and(|stored| stored.number > event.number);
@@ -249,13 +254,15 @@
         self.stored.insert(event.part, stored);
     }
 
-    /// Dropped parts are remembered only against events that come out of order.
+    /// Removed parts are kept only to reject older events that arrive late, so they are dropped
+    /// when there are too many parts.
     fn prune_removed(&mut self) {
         if self.stored.len() > MAX_PARTS {
             self.stored.retain(|_, stored| stored.tokens > 0);
         }
         if self.stored.len() > MAX_PARTS {
-            // More than an engine can hold: it is asked for all of it again.
+            // These are more parts than an engine can hold, so the next call requests a complete
+            // listing.
             self.epoch = None;
             self.stored.clear();
         }
@@ -274,7 +281,7 @@
         self.next_call = now + INITIAL_RETRY_DELAY * (1 << doublings);
     }
 
-    /// Sets the pace by what the last answer corrected.
+    /// Adapts the call interval to the number of corrections that the last response led to.
     pub fn record_corrections(&mut self, count: usize, now: Timestamp) {
         self.counts.corrections += count as u64;
         if count > 0 {
@@ -296,7 +303,7 @@
         (stored.tokens > 0).then_some(stored.tokens)
     }
 
-    /// Parts believed kept that the engine doesn't hold.
+    /// Parts that are believed to be cached but that the engine doesn't have.
     pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
         let cutoff = self.last_response_at - EVENT_DELAY;
         let parts = believed.computed_before(cutoff);
@@ -307,8 +314,8 @@
         stale
     }
 
-    /// Parts that the engine holds and that aren't believed kept, of those that requests are
-    /// known to share.
+    /// Parts that the engine has cached and that are not believed to be cached, limited to those
+    /// that requests are known to share.
     pub fn missing_parts(
         &self,
         believed: &PrefixCache,
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -1,53 +1,55 @@
-//! Requests to cold back ends.
+//! Limits the requests sent to cold back ends.
 //!
-//! A cold back end bears a few requests a second from all nodes together; more make it
-//! fail. A few nodes of its zone, the first in an order that all compute alike by hashing,
-//! send it one request each in a little more than a second, and all others send it none.
-//! Nothing is asked and nothing is handed over, so that a lost, paused or restarted node
-//! holds nobody up, and two sets of senders for a moment stay within the bound.
+//! A cold back end can serve a few requests per second from all nodes together and fails if it
+//! receives more. Only a few nodes of its zone send requests to it, each one request in a little
+//! more than a second. They are the first nodes in an order that every node computes by
+//! rendezvous hashing. No coordination is needed, so a lost, paused or restarted node delays no
+//! other, and the limit allows for two different sets of senders for a short time.
 
 use eiderferry_routing::{ColdStart, InstanceId};
 use eiderferry_types::{Span, Timestamp};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Time between two requests of a sender to one cold back end: the second over which the
-/// bound is counted, and the 300 ms that a connection may take to come up.
+/// Time between two requests of one sender to a cold back end: the one-second window over which
+/// the limit is counted, plus the 300 ms that a connection may take to be established.
 const SENDING_INTERVAL: Span = Span::from_milliseconds(1_300);
-/// Sets of senders for which the bound has room: the nodes on both sides of a cut, or before
-/// and after a node was lost, choose different ones.
+/// Number of different sets of senders that the limit allows for: nodes on both sides of a
+/// network partition, or before and after a node is lost, may choose different sets.
 const SENDER_SETS: f64 = 2.0;
-/// What a message may take on its way: a back end is warm no sooner than it said.
+/// Maximum delay of a message; a back end is assumed to be cold for this much longer than it
+/// reported.
 const MAX_MESSAGE_DELAY: Span = Span::from_milliseconds(100);
-/// Time after a start in which a node comes to know the others of its zone: one that knows
-/// few of them would hold itself to be among the first.
+/// Time after its start in which a node discovers the other nodes of its zone. A node that knows
+/// only a few of them would wrongly rank itself among the senders.
 pub(crate) const SENDER_SETTLING_TIME: Span = Span::from_milliseconds(2_000);
-/// The same after it came to know more nodes of its zone than ever. In a fleet of 295 nodes
-/// that started together each knew a third of its zone after 2 s, and without this 18 nodes
-/// sent to one cold back end in a second, of 12 that the bound has room for
+/// The same after the number of known nodes in the zone has reached a new maximum. In a fleet of
+/// 295 nodes that started together, each knew a third of its zone after 2 s; without this delay
+/// 18 nodes sent requests to one cold back end in the same second, where the limit allows 12
 /// (`tests/cold_start.rs`).
 pub(crate) const GROWTH_SETTLING_TIME: Span = Span::from_milliseconds(1_000);
-/// Longest time for which a back end is believed to be cold: a longer one is a mistake.
+/// Longest time for which a back end is treated as cold; a longer reported time is assumed to be
+/// an error.
 pub const MAX_COLD_PERIOD: Span = Span::from_milliseconds(60_000);
 
-/// What all nodes together may send to a cold back end in a second.
+/// Limit for the requests per second that all nodes together send to a cold back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRateLimit {
-    /// Multiple of what the back end bears.
+    /// Multiple of the rate that the back end can serve.
     pub overage: f64,
-    /// Requests besides.
+    /// Requests per second allowed in addition.
     pub slack: f64,
 }
 
 impl ColdRateLimit {
-    /// Nodes that send to one cold back end.
+    /// Number of nodes that may send requests to one cold back end.
     pub fn senders(&self, start: &ColdStart) -> usize {
         let max_rate = start.requests_per_second * self.overage + self.slack;
-        // Saturates: a negative figure leaves one sender.
+        // The cast saturates: a negative value yields one sender.
         ((max_rate / SENDER_SETS) as usize).max(1)
     }
 }
 
-/// What is known of a back end's warmth, and what this node sends it while it is cold.
+/// Warm-up state of a back end, and this node's requests to it while it is cold.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WarmupState {
     listed_at: Timestamp,
@@ -57,42 +59,44 @@
     role: ColdRole,
 }
 
-/// Whether a back end is cold, and whether this node sends to it all the same.
+/// Whether a back end is cold, and whether this node sends requests to it while it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ColdRole {
-    /// It is warm.
+    /// The back end is warm.
     #[default]
     Warm,
-    /// It is cold, and other nodes send to it.
+    /// The back end is cold, and only other nodes send requests to it.
     OtherNodes,
-    /// It is cold, and this node is one of its senders.
+    /// The back end is cold, and this node is one of its senders.
     Sender,
 }
 
-/// A back end that turned cold or warm, or got other senders.
+/// A back end that became cold or warm, or for which this node's role changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WarmupChange {
-    /// The back end.
+    /// The back end's instance.
     pub instance: InstanceId,
-    /// How it stands now.
+    /// This node's new role.
     pub role: ColdRole,
-    /// Time until it is warm.
+    /// Time until the back end is warm.
     pub warm_in: Span,
 }
 
 impl WarmupState {
-    /// Takes over what the back end's entry tells.
+    /// Sets the remaining warm-up time from the back end's entry in the list.
     pub fn set_listed(&mut self, cold_remaining: Option<Span>, now: Timestamp) {
         self.listed_at = now;
         self.cold_remaining = cold_remaining;
     }
 
-    /// Its zone was evacuated and gets requests again: it starts as after a restart.
+    /// Records that the back end's zone receives requests again after an evacuation: the back end
+    /// is then as cold as after a restart.
     pub fn record_zone_return(&mut self, now: Timestamp) {
         self.zone_returned_at = Some(now);
     }
 
-    /// When it is warm. A back end that doesn't tell counts as just started.
+    /// When the back end is warm. A back end that doesn't report its warm-up time is assumed to
+    /// have just started.
     pub fn cold_until(&self, start: &ColdStart) -> Timestamp {
         let reported = self
             .cold_remaining
@@ -109,7 +113,7 @@
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
-    /// Whether it is cold.
+    /// Whether the back end is cold.
     pub fn is_cold(&self, start: &ColdStart, now: Timestamp) -> bool {
         now < self.cold_until(start)
     }
@@ -123,24 +127,24 @@
         self.role == ColdRole::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
     }
 
-    /// Notes a request of this node.
+    /// Records a request sent by this node.
     pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent_at = Some(now);
     }
 
-    /// How this node stands to it.
+    /// This node's role for the back end.
     pub fn role(&self) -> ColdRole {
         self.role
     }
 
-    /// Renews how this node stands to it; true if that changed.
+    /// Sets this node's role for the back end. Returns whether it changed.
     pub fn update_role(&mut self, role: ColdRole) -> bool {
         std::mem::replace(&mut self.role, role) != role
     }
 }
 
-/// Place of a node in the order of senders to a back end, greatest first; `node` is a hash of
-/// the node's address.
+/// Rank of a node among the senders to a back end, highest first; `node` is a hash of the node's
+/// address.
 pub(crate) fn sender_rank(node: u64, back_end: u32) -> u64 {
     xxh3_64_with_seed(&node.to_le_bytes(), u64::from(back_end))
 }
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -1,47 +1,49 @@
-//! How an engine treats its streams, learned from the streams that ran there.
+//! Models how an engine delays its streams, learned from the streams that ran there.
 //!
-//! An engine generates a token for each of its streams a step, and reads a piece of a
-//! waiting prompt in the same step. A step that reads takes many times longer, and an
-//! event may hold several tokens: while a long prompt is read, the events of all streams
-//! beside it come late, up to a pause that no longer prompt exceeds. That longest pause
-//! and the spacing without disturbance are learned, for a pool and for each engine.
+//! In each step an engine generates one token for each of its streams, and also processes a chunk
+//! of a waiting prompt. A step with prefill takes many times longer than one without, and an
+//! event may contain several tokens. While a long prompt is prefilled, the events of all other
+//! streams at the engine are late, up to a maximum pause that doesn't grow with longer prompts.
+//! This maximum pause and the spacing of undisturbed events are learned for each pool, and the
+//! spacing also for each engine.
 
 use crate::StreamPacing;
 use eiderferry_routing::EngineSpecification;
 use eiderferry_types::Span;
 
-/// Time of a step that reads a piece of a prompt, until streams have been seen (53 to
-/// 78 ms at three deployments, as the learned quantile told it).
+/// Duration of a step that prefills a chunk of a prompt, in milliseconds, assumed until streams
+/// have been observed (53 to 78 ms at three deployments, by the learned quantile).
 const ASSUMED_PREFILL_STEP_MS: f64 = 70.0;
-/// Time of a step without reading, until streams have been seen (measured there, too).
+/// Duration of a step without prefill, in milliseconds, assumed until streams have been observed
+/// (measured at the same deployments).
 const ASSUMED_DECODE_STEP_MS: f64 = 6.0;
-/// Tokens of an event where the configuration tells nothing.
+/// Tokens in an event, if the configuration doesn't specify them.
 const ASSUMED_TOKENS_PER_EVENT: u32 = 1;
-/// Part of the streams whose longest pause stays under the learned one: the streams that
-/// ran beside a long prompt are mostly more than a tenth, and their pauses lie close.
+/// Share of the streams whose longest pause is below the learned pause: mostly more than a tenth
+/// of the streams run beside a long prompt, and their pauses differ little.
 const PAUSE_QUANTILE: f64 = 0.9;
-/// The same where long prompts have engines enough of their own: few streams there run beside
-/// a prompt of the longest, and what it does to others must not be forgotten. With 0.9 the split
-/// of 90 engines ended itself at times: 52 of 2,000 streams late, load played.
+/// The same for the engines that take long prompts in a split pool: few of the streams there run
+/// beside the longest prompts, and the estimate must still reflect those. With 0.9 the split of a
+/// pool of 90 engines sometimes ended by itself, with 52 of 2,000 streams late (generated load).
 const MIXED_PAUSE_QUANTILE: f64 = 0.98;
-/// Part of the streams whose spacing stays under the learned one: those that ran almost
-/// without disturbance.
+/// Share of the streams whose spacing is below the learned spacing: those that ran almost
+/// undisturbed.
 const SPACING_QUANTILE: f64 = 0.25;
-/// Largest change of a learned quantile by one stream, as a part of it.
+/// Largest change of a learned quantile by one stream, as a fraction of its value.
 const LEARNING_RATE: f64 = 0.06;
-/// Streams shorter than this tell too little.
+/// Streams with fewer events than this are not used for learning.
 const MIN_OBSERVED_EVENTS: u64 = 5;
-/// A learned figure stays within this factor of where it began: faults of a few
-/// seconds must not make it useless.
+/// A learned value stays within this factor of its initial value, so that faults lasting a few
+/// seconds can't make it useless.
 const MAX_DRIFT_FACTOR: f64 = 4.0;
-/// Slowest and fastest that an engine is believed to be against its pool.
+/// Lowest and highest spacing of an engine's events relative to its pool.
 const RELATIVE_SLOWNESS_BOUNDS: (f64, f64) = (0.6, 3.0);
-/// Longest pauses of streams beside a long prompt, against the learned quantile: the
-/// middle one, and their spread on a logarithmic scale (measured on 3,500 streams).
+/// Longest pause of a stream beside a long prompt, relative to the learned quantile: its median,
+/// and its spread on a logarithmic scale (measured on 3,500 streams).
 const MEDIAN_PAUSE_RATIO: f64 = 0.9;
 const PAUSE_LOG_SPREAD: f64 = 0.15;
 
-/// A quantile that follows a series of samples.
+/// Online estimate of a quantile of a series of samples.
 #[derive(Clone, Copy, Debug)]
 struct QuantileEstimate {
     value: f64,
@@ -62,7 +64,8 @@
         self.observe_at_level(sample, self.level);
     }
 
-    /// Learns from a sample of a series of which this part stays under the quantile.
+    /// Updates the estimate with a sample from a series in which a share of `level` lies below
+    /// the quantile.
     fn observe_at_level(&mut self, sample: f64, level: f64) {
         let step = if sample > self.value {
             level
@@ -81,7 +84,7 @@
     span.seconds() * 1_000.0
 }
 
-/// What is learned of the engines of a pool together.
+/// Event timing learned for the engines of a pool together.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolModel {
     prefill_pause_ms: QuantileEstimate,
@@ -89,16 +92,17 @@
     has_seen_streams: bool,
 }
 
-/// How fast one engine is against its pool.
+/// Speed of one engine relative to its pool.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
     spacing_ms: QuantileEstimate,
-    /// Whether a stream has told anything of it; until then it is as fast as its pool.
+    /// Whether a stream has been observed at the engine; until then it is assumed to be as fast
+    /// as its pool.
     has_observations: bool,
 }
 
 impl PoolModel {
-    /// What is assumed of engines that no stream has been seen of.
+    /// Creates a model of engines at which no stream has been observed.
     pub fn new(engine: Option<&EngineSpecification>) -> Self {
         let tokens = engine.map_or(ASSUMED_TOKENS_PER_EVENT, |engine| engine.tokens_per_event);
         let tokens = f64::from(tokens.max(1));
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Whether anything was learned yet.
+    /// Whether any stream has been observed.
     pub fn has_seen_streams(&self) -> bool {
         self.has_seen_streams
     }
@@ -128,7 +132,7 @@
             .observe(milliseconds(pacing.longest_pause()));
     }
 
-    /// The same from a stream at an engine that long prompts are kept apart at.
+    /// Like `observe_stream`, for a stream at an engine that takes long prompts in a split pool.
     pub fn learn_mixed(&mut self, pacing: &StreamPacing) {
         let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) else {
             return;
@@ -140,8 +144,9 @@
             .observe_at_level(pause, MIXED_PAUSE_QUANTILE);
     }
 
-    /// The same from a stream that was kept apart from long prompts: it tells nothing of how
-    /// long they make others pause, and would make that be forgotten.
+    /// Like `observe_stream`, for a stream at an engine that takes no long prompts in a split
+    /// pool: its pauses say nothing about the effect of long prompts, and would make the model
+    /// forget it.
     pub fn learn_isolated(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_seen_streams = true;
@@ -149,7 +154,7 @@
         }
     }
 
-    /// An engine of this pool that no stream has been seen of.
+    /// Speed of an engine in this pool at which no stream has been observed.
     pub fn engine_speed(&self) -> EngineSpeed {
         EngineSpeed {
             spacing_ms: self.spacing_ms,
@@ -157,7 +162,8 @@
         }
     }
 
-    /// Longest pause that reading makes at an engine, however long the prompt is.
+    /// Longest pause that the prefill of a prompt causes at an engine, however long the prompt
+    /// is.
     pub fn prefill_pause(&self, speed: &EngineSpeed) -> Span {
         Span::from_seconds(self.prefill_pause_ms.value * self.relative_slowness(speed) / 1_000.0)
     }
@@ -175,8 +181,8 @@
         relative_slowness.clamp(RELATIVE_SLOWNESS_BOUNDS.0, RELATIVE_SLOWNESS_BOUNDS.1)
     }
 
-    /// Chance that a stream exceeds its target for pauses, 0 to 1, when a prompt that
-    /// takes so long to read is read beside it.
+    /// Probability, from 0 to 1, that a stream exceeds its target for pauses while a prompt with
+    /// this prefill time is processed beside it.
     pub fn late_event_probability(
         &self,
         speed: &EngineSpeed,
@@ -189,34 +195,34 @@
         1.0 / (1.0 + (-log_ratio).exp())
     }
 
-    /// The same for prompts so long that no longer one would make a difference.
+    /// The same for a prompt so long that a longer one would have no greater effect.
     pub fn delay_probability_beside_long_prompts(&self, speed: &EngineSpeed, target: Span) -> f64 {
         self.late_event_probability(speed, target, Span(u64::MAX))
     }
 
-    /// Part of the streams that the longest reading would make late which one of this
-    /// length makes late, 0 to 1. Their targets are taken to lie at the longest pause:
-    /// of those far above none is late, and far below there are few.
+    /// Share, from 0 to 1, of the streams delayed by the longest prefill that one of this
+    /// duration also delays. The targets are assumed to be equal to the longest pause: no stream
+    /// with a much longer target is late, and few have a much shorter one.
     pub fn delayed_share(&self, speed: &EngineSpeed, prefill_time: Span) -> f64 {
         let target = self.prefill_pause(speed).scaled(MEDIAN_PAUSE_RATIO);
         let longest = self.delay_probability_beside_long_prompts(speed, target);
         self.late_event_probability(speed, target, prefill_time) / longest
     }
 
-    /// Whether a prompt that takes so long to read disturbs others noticeably: half as
-    /// much as the longest can.
+    /// Whether a prompt with this prefill time disturbs other streams noticeably: at least half
+    /// as much as the longest prompt can.
     pub fn is_long_prefill(&self, speed: &EngineSpeed, prefill_time: Span) -> bool {
         prefill_time.0 * 2 >= self.prefill_pause(speed).0
     }
 }
 
 impl EngineSpeed {
-    /// Whether a stream has told anything of it.
+    /// Whether a stream has been observed at the engine.
     pub fn has_observations(&self) -> bool {
         self.has_observations
     }
 
-    /// Learns from a stream that has ended there.
+    /// Learns from a stream that has ended at the engine.
     pub fn observe_stream(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_observations = true;
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -1,33 +1,34 @@
-//! Whether a back end is given work, judged by its answers alone.
+//! Outlier ejection: takes back ends out of service by the outcomes of their requests.
 
 use crate::Outcome;
 use eiderferry_types::{Span, Timestamp};
 
-/// Failures in a row after which a back end gets no work for a while.
+/// Consecutive failures after which a back end is ejected.
 const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
-/// First time without work.
+/// Duration of the first ejection; it doubles with each further one.
 const INITIAL_EJECTION: Span = Span::from_milliseconds(1_000);
-/// Longest time without work.
+/// Longest duration of an ejection.
 const MAX_EJECTION: Span = Span::from_milliseconds(8_000);
-/// Weight of the newest answer in the share of failures.
+/// Weight of the newest response in the share of failures.
 const FAILURE_SHARE_SMOOTHING: f64 = 0.12;
-/// Share of failures above that of the pool at which a back end is ejected.
+/// Excess of a back end's share of failures over the mean of its pool at which it is ejected.
 const EXCESS_FAILURE_SHARE: f64 = 0.22;
-/// Answers needed before the share counts.
+/// Number of responses needed before the share of failures is used.
 const MIN_RESPONSES: u32 = 8;
-/// Time after which a back end that answers is fully trusted again.
+/// Time after an ejection at which a responding back end is fully trusted again: its next
+/// ejection is as short as the first.
 const PROBATION_PERIOD: Span = Span::from_milliseconds(10_000);
 
-/// What changed with a back end's standing.
+/// A change in a back end's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It gets no work for the span.
+    /// The back end receives no requests for this time.
     Ejected(Span),
-    /// It gets work again.
+    /// The back end receives requests again.
     Restored,
 }
 
-/// The standing of one back end.
+/// Health of one back end.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     consecutive_failures: u32,
@@ -40,22 +41,23 @@
 }
 
 impl Health {
-    /// Share of recent answers that were failures, 0 to 1.
+    /// Share of failures among recent responses, 0 to 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Whether it gets no work now.
+    /// Whether the back end receives no requests now.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.is_replaced || self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether another run has its address: it never comes back.
+    /// Whether another run now uses the back end's address. The back end is then ejected
+    /// permanently.
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// Takes an outcome in. `pool_share` is the mean share of failures in its pool.
+    /// Records an outcome. `pool_share` is the mean share of failures in the pool.
     pub fn record(
         &mut self,
         outcome: Outcome,
@@ -122,7 +124,8 @@
         HealthChange::Ejected(span)
     }
 
-    /// Gives no work for a while on other evidence than an answer.
+    /// Ejects the back end, unless it is ejected already, on evidence other than the outcome of a
+    /// request.
     pub fn eject_if_active(&mut self, now: Timestamp) -> Option<HealthChange> {
         (!self.is_ejected(now)).then(|| self.eject(now))
     }
--- a/crates/coordination/dispatch/src/load/holders.rs
+++ b/crates/coordination/dispatch/src/load/holders.rs
@@ -1,17 +1,17 @@
-//! Which back ends were given a shared part of a prompt last: where a large pool is not gone
-//! through, an engine that keeps a part is found here.
+//! Index of the back ends that were most recently given each shared prompt part. In a pool too
+//! large to scan for each request, it finds the engines that have a part cached.
 
 use eiderferry_routing::PartId;
 use std::collections::HashMap;
 
-/// Back ends remembered for one part: enough to copy from one while another is busy.
+/// Back ends remembered for each part: enough to copy the part from one while another is busy.
 const MAX_HOLDERS: usize = 4;
-/// Parts in one generation. Two of them take some 4 MB (reckoned) and hold what is placed
-/// within minutes: engines forget parts sooner.
+/// Parts in each of the two generations. Together they take about 4 MB (calculated) and cover the
+/// placements of several minutes, which is longer than engines keep parts.
 const PARTS_PER_GENERATION: usize = 32_768;
 
-/// The latest back ends of each part, oldest first. Parts that were not placed for a whole
-/// generation are forgotten.
+/// The most recent back ends of each part, oldest first. Parts that are not placed for a whole
+/// generation are dropped.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Holders {
     current: HashMap<PartId, Vec<u32>>,
@@ -19,7 +19,7 @@
 }
 
 impl Holders {
-    /// Notes that a part was placed at a back end.
+    /// Records that a part was placed at a back end.
     pub fn record(&mut self, part: PartId, back_end: u32) {
         if self.current.len() >= PARTS_PER_GENERATION && !self.current.contains_key(&part) {
             self.previous = std::mem::take(&mut self.current);
@@ -34,7 +34,7 @@
         holders.push(back_end);
     }
 
-    /// The back ends of a part, latest first.
+    /// Returns the back ends of a part, most recent first.
     pub fn of(&self, part: PartId) -> impl Iterator<Item = u32> {
         let holders = self.current.get(&part).or_else(|| self.previous.get(&part));
         holders.into_iter().flatten().rev().copied()
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -1,8 +1,10 @@
-//! What back ends said of their rate limits, to this node or to others, and what is told of it.
+//! Rate limits stated by back ends, to this node or to others, and what nodes tell each other
+//! about them.
 //!
-//! Nodes that send nothing to a back end hear neither that its limit changed nor that it is over,
-//! so each notice is passed on; of two the later one counts. A run's notice holds until the run says
-//! otherwise, however long ago that was.
+//! Nodes that send no requests to a back end don't learn directly that its limit has changed or
+//! been lifted, so each notice is forwarded; the most recent one applies. A notice holds until
+//! the same run of the back end states otherwise, however long ago it was. A run is one process
+//! lifetime of a back end.
 
 use crate::RateLimit;
 use crate::load::limiter::LimitNotice;
@@ -13,72 +15,74 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Runs whose notice is kept, some 100 bytes each: nearly half of a fleet of 10,000 back ends may
-/// be limited at once.
+/// Maximum number of runs whose notices are kept, at about 100 bytes each: nearly half of the
+/// back ends in a fleet of 10,000 may be limited at the same time.
 const MAX_RUNS: usize = 4_096;
-/// Time for which what has changed is told with each message to the own zone: its peers, or its
-/// aggregators, hear it several times in it, so that single messages may be lost.
+/// Time for which a change is included in each message within the own zone. Its peers, or its
+/// aggregators, receive it several times in this period, so single messages may be lost.
 const SAME_ZONE_REPORTING_PERIOD: Span = Span::from_milliseconds(500);
-/// The same to other zones, which are told less often.
+/// The same for other zones, which receive messages less often.
 const OTHER_ZONES_REPORTING_PERIOD: Span = Span::from_milliseconds(2_000);
-/// Rounds in which an aggregator tells what has changed; there are two aggregators.
+/// Number of rounds in which an aggregator reports a change; there are two aggregators.
 const AGGREGATOR_REPORTING_ROUNDS: f64 = 1.5;
-/// Changed notices told in one message, at some 15 bytes each: with them a message is a third
-/// longer than a summary of an aggregator.
+/// Changed notices in one message, at about 15 bytes each: they make a message a third longer
+/// than an aggregator's summary.
 const MAX_CHANGED_REPORTS: usize = 96;
-/// Notices told to a node that has just started.
+/// Notices sent to a node that has just started.
 const MAX_REPORTS_AT_START: usize = 64;
-/// Time for which it is remembered that a limit is over: older notices of it may still be on
-/// their way.
+/// Time for which a lifted limit is remembered: older notices that state the limit may still be
+/// in transit.
 const LIFTED_LIMIT_RETENTION: Span = Span::from_milliseconds(60_000);
-/// What the messages of one notice may take on their way in all. The same limit, said no later than
-/// that after the known notice, is taken for that one: passed on and back it would never age.
+/// Total delay that the messages forwarding one notice may have. A notice with an unchanged limit
+/// that appears newer than the known one by no more than this is taken for an echo of it;
+/// otherwise a notice that is forwarded back and forth would never age.
 const ECHO_WINDOW: Span = Span::from_milliseconds(500);
-/// What a message may take on its way, added where a limit is said to be over: passed on and
-/// back, that notice must not grow younger than one that names the limit.
+/// Message delay added to the age of a notice that a limit was lifted: forwarded back and forth,
+/// it must not become newer than a notice that states the limit.
 const LIFTED_NOTICE_MARGIN: Span = Span::from_milliseconds(10);
 
-/// What a back end said of its limit, as nodes tell each other.
+/// A back end's rate limit, as nodes report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// Digest of the back end's instance.
     pub back_end: u32,
-    /// Its run, where it tells when it started.
+    /// Start time of the back end's run, if known.
     pub started_unix_ms: Option<u64>,
-    /// The limit; `None` where it has none any more.
+    /// The limit; `None` if it has been lifted.
     pub limit: Option<RateLimit>,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the back end stated it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Where this node heard of a limit.
+/// Where this node learned of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoticeOrigin {
-    /// In an answer to this node.
+    /// From a response of the back end to this node.
     BackEnd,
-    /// From a node of the own zone.
+    /// From a node of the same zone.
     OwnZone,
     /// From a node of another zone.
     OtherZone,
 }
 
-/// For whom a message is.
+/// The receivers of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Audience {
-    /// Peers of the own zone, or its aggregators.
+    /// Peers in the same zone, or its aggregators.
     OwnZone,
-    /// Nodes of the own zone, from their aggregator, which tells all of them within so long.
+    /// Nodes in the same zone, when the sender is their aggregator and sends to all of them in
+    /// rounds.
     ZoneMembers {
-        /// Time in which each of them is told once.
+        /// Time in which the aggregator sends to each of them once.
         round: Span,
     },
-    /// Nodes of other zones.
+    /// Nodes in other zones.
     OtherZones,
 }
 
 impl Audience {
-    /// Whether it has not been told by those from whom this node heard: back and forth, each
-    /// notice would fill the messages of all nodes.
+    /// Whether the audience needs a notice from this node. It does not if this node learned of it
+    /// from the same audience: notices sent back would fill the messages of all nodes.
     fn needs_notice_from(self, origin: NoticeOrigin) -> bool {
         match self {
             Audience::OwnZone => origin != NoticeOrigin::OwnZone,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Time for which it is told what has changed.
+    /// Time for which changes are reported to the audience.
     fn reporting_period(self) -> Span {
         match self {
             Audience::OwnZone => SAME_ZONE_REPORTING_PERIOD,
@@ -96,8 +100,9 @@
         }
     }
 
-    /// Notices told in each message besides, drawn anew: nodes that were cut off, paused or started
-    /// anew hear of them, and all hear that a limit still holds.
+    /// Number of unchanged notices added to each message, chosen at random: nodes that were
+    /// partitioned, paused or restarted learn of them, and all others learn that the limit still
+    /// holds.
     fn unchanged_report_count(self) -> usize {
         match self {
             Audience::OwnZone => 1,
@@ -111,12 +116,12 @@
     started_unix_ms: Option<u64>,
     notice: LimitNotice,
     origin: NoticeOrigin,
-    /// When this node heard of the limit, or that it is over.
+    /// When this node learned of the limit, or that it was lifted.
     changed_at: Timestamp,
 }
 
 impl Entry {
-    /// Takes over what the same run said, if it is later.
+    /// Applies a notice of the same run, if it is more recent.
     fn update(&mut self, notice: LimitNotice, origin: NoticeOrigin, now: Timestamp) {
         let is_change = notice.limit != self.notice.limit;
         let margin = if is_change { Span::ZERO } else { ECHO_WINDOW };
@@ -130,7 +135,7 @@
         self.notice = notice;
     }
 
-    /// Whether it has changed lately and an audience has to hear it from this node.
+    /// Whether it has changed recently and the audience needs to learn of it from this node.
     fn needs_reporting(&self, audience: Audience, now: Timestamp) -> bool {
         now.since(self.changed_at) < audience.reporting_period()
             && audience.needs_notice_from(self.origin)
@@ -152,7 +157,7 @@
     }
 }
 
-/// A run of a back end.
+/// One run of a back end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BackEndRun {
     /// Digest of its instance.
@@ -160,28 +165,28 @@
     pub started_unix_ms: Option<u64>,
 }
 
-/// The notices of runs that named a limit, by the digests of their instances: a node that starts
-/// hears of limits before it hears which back ends there are.
+/// Notices of the runs that stated a limit, by the digests of their instances: a node that starts
+/// may learn of limits before it knows the back ends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LimitNotices {
     entries: BTreeMap<u32, Entry>,
 }
 
 impl LimitNotices {
-    /// What a listed run said last.
+    /// The latest notice of a listed run.
     pub fn of(&self, digest: u32, back_end: &BackEnd) -> Option<LimitNotice> {
         let entry = self.entries.get(&digest)?;
         let is_same_run = back_end.may_have_started(entry.started_unix_ms);
         is_same_run.then_some(entry.notice)
     }
 
-    /// Back ends that have, or had lately, a limit.
+    /// Back ends that have a limit or had one recently.
     pub fn back_ends(&self) -> impl Iterator<Item = u32> {
         self.entries.keys().copied()
     }
 
-    /// Takes in what a run said, here or elsewhere, unless it has said something since. Returns a
-    /// back end whose notice gave way to it.
+    /// Records a notice that this or another node received, unless a more recent one is known.
+    /// Returns the back end whose notice was evicted to make room, if any.
     pub fn record(
         &mut self,
         run: BackEndRun,
@@ -197,7 +202,7 @@
             entry.started_unix_ms = run.started_unix_ms.or(entry.started_unix_ms);
             return None;
         }
-        // That a run has no limit is no news where none was known.
+        // A notice without a limit is not recorded where no limit was known.
         notice.limit?;
         let evicted = self.make_room();
         let entry = Entry {
@@ -210,7 +215,8 @@
         evicted
     }
 
-    /// Forgets limits that are long over, and all of runs for which `is_gone` holds.
+    /// Removes limits that were lifted long ago, and old notices of back ends for which `is_gone`
+    /// holds.
     pub fn expire(&mut self, is_gone: impl Fn(u32) -> bool, now: Timestamp) {
         self.entries.retain(|back_end, entry| {
             let age = now.since(entry.notice.reported_at);
@@ -218,7 +224,7 @@
         });
     }
 
-    /// The notice heard longest ago gives way.
+    /// Evicts the oldest notice if there is no room for another.
     fn make_room(&mut self) -> Option<u32> {
         if self.entries.len() < MAX_RUNS {
             return None;
@@ -230,13 +236,13 @@
         Some(oldest)
     }
 
-    /// Whether anything has changed that nodes of the own zone have to hear from this one.
+    /// Whether there are changes that nodes of the same zone need to learn from this node.
     pub fn has_unsent_changes(&self, now: Timestamp) -> bool {
         let mut entries = self.entries.values();
         entries.any(|entry| entry.needs_reporting(Audience::OwnZone, now))
     }
 
-    /// What a message tells: what has changed lately, and some of the others.
+    /// Reports to include in a message: recent changes, and some of the unchanged notices.
     pub fn reports(
         &self,
         audience: Audience,
@@ -254,7 +260,7 @@
         to_reports(selected, now)
     }
 
-    /// What a node that has just started is told.
+    /// Reports for a node that has just started.
     pub fn reports_at_start(&self, now: Timestamp, random: &mut impl Rng) -> Vec<LimitReport> {
         let entries = self.entries.iter().collect();
         to_reports(sample(entries, MAX_REPORTS_AT_START, random), now)
@@ -263,7 +269,7 @@
 
 type NoticeEntry<'a> = (&'a u32, &'a Entry);
 
-/// Some of the entries where there are more: others for each receiver, however its turns come.
+/// Selects up to `max_count` entries at random, so that each message contains different ones.
 fn sample<'a>(
     entries: Vec<NoticeEntry<'a>>,
     max_count: usize,
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -1,113 +1,117 @@
-//! What this node may send to a back end that has named a rate limit.
+//! Limits the requests that this node sends to a back end with a stated rate limit.
 //!
-//! The limit holds for the sum over all nodes, and no node can ask the others before each
-//! request. So a few nodes, the first in an order that all compute alike by hashing, share it
-//! and send at a steady pace; all others send nothing. A node keeps no credit for time in which
-//! it had nothing to send: with one saved request on each of 2,200 nodes a burst would bring
-//! all of them at once.
+//! The limit applies to the requests of all nodes together, and a node can't ask the others
+//! before each request. So a few nodes, the first in an order that every node computes by
+//! rendezvous hashing, share the limit and send at a steady rate; all others send nothing. A node
+//! accumulates no credit while it has nothing to send: with one saved request on each of 2,200
+//! nodes, a burst of traffic would send all of them at once.
 
 use crate::RateLimit;
 use eiderferry_routing::InstanceId;
 use eiderferry_types::{Span, Timestamp};
 
-/// Requests a second from which on a further node sends: with fewer for each, more nodes would
-/// add up to more than the limit within a few seconds, as each sends whole requests.
+/// Requests per second for each sender; one more node becomes a sender for each multiple. If
+/// senders had lower rates, the fleet would exceed the limit over a few seconds, because each
+/// node sends whole requests.
 const MIN_RATE_PER_SENDER: f64 = 1.0;
-/// Lowest rate at which a back end is sent requests, whatever it names: with none nobody would
-/// hear that the limit is over.
+/// Lowest rate at which requests are sent to a back end, in requests per second, whatever limit
+/// it states: without requests no node would learn that the limit was lifted.
 const MIN_RATE: f64 = 1.0 / 60.0;
-/// Silence of a limited back end after which other nodes look whether the limit still holds: the
-/// senders may have no requests for it. It is longer than all nodes take to tell each other of an
-/// answer.
+/// Time without a notice from a limited back end after which other nodes probe whether the limit
+/// still holds: the senders may have no requests for it. It is longer than a notice takes to
+/// reach all nodes.
 const MIN_SILENCE: Span = Span::from_milliseconds(10_000);
-/// The same in times between two requests at the limit.
+/// The same as a multiple of the time between two requests at the limit; the longer of the two
+/// applies.
 const SILENT_INTERVALS: f64 = 3.0;
-/// Part of the limit that these looks take together.
+/// Share of the limit that the probes of all nodes use together.
 const PROBING_SHARE: f64 = 0.5;
-/// Time for which a node may send such a request once it is its turn.
+/// Time for which a node may send a probe once it is its turn.
 pub(crate) const PROBING_TURN: Span = Span::from_milliseconds(1_000);
 
-/// How a node stands to a limited back end.
+/// Role of a node for a limited back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitRole {
-    /// Other nodes send to it.
+    /// Only other nodes send requests to it.
     #[default]
     OtherNodes,
-    /// This node is one of those that send to it, one request in so long.
+    /// This node is one of the senders, with this time between two requests.
     Sender(Span),
 }
 
-/// A back end whose limit, or this node's part in it, has changed.
+/// A back end whose limit, or this node's role for it, has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitChange {
-    /// The back end.
+    /// The back end's instance.
     pub instance: InstanceId,
-    /// The limit and this node's duty; `None` where there is no limit any more.
+    /// The limit and this node's role; `None` if the limit was lifted.
     pub state: Option<(RateLimit, LimitRole)>,
 }
 
-/// What a back end said last of its limit.
+/// The latest statement of a back end about its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LimitNotice {
-    /// The limit; `None` where it has none any more.
+    /// The limit; `None` if it was lifted.
     pub limit: Option<RateLimit>,
-    /// When it said so, by this node's clock.
+    /// When the back end stated it, by this node's clock.
     pub reported_at: Timestamp,
 }
 
-/// Rate at which requests are sent under a limit, of all nodes.
+/// Rate of the requests of all nodes under a limit, in requests per second.
 fn rate(limit: RateLimit) -> f64 {
     limit.requests_per_second().max(MIN_RATE)
 }
 
-/// Time between two requests of all nodes.
+/// Time between two requests of all nodes together.
 fn interval(limit: RateLimit) -> Span {
     Span::from_seconds(1.0 / rate(limit))
 }
 
-/// Time in which back ends with these limits together take one request.
+/// Time in which back ends with these limits together accept one request; `None` if there are no
+/// limits.
 pub(crate) fn combined_interval(limits: impl Iterator<Item = RateLimit>) -> Option<Span> {
     let total_rate: f64 = limits.map(rate).sum();
     (total_rate > 0.0).then(|| Span::from_seconds(1.0 / total_rate))
 }
 
-/// Nodes among which a limit is shared, in a fleet of so many.
+/// Number of nodes that share a limit, in a fleet of `nodes` nodes.
 pub(crate) fn senders(limit: RateLimit, nodes: usize) -> usize {
-    // Saturates: an absurdly high limit is shared by all.
+    // The cast saturates: all nodes share an extremely high limit.
     let senders = (rate(limit) / MIN_RATE_PER_SENDER) as usize;
     senders.clamp(1, nodes.max(1))
 }
 
-/// Chance of each of so many nodes to have a turn at a back end of which nothing is heard.
+/// Probability with which each of `nodes` nodes gets a turn to probe a back end without recent
+/// notices.
 pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
     let turns = rate(limit) * PROBING_SHARE * PROBING_TURN.seconds();
     (turns / nodes.max(1) as f64).min(1.0)
 }
 
-/// What a back end said of its limit, and this node's part in it.
+/// A back end's rate limit, and this node's role for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Limiter {
     notice: Option<LimitNotice>,
     role: LimitRole,
     last_sent_at: Option<Timestamp>,
-    /// When this node's first request as a sender may be sent.
+    /// Earliest time of this node's first request after it has become a sender.
     first_send_at: Timestamp,
     probing_until: Option<Timestamp>,
     last_reported_state: Option<(RateLimit, LimitRole)>,
 }
 
 impl Limiter {
-    /// Takes over what the back end said last.
+    /// Sets the latest notice of the back end.
     pub fn set_notice(&mut self, notice: Option<LimitNotice>) {
         self.notice = notice;
     }
 
-    /// The limit, where there is one.
+    /// The limit, if there is one.
     pub fn limit(&self) -> Option<RateLimit> {
         self.limit_and_time().map(|(limit, _)| limit)
     }
 
-    /// How this node stands to the back end.
+    /// This node's role for the back end.
     pub fn role(&self) -> LimitRole {
         self.role
     }
@@ -126,13 +130,14 @@
         now >= self.first_send_at && last.is_none_or(|last| now.since(last) >= interval)
     }
 
-    /// Notes a request of this node.
+    /// Records a request sent by this node.
     pub fn record_sent(&mut self, now: Timestamp) {
         self.last_sent_at = Some(now);
         self.probing_until = None;
     }
 
-    /// Renews this node's part in the limit; `share` tells it by the limit.
+    /// Updates this node's role; `share` returns its share of a given limit, or `None` if it is
+    /// not a sender.
     pub fn update_role(&mut self, share: impl FnOnce(RateLimit) -> Option<SenderShare>) {
         let before = std::mem::take(&mut self.role);
         let Some((limit, reported_at)) = self.limit_and_time() else {
@@ -143,15 +148,15 @@
         };
         let interval = interval(limit).scaled(share.senders as f64);
         if before == LimitRole::OtherNodes {
-            // Another sender may have sent what was answered last, so that it counts here. Those
-            // that begin together are spread over the time between two requests.
+            // Another sender may have sent the request whose response stated the limit, so this
+            // node waits for an interval. Senders that start together are spread over one more.
             let intervals = 1.0 + share.index as f64 / share.senders as f64;
             self.first_send_at = reported_at + interval.scaled(intervals);
         }
         self.role = LimitRole::Sender(interval);
     }
 
-    /// The limit, where this node doesn't send and nothing was heard of it for so long that the
+    /// The limit, if this node is not a sender and there was no notice for so long that the
     /// senders probably have no requests for the back end.
     pub fn stale_limit(&self, now: Timestamp) -> Option<RateLimit> {
         let (limit, reported_at) = self.limit_and_time()?;
@@ -160,18 +165,18 @@
         (self.role == LimitRole::OtherNodes && is_silent).then_some(limit)
     }
 
-    /// The limit, where there is one, and when the back end named it last.
+    /// The limit, if there is one, and when the back end last stated it.
     fn limit_and_time(&self) -> Option<(RateLimit, Timestamp)> {
         let notice = self.notice?;
         Some((notice.limit?, notice.reported_at))
     }
 
-    /// This node may send one request to hear whether the limit still holds.
+    /// Allows this node to send one request to probe whether the limit still holds.
     pub fn begin_probing(&mut self, now: Timestamp) {
         self.probing_until = Some(now + PROBING_TURN);
     }
 
-    /// How the limit of the back end stands for this node, if that has changed since the last call.
+    /// Returns the state of the limit if it has changed since the last call.
     pub fn change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
         let state = self.limit().map(|limit| (limit, self.role));
         let before = std::mem::replace(&mut self.last_reported_state, state);
@@ -182,10 +187,10 @@
     }
 }
 
-/// A sender's part of a limit.
+/// A sender's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SenderShare {
-    /// Its place among the senders, from 0 on.
+    /// Index among the senders, from 0.
     pub index: usize,
     /// Number of senders.
     pub senders: usize,
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -1,33 +1,34 @@
-//! What back ends said of themselves in their answers.
+//! What back ends have stated about themselves in their responses.
 //!
-//! It holds for as long as the run does: while the platform is away no list says it, and an entry
-//! that lapses may come back as it was written before.
+//! A notice holds for the lifetime of the run that gave it. During an outage of the platform no
+//! list repeats it, and an entry that has expired may return as it was before the notice.
 
 use eiderferry_routing::{BackEnd, InstanceId, may_be_same_start};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
-/// Runs whose notices are kept beyond their entries, some 100 bytes each: those of four hours in a
-/// fleet of 10,000 back ends, a tenth of which is replaced within an hour. A listed back end keeps
-/// its own in any case.
+/// Maximum number of runs whose notices are kept after their entries have expired, at about 100
+/// bytes each. It covers four hours in a fleet of 10,000 back ends of which a tenth is replaced
+/// per hour. The notices of a listed back end are kept in any case.
 const MAX_RUNS: usize = 4_096;
 
-/// What a run said of itself.
+/// What a run has stated about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Notice {
-    /// It is leaving.
+    /// It is shutting down and takes no new requests.
     pub is_leaving: bool,
-    /// Until when it wants nothing from this node.
+    /// Time until which it wants no requests from this node.
     backoff_until: Option<Timestamp>,
 }
 
 impl Notice {
-    /// It wants nothing from this node until then, or for longer if it said so before.
+    /// Sets the time until which it wants no requests from this node, unless it has stated a
+    /// later one.
     pub fn back_off_until(&mut self, until: Timestamp) {
         self.backoff_until = self.backoff_until.max(Some(until));
     }
 
-    /// How long it wants nothing from this node from now on, if at all.
+    /// Remaining time for which it wants no requests from this node, if any.
     pub fn remaining_backoff(self, now: Timestamp) -> Option<Span> {
         let until = self.backoff_until.filter(|until| *until > now)?;
         Some(now.until(until))
@@ -40,23 +41,23 @@
     notice: Notice,
 }
 
-/// The notices of all runs that said anything.
+/// The notices of all runs that gave one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Notices {
     runs: HashMap<InstanceId, RunNotice>,
-    /// Its back ends, those that spoke first in front.
+    /// Instances in the order of their first notices, oldest first.
     insertion_order: VecDeque<InstanceId>,
 }
 
 impl Notices {
-    /// What a listed run said.
+    /// The notice of a listed run.
     pub fn of(&self, back_end: &BackEnd) -> Notice {
         let run = self.runs.get(&back_end.instance);
         let run = run.filter(|run| back_end.may_have_started(run.started_unix_ms));
         run.map(|run| run.notice).unwrap_or_default()
     }
 
-    /// A run, started then, says something.
+    /// Updates the notice of a run that started at `started_unix_ms`.
     pub fn record(
         &mut self,
         instance: &InstanceId,
--- a/crates/coordination/dispatch/src/load/outcomes.rs
+++ b/crates/coordination/dispatch/src/load/outcomes.rs
@@ -1,26 +1,26 @@
-//! How requests ended at a back end lately, over all nodes that tell.
+//! Recent outcomes of requests at a back end, across all nodes that report them.
 
 use crate::Outcome;
 use eiderferry_types::{Span, Timestamp};
 use std::collections::VecDeque;
 
-/// Width of a bucket, and buckets that count.
+/// Width of a bucket, and the number of recent buckets that are counted.
 const BUCKET_WIDTH: Span = Span::from_milliseconds(1_000);
 const BUCKET_COUNT: u64 = 4;
-/// Answers assumed to have been well: a single failure proves little.
+/// Number of successful responses assumed in addition: a single failure is weak evidence.
 const ASSUMED_COMPLETED: f64 = 3.0;
 
-/// Requests that ended, well and not.
+/// Numbers of completed and failed requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// With a whole answer.
+    /// Requests with a complete response, other than a report of a failure.
     pub completed: u32,
-    /// With a failure, or without an answer.
+    /// Requests that failed or got no response.
     pub failed: u32,
 }
 
 impl OutcomeCounts {
-    /// Both together.
+    /// Adds two counts.
     pub fn plus(self, other: Self) -> Self {
         Self {
             completed: self.completed + other.completed,
@@ -28,26 +28,26 @@
         }
     }
 
-    /// Whether there is nothing.
+    /// Whether both counts are 0.
     pub fn is_empty(self) -> bool {
         self.completed == 0 && self.failed == 0
     }
 
-    /// Share of failures, 0 to 1, cautious where little is known.
+    /// Share of failures, 0 to 1; it is biased towards 0 when there are few responses.
     pub fn failure_share(self) -> f64 {
         let total = f64::from(self.completed + self.failed) + ASSUMED_COMPLETED;
         f64::from(self.failed) / total
     }
 }
 
-/// The outcomes that this node has seen lately.
+/// Outcomes that this node has observed recently.
 #[derive(Clone, Debug, Default)]
 pub struct RecentOutcomes {
     buckets: VecDeque<(u64, OutcomeCounts)>,
 }
 
 impl RecentOutcomes {
-    /// Notes an outcome.
+    /// Records an outcome.
     pub fn record(&mut self, outcome: Outcome, now: Timestamp) {
         let number = now.0 / BUCKET_WIDTH.0;
         while self
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What was seen in the last seconds.
+    /// Counts of the last few seconds.
     pub fn counts(&self, now: Timestamp) -> OutcomeCounts {
         let number = now.0 / BUCKET_WIDTH.0;
         let recent = self
--- a/crates/coordination/dispatch/src/load/pacing.rs
+++ b/crates/coordination/dispatch/src/load/pacing.rs
@@ -1,8 +1,8 @@
-//! How the events of a stream came.
+//! Arrival times of the events in a stream.
 
 use eiderferry_types::{Span, Timestamp};
 
-/// When the events of one stream arrived from its back end.
+/// Arrival times of the events of one stream from its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamPacing {
     events: u64,
@@ -12,7 +12,7 @@
 }
 
 impl StreamPacing {
-    /// Notes that some events arrived together.
+    /// Records that a number of events arrived together.
     pub fn record(&mut self, events: u64, now: Timestamp) {
         if self.events == 0 {
             self.first_at = now;
@@ -23,12 +23,12 @@
         self.last_at = now;
     }
 
-    /// Events that arrived.
+    /// Number of events that have arrived.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// When the first event arrived; nothing before it.
+    /// When the first event arrived; `None` before it.
     pub fn first_at(&self) -> Option<Timestamp> {
         (self.events > 0).then_some(self.first_at)
     }
@@ -38,7 +38,7 @@
         self.longest_pause
     }
 
-    /// Mean time from one event to the next; nothing before the second event.
+    /// Mean time between consecutive events; `None` before the second event.
     pub fn spacing(&self) -> Option<Span> {
         let intervals = self.events.checked_sub(1).filter(|count| *count > 0)?;
         Some(Span(self.last_at.since(self.first_at).0 / intervals))
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -1,9 +1,10 @@
-//! The back ends of one pool, in the ways in which a request looks some of them up.
+//! Index of the back ends of one pool, for the lookups that a request needs.
 //!
-//! A request that went through a pool of thousands would cost a node more the larger the fleet
-//! is. So the back ends are kept in groups by hashing, of about the same size however many there
-//! are, over the whole pool and over each zone: the home of a prompt is sought in the group that
-//! the prompt's hash names. All nodes that know the same back ends form the same groups.
+//! If each request scanned a pool of thousands of back ends, the cost at a node would grow with
+//! the fleet. So back ends are hashed into groups of about the same size however many there are,
+//! once over the whole pool and once for each zone. The preferred back end for a prompt is
+//! searched for in the group that the prompt's hash selects. All nodes that know the same back
+//! ends form the same groups.
 
 use eiderferry_routing::{InstanceId, ZoneName};
 use rand::Rng;
@@ -11,17 +12,18 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most back ends of a group on the average; with twice as many there are twice as many groups.
-/// A group is gone through for each request: with 32 to 64 of them a prompt has as many
-/// candidates as in a pool that is small enough to be compared whole.
+/// Maximum mean size of a group; the number of groups doubles when it is exceeded. Each request
+/// scans one group: with 32 to 64 back ends in it, a prompt has as many candidates as in a pool
+/// that is small enough to be scanned completely.
 const MAX_MEAN_GROUP_SIZE: usize = 64;
-/// Seed of the hash that sorts back ends into groups.
+/// Seed of the hash that assigns back ends to groups.
 const GROUP_SEED: u64 = 0x0067_726f_7570;
 
-/// Back ends sorted into groups by their hashes.
+/// Back ends, grouped by their hashes.
 #[derive(Clone, Debug)]
 pub(crate) struct HashGroups {
-    /// A power of two of them: a back end's group is named by the first bits of its hash.
+    /// The number of groups is a power of two; the leading bits of a back end's hash select its
+    /// group.
     groups: Vec<Vec<(u64, InstanceId)>>,
     count: usize,
 }
@@ -35,7 +37,7 @@
     }
 }
 
-/// Number of groups for so many back ends.
+/// Number of groups for this many back ends.
 fn group_count(back_ends: usize) -> usize {
     back_ends
         .div_ceil(MAX_MEAN_GROUP_SIZE)
@@ -70,7 +72,7 @@
         self.regroup();
     }
 
-    /// Sorts all anew if their number asks for more groups, or fewer.
+    /// Redistributes all back ends if their number requires a different number of groups.
     fn regroup(&mut self) {
         let target_count = group_count(self.count);
         if target_count == self.groups.len() {
@@ -85,13 +87,13 @@
         }
     }
 
-    /// All back ends, in no order.
+    /// All back ends, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = &InstanceId> {
         let members = self.groups.iter().flatten();
         members.map(|(_, instance)| instance)
     }
 
-    /// The groups, beginning with the one that a hash names.
+    /// All groups, starting with the one that the hash selects.
     pub fn starting_at(
         &self,
         hash: u64,
@@ -103,9 +105,9 @@
         groups.map(|group| group.iter().map(|(_, instance)| instance))
     }
 
-    /// Some back ends drawn at random, perhaps the same one twice.
+    /// Chooses back ends at random, with replacement.
     pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<&InstanceId> {
-        // Groups differ in size: an empty one is no draw.
+        // Group sizes differ, and an empty group yields no back end.
         let sampled = (0..count).filter_map(|_| {
             let group = self.groups.choose(random)?;
             group.choose(random)
@@ -117,7 +119,7 @@
 /// The back ends of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// In the order of their names.
+    /// Sorted by instance.
     members: Vec<InstanceId>,
     all: HashGroups,
     by_zone: BTreeMap<ZoneName, HashGroups>,
@@ -145,7 +147,7 @@
         }
     }
 
-    /// All back ends, in the order of their names.
+    /// All back ends, sorted by instance.
     pub fn members(&self) -> &[InstanceId] {
         &self.members
     }
@@ -155,7 +157,7 @@
         &self.all
     }
 
-    /// The groups of one zone, if it has back ends.
+    /// The groups of one zone; `None` if the zone never had back ends in the pool.
     pub fn of_zone(&self, zone: &ZoneName) -> Option<&HashGroups> {
         self.by_zone.get(zone)
     }
--- a/crates/coordination/dispatch/src/load/rate_limit.rs
+++ b/crates/coordination/dispatch/src/load/rate_limit.rs
@@ -1,21 +1,22 @@
-//! Rate limits that back ends name.
+//! Rate limits stated by back ends.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Units of a limit in one request a second.
+/// Units of the stored limit per request per second.
 const UNITS_PER_REQUEST: f64 = 1_000.0;
 
-/// Requests a second that a back end takes from all nodes together.
+/// Requests per second that a back end accepts from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// In thousandths of a request a second, so that limits are told and compared exactly.
+    /// In thousandths of a request per second, so that limits are transferred and compared
+    /// exactly.
     thousandths: u64,
 }
 
 impl RateLimit {
-    /// A limit of so many requests a second; `None` where that is no limit: negative, endless or
-    /// not a number.
+    /// Creates a limit from a number of requests per second; `None` if it is negative, infinite
+    /// or not a number.
     pub fn from_requests_per_second(rate: f64) -> Option<Self> {
         let is_limit = rate.is_finite() && rate >= 0.0;
         is_limit.then_some(Self {
@@ -23,7 +24,7 @@
         })
     }
 
-    /// Requests a second.
+    /// The limit in requests per second.
     pub fn requests_per_second(self) -> f64 {
         self.thousandths as f64 / UNITS_PER_REQUEST
     }
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -1,4 +1,4 @@
-//! The back ends that may get work, with what this node knows of each.
+//! The known back ends, with this node's state for each of them.
 
 mod notices;
 
@@ -24,16 +24,17 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Memory assumed for a back end that is no model engine.
+/// Memory of a back end that is not a model engine, in tokens.
 const NO_ENGINE_TOKENS: u64 = 0;
-/// Tokens whose reading time tells an engine's rate: long enough that rounding is nothing.
+/// Number of tokens whose prefill time is used to compute an engine's prefill rate; it is large
+/// enough to make rounding negligible.
 const PREFILL_SAMPLE_TOKENS: u64 = 100_000;
 
-/// One part in so many stands for all where the parts of a pool are counted: 100 parts at
-/// each of 320 engines are then counted in 0.1 ms.
+/// One in this many parts is sampled to estimate the cached tokens of a pool: 100 parts at each
+/// of 320 engines are then counted in 0.1 ms.
 const PART_SAMPLING_INTERVAL: u64 = 8;
 
-/// Parts noted between two looks at them.
+/// Maximum number of shared parts collected between two calls of `drain_recent_placements`.
 const MAX_RECENT_PLACEMENTS: usize = 512;
 
 /// One back end.
@@ -44,23 +45,23 @@
     pub load: BackEndLoad,
     pub health: Health,
     pub warmup: WarmupState,
-    /// What it said of itself in its answers.
+    /// What it has stated about itself in its responses.
     pub notice: Notice,
-    /// What it said of a rate limit, and this node's part in it.
+    /// Its stated rate limit, and this node's role for it.
     pub limiter: Limiter,
 }
 
 impl BackEndState {
-    /// Whether it takes new work at all. Its own notice counts as the list does: while the platform
-    /// is away the list stays as it was, and what is sent to a back end that leaves is lost when it
-    /// ends.
+    /// Whether it accepts new requests at all. Its own notice has the same effect as the list:
+    /// the list is not updated during an outage of the platform, and requests sent to a back end
+    /// that is shutting down are lost when it exits.
     pub fn accepts_work(&self) -> bool {
         !self.back_end.draining && !self.notice.is_leaving && !self.health.is_replaced()
     }
 }
 
-/// All back ends. Of those listed with one address only the newest is here: a run
-/// that ended may stay listed for a while, and its address may serve another pool.
+/// All back ends. Of the back ends listed with the same address only the newest is kept: a run
+/// that has ended may stay listed for a while, and its address may now serve another pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Registry {
     states: HashMap<InstanceId, BackEndState>,
@@ -71,14 +72,14 @@
     models: HashMap<PoolName, PoolModel>,
     stream_isolation: HashMap<PoolName, bool>,
     splits: HashMap<PoolName, PoolSplit>,
-    /// Shared parts placed anywhere since they were last taken.
+    /// Shared parts placed at any back end since they were last drained.
     recent_placements: Vec<PartId>,
     holders: Holders,
     notices: Notices,
     limit_notices: LimitNotices,
-    /// How often back ends were listed anew, changed or removed.
+    /// Incremented when a back end is added, changed or removed.
     version: u64,
-    /// Sums of the shares of failures that this node saw, by pool.
+    /// Sums of the back ends' shares of failures observed by this node, by pool.
     failure_sums: HashMap<PoolName, f64>,
 }
 
@@ -94,7 +95,7 @@
     engine(table, pool).map_or(NO_ENGINE_TOKENS, |engine| engine.cache_tokens)
 }
 
-/// What runs at some back ends of a pool together.
+/// Total load of some back ends of a pool.
 fn pool_load<'a>(states: impl Iterator<Item = &'a BackEndState>, now: Timestamp) -> PoolLoad {
     let mut load = PoolLoad::default();
     let mut total_prefill_rate = 0.0;
@@ -123,14 +124,14 @@
         self.states.get_mut(instance)
     }
 
-    /// Back ends of a pool, in the order of their names.
+    /// Back ends of a pool, sorted by instance.
     pub fn pool(&self, pool: &PoolName) -> impl Iterator<Item = &BackEndState> {
         let index = self.pools.get(pool);
         let instances = index.into_iter().flat_map(PoolIndex::members);
         instances.filter_map(|instance| self.states.get(instance))
     }
 
-    /// Changes with each back end that is listed, changed or removed.
+    /// A number that changes whenever a back end is added, changed or removed.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -150,12 +151,12 @@
             .map_or(0, |index| index.members().len())
     }
 
-    /// The back ends of a pool, sorted for look-ups.
+    /// The back ends of a pool, indexed for lookups.
     pub fn pool_index(&self, pool: &PoolName) -> Option<&PoolIndex> {
         self.pools.get(pool)
     }
 
-    /// Back ends of a pool that were given a shared part lately, latest first.
+    /// Back ends of a pool that were recently given a shared part, most recent first.
     pub fn holders<'a>(
         &'a self,
         part: PartId,
@@ -169,14 +170,15 @@
         })
     }
 
-    /// Notes which back end was given the shared parts of a prompt.
+    /// Records which back end was given the shared parts of a prompt.
     pub fn record_holder(&mut self, parts: &[PromptPart], back_end: u32) {
         for part in parts {
             self.holders.record(part.id, back_end);
         }
     }
 
-    /// Takes an outcome at a back end in. Returns what it changes in its standing.
+    /// Records the outcome of a request at a back end. Returns the resulting change in its
+    /// health, if any.
     pub fn record_outcome(
         &mut self,
         instance: &InstanceId,
@@ -188,7 +190,8 @@
         let others = self.pools.get(pool)?.members().len().saturating_sub(1);
         let sum = self.failure_sums.entry(pool.clone()).or_default();
         let before = state.health.failure_share();
-        // The sum is kept so that an outcome costs the same in a pool of any size.
+        // The sum is maintained so that the cost of an outcome doesn't depend on the size of the
+        // pool.
         let sum_of_others = (*sum - before).max(0.0);
         let pool_share = if others == 0 {
             0.0
@@ -208,8 +211,8 @@
         self.states.values_mut()
     }
 
-    /// Adds or changes a back end that was listed at a revision and is heard of now. One that
-    /// started again under its name is added anew.
+    /// Adds or updates a back end that was listed at `revision` and was received now. A back end
+    /// that has restarted under the same name is replaced.
     pub fn upsert(
         &mut self,
         back_end: BackEnd,
@@ -275,7 +278,6 @@
         self.states.insert(instance, state);
     }
 
-    /// Removes a back end.
     pub fn remove(&mut self, instance: &InstanceId) {
         let Some(state) = self.states.remove(instance) else {
             return;
@@ -300,17 +302,17 @@
         self.pools.keys()
     }
 
-    /// What is learned of a pool's engines; `None` before one of them is listed.
+    /// The model learned for a pool's engines; `None` before one of them is listed.
     pub fn model(&self, pool: &PoolName) -> Option<&PoolModel> {
         self.models.get(pool)
     }
 
-    /// Whether some engines of a pool are kept for streams that long prompts make late.
+    /// Whether some engines of a pool are reserved for streams that long prompts would delay.
     pub fn isolates_streams(&self, pool: &PoolName) -> bool {
         self.stream_isolation.get(pool).copied().unwrap_or(false)
     }
 
-    /// Renews which pools keep streams apart, from what runs there now.
+    /// Updates which pools isolate such streams, based on their current load.
     pub fn update_stream_isolation(&mut self, now: Timestamp) {
         for (pool, index) in &self.pools {
             let states = index
@@ -328,8 +330,8 @@
         }
     }
 
-    /// Tokens of all different parts of prompts that the engines of a pool are believed to
-    /// keep, estimated from a sample of the parts.
+    /// Estimates, from a sample, the total tokens of the distinct prompt parts that the engines
+    /// of a pool are believed to have cached.
     pub fn cached_tokens(&self, pool: &PoolName) -> u64 {
         let mut sampled = HashMap::new();
         for state in self.pool(pool) {
@@ -340,12 +342,13 @@
         tokens * PART_SAMPLING_INTERVAL
     }
 
-    /// The split of a pool between streams and long prompts, where pools are split by load.
+    /// The split of a pool's engines between streams and long prompts, if pools are split by
+    /// load.
     pub fn split(&self, pool: &PoolName) -> Option<&PoolSplit> {
         self.splits.get(pool)
     }
 
-    /// Notes the exposure of a request that was placed.
+    /// Records the exposure of a request that was placed.
     pub fn record_exposure(&mut self, pool: &PoolName, exposure: f64) {
         if exposure < SENSITIVE_PROBABILITY {
             return;
@@ -360,8 +363,9 @@
         self.splits.values()
     }
 
-    /// Renews the splits from what runs at the back ends for which `is_usable` holds; the
-    /// last renewal was so many seconds ago. Returns those whose border has moved.
+    /// Updates the splits from the load of the back ends for which `is_usable` holds, `seconds`
+    /// after the previous update. Returns the splits whose border between the two kinds of
+    /// engines has moved.
     pub fn update_splits(
         &mut self,
         is_usable: impl Fn(&BackEndState) -> bool,
@@ -401,8 +405,8 @@
         };
         let pool = &state.back_end.pool;
         // What the pool has learned since the engine was listed must not count as a difference
-        // of this engine: with 90 engines seen rarely, streams were held for half as exposed as
-        // they were, and the split ended itself.
+        // between the engine and its pool: with 90 engines observed rarely, the exposure of
+        // streams was estimated at half its real value, and the split ended by itself.
         if let Some(model) = self.models.get(pool)
             && !state.load.speed.has_observations()
         {
@@ -420,8 +424,8 @@
         }
     }
 
-    /// A new table may give pools other memory, and tell what they are for the first
-    /// time: back ends may be listed before it.
+    /// Applies a new routing table. It may change the memory of a pool's engines, or specify a
+    /// pool for the first time: back ends may be listed before the first table arrives.
     pub fn apply_table(&mut self, table: &RoutingTable) {
         self.update_unseen_models(table);
         for state in self.states.values_mut() {
@@ -443,7 +447,7 @@
         }
     }
 
-    /// Takes over what a source reports, in place of what was reported of the same before.
+    /// Applies load reports from a source, replacing its previous reports of the same scope.
     pub fn apply_loads(&mut self, source: LoadSource, loads: &[LoadReport], now: Timestamp) {
         let scope = source.scope();
         let digests = loads.iter().map(|report| report.back_end).collect();
@@ -460,7 +464,7 @@
         }
     }
 
-    /// Takes over which prompts were placed where.
+    /// Applies placements of prompt parts that other nodes report.
     pub fn apply_placements(&mut self, placements: &[Placement], now: Timestamp) {
         self.record_placed(placements.iter().map(|placement| placement.part));
         for placement in placements {
@@ -489,19 +493,19 @@
         }
     }
 
-    /// Notes shared parts that requests were placed with.
+    /// Records shared parts with which requests were placed.
     pub fn record_placed(&mut self, parts: impl Iterator<Item = PartId>) {
         let remaining_capacity = MAX_RECENT_PLACEMENTS.saturating_sub(self.recent_placements.len());
         self.recent_placements
             .extend(parts.take(remaining_capacity));
     }
 
-    /// Shared parts placed anywhere since the last call.
+    /// Returns the shared parts placed at any back end since the last call.
     pub fn drain_recent_placements(&mut self) -> Vec<PartId> {
         std::mem::take(&mut self.recent_placements)
     }
 
-    /// Shared parts that any engine is believed to keep.
+    /// Shared parts that any engine is believed to have cached.
     pub fn cached_parts(&self) -> HashSet<PartId> {
         let caches = self.states.values().map(|state| &state.load.cache);
         caches.flat_map(PrefixCache::parts).collect()
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -1,4 +1,4 @@
-//! What back ends say of themselves: in answers to this node, and as other nodes tell it.
+//! Notices of back ends: from their responses to this node, and as reported by other nodes.
 
 use super::{Registry, instance_digest};
 use crate::LimitReport;
@@ -9,7 +9,7 @@
 use eiderferry_types::{Span, Timestamp};
 
 impl Registry {
-    /// A run that started then says that it is leaving. Returns whether that is new.
+    /// Records that a run is shutting down. Returns whether that was unknown before.
     pub fn record_leaving(&mut self, instance: &InstanceId, started_unix_ms: Option<u64>) -> bool {
         let notice =
             self.record_notice(instance, started_unix_ms, |notice| notice.is_leaving = true);
@@ -18,7 +18,7 @@
         is_new
     }
 
-    /// A run that started then wants nothing from this node until then.
+    /// Records until when a run wants no requests from this node.
     pub fn record_backoff(
         &mut self,
         instance: &InstanceId,
@@ -30,15 +30,15 @@
         });
     }
 
-    /// Time until the first of a pool's back ends that rest wants requests again.
+    /// Time until the first of a pool's back ends that are backing off accepts requests again.
     pub fn shortest_backoff(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
         let accepting = self.pool(pool).filter(|state| state.accepts_work());
         let backoffs = accepting.filter_map(|state| state.notice.remaining_backoff(now));
         backoffs.min()
     }
 
-    /// A run that started then says something of itself. Returns what it had said before;
-    /// `None` where it is not listed, or another run has its name now.
+    /// Updates the notice of a run that started at `started_unix_ms`. Returns the previous
+    /// notice; `None` if the back end is not listed, or another run has its name now.
     fn record_notice(
         &mut self,
         instance: &InstanceId,
@@ -58,7 +58,7 @@
         Some(std::mem::replace(&mut state.notice, notice))
     }
 
-    /// A run that started then says something of its rate limit.
+    /// Records a run's notice about its rate limit.
     pub fn record_limit(
         &mut self,
         instance: &InstanceId,
@@ -73,7 +73,7 @@
         self.record_limit_of(run, notice, NoticeOrigin::BackEnd, now);
     }
 
-    /// Takes over what another node tells of limits.
+    /// Applies reports of rate limits from another node.
     pub fn apply_limit_reports(
         &mut self,
         reports: &[LimitReport],
@@ -119,26 +119,28 @@
         }
     }
 
-    /// What is told of limits.
+    /// The rate limit notices to be reported to other nodes.
     pub fn limit_notices(&self) -> &LimitNotices {
         &self.limit_notices
     }
 
-    /// Back ends that have, or had lately, a limit, as far as they are listed.
+    /// Listed back ends that have a limit or had one recently.
     pub fn rate_limited(&self) -> Vec<InstanceId> {
         let known = self.limit_notices.back_ends();
         let listed = known.filter_map(|digest| self.by_digest.get(&digest));
         listed.cloned().collect()
     }
 
-    /// Forgets limits that are long over, and those of back ends that are gone.
+    /// Removes limits that were lifted long ago, and old notices of back ends that are no longer
+    /// listed.
     pub fn expire_limits(&mut self, now: Timestamp) {
         let listed = &self.by_digest;
         self.limit_notices
             .expire(|digest| !listed.contains_key(&digest), now);
     }
 
-    /// Time in which the limited back ends of a pool together take one request.
+    /// Time in which the limited back ends of a pool together accept one request; `None` if no
+    /// back end is limited.
     pub fn limited_interval(&self, pool: &PoolName) -> Option<Span> {
         let accepting = self.pool(pool).filter(|state| state.accepts_work());
         combined_interval(accepting.filter_map(|state| state.limiter.limit()))
