--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -24,7 +24,7 @@
 /// contribute.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 8.0);
 /// Prompts with fewer uncached tokens than this are too short to estimate the prefill rate from.
-const MINIMUM_OBSERVED_TOKENS: u32 = 1_500;
+const MIN_OBSERVED_TOKENS: u32 = 1_500;
 /// Load reports count tokens in hundreds and exposed streams in hundredths.
 const REPORT_SCALE: u64 = 100;
 
@@ -302,16 +302,16 @@
 
     /// Prompt tokens of this node's requests that the back end has not prefilled yet.
     pub fn own_pending_tokens(&self, now: Timestamp) -> u64 {
-        let waiting = self
+        let not_started = self
             .running
             .values()
             .filter(|running| running.first_event_at.is_none());
         let rate = ASSUMED_PREFILL_TOKENS_PER_MS / self.slowness;
-        let total: u64 = waiting
+        let total: u64 = not_started
             .clone()
             .map(|running| u64::from(running.footprint.uncached_tokens))
             .sum();
-        let oldest = waiting.map(|running| running.started_at).min();
+        let oldest = not_started.map(|running| running.started_at).min();
         let elapsed = oldest.map_or(0, |started_at| now.since(started_at).milliseconds());
         let processed = (elapsed as f64 * rate / 2.0) as u64;
         total.saturating_sub(processed.min(total / 2))
@@ -335,7 +335,7 @@
             return own.plus(
                 aggregate
                     .occupancy
-                    .minus(self.own_part_of_aggregate(aggregate)),
+                    .minus(self.own_share_of_aggregate(aggregate)),
             );
         }
         let others = self.fresh_reports(now).map(|report| report.occupancy);
@@ -348,7 +348,7 @@
     }
 
     /// The share of this node's own requests that an aggregator's report already includes.
-    fn own_part_of_aggregate(&self, aggregate: &ReceivedReport) -> Occupancy {
+    fn own_share_of_aggregate(&self, aggregate: &ReceivedReport) -> Occupancy {
         let mut included = Occupancy::default();
         for running in self.running.values() {
             if aggregate.received_at.since(running.started_at) >= REPORTING_DELAY {
@@ -379,7 +379,7 @@
     }
 
     /// Stores a load report, replacing the previous one of the same scope.
-    pub fn report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
+    pub fn apply_report(&mut self, source: LoadSource, report: &LoadReport, at: Timestamp) {
         self.record_placed(source, report.placed_hundreds * REPORT_SCALE, at);
         let report = ReceivedReport::new(report, at);
         match source.scope() {
@@ -462,7 +462,7 @@
     }
 
     /// Discards the last report of a scope.
-    pub(crate) fn forget(&mut self, scope: LoadScope) {
+    pub(crate) fn remove_report(&mut self, scope: LoadScope) {
         match scope {
             LoadScope::AllNodes => self.aggregate = None,
             scope => {
@@ -519,7 +519,7 @@
         }
         running.first_event_at = Some(now);
         let running = *running;
-        if running.footprint.uncached_tokens >= MINIMUM_OBSERVED_TOKENS {
+        if running.footprint.uncached_tokens >= MIN_OBSERVED_TOKENS {
             self.observe_prefill(&running, now);
         }
     }
@@ -554,8 +554,8 @@
     }
 
     pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
-        let ended = self.running.remove(&lease);
-        if let Some(call) = ended.filter(|_| outcome == Outcome::Completed) {
+        let finished = self.running.remove(&lease);
+        if let Some(call) = finished.filter(|_| outcome == Outcome::Completed) {
             self.concurrency.record_response(now.since(call.started_at));
         }
         self.outcomes.record(outcome, now);
--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -119,20 +119,20 @@
         }
     }
 
-    fn shared_parts(&self) -> impl Iterator<Item = (PartId, &CachedPart)> {
+    fn shared_entries(&self) -> impl Iterator<Item = (PartId, &CachedPart)> {
         let shared = self.parts.iter().filter(|(_, cached)| cached.is_shared);
         shared.map(|(part, cached)| (*part, cached))
     }
 
     /// Cached parts that requests share.
     pub fn parts(&self) -> impl Iterator<Item = PartId> {
-        self.shared_parts().map(|(part, _)| part)
+        self.shared_entries().map(|(part, _)| part)
     }
 
     /// Shared parts whose prefill was complete before this moment.
     pub(crate) fn computed_before(&self, moment: Timestamp) -> impl Iterator<Item = PartId> {
         let computed = self
-            .shared_parts()
+            .shared_entries()
             .filter(move |(_, cached)| cached.computed_at < moment);
         computed.map(|(part, _)| part)
     }
@@ -140,14 +140,14 @@
     /// Applies the engine's own report of how many tokens of a part it has cached. A report of 0
     /// is ignored while the part may be too new to be included in it.
     pub fn apply_observation(&mut self, part: PartId, tokens: u32, now: Timestamp) {
-        let known = self.parts.get(&part);
+        let previous = self.parts.get(&part);
         if tokens == 0 {
-            if known.is_some_and(|cached| cached.computed_at + EVENT_DELAY < now) {
+            if previous.is_some_and(|cached| cached.computed_at + EVENT_DELAY < now) {
                 self.remove(part);
             }
             return;
         }
-        if known.is_none() {
+        if previous.is_none() {
             self.insert(&[PromptPart { id: part, tokens }], now);
         }
         if let Some(cached) = self.parts.get_mut(&part) {
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -107,9 +107,9 @@
         } else {
             self.listed_at + reported + MAX_MESSAGE_DELAY
         };
-        let returned = self.zone_returned_at;
+        let returned_at = self.zone_returned_at;
         let after_return =
-            returned.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + MAX_MESSAGE_DELAY);
+            returned_at.map(|at| at + start.duration.min(MAX_COLD_PERIOD) + MAX_MESSAGE_DELAY);
         after_return.map_or(after_listing, |at| at.max(after_listing))
     }
 
@@ -123,8 +123,9 @@
         if !self.is_cold(start, now) {
             return true;
         }
-        let last = self.last_sent_at;
-        self.role == ColdRole::Sender && last.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
+        let last_sent_at = self.last_sent_at;
+        self.role == ColdRole::Sender
+            && last_sent_at.is_none_or(|last| now.since(last) >= SENDING_INTERVAL)
     }
 
     /// Records a request sent by this node.
--- a/crates/coordination/dispatch/src/load/holders.rs
+++ b/crates/coordination/dispatch/src/load/holders.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the back ends of a part, most recent first.
-    pub fn of(&self, part: PartId) -> impl Iterator<Item = u32> {
+    pub fn latest_holders(&self, part: PartId) -> impl Iterator<Item = u32> {
         let holders = self.current.get(&part).or_else(|| self.previous.get(&part));
         holders.into_iter().flatten().rev().copied()
     }
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -174,7 +174,7 @@
 
 impl LimitNotices {
     /// The latest notice of a listed run.
-    pub fn of(&self, digest: u32, back_end: &BackEnd) -> Option<LimitNotice> {
+    pub fn notice_of(&self, digest: u32, back_end: &BackEnd) -> Option<LimitNotice> {
         let entry = self.entries.get(&digest)?;
         let is_same_run = back_end.may_have_started(entry.started_unix_ms);
         is_same_run.then_some(entry.notice)
@@ -194,10 +194,10 @@
         origin: NoticeOrigin,
         now: Timestamp,
     ) -> Option<u32> {
-        let known = self.entries.get_mut(&run.back_end);
+        let existing = self.entries.get_mut(&run.back_end);
         let is_same_run =
             |entry: &&mut Entry| may_be_same_start(entry.started_unix_ms, run.started_unix_ms);
-        if let Some(entry) = known.filter(is_same_run) {
+        if let Some(entry) = existing.filter(is_same_run) {
             entry.update(notice, origin, now);
             entry.started_unix_ms = run.started_unix_ms.or(entry.started_unix_ms);
             return None;
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -126,8 +126,8 @@
         let LimitRole::Sender(interval) = self.role else {
             return false;
         };
-        let last = self.last_sent_at;
-        now >= self.first_send_at && last.is_none_or(|last| now.since(last) >= interval)
+        let last_sent_at = self.last_sent_at;
+        now >= self.first_send_at && last_sent_at.is_none_or(|last| now.since(last) >= interval)
     }
 
     /// Records a request sent by this node.
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -51,7 +51,7 @@
 
 impl Notices {
     /// The notice of a listed run.
-    pub fn of(&self, back_end: &BackEnd) -> Notice {
+    pub fn notice_of(&self, back_end: &BackEnd) -> Notice {
         let run = self.runs.get(&back_end.instance);
         let run = run.filter(|run| back_end.may_have_started(run.started_unix_ms));
         run.map(|run| run.notice).unwrap_or_default()
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -162,7 +162,7 @@
         part: PartId,
         pool: &'a PoolName,
     ) -> impl Iterator<Item = &'a InstanceId> {
-        let holders = self.holders.of(part);
+        let holders = self.holders.latest_holders(part);
         let instances = holders.filter_map(|digest| self.by_digest.get(&digest));
         instances.filter(|instance| {
             let state = self.states.get(*instance);
@@ -265,13 +265,13 @@
         pool.add(digest, &instance, &back_end.zone);
         self.by_digest.insert(digest, instance.clone());
         let mut limiter = Limiter::default();
-        limiter.set_notice(self.limit_notices.of(digest, &back_end));
+        limiter.set_notice(self.limit_notices.notice_of(digest, &back_end));
         let state = BackEndState {
             digest,
             load: BackEndLoad::new(tokens, speed),
             health: Health::default(),
             warmup: WarmupState::default(),
-            notice: self.notices.of(&back_end),
+            notice: self.notices.notice_of(&back_end),
             limiter,
             back_end,
         };
@@ -454,12 +454,12 @@
         let previous = self.reported_digests.insert(scope, digests);
         for digest in previous.unwrap_or_default() {
             if let Some(state) = self.by_digest_mut(digest) {
-                state.load.forget(scope);
+                state.load.remove_report(scope);
             }
         }
         for report in loads {
             if let Some(state) = self.by_digest_mut(report.back_end) {
-                state.load.report(source, report, now);
+                state.load.apply_report(source, report, now);
             }
         }
     }
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -54,7 +54,7 @@
         }
         self.notices.record(instance, started_unix_ms, change);
         let state = state?;
-        let notice = self.notices.of(&state.back_end);
+        let notice = self.notices.notice_of(&state.back_end);
         Some(std::mem::replace(&mut state.notice, notice))
     }
 
@@ -114,7 +114,7 @@
     fn update_limiter(&mut self, back_end: u32) {
         let instance = self.by_digest.get(&back_end);
         if let Some(state) = instance.and_then(|instance| self.states.get_mut(instance)) {
-            let notice = self.limit_notices.of(back_end, &state.back_end);
+            let notice = self.limit_notices.notice_of(back_end, &state.back_end);
             state.limiter.set_notice(notice);
         }
     }
