--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -1,4 +1,4 @@
-//! What a node believes an engine keeps of the prompts it has read.
+//! This node's estimate of the prompt parts in an engine's prefix cache.
 
 use super::cache_index::EVENT_DELAY;
 use crate::PromptPart;
@@ -6,222 +6,225 @@
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Part of an engine's memory assumed to hold kept prompts.
-const USABLE_PART: f64 = 0.85;
+/// Share of an engine's memory assumed to be available for cached prompts.
+const USABLE_SHARE: f64 = 0.85;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
-    order: u64,
-    /// When it has been read, as far as that can be expected.
-    read_at: Timestamp,
-    /// When the engine itself told that it keeps it.
-    known_at: Option<Timestamp>,
-    /// Whether requests are known to share it.
+    sequence: u64,
+    /// Expected time at which the prefill of the part is complete.
+    computed_at: Timestamp,
+    /// When the engine last reported that it has the part cached.
+    observed_at: Option<Timestamp>,
+    /// Whether more than one request is known to use the part.
     is_shared: bool,
 }
 
-/// What was read or made at one moment.
+/// An entry in the eviction order.
 #[derive(Clone, Copy, Debug)]
 enum Entry {
-    /// A part that requests share.
+    /// A prompt part that requests can share.
     Shared(PartId),
-    /// So many tokens that only one request has.
-    Single(u64),
+    /// A number of tokens that only one request uses.
+    Unshared(u64),
 }
 
-fn usable(engine_tokens: u64) -> u64 {
-    (engine_tokens as f64 * USABLE_PART) as u64
+fn usable_tokens(engine_tokens: u64) -> u64 {
+    (engine_tokens as f64 * USABLE_SHARE) as u64
 }
 
-/// Parts of prompts that an engine is believed to keep, least recently used first
-/// to go.
+/// Prompt parts that an engine is believed to have cached, with least-recently-used eviction.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     engine_tokens: u64,
     capacity: u64,
     used: u64,
-    next_order: u64,
-    parts: HashMap<PartId, Kept>,
-    by_age: BTreeMap<u64, Entry>,
+    next_sequence: u64,
+    parts: HashMap<PartId, CachedPart>,
+    by_recency: BTreeMap<u64, Entry>,
 }
 
 impl PrefixCache {
-    /// An empty cache of an engine with memory for so many tokens.
+    /// Creates an empty cache for an engine with memory for `engine_tokens` tokens.
     pub fn new(engine_tokens: u64) -> Self {
         Self {
             engine_tokens,
-            capacity: usable(engine_tokens),
+            capacity: usable_tokens(engine_tokens),
             used: 0,
-            next_order: 0,
+            next_sequence: 0,
             parts: HashMap::new(),
-            by_age: BTreeMap::new(),
+            by_recency: BTreeMap::new(),
         }
     }
 
-    /// The engine has memory for so many tokens.
+    /// Sets the engine's memory, in tokens, and evicts what no longer fits.
     pub fn set_engine_tokens(&mut self, engine_tokens: u64) {
         self.engine_tokens = engine_tokens;
-        self.capacity = usable(engine_tokens);
+        self.capacity = usable_tokens(engine_tokens);
         self.evict();
     }
 
-    /// Tokens that the engine has memory for; 0 for a back end that is no engine.
+    /// Memory of the engine, in tokens; 0 for a back end that is not an engine.
     pub fn engine_tokens(&self) -> u64 {
         self.engine_tokens
     }
 
-    /// Tokens of kept prompts that it is assumed to have room for.
+    /// Number of cached prompt tokens for which the engine is assumed to have room.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// The parts kept, with their lengths.
+    /// Cached parts with their lengths in tokens.
     pub fn parts_with_lengths(&self) -> impl Iterator<Item = (PartId, u32)> {
         let parts = self.parts.iter();
-        parts.map(|(part, kept)| (*part, kept.tokens))
+        parts.map(|(part, cached)| (*part, cached.tokens))
     }
 
-    /// Tokens at the beginning of the prompt that need not be read.
+    /// Number of tokens at the start of the prompt that are cached and need no prefill.
     pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
-        let kept = parts.iter().take_while(|part| self.contains(part.id));
-        kept.map(|part| part.tokens).sum()
+        let cached = parts.iter().take_while(|part| self.contains(part.id));
+        cached.map(|part| part.tokens).sum()
     }
 
-    /// The same of what has been read by now: what is still being read can't be copied.
+    /// Like `cached_tokens`, but only counts parts whose prefill is complete: parts that are
+    /// still being computed can't be copied to another engine.
     pub fn computed_tokens(&self, parts: &[PromptPart], now: Timestamp) -> u32 {
-        let kept = parts
+        let cached = parts
             .iter()
-            .map_while(|part| self.parts.get(&part.id).map(|kept| (part, kept)));
-        let read = kept.take_while(|(_, kept)| kept.read_at <= now);
-        read.map(|(part, _)| part.tokens).sum()
+            .map_while(|part| self.parts.get(&part.id).map(|cached| (part, cached)));
+        let computed = cached.take_while(|(_, cached)| cached.computed_at <= now);
+        computed.map(|(part, _)| part.tokens).sum()
     }
 
-    /// Whether a part is kept.
+    /// Whether the part is believed to be cached.
     pub fn contains(&self, part: PartId) -> bool {
         self.parts.contains_key(&part)
     }
 
-    /// Notes that a prompt will have been read by then.
-    pub fn insert(&mut self, parts: &[PromptPart], read_at: Timestamp) {
+    /// Inserts the parts of a prompt whose prefill is expected to be complete at `computed_at`.
+    pub fn insert(&mut self, parts: &[PromptPart], computed_at: Timestamp) {
         for part in parts.iter().rev() {
-            self.touch(*part, read_at);
+            self.touch(*part, computed_at);
         }
         self.evict();
     }
 
-    /// Notes that these parts, which are kept, are ones that requests share.
+    /// Marks those of the parts that are cached as shared between requests.
     pub fn record_shared(&mut self, parts: &[PromptPart]) {
         for part in parts {
-            if let Some(kept) = self.parts.get_mut(&part.id) {
-                kept.is_shared = true;
+            if let Some(cached) = self.parts.get_mut(&part.id) {
+                cached.is_shared = true;
             }
         }
     }
 
-    fn shared(&self) -> impl Iterator<Item = (PartId, &Kept)> {
-        let shared = self.parts.iter().filter(|(_, kept)| kept.is_shared);
-        shared.map(|(part, kept)| (*part, kept))
+    fn shared_entries(&self) -> impl Iterator<Item = (PartId, &CachedPart)> {
+        let shared = self.parts.iter().filter(|(_, cached)| cached.is_shared);
+        shared.map(|(part, cached)| (*part, cached))
     }
 
-    /// Shared parts that are believed kept.
+    /// Cached parts that requests share.
     pub fn parts(&self) -> impl Iterator<Item = PartId> {
-        self.shared().map(|(part, _)| part)
+        self.shared_entries().map(|(part, _)| part)
     }
 
-    /// Shared parts believed kept that have been read by a moment.
-    pub(crate) fn read_before(&self, moment: Timestamp) -> impl Iterator<Item = PartId> {
-        let read = self.shared().filter(move |(_, kept)| kept.read_at < moment);
-        read.map(|(part, _)| part)
+    /// Shared parts whose prefill was complete before this moment.
+    pub(crate) fn computed_before(&self, moment: Timestamp) -> impl Iterator<Item = PartId> {
+        let computed = self
+            .shared_entries()
+            .filter(move |(_, cached)| cached.computed_at < moment);
+        computed.map(|(part, _)| part)
     }
 
-    /// The engine itself told how much it keeps of a part. What is being read there just now
-    /// may not have reached that word.
+    /// Applies the engine's own report of how many tokens of a part it has cached. A report of 0
+    /// is ignored while the part may be too new to be included in it.
     pub fn apply_observation(&mut self, part: PartId, tokens: u32, now: Timestamp) {
-        let known = self.parts.get(&part);
+        let previous = self.parts.get(&part);
         if tokens == 0 {
-            if known.is_some_and(|kept| kept.read_at + EVENT_DELAY < now) {
+            if previous.is_some_and(|cached| cached.computed_at + EVENT_DELAY < now) {
                 self.remove(part);
             }
             return;
         }
-        if known.is_none() {
+        if previous.is_none() {
             self.insert(&[PromptPart { id: part, tokens }], now);
         }
-        if let Some(kept) = self.parts.get_mut(&part) {
-            kept.known_at = Some(now);
-            kept.is_shared = true;
+        if let Some(cached) = self.parts.get_mut(&part) {
+            cached.observed_at = Some(now);
+            cached.is_shared = true;
         }
     }
 
-    /// The engine told just now what it holds.
-    pub(crate) fn confirm(&mut self, holds: impl Fn(PartId) -> bool, now: Timestamp) {
-        for (part, kept) in &mut self.parts {
-            if holds(*part) {
-                kept.known_at = Some(now);
+    /// Records that the engine has just reported the parts for which `is_stored` holds.
+    pub(crate) fn confirm(&mut self, is_stored: impl Fn(PartId) -> bool, now: Timestamp) {
+        for (part, cached) in &mut self.parts {
+            if is_stored(*part) {
+                cached.observed_at = Some(now);
             }
         }
     }
 
-    /// How long ago the engine itself told that it keeps what is expected of the beginning of
-    /// a prompt; `None` where that is only believed, or nothing is kept.
+    /// Time since the engine reported the expected cached start of the prompt, by its oldest
+    /// part; `None` if any of its parts was never reported, or nothing is cached.
     pub fn observation_age(&self, parts: &[PromptPart], now: Timestamp) -> Option<Span> {
-        let kept = parts.iter().map_while(|part| self.parts.get(&part.id));
-        let ages = kept.map(|kept| kept.known_at.map(|at| now.since(at)));
+        let cached = parts.iter().map_while(|part| self.parts.get(&part.id));
+        let ages = cached.map(|cached| cached.observed_at.map(|at| now.since(at)));
         ages.collect::<Option<Vec<Span>>>()?.into_iter().max()
     }
 
     fn remove(&mut self, part: PartId) {
-        if let Some(kept) = self.parts.remove(&part) {
-            self.by_age.remove(&kept.order);
-            self.used -= u64::from(kept.tokens);
+        if let Some(cached) = self.parts.remove(&part) {
+            self.by_recency.remove(&cached.sequence);
+            self.used -= u64::from(cached.tokens);
         }
     }
 
-    /// Notes tokens that take room and that no other request shares.
+    /// Adds tokens that occupy memory and that no other request shares.
     pub fn insert_unshared(&mut self, tokens: u64) {
         if tokens == 0 {
             return;
         }
-        self.by_age.insert(self.next_order, Entry::Single(tokens));
-        self.next_order += 1;
+        self.by_recency
+            .insert(self.next_sequence, Entry::Unshared(tokens));
+        self.next_sequence += 1;
         self.used += tokens;
         self.evict();
     }
 
     fn evict(&mut self) {
         while self.used > self.capacity {
-            let Some((_, oldest)) = self.by_age.pop_first() else {
+            let Some((_, oldest)) = self.by_recency.pop_first() else {
                 return;
             };
             self.used -= match oldest {
-                Entry::Single(tokens) => tokens,
+                Entry::Unshared(tokens) => tokens,
                 Entry::Shared(part) => {
-                    let kept = self.parts.remove(&part);
-                    kept.map_or(0, |kept| u64::from(kept.tokens))
+                    let cached = self.parts.remove(&part);
+                    cached.map_or(0, |cached| u64::from(cached.tokens))
                 }
             };
         }
     }
 
-    fn touch(&mut self, part: PromptPart, read_at: Timestamp) {
-        let order = self.next_order;
-        self.next_order += 1;
+    fn touch(&mut self, part: PromptPart, computed_at: Timestamp) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
         let previous = self.parts.get(&part.id).copied();
-        let read_before = previous.map_or(read_at, |previous| previous.read_at);
-        let kept = Kept {
+        let previous_time = previous.map_or(computed_at, |previous| previous.computed_at);
+        let cached = CachedPart {
             tokens: part.tokens,
-            order,
-            read_at: read_at.min(read_before),
-            known_at: previous.and_then(|previous| previous.known_at),
+            sequence,
+            computed_at: computed_at.min(previous_time),
+            observed_at: previous.and_then(|previous| previous.observed_at),
             is_shared: previous.is_some_and(|previous| previous.is_shared),
         };
-        self.parts.insert(part.id, kept);
+        self.parts.insert(part.id, cached);
         if let Some(previous) = previous {
-            self.by_age.remove(&previous.order);
+            self.by_recency.remove(&previous.sequence);
             self.used -= u64::from(previous.tokens);
         }
-        self.by_age.insert(order, Entry::Shared(part.id));
+        self.by_recency.insert(sequence, Entry::Shared(part.id));
         self.used += u64::from(part.tokens);
     }
 }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -1,139 +1,142 @@
-//! What one engine has told of its cache, and where that differs from what is believed.
+//! The contents of one engine's prefix cache as the engine reports them, and the differences from
+//! this node's estimate.
 
 use crate::{PrefixCache, PromptPart};
 use eiderferry_routing::PartId;
 use eiderferry_types::{Span, Timestamp};
 use std::collections::{HashMap, HashSet};
 
-/// Parts remembered of one engine, those that it dropped included. An engine with 470,000
-/// tokens holds some 1,900 parts of 250 tokens.
-const MOST_PARTS: usize = 4_096;
-/// Time for which an event may be under way: what was expected to be read later than this
-/// before an answer isn't contradicted by it.
+/// Parts remembered for one engine, including removed ones. An engine with memory for 470,000
+/// tokens holds about 1,900 parts of 250 tokens.
+const MAX_PARTS: usize = 4_096;
+/// Time that an event may take to arrive. A response doesn't contradict a part whose prefill was
+/// expected to be complete less than this before it.
 pub(crate) const EVENT_DELAY: Span = Span::from_milliseconds(1_000);
-/// Shortest and longest time between two calls at an engine. Calls that return early are
-/// priced, so the pace follows what they gain.
-const SHORTEST_PACE: Span = Span::from_milliseconds(1_000);
-const LONGEST_PACE: Span = Span::from_milliseconds(16_000);
-/// Answers without a correction, at the longest pace, after which an engine is left alone.
-const VAIN_ANSWERS: u32 = 2;
-/// Time for which it is left alone.
-const REST: Span = Span::from_milliseconds(60_000);
-/// Pause after a call that gave nothing, doubled with each further one.
-const FAILURE_PAUSE: Span = Span::from_milliseconds(1_000);
-/// Most times that the pause is doubled.
-const MOST_DOUBLINGS: u32 = 5;
-/// Time for which an engine may hold a call.
+/// Shortest and longest time between two calls to an engine. Calls that return early have a cost,
+/// so the interval depends on how many corrections they yield.
+const MIN_CALL_INTERVAL: Span = Span::from_milliseconds(1_000);
+const MAX_CALL_INTERVAL: Span = Span::from_milliseconds(16_000);
+/// Responses without a correction at the longest interval; when one more follows, the engine is
+/// not called for `IDLE_CALL_INTERVAL`.
+const MAX_UNCORRECTED_RESPONSES: u32 = 2;
+/// Time without calls to an engine whose responses yield no corrections.
+const IDLE_CALL_INTERVAL: Span = Span::from_milliseconds(60_000);
+/// Delay after the first failed call; it doubles with each further failure.
+const INITIAL_RETRY_DELAY: Span = Span::from_milliseconds(1_000);
+/// Maximum number of times that the delay is doubled.
+const MAX_RETRY_DOUBLINGS: u32 = 5;
+/// Time for which an engine may hold a long-polling call open.
 pub(crate) const LONG_POLL_TIME: Span = Span::from_milliseconds(1_000);
 
-/// A change of what an engine keeps.
+/// A change in an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Its number; the engine counts its events.
+    /// Sequence number that the engine gives the event.
     pub number: u64,
-    /// The part.
+    /// The prompt part that changed.
     pub part: PartId,
-    /// Tokens of it that are kept from now on.
+    /// Number of its tokens that are cached from now on; 0 if it was removed.
     pub tokens: u32,
 }
 
-/// The events that follow on a number.
+/// Response to a call for the events after a sequence number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvents {
-    /// Run of the engine's cache: another one after each restart.
+    /// Identifies one lifetime of the engine's cache; it changes with each restart.
     pub epoch: u64,
-    /// Where the next call goes on.
+    /// Sequence number from which the next call continues.
     pub next: u64,
-    /// Events before these are lost.
+    /// Whether events before these have been lost.
     pub has_gap: bool,
-    /// The events.
+    /// The events; they may be out of order.
     pub events: Vec<CacheEvent>,
 }
 
-/// All that an engine keeps.
+/// The complete contents of an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheListing {
-    /// Run of the engine's cache.
+    /// Identifies one lifetime of the engine's cache.
     pub epoch: u64,
-    /// Where the first call for events goes on.
+    /// Sequence number from which the first call for events continues.
     pub next: u64,
-    /// The parts.
+    /// The cached prompt parts.
     pub kept: Vec<PromptPart>,
 }
 
-/// What an engine is to be asked.
+/// A call to be made to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheCall {
-    /// All that it keeps.
+    /// Requests the complete contents of the cache.
     List,
-    /// What changed.
+    /// Requests the events after a sequence number.
     Events {
-        /// The number to go on from.
+        /// The sequence number to continue from.
         after: u64,
-        /// How long the engine may hold the call.
+        /// How long the engine may hold the call open.
         wait: Span,
     },
 }
 
-/// What came of a call.
+/// Result of a call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheResponse {
-    /// All that the engine keeps.
+    /// The complete contents of the cache.
     Listing(CacheListing),
-    /// What changed.
+    /// Changes since the previous call.
     Events(CacheEvents),
-    /// Too many such calls are held there.
+    /// The engine already holds too many such calls open.
     Refused,
-    /// No answer came.
+    /// No response was received.
     Failed,
-    /// The answer has no known shape.
+    /// The response could not be parsed.
     Malformed,
 }
 
-/// How an engine is followed, for metrics and the log.
+/// Counters of the calls to an engine and their results, for metrics and the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowCounts {
-    /// Listings taken.
+    /// Listings applied.
     pub listings: u64,
-    /// Answers with events taken.
+    /// Responses with events applied.
     pub responses: u64,
-    /// Events taken.
+    /// Events applied.
     pub events: u64,
-    /// Gaps, and restarts of the engine's cache.
+    /// Gaps in the events, including restarts of the engine's cache.
     pub gaps: u64,
-    /// Beliefs that were corrected.
+    /// Corrections made to the estimate of the cache.
     pub corrections: u64,
-    /// Calls that gave nothing.
+    /// Calls that failed, were refused, or returned a malformed response.
     pub failed_calls: u64,
 }
 
-/// What an engine is known to hold of a part.
+/// A prompt part as the engine last reported it. Removed parts have 0 tokens.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct StoredPart {
     tokens: u32,
     number: u64,
 }
 
-/// What one engine has told of its cache.
+/// The contents of one engine's cache, as reported by the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheIndex {
     since: Timestamp,
     epoch: Option<u64>,
-    next: u64,
-    /// Events before this number are in the listing.
-    listed_to: u64,
-    held: HashMap<PartId, Held>,
-    heard: Timestamp,
+    next_event: u64,
+    /// Sequence number of the last event reflected in the listing; events with lower numbers are
+    /// ignored.
+    listed_through: u64,
+    stored: HashMap<PartId, StoredPart>,
+    last_response_at: Timestamp,
     next_call: Timestamp,
-    pace: Span,
-    answers_in_vain: u32,
-    failures: u32,
-    is_asked: bool,
+    call_interval: Span,
+    uncorrected_responses: u32,
+    consecutive_failures: u32,
+    is_call_pending: bool,
     counts: FollowCounts,
 }
 
 impl FollowCounts {
-    /// Adds those of another engine.
+    /// Adds the counters of another engine.
     pub(crate) fn add(&mut self, other: Self) {
         self.listings += other.listings;
         self.responses += other.responses;
@@ -145,55 +148,56 @@
 }
 
 impl CacheIndex {
-    /// An engine followed from now on.
+    /// Starts following an engine.
     pub fn new(now: Timestamp) -> Self {
         Self {
             since: now,
             epoch: None,
-            next: 0,
-            listed_to: 0,
-            held: HashMap::new(),
-            heard: Timestamp::default(),
+            next_event: 0,
+            listed_through: 0,
+            stored: HashMap::new(),
+            last_response_at: Timestamp::default(),
             next_call: now,
-            pace: SHORTEST_PACE,
-            answers_in_vain: 0,
-            failures: 0,
-            is_asked: false,
+            call_interval: MIN_CALL_INTERVAL,
+            uncorrected_responses: 0,
+            consecutive_failures: 0,
+            is_call_pending: false,
             counts: FollowCounts::default(),
         }
     }
 
-    /// When it began to be followed.
+    /// When this node started to follow the engine.
     pub fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// How it is followed.
+    /// Counters of the calls to the engine and their results.
     pub fn counts(&self) -> FollowCounts {
         self.counts
     }
 
-    /// The call that is due; there is never more than one under way.
+    /// Returns the call that is due, if any. At most one call is pending at a time.
     pub fn call(&mut self, now: Timestamp) -> Option<CacheCall> {
-        if self.is_asked || now < self.next_call {
+        if self.is_call_pending || now < self.next_call {
             return None;
         }
-        self.is_asked = true;
+        self.is_call_pending = true;
         Some(match self.epoch {
             None => CacheCall::List,
             Some(_) => CacheCall::Events {
-                after: self.next,
+                after: self.next_event,
                 wait: LONG_POLL_TIME,
             },
         })
     }
 
-    /// Takes an answer in; whether what the engine keeps is known by it.
-    pub fn handle_response(&mut self, answer: CacheResponse, now: Timestamp) -> bool {
-        self.is_asked = false;
-        match answer {
+    /// Applies the result of a call. Returns whether the contents of the engine's cache are known
+    /// after it.
+    pub fn handle_response(&mut self, response: CacheResponse, now: Timestamp) -> bool {
+        self.is_call_pending = false;
+        match response {
             CacheResponse::Listing(listing) => self.apply_listing(listing, now),
-            CacheResponse::Events(events) => self.take_events(events, now),
+            CacheResponse::Events(events) => self.apply_events(events, now),
             CacheResponse::Refused | CacheResponse::Failed | CacheResponse::Malformed => {
                 self.record_failed_call(now);
                 false
@@ -203,21 +207,21 @@
 
     fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
         let number = listing.next.saturating_sub(1);
-        let kept = listing.kept.iter().take(MOST_PARTS);
-        let held = kept.map(|part| {
+        let kept = listing.kept.iter().take(MAX_PARTS);
+        let stored = kept.map(|part| {
             let tokens = part.tokens;
-            (part.id, Held { tokens, number })
+            (part.id, StoredPart { tokens, number })
         });
-        self.held = held.collect();
+        self.stored = stored.collect();
         self.epoch = Some(listing.epoch);
-        self.next = listing.next;
-        self.listed_to = number;
+        self.next_event = listing.next;
+        self.listed_through = number;
         self.counts.listings += 1;
-        self.record_heard(now);
+        self.record_successful_call(now);
         true
     }
 
-    fn take_events(&mut self, report: CacheEvents, now: Timestamp) -> bool {
+    fn apply_events(&mut self, report: CacheEvents, now: Timestamp) -> bool {
         if report.has_gap || self.epoch != Some(report.epoch) {
             self.counts.gaps += 1;
             self.epoch = None;
@@ -225,104 +229,108 @@
             return false;
         }
         for event in &report.events {
-            self.take_event(event);
+            self.apply_event(event);
         }
-        self.next = self.next.max(report.next);
+        self.next_event = self.next_event.max(report.next);
         self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
-        self.forget_dropped();
-        self.record_heard(now);
+        self.prune_removed();
+        self.record_successful_call(now);
         true
     }
 
-    /// The event with the highest number counts for a part, in whatever order they come.
-    fn take_event(&mut self, event: &CacheEvent) {
-        let known = self.held.get(&event.part);
-        let is_older = known.is_some_and(|held| held.number > event.number);
-        if is_older || event.number < self.listed_to {
+    /// Events may arrive out of order: the one with the highest number determines the state of a
+    /// part.
+    fn apply_event(&mut self, event: &CacheEvent) {
+        let previous = self.stored.get(&event.part);
+        let is_older = previous.is_some_and(|stored| stored.number > event.number);
+        if is_older || event.number < self.listed_through {
             return;
         }
-        let held = Held {
+        let stored = StoredPart {
             tokens: event.tokens,
             number: event.number,
         };
-        self.held.insert(event.part, held);
+        self.stored.insert(event.part, stored);
     }
 
-    /// Dropped parts are remembered only against events that come out of order.
-    fn forget_dropped(&mut self) {
-        if self.held.len() > MOST_PARTS {
-            self.held.retain(|_, held| held.tokens > 0);
+    /// Removed parts are kept only to reject older events that arrive late, so they are dropped
+    /// when there are too many parts.
+    fn prune_removed(&mut self) {
+        if self.stored.len() > MAX_PARTS {
+            self.stored.retain(|_, stored| stored.tokens > 0);
         }
-        if self.held.len() > MOST_PARTS {
-            // More than an engine can hold: it is asked for all of it again.
+        if self.stored.len() > MAX_PARTS {
+            // These are more parts than an engine can hold, so the next call requests a complete
+            // listing.
             self.epoch = None;
-            self.held.clear();
+            self.stored.clear();
         }
     }
 
-    fn record_heard(&mut self, now: Timestamp) {
-        self.heard = now;
-        self.failures = 0;
-        self.next_call = now + self.pace;
+    fn record_successful_call(&mut self, now: Timestamp) {
+        self.last_response_at = now;
+        self.consecutive_failures = 0;
+        self.next_call = now + self.call_interval;
     }
 
     fn record_failed_call(&mut self, now: Timestamp) {
         self.counts.failed_calls += 1;
-        let doublings = self.failures.min(MOST_DOUBLINGS);
-        self.failures += 1;
-        self.next_call = now + FAILURE_PAUSE * (1 << doublings);
+        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
+        self.consecutive_failures += 1;
+        self.next_call = now + INITIAL_RETRY_DELAY * (1 << doublings);
     }
 
-    /// Sets the pace by what the last answer corrected.
+    /// Adapts the call interval to the number of corrections that the last response led to.
     pub fn record_corrections(&mut self, count: usize, now: Timestamp) {
         self.counts.corrections += count as u64;
         if count > 0 {
-            self.answers_in_vain = 0;
-            self.pace = Span(self.pace.0 / 2).max(SHORTEST_PACE);
+            self.uncorrected_responses = 0;
+            self.call_interval = Span(self.call_interval.0 / 2).max(MIN_CALL_INTERVAL);
         } else {
-            self.pace = (self.pace * 2).min(LONGEST_PACE);
-            self.answers_in_vain += u32::from(self.pace == LONGEST_PACE);
+            self.call_interval = (self.call_interval * 2).min(MAX_CALL_INTERVAL);
+            self.uncorrected_responses += u32::from(self.call_interval == MAX_CALL_INTERVAL);
         }
-        self.next_call = now + self.pace;
-        if self.answers_in_vain > VAIN_ANSWERS {
-            self.answers_in_vain = 0;
-            self.next_call = now + REST;
+        self.next_call = now + self.call_interval;
+        if self.uncorrected_responses > MAX_UNCORRECTED_RESPONSES {
+            self.uncorrected_responses = 0;
+            self.next_call = now + IDLE_CALL_INTERVAL;
         }
     }
 
     pub fn stored_tokens(&self, part: PartId) -> Option<u32> {
-        let held = self.held.get(&part)?;
-        (held.tokens > 0).then_some(held.tokens)
+        let stored = self.stored.get(&part)?;
+        (stored.tokens > 0).then_some(stored.tokens)
     }
 
-    /// Parts believed kept that the engine doesn't hold.
+    /// Parts that are believed to be cached but that the engine doesn't have.
     pub fn stale_parts(&self, believed: &PrefixCache) -> Vec<PartId> {
-        let settled = self.heard - EVENT_DELAY;
-        let parts = believed.read_before(settled);
-        let mut wrong: Vec<PartId> = parts
+        let cutoff = self.last_response_at - EVENT_DELAY;
+        let parts = believed.computed_before(cutoff);
+        let mut stale: Vec<PartId> = parts
             .filter(|part| self.stored_tokens(*part).is_none())
             .collect();
-        wrong.sort_unstable();
-        wrong
+        stale.sort_unstable();
+        stale
     }
 
-    /// Parts that the engine holds and that aren't believed kept, of those that requests are
-    /// known to share.
+    /// Parts that the engine has cached and that are not believed to be cached, limited to those
+    /// that requests are known to share.
     pub fn missing_parts(
         &self,
         believed: &PrefixCache,
         shared: &HashSet<PartId>,
     ) -> Vec<PromptPart> {
-        let held = self.held.iter().filter(|(_, held)| held.tokens > 0);
-        let unknown = held.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
-        let mut unknown: Vec<PromptPart> = unknown
-            .map(|(part, held)| PromptPart {
+        let stored = self.stored.iter().filter(|(_, stored)| stored.tokens > 0);
+        let missing =
+            stored.filter(|(part, _)| shared.contains(part) && !believed.contains(**part));
+        let mut missing: Vec<PromptPart> = missing
+            .map(|(part, stored)| PromptPart {
                 id: *part,
-                tokens: held.tokens,
+                tokens: stored.tokens,
             })
             .collect();
-        unknown.sort_unstable_by_key(|part| part.id);
-        unknown
+        missing.sort_unstable_by_key(|part| part.id);
+        missing
     }
 }
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -1,38 +1,39 @@
-//! Whether a back end is given work, judged by its answers alone.
+//! Outlier ejection: takes back ends out of service by the outcomes of their requests.
 
 use crate::Outcome;
 use eiderferry_types::{Span, Timestamp};
 
-/// Failures in a row after which a back end gets no work for a while.
-const FAILURES_IN_A_ROW: u32 = 3;
-/// First time without work.
-const FIRST_EJECTION: Span = Span::from_milliseconds(1_000);
-/// Longest time without work.
-const LONGEST_EJECTION: Span = Span::from_milliseconds(8_000);
-/// Weight of the newest answer in the share of failures.
-const SMOOTHING: f64 = 0.12;
-/// Share of failures above that of the pool at which a back end is ejected.
-const EXCESS_SHARE: f64 = 0.22;
-/// Answers needed before the share counts.
-const MINIMUM_ANSWERS: u32 = 8;
-/// Time after which a back end that answers is fully trusted again.
-const PROBATION: Span = Span::from_milliseconds(10_000);
+/// Consecutive failures after which a back end is ejected.
+const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
+/// Duration of the first ejection; it doubles with each further one.
+const INITIAL_EJECTION: Span = Span::from_milliseconds(1_000);
+/// Longest duration of an ejection.
+const MAX_EJECTION: Span = Span::from_milliseconds(8_000);
+/// Weight of the newest response in the share of failures.
+const FAILURE_SHARE_SMOOTHING: f64 = 0.12;
+/// Excess of a back end's share of failures over the mean of its pool at which it is ejected.
+const EXCESS_FAILURE_SHARE: f64 = 0.22;
+/// Number of responses needed before the share of failures is used.
+const MIN_RESPONSES: u32 = 8;
+/// Time after an ejection at which a responding back end is fully trusted again: its next
+/// ejection is as short as the first.
+const PROBATION_PERIOD: Span = Span::from_milliseconds(10_000);
 
-/// What changed with a back end's standing.
+/// A change in a back end's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It gets no work for the span.
+    /// The back end receives no requests for this time.
     Ejected(Span),
-    /// It gets work again.
+    /// The back end receives requests again.
     Restored,
 }
 
-/// The standing of one back end.
+/// Health of one back end.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     failure_share: f64,
-    answers: u32,
+    responses: u32,
     ejected_until: Option<Timestamp>,
     ejected_at: Option<Timestamp>,
     ejections: u32,
@@ -40,22 +41,23 @@
 }
 
 impl Health {
-    /// Share of recent answers that were failures, 0 to 1.
+    /// Share of failures among recent responses, 0 to 1.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Whether it gets no work now.
+    /// Whether the back end receives no requests now.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.is_replaced || self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether another run has its address: it never comes back.
+    /// Whether another run now uses the back end's address. The back end is then ejected
+    /// permanently.
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// Takes an outcome in. `pool_share` is the mean share of failures in its pool.
+    /// Records an outcome. `pool_share` is the mean share of failures in the pool.
     pub fn record(
         &mut self,
         outcome: Outcome,
@@ -67,8 +69,9 @@
             Outcome::Completed | Outcome::Rejected => false,
             _ => true,
         };
-        self.answers = self.answers.saturating_add(1);
-        self.failure_share += SMOOTHING * (f64::from(u8::from(is_failure)) - self.failure_share);
+        self.responses = self.responses.saturating_add(1);
+        self.failure_share +=
+            FAILURE_SHARE_SMOOTHING * (f64::from(u8::from(is_failure)) - self.failure_share);
         if is_failure {
             return self.record_failure(outcome, pool_share, now);
         }
@@ -76,12 +79,15 @@
     }
 
     fn record_success(&mut self, now: Timestamp) -> Option<HealthChange> {
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
             return Some(HealthChange::Restored);
         }
-        if self.ejected_at.is_some_and(|at| now.since(at) > PROBATION) {
+        if self
+            .ejected_at
+            .is_some_and(|at| now.since(at) > PROBATION_PERIOD)
+        {
             self.ejections = 0;
             self.ejected_at = None;
         }
@@ -94,31 +100,32 @@
         pool_share: f64,
         now: Timestamp,
     ) -> Option<HealthChange> {
-        self.failures_in_a_row += 1;
+        self.consecutive_failures += 1;
         let was_ejected = self.is_ejected(now);
         self.is_replaced |= outcome == Outcome::InstanceReplaced;
         if was_ejected {
             return None;
         }
-        let is_gone = matches!(
+        let is_unavailable = matches!(
             outcome,
             Outcome::Unreachable | Outcome::ConnectionRefused | Outcome::InstanceReplaced
         );
-        let in_a_row = self.failures_in_a_row >= FAILURES_IN_A_ROW;
-        let too_many =
-            self.answers >= MINIMUM_ANSWERS && self.failure_share > pool_share + EXCESS_SHARE;
-        (is_gone || in_a_row || too_many).then(|| self.eject(now))
+        let has_consecutive_failures = self.consecutive_failures >= CONSECUTIVE_FAILURE_LIMIT;
+        let exceeds_pool_share = self.responses >= MIN_RESPONSES
+            && self.failure_share > pool_share + EXCESS_FAILURE_SHARE;
+        (is_unavailable || has_consecutive_failures || exceeds_pool_share).then(|| self.eject(now))
     }
 
     fn eject(&mut self, now: Timestamp) -> HealthChange {
-        let span = Span((FIRST_EJECTION.0 << self.ejections.min(3)).min(LONGEST_EJECTION.0));
+        let span = Span((INITIAL_EJECTION.0 << self.ejections.min(3)).min(MAX_EJECTION.0));
         self.ejections += 1;
         self.ejected_at = Some(now);
         self.ejected_until = Some(now + span);
         HealthChange::Ejected(span)
     }
 
-    /// Gives no work for a while on other evidence than an answer.
+    /// Ejects the back end, unless it is ejected already, on evidence other than the outcome of a
+    /// request.
     pub fn eject_if_active(&mut self, now: Timestamp) -> Option<HealthChange> {
         (!self.is_ejected(now)).then(|| self.eject(now))
     }
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -1,9 +1,10 @@
-//! The back ends of one pool, in the ways in which a request looks some of them up.
+//! Index of the back ends of one pool, for the lookups that a request needs.
 //!
-//! A request that went through a pool of thousands would cost a node more the larger the fleet
-//! is. So the back ends are kept in groups by hashing, of about the same size however many there
-//! are, over the whole pool and over each zone: the home of a prompt is sought in the group that
-//! the prompt's hash names. All nodes that know the same back ends form the same groups.
+//! If each request scanned a pool of thousands of back ends, the cost at a node would grow with
+//! the fleet. So back ends are hashed into groups of about the same size however many there are,
+//! once over the whole pool and once for each zone. The preferred back end for a prompt is
+//! searched for in the group that the prompt's hash selects. All nodes that know the same back
+//! ends form the same groups.
 
 use eiderferry_routing::{InstanceId, ZoneName};
 use rand::Rng;
@@ -11,17 +12,18 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most back ends of a group on the average; with twice as many there are twice as many groups.
-/// A group is gone through for each request: with 32 to 64 of them a prompt has as many
-/// candidates as in a pool that is small enough to be compared whole.
-const MOST_IN_GROUP: usize = 64;
-/// Seed of the hash that sorts back ends into groups.
+/// Maximum mean size of a group; the number of groups doubles when it is exceeded. Each request
+/// scans one group: with 32 to 64 back ends in it, a prompt has as many candidates as in a pool
+/// that is small enough to be scanned completely.
+const MAX_MEAN_GROUP_SIZE: usize = 64;
+/// Seed of the hash that assigns back ends to groups.
 const GROUP_SEED: u64 = 0x0067_726f_7570;
 
-/// Back ends sorted into groups by their hashes.
+/// Back ends, grouped by their hashes.
 #[derive(Clone, Debug)]
 pub(crate) struct HashGroups {
-    /// A power of two of them: a back end's group is named by the first bits of its hash.
+    /// The number of groups is a power of two; the leading bits of a back end's hash select its
+    /// group.
     groups: Vec<Vec<(u64, InstanceId)>>,
     count: usize,
 }
@@ -35,9 +37,12 @@
     }
 }
 
-/// Number of groups for so many back ends.
+/// Number of groups for this many back ends.
 fn group_count(back_ends: usize) -> usize {
-    back_ends.div_ceil(MOST_IN_GROUP).max(1).next_power_of_two()
+    back_ends
+        .div_ceil(MAX_MEAN_GROUP_SIZE)
+        .max(1)
+        .next_power_of_two()
 }
 
 fn group_hash(back_end: u32) -> u64 {
@@ -45,76 +50,76 @@
 }
 
 impl HashGroups {
-    fn position(&self, hash: u64) -> usize {
+    fn group_index(&self, hash: u64) -> usize {
         let bits = self.groups.len().trailing_zeros();
         hash.checked_shr(u64::BITS - bits).unwrap_or(0) as usize
     }
 
     fn add(&mut self, back_end: u32, instance: &InstanceId) {
         let hash = group_hash(back_end);
-        let position = self.position(hash);
-        self.groups[position].push((hash, instance.clone()));
+        let group_index = self.group_index(hash);
+        self.groups[group_index].push((hash, instance.clone()));
         self.count += 1;
         self.regroup();
     }
 
     fn remove(&mut self, back_end: u32, instance: &InstanceId) {
-        let position = self.position(group_hash(back_end));
-        let group = &mut self.groups[position];
+        let group_index = self.group_index(group_hash(back_end));
+        let group = &mut self.groups[group_index];
         let before = group.len();
         group.retain(|(_, member)| member != instance);
         self.count -= before - group.len();
         self.regroup();
     }
 
-    /// Sorts all anew if their number asks for more groups, or fewer.
+    /// Redistributes all back ends if their number requires a different number of groups.
     fn regroup(&mut self) {
-        let wanted = group_count(self.count);
-        if wanted == self.groups.len() {
+        let target_count = group_count(self.count);
+        if target_count == self.groups.len() {
             return;
         }
         let members = std::mem::take(&mut self.groups).into_iter().flatten();
         let members: Vec<(u64, InstanceId)> = members.collect();
-        self.groups.resize_with(wanted, Vec::new);
+        self.groups.resize_with(target_count, Vec::new);
         for (hash, instance) in members {
-            let position = self.position(hash);
-            self.groups[position].push((hash, instance));
+            let group_index = self.group_index(hash);
+            self.groups[group_index].push((hash, instance));
         }
     }
 
-    /// All back ends, in no order.
+    /// All back ends, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = &InstanceId> {
         let members = self.groups.iter().flatten();
         members.map(|(_, instance)| instance)
     }
 
-    /// The groups, beginning with the one that a hash names.
+    /// All groups, starting with the one that the hash selects.
     pub fn starting_at(
         &self,
         hash: u64,
     ) -> impl Iterator<Item = impl Iterator<Item = &InstanceId>> {
         let hash = xxh3_64_with_seed(&hash.to_le_bytes(), GROUP_SEED);
-        let first = self.position(hash);
+        let first = self.group_index(hash);
         let (before, after) = self.groups.split_at(first);
         let groups = after.iter().chain(before);
         groups.map(|group| group.iter().map(|(_, instance)| instance))
     }
 
-    /// Some back ends drawn at random, perhaps the same one twice.
+    /// Chooses back ends at random, with replacement.
     pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<&InstanceId> {
-        // Groups differ in size: an empty one is no draw.
-        let drawn = (0..count).filter_map(|_| {
+        // Group sizes differ, and an empty group yields no back end.
+        let sampled = (0..count).filter_map(|_| {
             let group = self.groups.choose(random)?;
             group.choose(random)
         });
-        drawn.map(|(_, instance)| instance).collect()
+        sampled.map(|(_, instance)| instance).collect()
     }
 }
 
 /// The back ends of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolIndex {
-    /// In the order of their names.
+    /// Sorted by instance.
     members: Vec<InstanceId>,
     all: HashGroups,
     by_zone: BTreeMap<ZoneName, HashGroups>,
@@ -142,7 +147,7 @@
         }
     }
 
-    /// All back ends, in the order of their names.
+    /// All back ends, sorted by instance.
     pub fn members(&self) -> &[InstanceId] {
         &self.members
     }
@@ -152,7 +157,7 @@
         &self.all
     }
 
-    /// The groups of one zone, if it has back ends.
+    /// The groups of one zone; `None` if the zone never had back ends in the pool.
     pub fn of_zone(&self, zone: &ZoneName) -> Option<&HashGroups> {
         self.by_zone.get(zone)
     }
