--- a/crates/coordination/dispatch/src/documents/document_service.rs
+++ b/crates/coordination/dispatch/src/documents/document_service.rs
@@ -15,13 +15,13 @@
 /// documents of 3,000 back ends (180 kB) after 2.1 s; with four at once after 2.4 s, and without
 /// any limit the links of three seeds alone need 14 s (`tests/document_service.rs`). With one
 /// at once a single slow receiver would hold all others up.
-const MOST_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_TRANSFERS: usize = 2;
 /// Time after which a transfer is given up: its connection may have gone silent for good.
-const LONGEST_TRANSFER: Span = Span::from_milliseconds(2_000);
+const TRANSFER_TIMEOUT: Span = Span::from_milliseconds(2_000);
 /// Nodes remembered that have got documents here.
-const MOST_REMEMBERED: usize = 32;
+const MAX_RECENT_RECEIVERS: usize = 32;
 /// Nodes named to one that is sent on.
-const MOST_NAMED: usize = 4;
+const MAX_ALTERNATIVES: usize = 4;
 
 /// Names a transfer of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,16 +39,16 @@
 #[derive(Clone, Copy, Debug)]
 struct Transfer {
     id: TransferId,
-    to: SocketAddr,
-    began: Timestamp,
+    receiver: SocketAddr,
+    started_at: Timestamp,
 }
 
 /// The transfers of one node.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentService {
     transfers: Vec<Transfer>,
-    served: VecDeque<SocketAddr>,
-    next: u64,
+    recent_receivers: VecDeque<SocketAddr>,
+    next_id: u64,
 }
 
 impl DocumentService {
@@ -67,18 +67,18 @@
             return Admission::Admitted(None);
         }
         self.transfers
-            .retain(|transfer| now.since(transfer.began) < LONGEST_TRANSFER);
-        if self.transfers.len() >= MOST_AT_ONCE {
-            let others = self.served.iter().copied();
+            .retain(|transfer| now.since(transfer.started_at) < TRANSFER_TIMEOUT);
+        if self.transfers.len() >= MAX_CONCURRENT_TRANSFERS {
+            let others = self.recent_receivers.iter().copied();
             let others = others.filter(|address| *address != from);
-            return Admission::SentOn(others.choose_multiple(random, MOST_NAMED));
+            return Admission::SentOn(others.choose_multiple(random, MAX_ALTERNATIVES));
         }
-        let id = TransferId(self.next);
-        self.next += 1;
+        let id = TransferId(self.next_id);
+        self.next_id += 1;
         self.transfers.push(Transfer {
             id,
-            to: from,
-            began: now,
+            receiver: from,
+            started_at: now,
         });
         Admission::Admitted(Some(id))
     }
@@ -90,10 +90,11 @@
             return;
         };
         let transfer = self.transfers.swap_remove(position);
-        self.served.retain(|address| *address != transfer.to);
-        self.served.push_back(transfer.to);
-        if self.served.len() > MOST_REMEMBERED {
-            self.served.pop_front();
+        self.recent_receivers
+            .retain(|address| *address != transfer.receiver);
+        self.recent_receivers.push_back(transfer.receiver);
+        if self.recent_receivers.len() > MAX_RECENT_RECEIVERS {
+            self.recent_receivers.pop_front();
         }
     }
 }
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -113,19 +113,19 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum EvacuationState {
-    On,
-    Over,
+    Active,
+    Ended,
     /// Over unless it is written again within the span.
-    Lapsed(Span),
+    Expired(Span),
 }
 
 /// All documents known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentStore {
     table: Option<(TableStamp, Arc<RoutingTable>)>,
-    refused_table: TableStamp,
+    rejected_table: TableStamp,
     back_ends: BTreeMap<InstanceId, (Revision, BackEnd)>,
-    gone: BTreeMap<InstanceId, Revision>,
+    tombstones: BTreeMap<InstanceId, Revision>,
     /// Back ends that an earlier epoch removed and a newer one lists.
     withheld: BTreeMap<InstanceId, (Revision, BackEnd)>,
     /// Back ends, listed and gone, by the revisions of their latest changes: what is told to
@@ -188,14 +188,14 @@
                 DocumentContent::Removed | DocumentContent::Expired(_),
             ) => self.remove(instance, change.revision),
             (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
-                self.apply_evacuation(zone, change.revision, EvacuationState::On)
+                self.apply_evacuation(zone, change.revision, EvacuationState::Active)
             }
-            (DocumentKey::Evacuation(zone), DocumentContent::Expired(within)) => {
-                let state = EvacuationState::Lapsed(within);
+            (DocumentKey::Evacuation(zone), DocumentContent::Expired(grace_period)) => {
+                let state = EvacuationState::Expired(grace_period);
                 self.apply_evacuation(zone, change.revision, state)
             }
             (DocumentKey::Evacuation(zone), DocumentContent::Removed) => {
-                self.apply_evacuation(zone, change.revision, EvacuationState::Over)
+                self.apply_evacuation(zone, change.revision, EvacuationState::Ended)
             }
             _ => ApplyOutcome::AlreadyKnown,
         }
@@ -222,14 +222,14 @@
     pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         let evacuations = self.evacuations.iter();
         let evacuated =
-            evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::On);
+            evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::Active);
         evacuated.map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
     fn apply_table(&mut self, revision: Revision, document: TableDocument) -> ApplyOutcome {
         let version = document.version;
         let stamp = TableStamp { version, revision };
-        if stamp <= self.table_stamp() || stamp == self.refused_table {
+        if stamp <= self.table_stamp() || stamp == self.rejected_table {
             return ApplyOutcome::AlreadyKnown;
         }
         if let Some((known, table)) = &mut self.table
@@ -244,7 +244,7 @@
                 ApplyOutcome::Applied
             }
             Err(error) => {
-                self.refused_table = stamp;
+                self.rejected_table = stamp;
                 ApplyOutcome::Rejected(error.to_string())
             }
         }
@@ -264,27 +264,27 @@
             // A restore changes the revisions of unchanged entries too.
             let is_same = known.epoch != revision.epoch && *listed == newer;
             self.by_revision.remove(&(known, instance.clone()));
-            self.list(instance, revision, newer);
+            self.upsert(instance, revision, newer);
             return if is_same {
                 ApplyOutcome::AlreadyKnown
             } else {
                 ApplyOutcome::Applied
             };
         }
-        match self.gone.get(&instance).copied() {
-            Some(gone) if revision <= gone => ApplyOutcome::AlreadyKnown,
-            Some(gone) if revision.epoch > gone.epoch => {
+        match self.tombstones.get(&instance).copied() {
+            Some(removed) if revision <= removed => ApplyOutcome::AlreadyKnown,
+            Some(removed) if revision.epoch > removed.epoch => {
                 self.withhold(instance, revision, back_end)
             }
             _ => {
                 self.forget_removal(&instance);
-                self.list(instance, revision, back_end);
+                self.upsert(instance, revision, back_end);
                 ApplyOutcome::Applied
             }
         }
     }
 
-    fn list(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) {
+    fn upsert(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) {
         self.by_revision.insert((revision, instance.clone()));
         self.back_ends.insert(instance, (revision, back_end));
     }
@@ -316,7 +316,7 @@
     pub fn release_withheld(&mut self, instance: &InstanceId) -> Option<Change> {
         let (revision, back_end) = self.withheld.get(instance).cloned()?;
         self.forget_removal(instance);
-        self.list(instance.clone(), revision, back_end.clone());
+        self.upsert(instance.clone(), revision, back_end.clone());
         Some(Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision,
@@ -326,8 +326,8 @@
 
     fn forget_removal(&mut self, instance: &InstanceId) {
         let withheld = self.withheld.remove(instance).map(|(listed, _)| listed);
-        let gone = self.gone.remove(instance);
-        for revision in withheld.into_iter().chain(gone) {
+        let removed = self.tombstones.remove(instance);
+        for revision in withheld.into_iter().chain(removed) {
             self.by_revision.remove(&(revision, instance.clone()));
         }
     }
@@ -337,7 +337,7 @@
         if listed.is_some_and(|listed| listed.epoch > revision.epoch) {
             return self.withhold_listed(instance, revision);
         }
-        let known = listed.max(self.gone.get(&instance).copied());
+        let known = listed.max(self.tombstones.get(&instance).copied());
         if known.is_some_and(|known| revision <= known) {
             return ApplyOutcome::AlreadyKnown;
         }
@@ -358,11 +358,11 @@
     }
 
     /// Withholds a listed back end that an earlier epoch removed.
-    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> ApplyOutcome {
+    fn withhold_listed(&mut self, instance: InstanceId, removed: Revision) -> ApplyOutcome {
         if let Some(entry) = self.back_ends.remove(&instance) {
             self.withheld.insert(instance.clone(), entry);
         }
-        self.add_tombstone(instance, gone);
+        self.add_tombstone(instance, removed);
         ApplyOutcome::Withheld
     }
 
@@ -370,15 +370,15 @@
     /// withheld back ends are never dropped.
     fn add_tombstone(&mut self, instance: InstanceId, revision: Revision) {
         self.by_revision.insert((revision, instance.clone()));
-        self.gone.insert(instance, revision);
-        while self.gone.len() > MAXIMUM_TOMBSTONES {
-            let gone = self.gone.iter();
-            let settled = gone.filter(|(name, _)| !self.withheld.contains_key(*name));
-            let oldest = settled.min_by_key(|(_, revision)| **revision);
+        self.tombstones.insert(instance, revision);
+        while self.tombstones.len() > MAXIMUM_TOMBSTONES {
+            let tombstones = self.tombstones.iter();
+            let droppable = tombstones.filter(|(name, _)| !self.withheld.contains_key(*name));
+            let oldest = droppable.min_by_key(|(_, revision)| **revision);
             let Some((oldest, revision)) = oldest.map(|(name, at)| (name.clone(), *at)) else {
                 break;
             };
-            self.gone.remove(&oldest);
+            self.tombstones.remove(&oldest);
             self.by_revision.remove(&(revision, oldest));
         }
     }
@@ -431,9 +431,9 @@
             key: DocumentKey::Evacuation(zone.clone()),
             revision: evacuation.revision,
             content: match evacuation.state {
-                EvacuationState::On => DocumentContent::Evacuated,
-                EvacuationState::Over => DocumentContent::Removed,
-                EvacuationState::Lapsed(within) => DocumentContent::Expired(within),
+                EvacuationState::Active => DocumentContent::Evacuated,
+                EvacuationState::Ended => DocumentContent::Removed,
+                EvacuationState::Expired(grace_period) => DocumentContent::Expired(grace_period),
             },
         });
         let back_ends = self.back_ends_after(known);
