--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -16,7 +16,10 @@
     pub(crate) fn by_zone(&self) -> NodesByZone<'_> {
         let mut hashes: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
         for (_, peer) in self.active_peers() {
-            hashes.entry(&peer.zone).or_default().push(peer.rank.hash());
+            hashes
+                .entry(&peer.zone)
+                .or_default()
+                .push(peer.role_priority.hash());
         }
         NodesByZone {
             peers: self,
@@ -30,17 +33,17 @@
     /// `None` behind them. Nodes of that zone come first: they hear at once when one of them ends,
     /// and a cut that parts them from the others parts the back end from these as well.
     pub fn own_index(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
-        let before = if *zone == self.peers.zone {
+        let index = if *zone == self.peers.zone {
             self.peers.sender_index(back_end)
         } else {
-            let there = self.hashes.get(zone).map_or(0, Vec::len);
-            if there >= senders {
+            let in_zone = self.hashes.get(zone).map_or(0, Vec::len);
+            if in_zone >= senders {
                 return None;
             }
-            let elsewhere = self.hashes.iter().filter(|(other, _)| **other != zone);
-            let elsewhere = elsewhere.flat_map(|(_, hashes)| hashes);
-            there + self.peers.count_before_own(back_end, elsewhere)
+            let other_zones = self.hashes.iter().filter(|(other, _)| **other != zone);
+            let other_zones = other_zones.flat_map(|(_, hashes)| hashes);
+            in_zone + self.peers.count_before_own(back_end, other_zones)
         };
-        (before < senders).then_some(before)
+        (index < senders).then_some(index)
     }
 }
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -21,10 +21,10 @@
 /// The same for a peer of another zone.
 pub(super) const CROSS_ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
 /// Turns in a row that a peer has to miss besides.
-const MISSED_TURNS: u64 = 5;
+const MISSED_ROUNDS: u64 = 5;
 /// Messages in a row that none of a zone's peers sent when the way there counts as cut:
 /// one or two get lost now and then.
-const MISSED_BY_ZONE: u64 = 3;
+const MISSED_ZONE_MESSAGES: u64 = 3;
 /// Silence after which a peer is forgotten, as a multiple of that at which it is
 /// lost.
 pub(super) const FORGET_FACTOR: u64 = 60;
@@ -51,7 +51,7 @@
     /// The changes that it knows, by its last message.
     pub(super) version_vector: VersionVector,
     /// Place in the order in which the nodes of a zone take duties over.
-    pub(super) rank: RolePriority,
+    pub(super) role_priority: RolePriority,
     pub(super) incarnation: u32,
     pub(super) last_heard: Timestamp,
     pub(super) is_lost: bool,
@@ -69,7 +69,7 @@
     seeds: Vec<SocketAddr>,
     max_known: u32,
     /// When the own zone was large last.
-    large_until: Timestamp,
+    last_large_at: Timestamp,
     live_same_zone: usize,
     live_other_zones: usize,
     /// Hashes of the peers of the own zone that are there and not stopping, in the order of
@@ -78,8 +78,8 @@
     active_peer_hashes: Vec<u64>,
     active_peers_version: u64,
     /// Most nodes of the own zone ever there at once, and since when.
-    most_near: usize,
-    most_near_since: Timestamp,
+    max_live_same_zone: usize,
+    max_live_same_zone_since: Timestamp,
 }
 
 /// Place of a node in the order in which the nodes of a zone take duties over, greatest
@@ -109,22 +109,22 @@
 
 impl Peers {
     /// Nothing but the seeds is known.
-    pub fn new(own: SocketAddr, zone: ZoneName, seeds: Vec<SocketAddr>) -> Self {
+    pub fn new(address: SocketAddr, zone: ZoneName, seeds: Vec<SocketAddr>) -> Self {
         Self {
-            own_address: own,
-            own_hash: address_hash(own),
+            own_address: address,
+            own_hash: address_hash(address),
             zone,
             peers: BTreeMap::new(),
             indirect: BTreeMap::new(),
             seeds,
             max_known: 1,
-            large_until: Timestamp::default(),
+            last_large_at: Timestamp::default(),
             live_same_zone: 0,
             live_other_zones: 0,
             active_peer_hashes: Vec::new(),
             active_peers_version: 0,
-            most_near: 0,
-            most_near_since: Timestamp::default(),
+            max_live_same_zone: 0,
+            max_live_same_zone_since: Timestamp::default(),
         }
     }
 
@@ -156,8 +156,8 @@
         message: &Gossip,
         now: Timestamp,
     ) -> Option<PeerChange> {
-        let is_near = message.zone == self.zone;
-        self.apply_members(message, is_near, now);
+        let is_same_zone = message.zone == self.zone;
+        self.apply_members(message, is_same_zone, now);
         self.indirect.remove(&address);
         if let Some(peer) = self.peers.get_mut(&address)
             && peer.name.is_some()
@@ -168,7 +168,7 @@
             peer.version_vector.clone_from(&message.version_vector);
             let was_stopping = std::mem::replace(&mut peer.is_stopping, message.is_stopping);
             if was_stopping != message.is_stopping {
-                self.recount();
+                self.update_counts();
             }
             return None;
         }
@@ -176,7 +176,7 @@
             name: Some(message.from.clone()),
             zone: message.zone.clone(),
             version_vector: message.version_vector.clone(),
-            rank: RolePriority::new(address, message.link_mbps),
+            role_priority: RolePriority::new(address, message.link_mbps),
             incarnation: message.incarnation,
             last_heard: now,
             is_lost: false,
@@ -184,10 +184,10 @@
         };
         let previous = self.peers.insert(address, peer);
         self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
-        self.recount();
-        if self.live_same_zone > self.most_near {
-            self.most_near = self.live_same_zone;
-            self.most_near_since = now;
+        self.update_counts();
+        if self.live_same_zone > self.max_live_same_zone {
+            self.max_live_same_zone = self.live_same_zone;
+            self.max_live_same_zone_since = now;
         }
         let name = message.from.clone();
         Some(match previous.and_then(|previous| previous.name) {
@@ -196,17 +196,17 @@
         })
     }
 
-    fn recount(&mut self) {
-        let living = self.peers.values().filter(|peer| !peer.is_lost);
-        let near = living.clone().filter(|peer| peer.zone == self.zone);
-        self.live_same_zone = near.count();
-        self.live_other_zones = living.count() - self.live_same_zone;
-        let staying: Vec<u64> = self
+    fn update_counts(&mut self) {
+        let live = self.peers.values().filter(|peer| !peer.is_lost);
+        let same_zone = live.clone().filter(|peer| peer.zone == self.zone);
+        self.live_same_zone = same_zone.count();
+        self.live_other_zones = live.count() - self.live_same_zone;
+        let hashes: Vec<u64> = self
             .active_same_zone()
-            .map(|(_, peer)| peer.rank.hash)
+            .map(|(_, peer)| peer.role_priority.hash)
             .collect();
-        if staying != self.active_peer_hashes {
-            self.active_peer_hashes = staying;
+        if hashes != self.active_peer_hashes {
+            self.active_peer_hashes = hashes;
             self.active_peers_version += 1;
         }
     }
@@ -223,32 +223,38 @@
             return None;
         }
         let change = peer.name.clone().map(PeerChange::Lost);
-        self.recount();
+        self.update_counts();
         change
     }
 
     /// Marks silent peers as lost and forgets those silent for long.
     pub fn tick(&mut self, now: Timestamp) -> Vec<PeerChange> {
         let mut changes = Vec::new();
-        let (near, far) = self.silence_limits();
+        let (same_zone_limit, other_zone_limit) = self.silence_limits();
         let zone = self.zone.clone();
-        let limit = |peer: &Peer| if peer.zone == zone { near } else { far };
+        let limit = |peer: &Peer| {
+            if peer.zone == zone {
+                same_zone_limit
+            } else {
+                other_zone_limit
+            }
+        };
         for peer in self.peers.values_mut() {
             if !peer.is_lost && now.since(peer.last_heard) > limit(peer) {
                 peer.is_lost = true;
                 changes.extend(peer.name.clone().map(PeerChange::Lost));
             }
         }
-        let forget = Span(far.0 * FORGET_FACTOR);
+        let forget_after = Span(other_zone_limit.0 * FORGET_FACTOR);
         self.peers.retain(|_, peer| {
-            now.since(peer.last_heard) < forget && !(peer.is_lost && peer.name.is_none())
+            now.since(peer.last_heard) < forget_after && !(peer.is_lost && peer.name.is_none())
         });
         self.indirect
-            .retain(|_, (_, heard)| now.since(*heard) < forget);
-        self.recount();
+            .retain(|_, (_, heard)| now.since(*heard) < forget_after);
+        self.update_counts();
         self.max_known = self.max_known.max(self.peers.len() as u32 + 1);
         if self.is_zone_large() {
-            self.large_until = now;
+            self.last_large_at = now;
         }
         changes
     }
@@ -270,41 +276,42 @@
     /// How long a peer may be silent: each is told in turn, and in a large fleet its
     /// turn comes less often.
     fn silence_limits(&self) -> (Span, Span) {
-        let near = self.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64;
-        let near = if self.is_zone_large() {
+        let same_zone_rounds = self.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64;
+        let same_zone_limit = if self.is_zone_large() {
             SUMMARIZED_SILENCE
         } else {
-            Span(near * TICK.0 * MISSED_TURNS).max(SAME_ZONE_SILENCE)
+            Span(same_zone_rounds * TICK.0 * MISSED_ROUNDS).max(SAME_ZONE_SILENCE)
         };
-        let far = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
-        let far = Span(far * CROSS_ZONE_TICKS * TICK.0 * MISSED_TURNS).max(CROSS_ZONE_SILENCE);
-        let far = if self.is_zone_large() || self.has_told() {
-            far.max(INDIRECT_SILENCE)
+        let other_zone_rounds = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
+        let other_zone_limit = Span(other_zone_rounds * CROSS_ZONE_TICKS * TICK.0 * MISSED_ROUNDS)
+            .max(CROSS_ZONE_SILENCE);
+        let other_zone_limit = if self.is_zone_large() || self.has_indirect_peers() {
+            other_zone_limit.max(INDIRECT_SILENCE)
         } else {
-            far
+            other_zone_limit
         };
-        (near, far)
+        (same_zone_limit, other_zone_limit)
     }
 
     /// Whether nodes are known from others only.
-    fn has_told(&self) -> bool {
+    fn has_indirect_peers(&self) -> bool {
         self.peers.values().any(|peer| peer.name.is_none())
     }
 
     /// Other zones none of whose peers was heard for some turns: the way there is probably
     /// cut, for requests as well. Their nodes may also all have stopped or ended.
     pub fn silent_zones(&self, now: Timestamp) -> BTreeSet<ZoneName> {
-        let turns = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
+        let rounds = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone != self.zone) {
             // Before that, aggregators heard them in place of this node.
-            let heard = peer.last_heard.max(self.large_until);
+            let heard = peer.last_heard.max(self.last_large_at);
             zones.entry(&peer.zone).or_default().push(heard);
         }
         let is_silent = |heard: &Vec<Timestamp>| {
             // Each of its peers tells this node once in so many turns, one after the other.
-            let apart = turns.div_ceil(heard.len() as u64).max(1);
-            let limit = Span(apart * CROSS_ZONE_TICKS * TICK.0 * MISSED_BY_ZONE);
+            let rounds_between = rounds.div_ceil(heard.len() as u64).max(1);
+            let limit = Span(rounds_between * CROSS_ZONE_TICKS * TICK.0 * MISSED_ZONE_MESSAGES);
             heard.iter().all(|heard| now.since(*heard) > limit)
         };
         let silent = zones.into_iter().filter(|(_, heard)| is_silent(heard));
@@ -320,7 +327,7 @@
 
     /// Peers of the own zone that are there.
     pub fn same_zone_peers(&self) -> Vec<SocketAddr> {
-        self.living(|peer| peer.zone == self.zone)
+        self.live_addresses(|peer| peer.zone == self.zone)
     }
 
     /// Number of peers of the own zone that are there.
@@ -330,7 +337,7 @@
 
     /// Time since more peers of the own zone than ever were there.
     pub fn time_since_zone_grew(&self, now: Timestamp) -> Span {
-        now.since(self.most_near_since)
+        now.since(self.max_live_same_zone_since)
     }
 
     /// Number of peers of other zones that are there.
@@ -340,15 +347,15 @@
 
     /// Peers of other zones that are there.
     pub fn other_zone_peers(&self) -> Vec<SocketAddr> {
-        self.living(|peer| peer.zone != self.zone)
+        self.live_addresses(|peer| peer.zone != self.zone)
     }
 
-    fn living(&self, fits: impl Fn(&Peer) -> bool) -> Vec<SocketAddr> {
-        let living = self
+    fn live_addresses(&self, is_included: impl Fn(&Peer) -> bool) -> Vec<SocketAddr> {
+        let live = self
             .peers
             .iter()
-            .filter(|(_, peer)| !peer.is_lost && fits(peer));
-        living.map(|(address, _)| *address).collect()
+            .filter(|(_, peer)| !peer.is_lost && is_included(peer));
+        live.map(|(address, _)| *address).collect()
     }
 
     /// Addresses to try that are not known to be there.
@@ -356,11 +363,11 @@
         let lost = self.peers.iter().filter(|(_, peer)| peer.is_lost);
         let lost = lost.map(|(address, _)| *address);
         let seeds = self.other_seeds().into_iter();
-        let named = self
+        let indirect = self
             .indirect
             .iter()
-            .filter(|(_, (zone, _))| self.is_sought(zone));
-        let unknown = seeds.chain(named.map(|(address, _)| *address));
+            .filter(|(_, (zone, _))| self.should_probe(zone));
+        let unknown = seeds.chain(indirect.map(|(address, _)| *address));
         let unknown = unknown.filter(|address| !self.peers.contains_key(address));
         unknown.chain(lost).choose_multiple(random, count)
     }
@@ -368,11 +375,11 @@
     /// Number of nodes known by hearsay only.
     pub fn indirect_count(&self) -> usize {
         let zones = self.indirect.values();
-        zones.filter(|(zone, _)| self.is_sought(zone)).count()
+        zones.filter(|(zone, _)| self.should_probe(zone)).count()
     }
 
     /// Whether nodes of a zone that others name are to be tried.
-    fn is_sought(&self, zone: &ZoneName) -> bool {
+    fn should_probe(&self, zone: &ZoneName) -> bool {
         *zone == self.zone || !self.has_enough_contacts(zone)
     }
 
@@ -381,9 +388,9 @@
     pub(crate) fn role_candidates(&self) -> Vec<(RolePriority, SocketAddr)> {
         let mut ranked: Vec<(RolePriority, SocketAddr)> = self
             .active_same_zone()
-            .map(|(address, peer)| (peer.rank, *address))
+            .map(|(address, peer)| (peer.role_priority, *address))
             .collect();
-        ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
+        ranked.sort_unstable_by_key(|(role_priority, _)| std::cmp::Reverse(*role_priority));
         ranked
     }
 
@@ -420,13 +427,13 @@
 
     /// Living peers that know changes beyond `known`.
     pub fn peers_ahead_of(&self, known: &VersionVector) -> Vec<SocketAddr> {
-        self.living(|peer| !known.includes(&peer.version_vector))
+        self.live_addresses(|peer| !known.includes(&peer.version_vector))
     }
 
     /// The newest revision that a living peer knows.
     pub fn newest_known_revision(&self) -> Option<Revision> {
-        let living = self.peers.values().filter(|peer| !peer.is_lost);
-        living.filter_map(|peer| peer.version_vector.newest()).max()
+        let live = self.peers.values().filter(|peer| !peer.is_lost);
+        live.filter_map(|peer| peer.version_vector.newest()).max()
     }
 
     /// Zone of a node, as far as it was heard or others tell.
@@ -443,8 +450,8 @@
 
     /// The other zones that have peers that are there.
     pub fn other_zones(&self) -> impl Iterator<Item = &ZoneName> {
-        let living = self.peers.values().filter(|peer| !peer.is_lost);
-        let zones = living.map(|peer| &peer.zone);
+        let live = self.peers.values().filter(|peer| !peer.is_lost);
+        let zones = live.map(|peer| &peer.zone);
         let others: BTreeSet<&ZoneName> = zones.filter(|zone| **zone != self.zone).collect();
         others.into_iter()
     }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -10,7 +10,7 @@
 
 /// Part of the bound that is used: requests counted here may arrive in a later
 /// window than their repeats.
-const USED_PART: f64 = 0.8;
+const USABLE_SHARE: f64 = 0.8;
 /// Parts of the window that are counted apart.
 const BUCKETS: u64 = 10;
 /// Nodes assumed until the fleet is known.
@@ -29,9 +29,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    number: u64,
+    index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// The budget of one pool on one node.
@@ -52,19 +52,19 @@
 
     fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
         let width = (self.settings.window.0 / BUCKETS).max(1);
-        let number = now.0 / width;
+        let index = now.0 / width;
         while self
             .buckets
             .front()
-            .is_some_and(|bucket| bucket.number + BUCKETS < number)
+            .is_some_and(|bucket| bucket.index + BUCKETS < index)
         {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|last| last.number < number) {
+        if self.buckets.back().is_none_or(|last| last.index < index) {
             self.buckets.push_back(Bucket {
-                number,
+                index,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.buckets.len() - 1;
@@ -80,10 +80,10 @@
     pub fn remaining(&mut self, now: Timestamp, nodes: u32) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let nodes = f64::from(nodes.max(ASSUMED_NODES));
         let allowed = self.settings.ratio * f64::from(requests) + self.settings.allowance / nodes;
-        USED_PART * allowed - f64::from(repeats)
+        USABLE_SHARE * allowed - f64::from(retries)
     }
 
     /// Spends one repeat if the budget allows it.
@@ -91,7 +91,7 @@
         if self.remaining(now, nodes) < 1.0 {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 }
