--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -1,41 +1,41 @@
 //! Choice of a back end: what each would cost, in one unit.
 //!
-//! All costs are times. A request that misses its target costs [`LATE_REQUEST`]; prices
+//! All costs are times. A request that misses its target costs [`LATE_REQUEST_COST`]; prices
 //! of other things are set against that.
 
 use eiderferry_types::Span;
 
 /// What a request that misses its target costs: about the target of a first event, so
 /// that a delay of one target weighs as much as a loss.
-const LATE_REQUEST: Span = Span::from_milliseconds(450);
+const LATE_REQUEST_COST: Span = Span::from_milliseconds(450);
 /// Target for a first event up to which each millisecond before it counts in full. A longer
 /// target leaves room, so that a wait counts in proportion: rather that than reading or
 /// copying a prompt elsewhere. On a loaded day of 71 nodes 10.1 in place of 12.7 million
 /// prompt tokens were read again and 210 in place of 439 GB copied, and a tenth more short
 /// streams came in time, beside fewer readings.
-const SHORT_TARGET: Span = Span::from_milliseconds(600);
+const MAX_FULL_WEIGHT_TARGET: Span = Span::from_milliseconds(600);
 /// Time that a full batch costs. A place in a batch costs next to nothing until the
 /// batch is nearly full (a step of 64 streams takes half as long again as one of a
 /// single stream), so the cost rises with the fifth power of its fullness: streams
 /// gather, and leave other engines to long prompts. Near the end it makes up for
 /// choices that other nodes make at the same moment.
-const FULL_BATCH: Span = Span::from_milliseconds(256);
+const FULL_BATCH_COST: Span = Span::from_milliseconds(256);
 /// Time that a request costs beyond a full batch at least: it waits for an end.
-const WAITING: Span = Span::from_milliseconds(1_000);
+const QUEUEING_COST: Span = Span::from_milliseconds(1_000);
 /// What reading a shared prompt token again is held to cost beside its time, in
 /// microseconds: the room it takes from other prompts, and the work done twice.
-const READ_AGAIN_PER_TOKEN: u64 = 70;
+const RECOMPUTE_COST_PER_TOKEN: u64 = 70;
 /// The same for a token copied from another engine.
-pub(crate) const COPY_PER_TOKEN: u64 = 30;
+pub(crate) const COPY_COST_PER_TOKEN: u64 = 30;
 /// Part of an engine's memory beyond which requests begin to push each other out:
 /// what is known of the others is some hundred milliseconds old.
-const MEMORY_PRESSURE_FROM: f64 = 0.75;
+const MEMORY_PRESSURE_THRESHOLD: f64 = 0.75;
 /// What a request costs that fills the memory to the end: it, or another, is put back
 /// and read anew.
-const FULL_MEMORY: Span = Span::from_milliseconds(2_000);
+const FULL_MEMORY_COST: Span = Span::from_milliseconds(2_000);
 
 /// What a failure costs a request that may be sent again, and one that may not.
-const FAILURE: Span = Span::from_milliseconds(800);
+const RETRYABLE_FAILURE: Span = Span::from_milliseconds(800);
 pub(crate) const PERMANENT_FAILURE: Span = Span::from_milliseconds(4_000);
 
 /// A back end that could take a request.
@@ -72,57 +72,59 @@
 impl Candidate {
     /// What choosing it costs, as a time.
     pub fn cost(&self) -> Span {
-        self.waiting_cost()
+        self.first_event_cost()
             + self.network_cost
             + self.batch_cost()
             + self.memory_cost()
             + self.prefill_cost()
-            + LATE_REQUEST.scaled(self.late_first_event())
-            + LATE_REQUEST.scaled(self.own_delay_probability + self.delayed_streams)
+            + LATE_REQUEST_COST.scaled(self.late_first_event_probability())
+            + LATE_REQUEST_COST.scaled(self.own_delay_probability + self.delayed_streams)
             + self.failure_cost()
     }
 
     /// What the time to the first event costs, without the chance that it comes late.
-    fn waiting_cost(&self) -> Span {
-        let part = SHORT_TARGET.0 as f64 / self.target.max(SHORT_TARGET).0 as f64;
-        self.first_event.scaled(part)
+    fn first_event_cost(&self) -> Span {
+        let weight =
+            MAX_FULL_WEIGHT_TARGET.0 as f64 / self.target.max(MAX_FULL_WEIGHT_TARGET).0 as f64;
+        self.first_event.scaled(weight)
     }
 
     /// Chance that the first event comes late: prompts that other nodes sent a moment ago
     /// are not known yet, and the longer the known queue the more of them there are.
-    fn late_first_event(&self) -> f64 {
+    fn late_first_event_probability(&self) -> f64 {
         if self.target == Span::ZERO {
             return 0.0;
         }
-        let part = self.first_event.0 as f64 / self.target.0 as f64;
-        part.min(1.0).powi(2)
+        let target_share = self.first_event.0 as f64 / self.target.0 as f64;
+        target_share.min(1.0).powi(2)
     }
 
     fn batch_cost(&self) -> Span {
         let slots = f64::from(self.slots.max(1));
         let fullness = f64::from(self.running) / slots;
-        let waiting = if self.running >= self.slots {
-            WAITING.scaled(fullness)
+        let queueing_cost = if self.running >= self.slots {
+            QUEUEING_COST.scaled(fullness)
         } else {
             Span::ZERO
         };
-        FULL_BATCH.scaled(fullness.powi(5)) + waiting
+        FULL_BATCH_COST.scaled(fullness.powi(5)) + queueing_cost
     }
 
     fn memory_cost(&self) -> Span {
-        let excess = (self.memory_fraction - MEMORY_PRESSURE_FROM) / (1.0 - MEMORY_PRESSURE_FROM);
-        FULL_MEMORY.scaled(excess.max(0.0))
+        let excess =
+            (self.memory_fraction - MEMORY_PRESSURE_THRESHOLD) / (1.0 - MEMORY_PRESSURE_THRESHOLD);
+        FULL_MEMORY_COST.scaled(excess.max(0.0))
     }
 
     fn prefill_cost(&self) -> Span {
-        let recomputed_tokens = u64::from(self.recomputed_tokens) * READ_AGAIN_PER_TOKEN;
-        let copied = u64::from(self.copied_tokens) * COPY_PER_TOKEN;
-        Span(recomputed_tokens + copied)
+        let recompute_cost = u64::from(self.recomputed_tokens) * RECOMPUTE_COST_PER_TOKEN;
+        let copy_cost = u64::from(self.copied_tokens) * COPY_COST_PER_TOKEN;
+        Span(recompute_cost + copy_cost)
     }
 
     fn failure_cost(&self) -> Span {
         let failure = if self.may_retry {
-            FAILURE
+            RETRYABLE_FAILURE
         } else {
             PERMANENT_FAILURE
         };
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -135,11 +135,11 @@
 impl Demand {
     /// Whether a back end has not failed it and is not ruled out.
     pub(crate) fn is_allowed_on(&self, instance: &InstanceId) -> bool {
-        let is_meant = self
+        let is_required = self
             .required_instance
             .as_ref()
-            .is_none_or(|only| only == instance);
-        is_meant && !self.excluded_back_ends.contains(instance)
+            .is_none_or(|required| required == instance);
+        is_required && !self.excluded_back_ends.contains(instance)
     }
 
     /// The parts of the prompt that other requests may share: all but the last.
@@ -150,8 +150,8 @@
 
     /// Tokens that no other request shares: the rest of the prompt, and the answer.
     pub fn unshared_tokens(&self) -> u32 {
-        let own = self.prompt_tokens.saturating_sub(self.shared_tokens());
-        own.saturating_add(self.output_tokens)
+        let unshared_prompt = self.prompt_tokens.saturating_sub(self.shared_tokens());
+        unshared_prompt.saturating_add(self.output_tokens)
     }
 
     /// Length of these parts in tokens.
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -20,37 +20,37 @@
 /// Prompts shorter than this are short: reading one holds nobody up.
 const SHORT_PROMPT_TOKENS: u32 = 2_000;
 /// Difference of two shares of failures that is put down to chance.
-const CHANCE_SHARE: f64 = 0.07;
+const FAILURE_SHARE_TOLERANCE: f64 = 0.07;
 /// Chance that, while a stream runs, another long prompt comes to an engine for each
 /// request with a long prompt that runs there: streams last a few seconds, as long as
 /// those requests do.
-const FURTHER_LONG_READING: f64 = 0.3;
+const FURTHER_LONG_PREFILL_PROBABILITY: f64 = 0.3;
 /// Chance that a request into a zone of which nothing is heard fails: its nodes may all
 /// have ended while the way to its back ends is open.
-const CUT_CHANCE: f64 = 0.8;
+const SILENT_ZONE_FAILURE_PROBABILITY: f64 = 0.8;
 /// Back ends compared for one request where the pool has more.
-const MOST_COMPARED: usize = 32;
+const MAX_COMPARED: usize = 32;
 /// Of these, those first in the order of preference for the request's prompt.
-const MOST_PREFERRED: usize = 10;
+const MAX_PREFERRED: usize = 10;
 /// Of these, some of the own zone, and some of all, drawn for each request.
-const DRAWN_NEAR: usize = 6;
-const DRAWN: usize = 8;
+const SAME_ZONE_SAMPLES: usize = 6;
+const POOL_SAMPLES: usize = 8;
 
 /// Part of the engines of a large pool that are kept for streams which long prompts beside
 /// them would make late, while there are such streams: no long prompt has its home there. All
 /// nodes choose them alike, by hashing. Without them such streams run beside the readings of
 /// homes, however well each node knows the engines. On a loaded day of 295 nodes and 320
 /// engines 10,019 of 13,486 of them came in time, where 7,339 did without (one run each).
-const STREAMING_PART: f64 = 0.125;
+const STREAM_ENGINE_SHARE: f64 = 0.125;
 /// Seed of the hash that chooses them.
-const STREAMING_SEED: u64 = 0x5354_5245_414d;
+const STREAM_ENGINE_SEED: u64 = 0x5354_5245_414d;
 /// Chance to come late beside long prompts from which on a stream is placed apart.
 pub(crate) const SENSITIVE_PROBABILITY: f64 = 0.15;
 /// Part of the streams that the longest reading makes late up to which a single reading counts
 /// as harmless to them: the prompt may be read beside streams.
-const HARMLESS_SHARE: f64 = 0.1;
+const HARMLESS_DELAYED_SHARE: f64 = 0.1;
 /// Requests with long prompts that are expected at an engine with homes besides those there.
-const EXPECTED_AT_HOMES: u32 = 1;
+const EXPECTED_LONG_PREFILLS: u32 = 1;
 
 /// What sending a request to one back end would mean.
 #[derive(Clone, Debug)]
@@ -77,25 +77,25 @@
     random: &mut impl Rng,
 ) -> Plans {
     let now = view.now;
-    let split = Split::of(registry, demand);
+    let split = RequestSplit::of(registry, demand);
     let may_be_home = |state: &BackEndState| {
         split.matches_request(state) && view.may_be_home(&state.back_end.zone)
     };
     let examined = examine(registry, view, demand, may_be_home, random);
-    let staying: Vec<&BackEndState> = examined.eligible().collect();
+    let eligible: Vec<&BackEndState> = examined.eligible().collect();
     let home = examined.home.map(|state| &state.back_end.instance);
     let compared = shortlist(&examined, &split, view, demand, random);
-    let setting = Setting {
+    let context = PlanContext {
         model: registry.model(&demand.pool),
         home,
-        keepers: Keepers::among(&staying, home, demand, now),
-        usual_failures: usual_failure_share(&staying, now),
+        copy_sources: CopySources::select(&eligible, home, demand, now),
+        baseline_failure_share: baseline_failure_share(&eligible, now),
         split,
         view,
     };
     let plans = compared.into_iter();
     Plans {
-        plans: plans.map(|state| plan(state, demand, &setting)).collect(),
+        plans: plans.map(|state| plan(state, demand, &context)).collect(),
         examined: examined.count,
     }
 }
@@ -104,31 +104,36 @@
 /// beginning prefers, and some drawn at random.
 fn shortlist<'a>(
     examined: &Examined<'a>,
-    split: &Split<'_>,
+    split: &RequestSplit<'_>,
     view: &View<'_>,
     demand: &Demand,
     random: &mut impl Rng,
 ) -> Vec<&'a BackEndState> {
-    let open = |state: &&BackEndState| demand.is_allowed_on(&state.back_end.instance);
-    let healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
+    let is_allowed = |state: &&BackEndState| demand.is_allowed_on(&state.back_end.instance);
+    let is_healthy = |state: &&BackEndState| !state.health.is_ejected(view.now);
     let is_any_healthy = examined
         .eligible()
-        .filter(open)
-        .any(|state| healthy(&state));
-    let usable = |state: &&BackEndState| open(state) && (healthy(state) || !is_any_healthy);
-    let all: Vec<&BackEndState> = examined.eligible().filter(usable).collect();
-    if all.len() <= MOST_COMPARED {
+        .filter(is_allowed)
+        .any(|state| is_healthy(&state));
+    let is_usable =
+        |state: &&BackEndState| is_allowed(state) && (is_healthy(state) || !is_any_healthy);
+    let all: Vec<&BackEndState> = examined.eligible().filter(is_usable).collect();
+    if all.len() <= MAX_COMPARED {
         return all;
     }
-    let is_near = |state: &&&BackEndState| state.back_end.zone == *view.zone;
+    let is_same_zone = |state: &&&BackEndState| state.back_end.zone == *view.zone;
     let matches_request = |state: &&&BackEndState| split.matches_request(state);
-    let near = all.iter().filter(is_near).filter(matches_request).copied();
-    let near = near.choose_multiple(random, DRAWN_NEAR);
-    let drawn = all.iter().copied().choose_multiple(random, DRAWN);
-    let preferable = examined.preferable.iter().copied();
-    let mut compared: Vec<&BackEndState> = preferable.filter(usable).collect();
-    if compared.len() > MOST_PREFERRED {
-        compared.select_nth_unstable_by_key(MOST_PREFERRED, |state| {
+    let same_zone = all
+        .iter()
+        .filter(is_same_zone)
+        .filter(matches_request)
+        .copied();
+    let same_zone = same_zone.choose_multiple(random, SAME_ZONE_SAMPLES);
+    let sampled = all.iter().copied().choose_multiple(random, POOL_SAMPLES);
+    let preferred = examined.preferred.iter().copied();
+    let mut compared: Vec<&BackEndState> = preferred.filter(is_usable).collect();
+    if compared.len() > MAX_PREFERRED {
+        compared.select_nth_unstable_by_key(MAX_PREFERRED, |state| {
             let may_be_home = view.may_be_home(&state.back_end.zone);
             std::cmp::Reverse((
                 split.matches_request(state),
@@ -136,10 +141,10 @@
                 preference(state, demand),
             ))
         });
-        compared.truncate(MOST_PREFERRED);
+        compared.truncate(MAX_PREFERRED);
     }
-    for state in near.into_iter().chain(drawn) {
-        if !compared.iter().any(|known| std::ptr::eq(*known, state)) {
+    for state in same_zone.into_iter().chain(sampled) {
+        if !compared.iter().any(|other| std::ptr::eq(*other, state)) {
             compared.push(state);
         }
     }
@@ -149,142 +154,149 @@
 /// How the engines of a pool are split between streams that long prompts would make late
 /// and long prompts, and which of these a request is.
 #[derive(Clone, Copy, Debug)]
-struct Split<'a> {
-    rule: Rule<'a>,
-    is_sensitive: bool,
+struct RequestSplit<'a> {
+    rule: SplitRule<'a>,
+    is_delay_sensitive: bool,
 }
 
 /// Which engines are kept for streams.
 #[derive(Clone, Copy, Debug)]
-enum Rule<'a> {
+enum SplitRule<'a> {
     /// None.
     None,
     /// A fixed part.
-    FixedPart,
+    FixedShare,
     /// As many as the load leaves.
     ByLoad(&'a PoolSplit),
 }
 
-impl<'a> Split<'a> {
+impl<'a> RequestSplit<'a> {
     fn of(registry: &'a Registry, demand: &Demand) -> Self {
         let engines = registry.pool_size(&demand.pool);
         let by_load = registry.split(&demand.pool);
-        let chance = registry.model(&demand.pool).zip(demand.event_gap_target);
-        let is_exposed = chance.is_some_and(|(model, target)| {
+        let model_and_target = registry.model(&demand.pool).zip(demand.event_gap_target);
+        let is_exposed = model_and_target.is_some_and(|(model, target)| {
             model.delay_probability_beside_long_prompts(&model.engine_speed(), target)
                 >= SENSITIVE_PROBABILITY
         });
-        let has_fixed_part = registry.isolates_streams(&demand.pool)
+        let has_fixed_share = registry.isolates_streams(&demand.pool)
             || by_load.is_some_and(|split| split.is_saturated());
         let by_load = by_load.filter(|split| split.is_active());
         let is_short = match (by_load, registry.model(&demand.pool)) {
             (Some(split), Some(model)) => {
-                let reading = split.prefill_time(demand.prompt_tokens);
-                model.delayed_share(&model.engine_speed(), reading) < HARMLESS_SHARE
+                let prefill_time = split.prefill_time(demand.prompt_tokens);
+                model.delayed_share(&model.engine_speed(), prefill_time) < HARMLESS_DELAYED_SHARE
             }
             _ => demand.prompt_tokens < SHORT_PROMPT_TOKENS,
         };
         let rule = match by_load {
-            Some(split) => Rule::ByLoad(split),
-            None if engines > MOST_COMPARED && has_fixed_part => Rule::FixedPart,
-            None => Rule::None,
+            Some(split) => SplitRule::ByLoad(split),
+            None if engines > MAX_COMPARED && has_fixed_share => SplitRule::FixedShare,
+            None => SplitRule::None,
         };
         Self {
             rule,
-            is_sensitive: is_short && is_exposed,
+            is_delay_sensitive: is_short && is_exposed,
         }
     }
 
     fn serves_streams(&self, state: &BackEndState) -> Option<bool> {
         match self.rule {
-            Rule::None => None,
-            Rule::FixedPart => Some(is_in_fixed_part(state)),
-            Rule::ByLoad(split) => Some(split.serves_streams(state.digest)),
+            SplitRule::None => None,
+            SplitRule::FixedShare => Some(is_in_fixed_share(state)),
+            SplitRule::ByLoad(split) => Some(split.serves_streams(state.digest)),
         }
     }
 
     /// Whether an engine is kept for requests like this.
     fn matches_request(&self, state: &BackEndState) -> bool {
         self.serves_streams(state)
-            .is_none_or(|serves_streams| serves_streams == self.is_sensitive)
+            .is_none_or(|serves_streams| serves_streams == self.is_delay_sensitive)
     }
 
-    fn expected_long_readings(&self, state: &BackEndState) -> u32 {
+    fn expected_long_prefills(&self, state: &BackEndState) -> u32 {
         match self.serves_streams(state) {
-            Some(false) => EXPECTED_AT_HOMES,
+            Some(false) => EXPECTED_LONG_PREFILLS,
             _ => 0,
         }
     }
 
     /// Exposed streams that a long prompt finds at an engine, or that come while it is read.
-    fn expected_exposed(&self, state: &BackEndState, there: f64) -> f64 {
+    fn expected_exposed_streams(&self, state: &BackEndState, exposed_now: f64) -> f64 {
         match self.rule {
-            Rule::ByLoad(split) if !self.is_sensitive && !self.matches_request(state) => {
-                there.max(split.exposed_at_streams())
+            SplitRule::ByLoad(split)
+                if !self.is_delay_sensitive && !self.matches_request(state) =>
+            {
+                exposed_now.max(split.mean_exposed_streams())
             }
-            _ => there,
+            _ => exposed_now,
         }
     }
 }
 
 /// Whether an engine is one of the fixed part that is kept for streams.
-fn is_in_fixed_part(state: &BackEndState) -> bool {
-    let hash = xxh3_64_with_seed(&state.digest.to_le_bytes(), STREAMING_SEED);
-    (hash as f64) < STREAMING_PART * u64::MAX as f64
+fn is_in_fixed_share(state: &BackEndState) -> bool {
+    let hash = xxh3_64_with_seed(&state.digest.to_le_bytes(), STREAM_ENGINE_SEED);
+    (hash as f64) < STREAM_ENGINE_SHARE * u64::MAX as f64
 }
 
 /// The two engines that keep most of a prompt's beginning.
-struct Keepers<'a> {
-    best: Vec<(u32, &'a BackEndState)>,
+struct CopySources<'a> {
+    engines: Vec<(u32, &'a BackEndState)>,
 }
 
-impl<'a> Keepers<'a> {
-    fn among(
-        staying: &[&'a BackEndState],
+impl<'a> CopySources<'a> {
+    fn select(
+        eligible: &[&'a BackEndState],
         home: Option<&InstanceId>,
         demand: &Demand,
         now: Timestamp,
     ) -> Self {
         if demand.shared_tokens() < MINIMUM_COPIED_TOKENS {
-            return Self { best: Vec::new() };
+            return Self {
+                engines: Vec::new(),
+            };
         }
-        let sound = staying.iter().filter(|state| !state.health.is_ejected(now));
-        let kept =
-            sound.map(|state| (state.load.cache.computed_tokens(&demand.parts, now), *state));
-        let mut best: Vec<(u32, &BackEndState)> = kept
-            .filter(|(kept, _)| *kept >= MINIMUM_COPIED_TOKENS)
+        let healthy = eligible
+            .iter()
+            .filter(|state| !state.health.is_ejected(now));
+        let cached =
+            healthy.map(|state| (state.load.cache.computed_tokens(&demand.parts, now), *state));
+        let mut engines: Vec<(u32, &BackEndState)> = cached
+            .filter(|(cached, _)| *cached >= MINIMUM_COPIED_TOKENS)
             .collect();
-        best.sort_by_key(|(kept, state)| {
+        engines.sort_by_key(|(cached, state)| {
             let is_home = home == Some(&state.back_end.instance);
-            std::cmp::Reverse((*kept, is_home))
+            std::cmp::Reverse((*cached, is_home))
         });
-        best.truncate(2);
-        Self { best }
+        engines.truncate(2);
+        Self { engines }
     }
 
     /// Where an engine that keeps so much would copy the rest from.
-    fn source(&self, instance: &InstanceId, kept: u32) -> Option<SocketAddr> {
-        let mut others = self.best.iter();
-        let (most, state) = others.find(|(_, state)| state.back_end.instance != *instance)?;
-        let gain = most.saturating_sub(kept);
+    fn address_for(&self, instance: &InstanceId, cached: u32) -> Option<SocketAddr> {
+        let mut others = self.engines.iter();
+        let (most_cached, state) =
+            others.find(|(_, state)| state.back_end.instance != *instance)?;
+        let gain = most_cached.saturating_sub(cached);
         (gain >= MINIMUM_COPIED_TOKENS).then_some(state.back_end.address)
     }
 }
 
 /// What all plans for one request share.
-struct Setting<'a> {
+struct PlanContext<'a> {
     model: Option<&'a PoolModel>,
     home: Option<&'a InstanceId>,
-    keepers: Keepers<'a>,
-    usual_failures: f64,
-    split: Split<'a>,
+    copy_sources: CopySources<'a>,
+    baseline_failure_share: f64,
+    split: RequestSplit<'a>,
     view: &'a View<'a>,
 }
 
 /// Share of failures of the sounder quarter of a pool: where many fail, the rest shows
 /// what is usual.
-fn usual_failure_share(staying: &[&BackEndState], now: Timestamp) -> f64 {
-    let shares = staying.iter().map(|state| state.load.failure_share(now));
+fn baseline_failure_share(eligible: &[&BackEndState], now: Timestamp) -> f64 {
+    let shares = eligible.iter().map(|state| state.load.failure_share(now));
     let mut shares: Vec<f64> = shares.collect();
     if shares.is_empty() {
         return 0.0;
@@ -293,45 +305,48 @@
     *shares.select_nth_unstable_by(quarter, f64::total_cmp).1
 }
 
-fn plan(state: &BackEndState, demand: &Demand, setting: &Setting<'_>) -> Plan {
-    let now = setting.view.now;
+fn plan(state: &BackEndState, demand: &Demand, context: &PlanContext<'_>) -> Plan {
+    let now = context.view.now;
     let instance = &state.back_end.instance;
-    let kept = state.load.cache.cached_tokens(&demand.parts);
-    let missing = demand.shared_tokens().saturating_sub(kept);
-    let copy_from = setting.keepers.source(instance, kept);
+    let cached = state.load.cache.cached_tokens(&demand.parts);
+    let missing = demand.shared_tokens().saturating_sub(cached);
+    let copy_from = context.copy_sources.address_for(instance, cached);
     let copied = if copy_from.is_some() { missing } else { 0 };
-    let is_home = setting.home == Some(instance);
+    let is_home = context.home == Some(instance);
     let recomputed_tokens = if is_home { 0 } else { missing - copied };
-    let uncached = demand.prompt_tokens.saturating_sub(kept + copied);
-    let there = state.load.occupancy(now);
-    let footprint = footprint(state, demand, uncached, setting);
-    let reading = state
+    let uncached = demand.prompt_tokens.saturating_sub(cached + copied);
+    let occupancy = state.load.occupancy(now);
+    let footprint = footprint(state, demand, uncached, context);
+    let prefill_time = state
         .load
-        .prefill_time(there.pending_tokens + u64::from(uncached));
-    let network_path = setting
+        .prefill_time(occupancy.pending_tokens + u64::from(uncached));
+    let network_path = context
         .view
         .network_path(&state.back_end.zone, demand.bytes);
     let mut candidate = Candidate {
-        first_event: reading + network_path.round_trip,
+        first_event: prefill_time + network_path.round_trip,
         target: demand.target,
         recomputed_tokens,
         is_home,
         copied_tokens: copied,
-        running: there.running,
+        running: occupancy.running,
         slots: state.back_end.slots,
-        memory_fraction: memory_part(state, &there, &footprint),
+        memory_fraction: memory_fraction(state, &occupancy, &footprint),
         network_cost: network_path.transfer_cost,
-        excess_failures: excess_failures(state, setting),
+        excess_failures: excess_failures(state, context),
         may_retry: demand.may_retry,
         ..Candidate::default()
     };
-    if let Some(model) = setting.model {
-        let readings = Readings::at(state, &there, &footprint);
-        let expected = setting.split.expected_long_readings(state);
-        candidate.own_delay_probability = readings.own_delay_probability(&footprint, expected);
+    if let Some(model) = context.model {
+        let prefill_queue = PrefillQueue::at(state, &occupancy, &footprint);
+        let expected_long_prefills = context.split.expected_long_prefills(state);
+        candidate.own_delay_probability =
+            prefill_queue.own_delay_probability(&footprint, expected_long_prefills);
         candidate.delayed_streams = {
-            let exposed = setting.split.expected_exposed(state, there.exposed_streams);
-            readings.delayed_streams(model, state, exposed)
+            let exposed_streams = context
+                .split
+                .expected_exposed_streams(state, occupancy.exposed_streams);
+            prefill_queue.delayed_streams(model, state, exposed_streams)
         };
     }
     Plan {
@@ -346,73 +361,73 @@
     state: &BackEndState,
     demand: &Demand,
     uncached: u32,
-    setting: &Setting<'_>,
+    context: &PlanContext<'_>,
 ) -> Footprint {
-    let reading = state.load.prefill_time(u64::from(uncached));
+    let prefill_time = state.load.prefill_time(u64::from(uncached));
     let speed = &state.load.speed;
-    let exposure = setting.model.zip(demand.event_gap_target);
+    let exposure = context.model.zip(demand.event_gap_target);
     Footprint {
         uncached_tokens: uncached,
         unshared_tokens: demand.unshared_tokens(),
         exposure: exposure.map_or(0.0, |(model, target)| {
             model.delay_probability_beside_long_prompts(speed, target)
         }),
-        is_long_prefill: setting
+        is_long_prefill: context
             .model
-            .is_some_and(|model| model.is_long_prefill(speed, reading)),
+            .is_some_and(|model| model.is_long_prefill(speed, prefill_time)),
     }
 }
 
 /// Part of an engine's memory that single requests take, with one more.
-fn memory_part(state: &BackEndState, there: &Occupancy, footprint: &Footprint) -> f64 {
+fn memory_fraction(state: &BackEndState, occupancy: &Occupancy, footprint: &Footprint) -> f64 {
     let capacity = state.load.cache.engine_tokens();
     if capacity == 0 {
         return 0.0;
     }
-    let taken = there.unshared_tokens + u64::from(footprint.unshared_tokens);
+    let taken = occupancy.unshared_tokens + u64::from(footprint.unshared_tokens);
     taken as f64 / capacity as f64
 }
 
 /// Prompts that are read at an engine: those that wait there, and the newcomer's.
-struct Readings {
-    waiting: Span,
+struct PrefillQueue {
+    queued: Span,
     own: Span,
-    long_there: u32,
+    long_prefills: u32,
 }
 
-impl Readings {
-    fn at(state: &BackEndState, there: &Occupancy, footprint: &Footprint) -> Self {
+impl PrefillQueue {
+    fn at(state: &BackEndState, occupancy: &Occupancy, footprint: &Footprint) -> Self {
         let own = u64::from(footprint.uncached_tokens);
         Self {
-            waiting: state.load.prefill_time(there.pending_tokens),
+            queued: state.load.prefill_time(occupancy.pending_tokens),
             own: state.load.prefill_time(own),
-            long_there: there.long_prefills,
+            long_prefills: occupancy.long_prefills,
         }
     }
 
     /// Chance that the newcomer's events come late: where requests with long prompts
     /// run, further ones are likely to come while it runs.
     fn own_delay_probability(&self, footprint: &Footprint, expected: u32) -> f64 {
-        let long_prefills = self.long_there + expected;
-        let none_comes = (1.0 - FURTHER_LONG_READING).powi(long_prefills as i32);
-        footprint.exposure * (1.0 - none_comes)
+        let long_prefills = self.long_prefills + expected;
+        let none_arrives = (1.0 - FURTHER_LONG_PREFILL_PROBABILITY).powi(long_prefills as i32);
+        footprint.exposure * (1.0 - none_arrives)
     }
 
     /// Streams that the newcomer's prompt makes late, in expectation.
     fn delayed_streams(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
-        let together = Span(self.waiting.0 + self.own.0);
-        let after = model.delayed_share(&state.load.speed, together);
-        let before = model.delayed_share(&state.load.speed, self.waiting);
+        let total = Span(self.queued.0 + self.own.0);
+        let after = model.delayed_share(&state.load.speed, total);
+        let before = model.delayed_share(&state.load.speed, self.queued);
         exposed * (after - before).max(0.0)
     }
 }
 
 /// By how much a back end fails more than the sound ones of its pool, beyond chance.
-fn excess_failures(state: &BackEndState, setting: &Setting<'_>) -> f64 {
-    let share = state.load.failure_share(setting.view.now);
-    let excess = (share - setting.usual_failures - CHANCE_SHARE).max(0.0);
-    if setting.view.silent_zones.contains(&state.back_end.zone) {
-        excess.max(CUT_CHANCE)
+fn excess_failures(state: &BackEndState, context: &PlanContext<'_>) -> f64 {
+    let share = state.load.failure_share(context.view.now);
+    let excess = (share - context.baseline_failure_share - FAILURE_SHARE_TOLERANCE).max(0.0);
+    if context.view.silent_zones.contains(&state.back_end.zone) {
+        excess.max(SILENT_ZONE_FAILURE_PROBABILITY)
     } else {
         excess
     }
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -14,45 +14,45 @@
 
 /// Exposed streams for each slot of a pool from which on, and down to which, its engines are
 /// split: apart, so that homes do not move to and fro.
-const SPLIT_FROM: f64 = 0.01;
-const SPLIT_TO: f64 = 0.003;
+const SPLIT_START_THRESHOLD: f64 = 0.01;
+const SPLIT_STOP_THRESHOLD: f64 = 0.003;
 /// Engines that both kinds need, as a multiple of those there are, from which on a pool is split
 /// no more, and down to which it stays so: each engine is needed for whatever comes. At 1.9 three
 /// times as many streams came late split as not (207 and 63 of 2,000, load played).
-const FULL_FROM: f64 = 1.15;
-const FULL_TO: f64 = 1.0;
+const SATURATION_START: f64 = 1.15;
+const SATURATION_STOP: f64 = 1.0;
 /// Part of a pool's slots in use from which on it is split no more, and down to which it stays
 /// so. An engine that reads keeps its requests several times as long: long prompts on few
 /// engines fill their slots first where slots are what is short. With 90 engines of 16 slots
 /// and 0.62 of them in use 551 of 4,804 streams came late split, 419 not.
-const SLOTS_FULL_FROM: f64 = 0.45;
-const SLOTS_FULL_TO: f64 = 0.35;
+const SLOT_SATURATION_START: f64 = 0.45;
+const SLOT_SATURATION_STOP: f64 = 0.35;
 /// Engines that each side has at least, so that one that fails does not take all along.
-const FEWEST_ON_A_SIDE: f64 = 2.0;
+const MIN_ENGINES_PER_SIDE: f64 = 2.0;
 /// Part of the engines that each kind has at least, for a burst that no sum tells of yet.
-const LEAST_FOR_PROMPTS: f64 = 0.25;
-const LEAST_FOR_STREAMS: f64 = 0.125;
+const MIN_PROMPT_SHARE: f64 = 0.25;
+const MIN_STREAM_SHARE: f64 = 0.125;
 /// Engines of the smallest pool that is split.
-const SMALLEST_POOL: f64 = 8.0;
+const MIN_POOL_ENGINES: f64 = 8.0;
 /// Part of their time that engines for long prompts are meant to read: room for bursts.
-const READING_UTILISATION: f64 = 0.6;
+const PREFILL_UTILISATION: f64 = 0.6;
 /// Part of its slots that an engine of either side is meant to have in use.
 const SLOT_UTILISATION: f64 = 0.5;
 /// Part of an engine's memory that requests which run there are meant to take.
 const MEMORY_UTILISATION: f64 = 0.5;
 /// Part of a ranking that one step of the border takes.
-const STEP: f64 = 0.05;
+const BOUNDARY_STEP: f64 = 0.05;
 /// How far, in steps, the load must be from where the border stands to move it: more than
 /// half a step, so that it does not move to and fro between two.
-const MOVES_BEYOND: f64 = 0.8;
+const BOUNDARY_HYSTERESIS: f64 = 0.8;
 /// Most steps of the border at a look: a burst that fills the pool is followed within two
 /// seconds.
-const MOST_STEPS: u32 = 3;
+const MAX_STEPS_PER_UPDATE: u32 = 3;
 /// Weight of the newest stream in the exposure of usual ones.
 const EXPOSURE_SMOOTHING: f64 = 0.05;
 /// Looks on end at which a silent zone is taken for cut off: three seconds, where messages were late
 /// for 2.2 s at most (1,238 times on a day without a cut).
-const LONG_SILENT_LOOKS: u32 = 6;
+const PERSISTENT_SILENCE_CHECKS: u32 = 6;
 /// Seed of the hash that ranks the engines.
 const RANKING_SEED: u64 = 0x5354_5245_414d;
 /// Weight of the newest measurement of the tokens placed a second, of two a second: the
@@ -91,36 +91,38 @@
 
 impl EngineNeed {
     /// What a load needs in which so many tokens a second are placed.
-    fn of(load: &PoolLoad, placed_rate: f64, usual_exposure: f64) -> Self {
+    fn of(load: &PoolLoad, placed_rate: f64, mean_exposure: f64) -> Self {
         let engines = f64::from(load.engines.max(1));
-        let slots = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
-        let memory = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
-        let reading = placed_rate / load.prefill_rate.max(1.0) / READING_UTILISATION;
+        let slots_per_engine = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
+        let memory_per_engine = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
+        let prefill_need = placed_rate / load.prefill_rate.max(1.0) / PREFILL_UTILISATION;
         let running = f64::from(load.running);
-        let streams = (load.exposed_streams / usual_exposure).min(running);
-        let others = running - streams;
+        let streams = (load.exposed_streams / mean_exposure).min(running);
+        let other_requests = running - streams;
         // Nearly all of what only one request has belongs to long prompts.
-        let remembered = load.unshared_tokens as f64 / memory;
+        let memory_need = load.unshared_tokens as f64 / memory_per_engine;
         Self {
-            prompts: reading.max(others / slots).max(remembered),
-            streams: streams / slots,
+            prompts: prefill_need
+                .max(other_requests / slots_per_engine)
+                .max(memory_need),
+            streams: streams / slots_per_engine,
         }
     }
 
     /// Part of the engines that long prompts get. What neither kind needs is halved: the fewer
     /// streams an engine has, the fewer does a reading make late; the more engines read, the
     /// more shared parts they keep.
-    fn prompts_part(&self, engines: u32) -> f64 {
+    fn prompt_share(&self, engines: u32) -> f64 {
         let engines = f64::from(engines);
-        let left = engines - self.prompts - self.streams;
-        let wanted = if left < 0.0 {
+        let spare = engines - self.prompts - self.streams;
+        let target = if spare < 0.0 {
             engines * self.prompts / (self.prompts + self.streams)
         } else {
-            self.prompts + left / 2.0
+            self.prompts + spare / 2.0
         };
-        let least = (engines * LEAST_FOR_PROMPTS).max(FEWEST_ON_A_SIDE);
-        let most = engines - (engines * LEAST_FOR_STREAMS).max(FEWEST_ON_A_SIDE);
-        wanted.clamp(least, most.max(least)) / engines
+        let min = (engines * MIN_PROMPT_SHARE).max(MIN_ENGINES_PER_SIDE);
+        let max = engines - (engines * MIN_STREAM_SHARE).max(MIN_ENGINES_PER_SIDE);
+        target.clamp(min, max.max(min)) / engines
     }
 }
 
@@ -143,24 +145,24 @@
 /// silent for some hundred milliseconds now and then, and borders would follow that.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PersistentSilence {
-    looks: BTreeMap<ZoneName, u32>,
+    silent_checks: BTreeMap<ZoneName, u32>,
 }
 
 impl PersistentSilence {
     /// Notes the zones that are silent at this look.
     pub fn record(&mut self, silent: &BTreeSet<ZoneName>) {
-        self.looks.retain(|zone, _| silent.contains(zone));
+        self.silent_checks.retain(|zone, _| silent.contains(zone));
         for zone in silent {
-            let looks = self.looks.entry(zone.clone()).or_default();
-            *looks = looks.saturating_add(1);
+            let checks = self.silent_checks.entry(zone.clone()).or_default();
+            *checks = checks.saturating_add(1);
         }
     }
 
     /// Whether a zone has been silent for long.
     pub fn contains(&self, zone: &ZoneName) -> bool {
-        self.looks
+        self.silent_checks
             .get(zone)
-            .is_some_and(|looks| *looks >= LONG_SILENT_LOOKS)
+            .is_some_and(|checks| *checks >= PERSISTENT_SILENCE_CHECKS)
     }
 }
 
@@ -184,14 +186,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolSplit {
     /// Steps of the border; `None` while the pool is not split.
-    border: Option<u32>,
-    is_full: bool,
+    boundary: Option<u32>,
+    is_saturated: bool,
     prompt_engines: HashSet<u32>,
-    placed_before: Option<u64>,
+    last_placed: Option<u64>,
     /// Looks at which tokens had been placed.
-    rates_seen: u32,
+    rate_count: u32,
     /// Exposure of a stream that is placed apart, on average.
-    usual_exposure: Option<f64>,
+    mean_exposure: Option<f64>,
     stats: SplitStats,
 }
 
@@ -206,12 +208,12 @@
         seconds: f64,
     ) -> bool {
         self.record_placed(placed, seconds);
-        let exposure = self.usual_exposure.unwrap_or(1.0);
+        let exposure = self.mean_exposure.unwrap_or(1.0);
         let need = EngineNeed::of(&load, self.stats.placed_rate, exposure);
-        let before = self.border;
-        self.border = self.next_border(&load, &need);
-        self.prompt_engines = match self.border {
-            Some(steps) => first_of_ranking(engines, f64::from(steps) * STEP),
+        let before = self.boundary;
+        self.boundary = self.next_boundary(&load, &need);
+        self.prompt_engines = match self.boundary {
+            Some(steps) => first_ranked(engines, f64::from(steps) * BOUNDARY_STEP),
             None => HashSet::new(),
         };
         self.stats = SplitStats {
@@ -221,81 +223,81 @@
             load,
             placed_rate: self.stats.placed_rate,
         };
-        self.border != before
+        self.boundary != before
     }
 
     fn record_placed(&mut self, placed: u64, seconds: f64) {
         // A sum that falls has lost a teller: it begins anew.
-        if let Some(before) = self.placed_before.filter(|before| *before <= placed) {
+        if let Some(before) = self.last_placed.filter(|before| *before <= placed) {
             let rate = (placed - before) as f64 / seconds.max(f64::EPSILON);
             // The first ones are averaged: a pool that is too full from the start must not be
             // split for the seconds in which the figure grows.
-            self.rates_seen = self.rates_seen.saturating_add(u32::from(rate > 0.0));
-            let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rates_seen.max(1)));
+            self.rate_count = self.rate_count.saturating_add(u32::from(rate > 0.0));
+            let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rate_count.max(1)));
             self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
         }
-        self.placed_before = Some(placed);
+        self.last_placed = Some(placed);
     }
 
-    fn next_border(&mut self, load: &PoolLoad, need: &EngineNeed) -> Option<u32> {
-        let is_large = f64::from(load.engines) >= SMALLEST_POOL;
+    fn next_boundary(&mut self, load: &PoolLoad, need: &EngineNeed) -> Option<u32> {
+        let is_large = f64::from(load.engines) >= MIN_POOL_ENGINES;
         if !is_large || !self.has_streams(load) {
-            self.is_full = false;
+            self.is_saturated = false;
             return None;
         }
         if !self.has_room(load, need) {
             return None;
         }
-        let wanted = need.prompts_part(load.engines) / STEP;
-        let Some(border) = self.border else {
-            return Some(wanted.round().max(1.0) as u32);
+        let target = need.prompt_share(load.engines) / BOUNDARY_STEP;
+        let Some(boundary) = self.boundary else {
+            return Some(target.round().max(1.0) as u32);
         };
-        let distance = wanted - f64::from(border);
-        if distance.abs() <= MOVES_BEYOND {
-            return Some(border);
+        let distance = target - f64::from(boundary);
+        if distance.abs() <= BOUNDARY_HYSTERESIS {
+            return Some(boundary);
         }
-        let steps = (distance.abs().round() as u32).min(MOST_STEPS);
+        let steps = (distance.abs().round() as u32).min(MAX_STEPS_PER_UPDATE);
         Some(if distance > 0.0 {
-            border + steps
+            boundary + steps
         } else {
-            border.saturating_sub(steps)
+            boundary.saturating_sub(steps)
         })
     }
 
     /// Notes a stream that is exposed to long prompts.
     pub fn record_exposure(&mut self, exposure: f64) {
-        let usual = self.usual_exposure.get_or_insert(exposure);
-        *usual += EXPOSURE_SMOOTHING * (exposure - *usual);
+        let mean = self.mean_exposure.get_or_insert(exposure);
+        *mean += EXPOSURE_SMOOTHING * (exposure - *mean);
     }
 
     fn has_streams(&self, load: &PoolLoad) -> bool {
-        let limit = if self.border.is_some() {
-            SPLIT_TO
+        let limit = if self.boundary.is_some() {
+            SPLIT_STOP_THRESHOLD
         } else {
-            SPLIT_FROM
+            SPLIT_START_THRESHOLD
         };
         load.exposed_streams > limit * f64::from(load.slots)
     }
 
     fn has_room(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
-        let (engines, slots) = if self.is_full {
-            (FULL_TO, SLOTS_FULL_TO)
+        let (engine_limit, slot_limit) = if self.is_saturated {
+            (SATURATION_STOP, SLOT_SATURATION_STOP)
         } else {
-            (FULL_FROM, SLOTS_FULL_FROM)
+            (SATURATION_START, SLOT_SATURATION_START)
         };
-        self.is_full = need.prompts + need.streams >= engines * f64::from(load.engines)
-            || f64::from(load.running) >= slots * f64::from(load.slots);
-        !self.is_full
+        self.is_saturated = need.prompts + need.streams >= engine_limit * f64::from(load.engines)
+            || f64::from(load.running) >= slot_limit * f64::from(load.slots);
+        !self.is_saturated
     }
 
     /// Whether the pool is split now.
     pub fn is_active(&self) -> bool {
-        self.border.is_some()
+        self.boundary.is_some()
     }
 
     /// Whether both kinds need more engines than there are, so that the load splits nothing.
     pub fn is_saturated(&self) -> bool {
-        self.is_full
+        self.is_saturated
     }
 
     /// Whether an engine is kept for streams.
@@ -310,7 +312,7 @@
     }
 
     /// Exposed streams that an engine for streams has on average.
-    pub fn exposed_at_streams(&self) -> f64 {
+    pub fn mean_exposed_streams(&self) -> f64 {
         let stats = &self.stats;
         let engines = stats.ranked_engines.saturating_sub(stats.prompt_engines);
         stats.load.exposed_streams / f64::from(engines.max(1))
@@ -323,23 +325,23 @@
 
 /// The engines in the first part of the ranking. Each zone has its own, which begins at
 /// another fraction of an engine, so that their ends do not all come at once.
-fn first_of_ranking(engines: &[RankedEngine<'_>], part: f64) -> HashSet<u32> {
+fn first_ranked(engines: &[RankedEngine<'_>], share: f64) -> HashSet<u32> {
     let mut zones: BTreeMap<&ZoneName, Vec<(u64, u32)>> = BTreeMap::new();
     for engine in engines {
         let hash = xxh3_64_with_seed(&engine.digest.to_le_bytes(), RANKING_SEED);
         let ranking = zones.entry(engine.zone).or_default();
         ranking.push((hash, engine.digest));
     }
-    let count = zones.len() as f64;
+    let zone_count = zones.len() as f64;
     let mut first = HashSet::new();
-    for (number, mut ranking) in zones.into_values().enumerate() {
+    for (index, mut ranking) in zones.into_values().enumerate() {
         ranking.sort_unstable();
-        let begin = (number as f64 + 0.5) / count;
-        let taken = ranking.len() as f64 * part + begin;
+        let offset = (index as f64 + 0.5) / zone_count;
+        let count = ranking.len() as f64 * share + offset;
         first.extend(
             ranking
                 .iter()
-                .take(taken as usize)
+                .take(count as usize)
                 .map(|(_, digest)| digest),
         );
     }
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -4,7 +4,7 @@
 //! weighed in the unit in which back ends are compared: times.
 
 use crate::load::registry::{BackEndState, Registry};
-use crate::placement::candidate::{COPY_PER_TOKEN, PERMANENT_FAILURE};
+use crate::placement::candidate::{COPY_COST_PER_TOKEN, PERMANENT_FAILURE};
 use crate::placement::eligibility::is_eligible;
 use crate::placement::view::View;
 use crate::{Demand, ReplicaTarget};
@@ -17,7 +17,7 @@
 /// Chance that a stream is lost while nothing has failed lately: engines crash without a
 /// warning. With it, streams of up to 400 tokens are always replicated. With 1.2 %, up to 1,600
 /// tokens, a quiet day of 60 engines moved 1,099 GB in place of 91 and saved no stream.
-const USUAL_LOSS: f64 = 0.003;
+const BASELINE_LOSS_PROBABILITY: f64 = 0.003;
 /// Part of a chance of loss that is left at the next look half a second later without new
 /// failures: half of it after 5 s, so that a spell of failures counts beyond the 4 s for
 /// which outcomes are told.
@@ -28,38 +28,38 @@
 /// Fullest batch, and fullest memory with the replica, of an engine that holds one, over the
 /// requests and replicas of all nodes. A replica takes no place in the batch, and its run is
 /// admitted before all that wait.
-const FULLEST_BATCH: f64 = 1.0;
-const FULLEST_MEMORY: f64 = 0.6;
+const MAX_BATCH_FRACTION: f64 = 1.0;
+const MAX_MEMORY_FRACTION: f64 = 0.6;
 /// What the share of failures at an engine weighs against its fullness: a quarter of failures as
 /// much as a full batch. Outcomes count for 4 s, so that an engine lost 3 s ago has still ended
 /// requests well: without this weight 17 of 33 failed takeovers after a second crash had gone to
 /// engines lost in the first one.
 const FAILURE_WEIGHT: f64 = 4.0;
 /// Engines compared for one replica.
-const COMPARED: usize = 4;
+const MAX_COMPARED: usize = 4;
 
 /// How likely a stream of each pool is to be lost, by what failed there lately at all nodes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LossProbabilities {
-    chances: HashMap<PoolName, f64>,
+    by_pool: HashMap<PoolName, f64>,
 }
 
 impl LossProbabilities {
     /// Takes in how requests ended lately; to be called twice a second.
     pub fn update(&mut self, registry: &Registry, now: Timestamp) {
         for pool in registry.pool_names() {
-            let shares = registry.pool(pool);
-            let shares = shares.map(|state| state.load.failure_share(now));
+            let failure_shares = registry.pool(pool);
+            let failure_shares = failure_shares.map(|state| state.load.failure_share(now));
             let (sum, count) =
-                shares.fold((0.0, 0.0), |(sum, count), share| (sum + share, count + 1.0));
-            let seen = if count > 0.0 { sum / count } else { 0.0 };
-            let chance = self.chances.entry(pool.clone()).or_default();
-            *chance = (*chance * LOSS_DECAY).max(seen);
+                failure_shares.fold((0.0, 0.0), |(sum, count), share| (sum + share, count + 1.0));
+            let current = if count > 0.0 { sum / count } else { 0.0 };
+            let probability = self.by_pool.entry(pool.clone()).or_default();
+            *probability = (*probability * LOSS_DECAY).max(current);
         }
     }
 
     fn of(&self, pool: &PoolName) -> f64 {
-        self.chances.get(pool).copied().unwrap_or_default()
+        self.by_pool.get(pool).copied().unwrap_or_default()
     }
 }
 
@@ -67,16 +67,19 @@
 /// whose loss, by its chance, costs more than the replica's bytes.
 pub(crate) fn should_replicate(
     demand: &Demand,
-    source_share: f64,
-    chances: &LossProbabilities,
+    source_failure_share: f64,
+    loss_probabilities: &LossProbabilities,
 ) -> bool {
-    let is_lost_for_good = demand.is_stream && !demand.may_retry;
-    if !is_lost_for_good || demand.output_tokens < MINIMUM_OUTPUT_TOKENS {
+    let is_unrecoverable = demand.is_stream && !demand.may_retry;
+    if !is_unrecoverable || demand.output_tokens < MINIMUM_OUTPUT_TOKENS {
         return false;
     }
-    let chance = USUAL_LOSS + chances.of(&demand.pool).max(source_share);
-    let loss = PERMANENT_FAILURE.scaled(chance.min(1.0));
-    loss.0 >= u64::from(replica_tokens(demand)) * COPY_PER_TOKEN
+    let probability = BASELINE_LOSS_PROBABILITY
+        + loss_probabilities
+            .of(&demand.pool)
+            .max(source_failure_share);
+    let loss = PERMANENT_FAILURE.scaled(probability.min(1.0));
+    loss.0 >= u64::from(replica_tokens(demand)) * COPY_COST_PER_TOKEN
 }
 
 /// Tokens that a replica takes at the end of its run.
@@ -100,23 +103,23 @@
         .filter(|state| is_usable(state, view, demand))
         .filter(|state| view.regions.get(&state.back_end.zone) == view.regions.get(zone))
         .collect();
-    let mut best = |is_apart: bool, proof: Proof| {
-        let here = usable.iter().copied();
-        let here = here.filter(|state| (state.back_end.zone != *zone) == is_apart);
-        let here = here.filter(|state| Proof::of(state, view.now) == proof);
-        let drawn = here.choose_multiple(random, COMPARED).into_iter();
-        let costs = drawn.filter_map(|state| Some((fullness(state, view, demand)?, state)));
-        let costs = costs.map(|(fullness, state)| {
+    let mut best = |in_other_zone: bool, results: RecentResults| {
+        let engines = usable.iter().copied();
+        let engines = engines.filter(|state| (state.back_end.zone != *zone) == in_other_zone);
+        let engines = engines.filter(|state| RecentResults::of(state, view.now) == results);
+        let sampled = engines.choose_multiple(random, MAX_COMPARED).into_iter();
+        let costs = sampled.filter_map(|state| Some((utilisation(state, view, demand)?, state)));
+        let costs = costs.map(|(utilisation, state)| {
             let failures = state.load.failure_share(view.now);
-            (fullness + failures * FAILURE_WEIGHT, state)
+            (utilisation + failures * FAILURE_WEIGHT, state)
         });
-        let least = costs.min_by(|(one, _), (two, _)| one.total_cmp(two));
-        least.map(|(_, state)| state)
+        let cheapest = costs.min_by(|(left, _), (right, _)| left.total_cmp(right));
+        cheapest.map(|(_, state)| state)
     };
-    let state = best(true, Proof::EndsWell)
-        .or_else(|| best(false, Proof::EndsWell))
-        .or_else(|| best(true, Proof::None))
-        .or_else(|| best(false, Proof::None))?;
+    let state = best(true, RecentResults::SomeCompleted)
+        .or_else(|| best(false, RecentResults::SomeCompleted))
+        .or_else(|| best(true, RecentResults::NoneFinished))
+        .or_else(|| best(false, RecentResults::NoneFinished))?;
     Some(ReplicaTarget {
         instance: state.back_end.instance.clone(),
         address: state.back_end.address,
@@ -129,24 +132,24 @@
 /// was taken, 15 of 20 takeovers that failed after a second crash had gone to engines lost in
 /// the first one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Proof {
+enum RecentResults {
     /// Some ended well.
-    EndsWell,
+    SomeCompleted,
     /// None ended.
-    None,
+    NoneFinished,
     /// All that ended failed.
-    EndsBadly,
+    AllFailed,
 }
 
-impl Proof {
+impl RecentResults {
     fn of(state: &BackEndState, now: Timestamp) -> Self {
         let outcomes = state.load.recent_outcomes(now);
         if outcomes.completed > 0 {
-            Proof::EndsWell
+            RecentResults::SomeCompleted
         } else if outcomes.is_empty() {
-            Proof::None
+            RecentResults::NoneFinished
         } else {
-            Proof::EndsBadly
+            RecentResults::AllFailed
         }
     }
 }
@@ -159,21 +162,22 @@
         && demand.is_allowed_on(&state.back_end.instance)
         && !state.health.is_ejected(view.now)
         && !is_cold
-        && !is_silent(view, &state.back_end.zone)
+        && !is_zone_silent(view, &state.back_end.zone)
 }
 
-fn is_silent(view: &View<'_>, zone: &ZoneName) -> bool {
+fn is_zone_silent(view: &View<'_>, zone: &ZoneName) -> bool {
     view.silent_zones.contains(zone)
 }
 
 /// How full an engine is with the replica; nothing where there is no room for it.
-fn fullness(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<f64> {
-    let there = state.load.occupancy(view.now);
-    let batch = f64::from(there.running) / f64::from(state.back_end.slots.max(1));
+fn utilisation(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<f64> {
+    let occupancy = state.load.occupancy(view.now);
+    let batch_fraction = f64::from(occupancy.running) / f64::from(state.back_end.slots.max(1));
     let capacity = state.load.cache.engine_tokens().max(1) as f64;
-    let tokens = there.unshared_tokens + u64::from(replica_tokens(demand));
-    let memory = tokens as f64 / capacity;
-    (batch < FULLEST_BATCH && memory <= FULLEST_MEMORY).then_some(batch.max(memory))
+    let tokens = occupancy.unshared_tokens + u64::from(replica_tokens(demand));
+    let memory_fraction = tokens as f64 / capacity;
+    (batch_fraction < MAX_BATCH_FRACTION && memory_fraction <= MAX_MEMORY_FRACTION)
+        .then_some(batch_fraction.max(memory_fraction))
 }
 
 /// Whether the holder of a replica may still take the request over.
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -20,29 +20,29 @@
 pub(crate) const MAX_EXAMINED: usize = 512;
 /// Back ends drawn from all of a large pool, and from its part in the own zone. With 24 or more,
 /// one of the emptier quarter is missed once in a thousand draws.
-const DRAWN: usize = 32;
-const DRAWN_NEAR: usize = 24;
+const POOL_SAMPLES: usize = 32;
+const SAME_ZONE_SAMPLES: usize = 24;
 /// Fewest back ends where the prompt may have its home.
-const FEWEST_PREFERRED: usize = 16;
+const MIN_PREFERRED: usize = 16;
 /// Groups gone through for them: where a prompt may run in one of ten regions only, a group of
 /// 32 to 64 holds four.
-const MOST_GROUPS: usize = 12;
+const MAX_GROUPS: usize = 12;
 
 /// Preference of a back end for a prompt: all nodes compute it alike.
 pub(crate) fn preference(state: &BackEndState, demand: &Demand) -> u64 {
-    xxh3_64_with_seed(&state.digest.to_le_bytes(), seed(demand))
+    xxh3_64_with_seed(&state.digest.to_le_bytes(), prompt_seed(demand))
 }
 
 /// Names a prompt by the deepest of the parts that it shares with others.
-fn seed(demand: &Demand) -> u64 {
-    let deepest = demand.shared_parts().last();
-    deepest.map_or(0, |part| part.id.0)
+fn prompt_seed(demand: &Demand) -> u64 {
+    let last_shared = demand.shared_parts().last();
+    last_shared.map_or(0, |part| part.id.0)
 }
 
 /// Back ends that may get a request, as far as they were looked at.
 pub(crate) struct Examined<'a> {
     /// Those among which all nodes prefer the same ones for the request's prompt.
-    pub preferable: Vec<&'a BackEndState>,
+    pub preferred: Vec<&'a BackEndState>,
     /// Others.
     pub others: Vec<&'a BackEndState>,
     /// The one that all nodes prefer, if the prompt shares parts with others.
@@ -54,7 +54,7 @@
 impl<'a> Examined<'a> {
     /// All that were looked at and may get the request.
     pub fn eligible(&self) -> impl Iterator<Item = &'a BackEndState> + Clone {
-        self.preferable.iter().chain(&self.others).copied()
+        self.preferred.iter().chain(&self.others).copied()
     }
 }
 
@@ -71,15 +71,15 @@
         return whole_pool(registry, view, demand, may_be_home);
     }
     let mut sample = Sample::new(registry, view, demand);
-    if let Some(only) = &demand.required_instance {
+    if let Some(required) = &demand.required_instance {
         // A run is taken over where its replica is, which no draw would find.
-        let holder = sample.look_up([only]);
+        let holder = sample.examine_new([required]);
         sample.examined.others.extend(holder);
         return sample.examined;
     }
-    sample.look_at_homes(&may_be_home);
-    sample.look_at_holders();
-    sample.draw(random);
+    sample.examine_home_groups(&may_be_home);
+    sample.examine_holders();
+    sample.examine_random(random);
     if sample.examined.eligible().next().is_none() {
         // Most may be evacuated, cold or not allowed: rather all than none.
         return whole_pool(registry, view, demand, may_be_home);
@@ -94,25 +94,25 @@
     may_be_home: impl Fn(&BackEndState) -> bool,
 ) -> Examined<'a> {
     let all = registry.pool(&demand.pool);
-    let staying = all.filter(|state| is_eligible(state, view, demand));
-    let staying: Vec<&BackEndState> = staying.collect();
+    let eligible = all.filter(|state| is_eligible(state, view, demand));
+    let eligible: Vec<&BackEndState> = eligible.collect();
     Examined {
-        home: home_among(&staying, demand, may_be_home),
-        preferable: staying,
+        home: home_among(&eligible, demand, may_be_home),
+        preferred: eligible,
         others: Vec::new(),
         count: registry.pool_size(&demand.pool),
     }
 }
 
 fn home_among<'a>(
-    staying: &[&'a BackEndState],
+    eligible: &[&'a BackEndState],
     demand: &Demand,
     may_be_home: impl Fn(&BackEndState) -> bool,
 ) -> Option<&'a BackEndState> {
     if demand.shared_parts().is_empty() {
         return None;
     }
-    let homes = staying.iter().filter(|state| may_be_home(state));
+    let homes = eligible.iter().filter(|state| may_be_home(state));
     homes.max_by_key(|state| preference(state, demand)).copied()
 }
 
@@ -121,7 +121,7 @@
     registry: &'a Registry,
     view: &'b View<'b>,
     demand: &'b Demand,
-    known: HashSet<u32>,
+    seen: HashSet<u32>,
     examined: Examined<'a>,
 }
 
@@ -131,9 +131,9 @@
             registry,
             view,
             demand,
-            known: HashSet::new(),
+            seen: HashSet::new(),
             examined: Examined {
-                preferable: Vec::new(),
+                preferred: Vec::new(),
                 others: Vec::new(),
                 home: None,
                 count: 0,
@@ -142,14 +142,14 @@
     }
 
     /// Those of some back ends that may get the request, but for the ones looked at before.
-    fn look_up<'c>(
+    fn examine_new<'c>(
         &mut self,
         instances: impl IntoIterator<Item = &'c InstanceId>,
     ) -> Vec<&'a BackEndState> {
         let registry = self.registry;
         let states = instances.into_iter();
         let states = states.filter_map(|instance| registry.get(instance));
-        let new = states.filter(|state| self.known.insert(state.digest));
+        let new = states.filter(|state| self.seen.insert(state.digest));
         let new: Vec<&BackEndState> = new.collect();
         self.examined.count += new.len();
         let eligible = new.into_iter();
@@ -160,22 +160,25 @@
 
     /// Looks at the groups that the prompt names, one after the other, until enough of their
     /// back ends may be its home. It is in the first group that has one.
-    fn look_at_homes(&mut self, may_be_home: impl Fn(&BackEndState) -> bool) {
+    fn examine_home_groups(&mut self, may_be_home: impl Fn(&BackEndState) -> bool) {
         if self.demand.shared_parts().is_empty() {
             return;
         }
         let Some(groups) = self.home_groups() else {
             return;
         };
-        let mut fitting = 0;
-        for group in groups.starting_at(seed(self.demand)).take(MOST_GROUPS) {
-            let staying = self.look_up(group);
-            fitting += staying.iter().filter(|state| may_be_home(state)).count();
+        let mut home_count = 0;
+        for group in groups
+            .starting_at(prompt_seed(self.demand))
+            .take(MAX_GROUPS)
+        {
+            let eligible = self.examine_new(group);
+            home_count += eligible.iter().filter(|state| may_be_home(state)).count();
             if self.examined.home.is_none() {
-                self.examined.home = home_among(&staying, self.demand, &may_be_home);
+                self.examined.home = home_among(&eligible, self.demand, &may_be_home);
             }
-            self.examined.preferable.extend(staying);
-            if fitting >= FEWEST_PREFERRED {
+            self.examined.preferred.extend(eligible);
+            if home_count >= MIN_PREFERRED {
                 return;
             }
         }
@@ -191,24 +194,24 @@
     }
 
     /// Looks at the back ends that were given the prompt's shared parts last.
-    fn look_at_holders(&mut self) {
+    fn examine_holders(&mut self) {
         for part in self.demand.shared_parts() {
             let holders = self.registry.holders(part.id, &self.demand.pool);
             let holders: Vec<&InstanceId> = holders.collect();
-            let staying = self.look_up(holders);
-            self.examined.others.extend(staying);
+            let eligible = self.examine_new(holders);
+            self.examined.others.extend(eligible);
         }
     }
 
-    fn draw(&mut self, random: &mut impl Rng) {
+    fn examine_random(&mut self, random: &mut impl Rng) {
         let Some(index) = self.registry.pool_index(&self.demand.pool) else {
             return;
         };
-        let mut drawn = index.all().sample(DRAWN, random);
-        if let Some(near) = index.of_zone(self.view.zone) {
-            drawn.extend(near.sample(DRAWN_NEAR, random));
+        let mut sampled = index.all().sample(POOL_SAMPLES, random);
+        if let Some(same_zone) = index.of_zone(self.view.zone) {
+            sampled.extend(same_zone.sample(SAME_ZONE_SAMPLES, random));
         }
-        let staying = self.look_up(drawn);
-        self.examined.others.extend(staying);
+        let eligible = self.examine_new(sampled);
+        self.examined.others.extend(eligible);
     }
 }
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -42,10 +42,10 @@
                 .round_trips
                 .network_path(zone, self.distance(zone), bytes);
         }
-        let is_other = zone != self.zone;
+        let is_other_zone = zone != self.zone;
         NetworkPath {
             round_trip: Span::ZERO,
-            transfer_cost: if is_other {
+            transfer_cost: if is_other_zone {
                 OTHER_ZONE_COST
             } else {
                 Span::ZERO
