--- a/crates/coordination/dispatch/src/documents.rs
+++ b/crates/coordination/dispatch/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents in force, and handing them to nodes that lack them.
+//! The documents in force, and their transfer to nodes that lack them.
 
 pub(crate) mod document_service;
 pub(crate) mod document_store;
--- a/crates/coordination/dispatch/src/documents/document_service.rs
+++ b/crates/coordination/dispatch/src/documents/document_service.rs
@@ -1,9 +1,9 @@
-//! Who gets documents from whom when many nodes want them at once.
+//! Distribution of documents when many nodes request them at once.
 //!
-//! After a loss of all nodes each of them wants all documents, and the first of them to know
-//! any are asked by all. A node hands its documents to a few others at a time and sends the
-//! rest on to those that have got theirs, so that the number of sources grows several times
-//! with each transfer, and no link is shared by all.
+//! After all nodes were lost, each of them needs all documents, and all ask the first nodes that
+//! have them. A node serves a few others at a time and redirects the rest to nodes that it has
+//! already served. The number of sources thus multiplies with each round of transfers, and no
+//! link is shared by all.
 
 use eiderferry_types::{Span, Timestamp};
 use rand::Rng;
@@ -11,28 +11,30 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Nodes that get documents from one node at once. 300 nodes on links of 10 Mbit/s have the
-/// documents of 3,000 back ends (180 kB) after 2.1 s; with four at once after 2.4 s, and without
-/// any limit the links of three seeds alone need 14 s (`tests/document_service.rs`). With one
-/// at once a single slow receiver would hold all others up.
+/// Maximum number of nodes that get documents from one node at once. 300 nodes on links of 10
+/// Mbit/s have the documents of 3,000 back ends (180 kB) after 2.1 s. With four at once they have
+/// them after 2.4 s; without a limit, the links of three seeds alone need 14 s
+/// (`tests/document_service.rs`). With one at once, a single slow receiver would block all
+/// others.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
-/// Time after which a transfer is given up: its connection may have gone silent for good.
+/// Time after which a transfer counts as failed; its connection may have stalled permanently.
 const TRANSFER_TIMEOUT: Span = Span::from_milliseconds(2_000);
-/// Nodes remembered that have got documents here.
+/// Number of recent receivers remembered as alternative sources.
 const MAX_RECENT_RECEIVERS: usize = 32;
-/// Nodes named to one that is sent on.
+/// Maximum number of alternative sources named to a redirected node.
 const MAX_ALTERNATIVES: usize = 4;
 
-/// Names a transfer of documents.
+/// Identifies a transfer of documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferId(u64);
 
-/// What a node that asks for documents is told.
+/// Decision about a node that asks for documents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It gets them now; the transfer is to be ended if it counts.
+    /// It gets them now. The transfer ID is set if the transfer counts towards the limit;
+    /// [`DocumentService::finish`] must be called with it.
     Admitted(Option<TransferId>),
-    /// Others have them too: it is to ask one of these, or here again later.
+    /// It is redirected to these nodes, which have the documents, or has to ask again later.
     SentOn(Vec<SocketAddr>),
 }
 
@@ -43,7 +45,7 @@
     started_at: Timestamp,
 }
 
-/// The transfers of one node.
+/// Document transfers from one node.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentService {
     transfers: Vec<Transfer>,
@@ -52,10 +54,10 @@
 }
 
 impl DocumentService {
-    /// Admits a node that asks for documents, or sends it on. One that wants only part
-    /// of an epoch is always admitted: what it lacks has to be in force soon, and is small
-    /// beside all of them. (With the limit for it too, a change was in force on the last of 300
-    /// nodes after 1,049 ms in place of 319.)
+    /// Admits or redirects a node that asks for documents. A node that lacks only part of an
+    /// epoch is always admitted: its changes have to be in force soon and are small compared to
+    /// all documents. With the limit applied to these nodes too, a change was in force on the
+    /// last of 300 nodes after 1,049 ms instead of 319 ms.
     pub fn admit(
         &mut self,
         from: SocketAddr,
@@ -83,7 +85,7 @@
         Admission::Admitted(Some(id))
     }
 
-    /// A transfer is over: its receiver can pass the documents on.
+    /// Records that a transfer has ended, so that its receiver can serve the documents to others.
     pub fn finish(&mut self, id: TransferId) {
         let position = self.transfers.iter().position(|transfer| transfer.id == id);
         let Some(position) = position else {
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -1,13 +1,13 @@
-//! The documents a node works from, with their revisions.
+//! The documents that a node works from, with their revisions.
 //!
-//! Each item carries the revision of the platform's change that made it. An item
-//! never yields to an older one, whether it comes from the platform or from a peer.
+//! Each document carries the revision of the platform's change that wrote it. It is never
+//! replaced by an older one, whether that comes from the platform or from a peer.
 //!
-//! A restore of the platform's store from an older copy raises the epoch, so restored items carry
-//! newer revisions than the items they replace, although their contents may be older. Changes of
-//! different epochs are therefore compared by content: a table by its version, a back end by its
-//! run and by whether it is draining. A back end that an earlier epoch removed and a newer one
-//! lists is withheld at first, as its removal may not have been written again yet.
+//! A restore of the platform's store from an older copy raises the epoch, so restored documents
+//! carry newer revisions than the documents they replace, although their contents may be older.
+//! Changes of different epochs are therefore compared by content: a table by its version, a back
+//! end by its run and by whether it is draining. A back end that an earlier epoch removed and a
+//! newer one lists is withheld at first, as its removal may not have been written again yet.
 
 use super::revision::{Revision, VersionVector};
 use eiderferry_routing::{BackEnd, InstanceId, RoutingTable, TableDocument, ZoneName};
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Removed items remembered, so that an older list can't bring them back.
+/// Number of removed back ends remembered, so that an older list can't bring them back.
 const MAXIMUM_TOMBSTONES: usize = 4_096;
-/// Zones remembered for which an evacuation was ever asked.
+/// Number of zones remembered for which an evacuation was ever requested.
 const MAXIMUM_EVACUATIONS: usize = 256;
 
-/// What an item is.
+/// Identifies a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DocumentKey {
     /// The routing table.
     Table,
-    /// A back end.
+    /// The list entry of a back end.
     BackEnd(InstanceId),
     /// The evacuation of a zone.
     Evacuation(ZoneName),
 }
 
 impl DocumentKey {
-    /// What kind of item it is, as a word for logs.
+    /// Kind of the document, as written to logs.
     pub fn kind(&self) -> &'static str {
         match self {
             DocumentKey::Table => "table",
@@ -43,24 +43,24 @@
     }
 }
 
-/// What an item says.
+/// Content of a document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DocumentContent {
-    /// The routing table.
+    /// A routing table.
     Table(TableDocument),
-    /// A back end.
+    /// A back end's list entry.
     BackEnd(BackEnd),
-    /// The zone's back ends are to get nothing new.
+    /// The zone's back ends get no new requests.
     Evacuated,
-    /// The item is gone.
+    /// The document was removed.
     Removed,
-    /// The item ran out while the platform was away; it is gone unless it is back within
-    /// the span.
+    /// The document expired while the platform was unreachable; it counts as removed unless it is
+    /// written again within the span.
     Expired(Span),
 }
 
 impl DocumentContent {
-    /// What became of the item, as a word for logs.
+    /// Kind of the change, as written to logs.
     pub fn kind(&self) -> &'static str {
         match self {
             DocumentContent::Table(_) | DocumentContent::BackEnd(_) => "written",
@@ -71,40 +71,41 @@
     }
 }
 
-/// One change.
+/// A change of one document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Which item.
+    /// The changed document.
     pub key: DocumentKey,
     /// Revision of the change.
     pub revision: Revision,
-    /// What it says now.
+    /// The document's new content.
     pub content: DocumentContent,
 }
 
-/// What came of a change.
+/// Result of applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The change is in force.
     Applied,
-    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release_withheld`].
+    /// The change lists a back end that an earlier epoch removed; see
+    /// [`DocumentStore::release_withheld`].
     Withheld,
-    /// Something as new was known.
+    /// A change that is at least as new was known already.
     AlreadyKnown,
-    /// It is not usable; what was known stays.
+    /// The content is invalid, for the given reason; the known content stays in force.
     Rejected(String),
 }
 
 /// Order of tables: by version, which operators raise with each table, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TableStamp {
-    /// Version that the table itself names.
+    /// Version stated in the table.
     pub version: u64,
     /// Revision of the change that published it.
     pub revision: Revision,
 }
 
-/// Whether a zone is evacuated, and the revision of the change that said so last.
+/// Evacuation state of a zone, and the revision of its last change.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     revision: Revision,
@@ -115,11 +116,11 @@
 enum EvacuationState {
     Active,
     Ended,
-    /// Over unless it is written again within the span.
+    /// Ended unless it is written again within the span.
     Expired(Span),
 }
 
-/// All documents known to a node.
+/// All documents that a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentStore {
     table: Option<(TableStamp, Arc<RoutingTable>)>,
@@ -128,9 +129,9 @@
     tombstones: BTreeMap<InstanceId, Revision>,
     /// Back ends that an earlier epoch removed and a newer one lists.
     withheld: BTreeMap<InstanceId, (Revision, BackEnd)>,
-    /// Back ends, listed and gone, by the revisions of their latest changes: what is told to
-    /// others after a change costs as much as the change is large. Without it each of 585 nodes
-    /// copied all of 6,000 entries for each change it passed on.
+    /// Listed and removed back ends by the revisions of their latest changes, so that the cost of
+    /// finding the changes for a peer depends only on their number. Without this index each of
+    /// 585 nodes copied all of 6,000 entries for each change that it forwarded.
     by_revision: BTreeSet<(Revision, InstanceId)>,
     evacuations: BTreeMap<ZoneName, Evacuation>,
     version_vector: VersionVector,
@@ -143,7 +144,7 @@
         self.table.as_ref().map(|(_, table)| table)
     }
 
-    /// Stamp of the table in force; the least stamp without a table.
+    /// Stamp of the table in force; the lowest stamp if there is none.
     pub fn table_stamp(&self) -> TableStamp {
         let table = self.table.as_ref();
         table.map_or_else(TableStamp::default, |(stamp, _)| *stamp)
@@ -159,7 +160,7 @@
         &self.version_vector
     }
 
-    /// Age of the youngest confirmation by the platform.
+    /// Time since the platform's latest confirmation.
     pub fn confirmed_age(&self, now: Timestamp) -> Option<Span> {
         self.confirmed_at.map(|at| now.since(at))
     }
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes a change over if it is newer than what is known.
+    /// Applies a change if it is newer than the known content.
     pub fn apply(&mut self, change: Change) -> ApplyOutcome {
         match (change.key, change.content) {
             (DocumentKey::Table, DocumentContent::Table(document)) => {
@@ -218,7 +219,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Zones whose back ends get nothing new, with the revision since which that is so.
+    /// Zones whose back ends get no new requests, with the revisions of their evacuations.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         let evacuations = self.evacuations.iter();
         let evacuated =
@@ -383,9 +384,10 @@
         }
     }
 
-    /// Back ends and evacuations missing from a whole listing that began at `revision` are
-    /// gone. Those that an earlier epoch listed may have been lost in a restore: they lapse, and
-    /// are gone unless they are written again within the grace period.
+    /// Back ends and evacuations that are missing from a complete listing which began at
+    /// `revision`. They count as removed. Those that an earlier epoch listed may have been lost
+    /// in a restore: they expire, and count as removed unless they are written again within the
+    /// grace period.
     pub fn missing_from_listing(
         &self,
         listed: &BTreeSet<DocumentKey>,
@@ -415,8 +417,8 @@
             .collect()
     }
 
-    /// All changes that a peer lacks that knows `known`: the table first, which tells what the
-    /// back ends are.
+    /// All changes that a peer with the version vector `known` lacks. The table comes first, as
+    /// it defines the pools that back ends belong to.
     pub fn changes_after(&self, known: &VersionVector) -> Vec<Change> {
         let table = self.table.iter();
         let table = table.filter(|(stamp, _)| !known.covers(stamp.revision));
@@ -440,8 +442,8 @@
         table.chain(back_ends).chain(evacuations).collect()
     }
 
-    /// Number of changes that a peer lacks that knows `known`, and whether the table is among
-    /// them.
+    /// Number of changes that a peer with the version vector `known` lacks, and whether the table
+    /// is among them.
     pub fn count_after(&self, known: &VersionVector) -> (usize, bool) {
         let evacuations = self.evacuations.values();
         let evacuations = evacuations.filter(|evacuation| !known.covers(evacuation.revision));
@@ -452,14 +454,14 @@
         (count, has_table)
     }
 
-    /// Whether a peer that knows `known` lacks this node's newest epoch, and so nearly all
-    /// documents.
+    /// Whether a peer with the version vector `known` lacks this node's newest epoch, and
+    /// therefore nearly all documents.
     pub fn peer_lacks_newest_epoch(&self, known: &VersionVector) -> bool {
         let newest = self.version_vector.newest();
         newest.is_none_or(|newest| !known.has_epoch(newest.epoch))
     }
 
-    /// Changes of back ends that are not in `known`, in order of revision.
+    /// Changes of back ends that `known` does not cover, ordered by revision.
     fn changed_after(
         &self,
         known: &VersionVector,
@@ -493,7 +495,7 @@
     }
 }
 
-/// The new entry, as to be stored, if it is newer than the known one.
+/// The entry to store, if the new one is newer than the known one.
 fn newer_entry(
     (known_revision, known): (Revision, &BackEnd),
     (revision, mut new): (Revision, BackEnd),
