--- a/crates/coordination/dispatch/src/fleet.rs
+++ b/crates/coordination/dispatch/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The other nodes: who they are, what is said among them, what all of them share.
+//! The other nodes of the fleet: membership, messages between nodes, and limits that all nodes
+//! share.
 
 pub(crate) mod limit_senders;
 pub(crate) mod members;
--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -1,18 +1,18 @@
-//! Which nodes send to a back end that has named a rate limit.
+//! Selection of the nodes that send to a back end with a rate limit.
 
 use super::peers::Peers;
 use eiderferry_routing::ZoneName;
 use std::collections::BTreeMap;
 
-/// The other nodes that are there and not stopping, by their zones.
+/// The active peers, grouped by zone.
 pub(crate) struct NodesByZone<'a> {
     peers: &'a Peers,
-    /// Hashes of their addresses.
+    /// Hashes of the peers' addresses.
     hashes: BTreeMap<&'a ZoneName, Vec<u64>>,
 }
 
 impl Peers {
-    /// Sorts the other nodes by their zones.
+    /// Groups the active peers by zone.
     pub(crate) fn by_zone(&self) -> NodesByZone<'_> {
         let mut hashes: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
         for (_, peer) in self.active_peers() {
@@ -29,9 +29,10 @@
 }
 
 impl NodesByZone<'_> {
-    /// Place of this node among the first so many of those that send to a back end of a zone;
-    /// `None` behind them. Nodes of that zone come first: they hear at once when one of them ends,
-    /// and a cut that parts them from the others parts the back end from these as well.
+    /// Index of this node among the first `senders` nodes that send to a back end in `zone`;
+    /// `None` if it is not one of them. Nodes of the back end's zone come first: they detect each
+    /// other's failures soonest, and a network partition that separates them from the other nodes
+    /// also separates the back end from those.
     pub fn own_index(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
         let index = if *zone == self.peers.zone {
             self.peers.sender_index(back_end)
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -1,6 +1,6 @@
-//! What nodes tell each other of third ones. A node of a large zone meets two nodes of each
-//! other zone by itself; of the others it is told by the nodes of its zone, and these by the
-//! senders of digests.
+//! Indirect membership: what nodes tell each other about third nodes. A node of a large zone
+//! contacts only two nodes of each other zone directly. It learns about the others from the nodes
+//! of its own zone, which learn about them from the senders of zone digests.
 
 use super::peers::{
     CROSS_ZONE_SILENCE, FORGET_FACTOR, INDIRECT_SILENCE, Peer, Peers, RolePriority,
@@ -11,19 +11,21 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-/// Other nodes named in one message.
+/// Maximum number of nodes named in one message.
 const MEMBERS_PER_MESSAGE: usize = 12;
-/// Nodes of another zone that a node gets to know by itself; it is told of the others. Before,
-/// each of 300 nodes tried each other one: 14 MB across borders at a start
-/// (`tests/borders.rs`).
+/// Number of nodes of another zone that a node contacts directly; it learns about the others
+/// indirectly. When each of 300 nodes probed every other one, they sent 14 MB across zones at
+/// startup (`tests/borders.rs`).
 const CONTACTS_PER_ZONE: usize = 2;
-/// What a member's way between two nodes of a zone may take: without it what two nodes tell
-/// each other of a third grows younger.
+/// Upper bound on the transit time of a message between two nodes of a zone, added to the
+/// reported silence. Without it, two nodes that report a third one to each other would make it
+/// look ever more recently heard.
 const MEMBER_TRANSIT_TIME: Span = Span::from_milliseconds(10);
 
 impl Peers {
-    /// Nodes that another node names: unknown ones are to be tried; its word on when they were
-    /// heard counts as well for nodes of its zone, and if it is of the own zone for all.
+    /// Applies the nodes that a message names. Unknown nodes become indirect peers or probe
+    /// targets. The reported time of last contact is used for nodes of the sender's zone, and for
+    /// all nodes if the sender is in this node's zone.
     pub(super) fn apply_members(&mut self, message: &Gossip, is_same_zone: bool, now: Timestamp) {
         let members = message.members.iter();
         for member in members.filter(|member| member.address != self.own_address) {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Whether a node that wasn't heard counts as known because others name it.
+    /// Whether a node that was never heard directly is added as a peer because another node names
+    /// it.
     fn accepts_indirect(&self, member: &Member, message: &Gossip, is_same_zone: bool) -> bool {
         let is_trusted = is_same_zone || member.zone == message.zone;
         let silence = Span::from_milliseconds(u64::from(member.silent_ms));
@@ -57,7 +60,7 @@
         is_trusted && is_fresh && member.zone != self.zone && self.has_enough_contacts(&member.zone)
     }
 
-    /// Whether enough nodes of another zone were heard.
+    /// Whether enough nodes of another zone have been heard directly.
     pub(super) fn has_enough_contacts(&self, zone: &ZoneName) -> bool {
         let peers = self.peers.values();
         let contacts =
@@ -65,8 +68,8 @@
         contacts.take(CONTACTS_PER_ZONE).count() == CONTACTS_PER_ZONE
     }
 
-    /// Some nodes to name to a node of a zone: those of its own zone first, as it works with
-    /// them and gets its documents there.
+    /// A random sample of nodes to name to a node of `zone`. Up to three quarters of it are nodes
+    /// of that zone, since the receiver works with them and gets its documents from them.
     pub fn sample_for(
         &self,
         zone: Option<&ZoneName>,
@@ -81,19 +84,20 @@
         sampled
     }
 
-    /// Some nodes to name in a message.
+    /// A random sample of nodes to name in a message.
     pub fn sample(&self, now: Timestamp, random: &mut impl Rng) -> Vec<Member> {
         self.members(|_| true, now)
             .choose_multiple(random, MEMBERS_PER_MESSAGE)
     }
 
-    /// So many nodes of the own zone to name in a message, from a place in their order on.
+    /// `count` nodes of this node's zone to name in a message, starting at index `first` modulo
+    /// their number.
     pub fn same_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let same_zone = self.members(|peer| peer.zone == self.zone, now);
         rotating_slice(same_zone.collect(), first, count)
     }
 
-    /// The same of other zones.
+    /// Like [`Self::same_zone_members`], for nodes of other zones.
     pub fn other_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
         let other_zones = self.members(|peer| peer.zone != self.zone, now);
         rotating_slice(other_zones.collect(), first, count)
@@ -114,7 +118,7 @@
     }
 }
 
-/// A node as others tell of it.
+/// A peer known only from other nodes.
 fn indirect_peer(member: &Member, heard_at: Timestamp) -> Peer {
     Peer {
         name: None,
@@ -128,7 +132,7 @@
     }
 }
 
-/// So many members from a place in their order on.
+/// `count` members starting at index `first`, wrapping around at the end.
 fn rotating_slice(members: Vec<Member>, first: usize, count: usize) -> Vec<Member> {
     let count = count.min(members.len());
     let indices = (0..count).map(|offset| first.wrapping_add(offset) % members.len());
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other.
+//! Messages between nodes.
 
 use crate::fleet::traffic::MessageKind;
 use crate::{Change, LimitReport, TableStamp, VersionVector};
@@ -7,160 +7,160 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Requests of one node at one back end.
+/// Load that one node, or a group of nodes, has at one back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Digest of the back end's instance.
     pub back_end: u32,
-    /// Requests that the sender has there.
+    /// Running requests.
     pub running: u16,
-    /// Streams among them that a long prompt read beside them would make late, in
-    /// hundredths of a stream: the sum of their chances.
+    /// Expected number of running streams that a long prefill on the same back end would delay,
+    /// in hundredths of a stream: the sum of their delay probabilities.
     pub exposed_hundredths: u16,
-    /// Those of them whose own prompts take long to read.
+    /// Running requests whose own prompts take long to prefill.
     pub long_prefills: u16,
-    /// Tokens of memory that they take at their end and that only one of them has, in
-    /// hundreds.
+    /// Tokens of memory, in hundreds, that the running requests will occupy when they end and
+    /// that no other request shares.
     pub unshared_hundreds: u16,
-    /// Prompt tokens of these that it has still to read, in hundreds.
+    /// Prompt tokens of the running requests that are not yet prefilled, in hundreds.
     pub pending_hundreds: u16,
-    /// Tokens that only single requests have, of all that the sender ever placed there,
-    /// in hundreds: they take room from shared parts.
+    /// Unshared tokens of all requests ever placed there, in hundreds. They displace shared
+    /// prompt parts from the back end's cache.
     pub placed_hundreds: u64,
-    /// Requests of the sender that ended well there in the last seconds.
+    /// Requests completed in the last seconds.
     pub completed: u16,
-    /// Those that failed.
+    /// Requests failed in the last seconds.
     pub failed: u16,
 }
 
-/// What all nodes of a zone have at back ends, as one of these nodes counted it.
+/// Loads and placements of all nodes of a zone, as collected by one of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
-    /// The zone.
+    /// Zone whose nodes these are.
     pub zone: ZoneName,
-    /// Digest of the node that counted them.
+    /// Digest of the node that collected the data.
     pub reporter: u64,
-    /// How long ago they were counted, in milliseconds.
+    /// Age of the data in milliseconds.
     pub age_ms: u32,
-    /// The requests.
+    /// Loads by back end.
     pub loads: Vec<LoadReport>,
-    /// Shared parts of prompts that the zone's nodes placed lately.
+    /// Shared prompt parts that the zone's nodes placed recently.
     pub placements: Vec<Placement>,
 }
 
-/// A prompt part that was sent to a back end, or what the back end told of it.
+/// A prompt part that was sent to a back end, or a cache observation that the back end reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// Digest of the back end's instance.
     pub back_end: u32,
-    /// The part.
+    /// The prompt part.
     pub part: PartId,
-    /// Its length in tokens; 0 where the back end keeps it no longer.
+    /// Length of the part in tokens; 0 if the back end no longer caches it.
     pub tokens: u32,
-    /// Whether the back end itself told that it keeps it, or no longer does.
+    /// Whether the back end itself reported that it caches the part or has evicted it.
     pub is_observed: bool,
 }
 
-/// A node as others tell of it.
+/// A node as reported by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its address for messages.
+    /// The node's address for messages between nodes.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// How long ago it was heard, in milliseconds, by whoever heard it last.
+    /// Time since any node last heard from it, as far as the sender knows, in milliseconds.
     pub silent_ms: u32,
 }
 
-/// What all nodes of the fleet have at back ends and placed there, as an aggregator tells
-/// the nodes of its zone.
+/// Loads and placements of the whole fleet, sent by an aggregator to the nodes of its zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSummary {
-    /// Requests of all nodes, those of the receiver included.
+    /// Loads of all nodes, including the receiver.
     pub loads: Vec<LoadReport>,
-    /// Shared parts of prompts placed since the last summary.
+    /// Shared prompt parts placed since the last summary.
     pub placements: Vec<Placement>,
-    /// The other zones that were heard.
+    /// The other zones from which a digest was received.
     pub zones: Vec<ZoneAge>,
-    /// Time until the receiver gets the sender's next summary, in milliseconds.
+    /// Time until the sender's next summary for the receiver, in milliseconds.
     pub next_summary_ms: u16,
 }
 
-/// How long ago anything was heard of a zone.
+/// Age of the last data about a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneAge {
     /// The zone.
     pub zone: ZoneName,
-    /// Time since its last digest was counted, in milliseconds.
+    /// Time since its last digest was collected, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A message and the nodes that get it.
+/// A message with its recipients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// What it is for.
+    /// Purpose of the message.
     pub kind: MessageKind,
-    /// Addresses of the nodes.
+    /// Addresses of the recipients.
     pub to: Vec<SocketAddr>,
-    /// What they get.
+    /// The message for each of them.
     pub message: Gossip,
 }
 
-/// The one message of the protocol; each node sends it at a steady rate.
+/// The only message type of the protocol. Each node sends it at a fixed rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Sender.
+    /// Name of the sender.
     pub from: NodeName,
-    /// Run of the sender: another number after each start.
+    /// Identifies the sender's process run: changes with each start.
     pub incarnation: u32,
     /// Zone of the sender.
     pub zone: ZoneName,
-    /// Bandwidth of the sender's link in Mbit/s: duties that send much go to strong links.
+    /// Bandwidth of the sender's link in Mbit/s. Roles that send a lot of data go to nodes with
+    /// fast links.
     pub link_mbps: u16,
     /// Whether the sender is stopping.
     pub is_stopping: bool,
-    /// Whether an answer is wanted at once.
+    /// Whether the receiver is to reply immediately.
     pub wants_reply: bool,
     /// The changes that the sender knows.
     #[serde(rename = "complete_to")]
     pub version_vector: VersionVector,
     /// Stamp of the routing table in force at the sender.
     pub table_stamp: TableStamp,
-    /// How long ago the platform confirmed that, in milliseconds.
+    /// Time since the platform confirmed the sender's documents, in milliseconds.
     pub confirmed_ms: Option<u32>,
-    /// Requests of the sender at back ends; `None` where the message doesn't tell them.
+    /// Loads of the sender; `None` if the message doesn't report them.
     pub loads: Option<Vec<LoadReport>>,
-    /// The sender takes the receiver for an aggregator of its zone.
+    /// Whether the sender regards the receiver as an aggregator of its zone.
     pub is_for_aggregator: bool,
-    /// What whole zones have at back ends.
+    /// Loads and placements of whole zones.
     pub zone_digests: Vec<ZoneDigest>,
-    /// What the whole fleet has at back ends.
+    /// Loads and placements of the whole fleet.
     pub summary: Option<FleetSummary>,
-    /// Shared parts of prompts placed lately.
+    /// Shared prompt parts that were placed recently.
     pub placements: Vec<Placement>,
-    /// Some other nodes.
+    /// A sample of other nodes.
     pub members: Vec<Member>,
-    /// The latest changes, where they are few and small.
+    /// The latest changes, if they are few and small.
     pub recent_changes: Option<ChangeBatch>,
-    /// Requests under which back ends crashed.
+    /// Requests that coincided with back-end crashes.
     pub crashing_requests: Vec<RequestReport>,
-    /// What back ends said of their rate limits.
+    /// Rate limits that back ends reported.
     pub limits: Vec<LimitReport>,
 }
 
 impl LoadReport {
-    /// Whether there is anything to tell.
+    /// Whether the report contains anything.
     pub(crate) fn has_content(&self) -> bool {
         self.running > 0 || self.completed > 0 || self.failed > 0
     }
 }
 
-/// Changes that follow without a gap on those that the receiver must know.
+/// Consecutive changes that follow a base version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// Changes that the receiver must know.
+    /// Changes that the receiver must know already.
     #[serde(rename = "after")]
     pub base: VersionVector,
-    /// All changes from there to the sender's `version_vector`.
+    /// All changes between `base` and the sender's `version_vector`.
     pub changes: Vec<Change>,
 }
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -1,4 +1,5 @@
-//! The other nodes: known from a few seeds and from what nodes tell each other.
+//! Peer discovery and failure detection. Nodes are discovered from a few seeds and from the
+//! members that other nodes report.
 
 use crate::dispatcher::{
     CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
@@ -13,44 +14,44 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Silence after which a peer of the own zone counts as lost, at the least.
+/// Minimum silence after which a peer of this node's zone counts as lost.
 const SAME_ZONE_SILENCE: Span = Span::from_milliseconds(900);
-/// The same where aggregators tell which nodes of the zone they hear: each of two names
-/// all of them within 1.2 s, and may have to be replaced first.
+/// The same in a large zone, where aggregators report which nodes they hear. Each of the two
+/// aggregators names all nodes of the zone within 1.2 s, and may have to be replaced first.
 const SUMMARIZED_SILENCE: Span = Span::from_milliseconds(4_000);
-/// The same for a peer of another zone.
+/// Minimum silence after which a peer of another zone counts as lost.
 pub(super) const CROSS_ZONE_SILENCE: Span = Span::from_milliseconds(1_500);
-/// Turns in a row that a peer has to miss besides.
+/// Consecutive gossip rounds that a peer must also have missed to count as lost.
 const MISSED_ROUNDS: u64 = 5;
-/// Messages in a row that none of a zone's peers sent when the way there counts as cut:
-/// one or two get lost now and then.
+/// Consecutive messages from each peer of a zone that must be missing for the network path to the
+/// zone to count as cut. One or two get lost occasionally.
 const MISSED_ZONE_MESSAGES: u64 = 3;
-/// Silence after which a peer is forgotten, as a multiple of that at which it is
+/// Silence after which a peer is forgotten, as a multiple of the silence at which it counts as
 /// lost.
 pub(super) const FORGET_FACTOR: u64 = 60;
-/// Silence after which a node of another zone that is known from others only counts as lost:
-/// each of two aggregators names all of those within 8 s.
+/// Minimum silence after which a node of another zone that is only known indirectly counts as
+/// lost. Each of the two aggregators names all such nodes within 8 s.
 pub(super) const INDIRECT_SILENCE: Span = Span::from_milliseconds(30_000);
 
-/// What changed with a peer.
+/// A change in the state of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// It was heard for the first time.
+    /// First message from it.
     Discovered(NodeName),
-    /// It was heard again, or has started anew.
+    /// First message from it after it was lost or restarted.
     Recovered(NodeName),
-    /// It fell silent.
+    /// No message from it within the silence limit.
     Lost(NodeName),
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// Its name, once it was heard: before that it is known from others only.
+    /// Name of the node; `None` until it is heard directly.
     pub(super) name: Option<NodeName>,
     pub(super) zone: ZoneName,
-    /// The changes that it knows, by its last message.
+    /// The changes that it knows, according to its last message.
     pub(super) version_vector: VersionVector,
-    /// Place in the order in which the nodes of a zone take duties over.
+    /// Priority for roles that one node takes for its zone.
     pub(super) role_priority: RolePriority,
     pub(super) incarnation: u32,
     pub(super) last_heard: Timestamp,
@@ -58,7 +59,7 @@
     pub(super) is_stopping: bool,
 }
 
-/// What is known of the other nodes.
+/// State of all other nodes that this node knows.
 #[derive(Clone, Debug)]
 pub struct Peers {
     pub(super) own_address: SocketAddr,
@@ -68,23 +69,23 @@
     pub(super) indirect: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
     seeds: Vec<SocketAddr>,
     max_known: u32,
-    /// When the own zone was large last.
+    /// Last time at which this node's zone was large.
     last_large_at: Timestamp,
     live_same_zone: usize,
     live_other_zones: usize,
-    /// Hashes of the peers of the own zone that are there and not stopping, in the order of
-    /// their addresses, and how often they changed. Kept, as each engine is compared with each of
-    /// them.
+    /// Address hashes of the active peers of this node's zone, ordered by address, and a counter
+    /// of changes to them. Cached because each of them is compared for each back end.
     active_peer_hashes: Vec<u64>,
     active_peers_version: u64,
-    /// Most nodes of the own zone ever there at once, and since when.
+    /// Maximum number of peers of this node's zone that were live at once, and when it was
+    /// reached.
     max_live_same_zone: usize,
     max_live_same_zone_since: Timestamp,
 }
 
-/// Place of a node in the order in which the nodes of a zone take duties over, greatest
-/// first: strong links before weak ones, as aggregators send much, and then by hashing. All
-/// nodes compute it alike.
+/// Priority of a node for roles that one node takes for its zone; the greatest comes first. Fast
+/// links come before slow ones, since aggregators send a lot of data; ties are broken by hash.
+/// All nodes compute the same order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RolePriority {
     link_mbps: u16,
@@ -108,7 +109,7 @@
 }
 
 impl Peers {
-    /// Nothing but the seeds is known.
+    /// State at startup, when only the seeds are known.
     pub fn new(address: SocketAddr, zone: ZoneName, seeds: Vec<SocketAddr>) -> Self {
         Self {
             own_address: address,
@@ -128,28 +129,28 @@
         }
     }
 
-    /// Takes over new seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Whether this node is a seed itself.
+    /// Whether this node is a seed.
     pub fn is_seed(&self) -> bool {
         self.seeds.contains(&self.own_address)
     }
 
-    /// The seeds, but for this node.
+    /// All seeds except this node.
     pub fn other_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
         seeds.filter(|seed| *seed != self.own_address).collect()
     }
 
-    /// The largest number of nodes ever known at once, this one included.
+    /// Maximum number of nodes known at once, including this one.
     pub fn max_known(&self) -> u32 {
         self.max_known
     }
 
-    /// Takes a message in.
+    /// Updates the state of the sender, and of the members that the message names.
     pub fn record_message(
         &mut self,
         address: SocketAddr,
@@ -211,12 +212,13 @@
         }
     }
 
-    /// Changes whenever other nodes of the own zone may take duties over.
+    /// Version of the set of active peers in this node's zone; it changes when the candidates for
+    /// roles change.
     pub(crate) fn active_peers_version(&self) -> u64 {
         self.active_peers_version
     }
 
-    /// Counts a peer as lost until it is heard again.
+    /// Marks a peer as lost until it is heard again.
     pub fn mark_lost(&mut self, address: SocketAddr) -> Option<PeerChange> {
         let peer = self.peers.get_mut(&address)?;
         if std::mem::replace(&mut peer.is_lost, true) {
@@ -227,7 +229,7 @@
         change
     }
 
-    /// Marks silent peers as lost and forgets those silent for long.
+    /// Marks silent peers as lost, and forgets peers that have been silent for long.
     pub fn tick(&mut self, now: Timestamp) -> Vec<PeerChange> {
         let mut changes = Vec::new();
         let (same_zone_limit, other_zone_limit) = self.silence_limits();
@@ -259,12 +261,12 @@
         changes
     }
 
-    /// Whether the own zone is so large that aggregators collect what its nodes report.
+    /// Whether this node's zone is so large that aggregators collect the reports of its nodes.
     pub fn is_zone_large(&self) -> bool {
         self.live_same_zone > SAME_ZONE_FANOUT
     }
 
-    /// Peers of other zones told at a time.
+    /// Number of peers of other zones that get a message in one round.
     pub fn cross_zone_fanout(&self) -> usize {
         if self.is_zone_large() {
             LARGE_ZONE_CROSS_ZONE_FANOUT
@@ -273,8 +275,9 @@
         }
     }
 
-    /// How long a peer may be silent: each is told in turn, and in a large fleet its
-    /// turn comes less often.
+    /// Maximum silence of a peer in this node's zone and in another zone. Messages go to the
+    /// peers in turn, so that the interval between two messages to the same peer grows with the
+    /// fleet.
     fn silence_limits(&self) -> (Span, Span) {
         let same_zone_rounds = self.same_zone_count().div_ceil(SAME_ZONE_FANOUT) as u64;
         let same_zone_limit = if self.is_zone_large() {
@@ -293,23 +296,24 @@
         (same_zone_limit, other_zone_limit)
     }
 
-    /// Whether nodes are known from others only.
+    /// Whether any peer is only known indirectly.
     fn has_indirect_peers(&self) -> bool {
         self.peers.values().any(|peer| peer.name.is_none())
     }
 
-    /// Other zones none of whose peers was heard for some turns: the way there is probably
-    /// cut, for requests as well. Their nodes may also all have stopped or ended.
+    /// Other zones none of whose peers was heard for several rounds. The network path there is
+    /// probably cut, for requests too, but all their nodes may also have stopped or failed.
     pub fn silent_zones(&self, now: Timestamp) -> BTreeSet<ZoneName> {
         let rounds = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for peer in self.peers.values().filter(|peer| peer.zone != self.zone) {
-            // Before that, aggregators heard them in place of this node.
+            // Until then, aggregators received the zone's messages instead of this node.
             let heard = peer.last_heard.max(self.last_large_at);
             zones.entry(&peer.zone).or_default().push(heard);
         }
         let is_silent = |heard: &Vec<Timestamp>| {
-            // Each of its peers tells this node once in so many turns, one after the other.
+            // Each peer sends to this node once in `rounds` rounds, and the peers of a zone take
+            // turns.
             let rounds_between = rounds.div_ceil(heard.len() as u64).max(1);
             let limit = Span(rounds_between * CROSS_ZONE_TICKS * TICK.0 * MISSED_ZONE_MESSAGES);
             heard.iter().all(|heard| now.since(*heard) > limit)
@@ -318,34 +322,35 @@
         silent.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// After a pause of this process, silence is no fault of the others.
+    /// Resets the silence of all live peers after a pause of this process, during which it could
+    /// not receive their messages.
     pub fn reset_silence(&mut self, now: Timestamp) {
         for peer in self.peers.values_mut().filter(|peer| !peer.is_lost) {
             peer.last_heard = now;
         }
     }
 
-    /// Peers of the own zone that are there.
+    /// Addresses of the live peers in this node's zone.
     pub fn same_zone_peers(&self) -> Vec<SocketAddr> {
         self.live_addresses(|peer| peer.zone == self.zone)
     }
 
-    /// Number of peers of the own zone that are there.
+    /// Number of live peers in this node's zone.
     pub fn same_zone_count(&self) -> usize {
         self.live_same_zone
     }
 
-    /// Time since more peers of the own zone than ever were there.
+    /// Time since the number of live peers in this node's zone last reached a new maximum.
     pub fn time_since_zone_grew(&self, now: Timestamp) -> Span {
         now.since(self.max_live_same_zone_since)
     }
 
-    /// Number of peers of other zones that are there.
+    /// Number of live peers in other zones.
     pub fn other_zone_count(&self) -> usize {
         self.live_other_zones
     }
 
-    /// Peers of other zones that are there.
+    /// Addresses of the live peers in other zones.
     pub fn other_zone_peers(&self) -> Vec<SocketAddr> {
         self.live_addresses(|peer| peer.zone != self.zone)
     }
@@ -358,7 +363,7 @@
         live.map(|(address, _)| *address).collect()
     }
 
-    /// Addresses to try that are not known to be there.
+    /// A random sample of addresses to probe: seeds, indirectly known nodes and lost peers.
     pub fn probe_targets(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         let lost = self.peers.iter().filter(|(_, peer)| peer.is_lost);
         let lost = lost.map(|(address, _)| *address);
@@ -372,19 +377,18 @@
         unknown.chain(lost).choose_multiple(random, count)
     }
 
-    /// Number of nodes known by hearsay only.
+    /// Number of indirectly known nodes that are to be probed.
     pub fn indirect_count(&self) -> usize {
         let zones = self.indirect.values();
         zones.filter(|(zone, _)| self.should_probe(zone)).count()
     }
 
-    /// Whether nodes of a zone that others name are to be tried.
+    /// Whether indirectly known nodes of a zone are to be probed.
     fn should_probe(&self, zone: &ZoneName) -> bool {
         *zone == self.zone || !self.has_enough_contacts(zone)
     }
 
-    /// Nodes of the own zone that may take duties over for the others, with their places in
-    /// the order, first ones first.
+    /// Active peers of this node's zone with their role priorities, highest first.
     pub(crate) fn role_candidates(&self) -> Vec<(RolePriority, SocketAddr)> {
         let mut ranked: Vec<(RolePriority, SocketAddr)> = self
             .active_same_zone()
@@ -394,13 +398,13 @@
         ranked
     }
 
-    /// Place of a node of the own zone among those that send to a cold back end: the number
-    /// of living nodes before it that are not stopping.
+    /// Index of this node among the active nodes of its zone in the order of senders to a cold
+    /// back end.
     pub(crate) fn sender_index(&self, back_end: u32) -> usize {
         self.count_before_own(back_end, &self.active_peer_hashes)
     }
 
-    /// How many of some nodes come before this one in the order of senders to a back end.
+    /// Number of nodes in `others` that precede this node in the order of senders to a back end.
     pub(super) fn count_before_own<'a>(
         &self,
         back_end: u32,
@@ -413,42 +417,42 @@
             .count()
     }
 
-    /// Peers that are there and not stopping.
+    /// Live peers that are not stopping.
     pub(super) fn active_peers(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         let peers = self.peers.iter();
         peers.filter(|(_, peer)| !peer.is_lost && !peer.is_stopping)
     }
 
-    /// Those of the own zone.
+    /// Active peers in this node's zone.
     fn active_same_zone(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         self.active_peers()
             .filter(|(_, peer)| peer.zone == self.zone)
     }
 
-    /// Living peers that know changes beyond `known`.
+    /// Live peers that know changes not covered by `known`.
     pub fn peers_ahead_of(&self, known: &VersionVector) -> Vec<SocketAddr> {
         self.live_addresses(|peer| !known.includes(&peer.version_vector))
     }
 
-    /// The newest revision that a living peer knows.
+    /// The newest revision that a live peer knows.
     pub fn newest_known_revision(&self) -> Option<Revision> {
         let live = self.peers.values().filter(|peer| !peer.is_lost);
         live.filter_map(|peer| peer.version_vector.newest()).max()
     }
 
-    /// Zone of a node, as far as it was heard or others tell.
+    /// Zone of a node that was heard directly or reported by another one.
     pub fn zone_of(&self, address: SocketAddr) -> Option<&ZoneName> {
         let heard = self.peers.get(&address).map(|peer| &peer.zone);
         heard.or_else(|| self.indirect.get(&address).map(|(zone, _)| zone))
     }
 
-    /// Whether a peer is there.
+    /// Whether the peer at an address is live.
     pub fn is_live(&self, address: SocketAddr) -> bool {
         let peer = self.peers.get(&address);
         peer.is_some_and(|peer| !peer.is_lost)
     }
 
-    /// The other zones that have peers that are there.
+    /// The other zones that have live peers.
     pub fn other_zones(&self) -> impl Iterator<Item = &ZoneName> {
         let live = self.peers.values().filter(|peer| !peer.is_lost);
         let zones = live.map(|peer| &peer.zone);
@@ -456,7 +460,7 @@
         others.into_iter()
     }
 
-    /// A peer that is there of each other zone.
+    /// A random live peer of each other zone.
     pub fn one_per_other_zone(&self, random: &mut impl Rng) -> BTreeMap<ZoneName, SocketAddr> {
         let mut zones: BTreeMap<&ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         for (address, peer) in &self.peers {
@@ -470,7 +474,7 @@
             .collect()
     }
 
-    /// Number of living peers.
+    /// Number of live peers.
     pub fn live_count(&self) -> usize {
         self.live_same_zone + self.live_other_zones
     }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -1,29 +1,30 @@
-//! How many repeats a node may send to a pool, without asking the other nodes.
+//! Limit on the retries that a node may send to a pool, enforced without coordination between the
+//! nodes.
 //!
-//! The bound holds for the sum over all nodes. Each node takes its part: a share
-//! of its own requests, and the fixed allowance divided by the largest number of
-//! nodes it has ever known. Nodes that cannot hear each other therefore never
-//! spend more together than the bound.
+//! The limit holds for the sum over all nodes. Each node's share is a ratio of its own requests,
+//! plus the fixed allowance divided by the largest number of nodes it has ever known. Nodes that
+//! are partitioned from each other therefore never exceed the limit together.
 
 use eiderferry_types::{Span, Timestamp};
 use std::collections::VecDeque;
 
-/// Part of the bound that is used: requests counted here may arrive in a later
-/// window than their repeats.
+/// Share of the limit that is used. Requests that a node counts in one window may reach the back
+/// end in a later one than their retries.
 const USABLE_SHARE: f64 = 0.8;
-/// Parts of the window that are counted apart.
+/// Number of buckets into which the window is divided.
 const BUCKETS: u64 = 10;
-/// Nodes assumed until the fleet is known.
+/// Minimum number of nodes by which the allowance is divided, until the size of the fleet is
+/// known.
 const ASSUMED_NODES: u32 = 8;
 
-/// The bound over all nodes.
+/// The limit over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats allowed for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all nodes.
+    /// Additional retries allowed in each window, summed over all nodes.
     pub allowance: f64,
-    /// Window in which both hold.
+    /// Sliding window over which requests and retries are counted.
     pub window: Span,
 }
 
@@ -34,7 +35,7 @@
     retries: u32,
 }
 
-/// The budget of one pool on one node.
+/// The retry budget of one pool on one node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -42,7 +43,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates a budget of which nothing is spent.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
@@ -71,12 +72,12 @@
         &mut self.buckets[last]
     }
 
-    /// Counts a caller's request.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
-    /// Repeats that may still be sent now, in a fleet of at most `nodes` nodes.
+    /// Retries that may still be sent now, in a fleet of at most `nodes` nodes.
     pub fn remaining(&mut self, now: Timestamp, nodes: u32) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
@@ -86,7 +87,7 @@
         USABLE_SHARE * allowed - f64::from(retries)
     }
 
-    /// Spends one repeat if the budget allows it.
+    /// Spends one retry if the budget allows it.
     pub fn try_spend(&mut self, now: Timestamp, nodes: u32) -> bool {
         if self.remaining(now, nodes) < 1.0 {
             return false;
--- a/crates/coordination/dispatch/src/fleet/traffic.rs
+++ b/crates/coordination/dispatch/src/fleet/traffic.rs
@@ -1,30 +1,30 @@
-//! Kinds of messages and the borders that they cross, for counting what control costs.
+//! Message kinds and distances between nodes, the labels by which control traffic is counted.
 
 use eiderferry_routing::{ZoneName, ZoneRegions};
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageKind {
-    /// A node's work, for the aggregators of its zone.
+    /// Load report of a node to the aggregators of its zone.
     Report,
-    /// The sums of all nodes, by an aggregator to its zone.
+    /// Load of the whole fleet, sent by an aggregator to the nodes of its zone.
     Summary,
-    /// What a whole zone has at back ends, for another zone.
+    /// Load of a whole zone, sent to another zone.
     Digest,
-    /// A node tells another how it stands.
+    /// Periodic state of a node, sent to a peer.
     Peer,
-    /// A node asks for an answer.
+    /// Message that asks for an immediate reply.
     Query,
-    /// The answer.
+    /// Reply to a query.
     Reply,
-    /// Newer documents are known.
+    /// Notice that newer documents are available.
     Announcement,
-    /// Documents handed to a node that lacks them.
+    /// Documents sent to a node that lacks them.
     Documents,
 }
 
 impl MessageKind {
-    /// The kind as a label of metrics.
+    /// Value of the metrics label.
     pub fn label(self) -> &'static str {
         match self {
             Self::Report => "report",
@@ -39,21 +39,21 @@
     }
 }
 
-/// What lies between two nodes.
+/// Network distance between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// Both are in one zone.
+    /// In the same zone.
     SameZone,
-    /// They are in two zones of one region, or of regions that aren't known.
+    /// In different zones of the same region, or of regions that aren't known.
     CrossZone,
-    /// They are in two regions.
+    /// In different regions.
     CrossRegion,
-    /// The zone of one isn't known: it has not been heard.
+    /// The zone of one node isn't known, as it has not been heard yet.
     Unknown,
 }
 
 impl Distance {
-    /// The distance between two zones.
+    /// Distance between two zones.
     pub fn between(one: &ZoneName, other: &ZoneName, regions: &ZoneRegions) -> Self {
         if one == other {
             return Self::SameZone;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The distance as a label of metrics.
+    /// Value of the metrics label.
     pub fn label(self) -> &'static str {
         match self {
             Self::SameZone => "none",
