--- a/crates/coordination/dispatch/src/placement.rs
+++ b/crates/coordination/dispatch/src/placement.rs
@@ -1,5 +1,5 @@
-//! Where a request goes: what it asks for, which back ends may get it, and what each would
-//! cost.
+//! Placement of requests: what a request requires, which back ends are eligible for it, and what
+//! it would cost on each of them.
 
 pub(crate) mod candidate;
 pub(crate) mod demand;
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -1,76 +1,77 @@
-//! Choice of a back end: what each would cost, in one unit.
+//! Cost model for choosing a back end.
 //!
-//! All costs are times. A request that misses its target costs [`LATE_REQUEST_COST`]; prices
-//! of other things are set against that.
+//! All costs are expressed as times. A request that misses its target costs
+//! [`LATE_REQUEST_COST`]; the other costs are set relative to that.
 
 use eiderferry_types::Span;
 
-/// What a request that misses its target costs: about the target of a first event, so
-/// that a delay of one target weighs as much as a loss.
+/// Cost of a request that misses its target. It is about the target for a first event, so that a
+/// delay by one target weighs as much as a missed target.
 const LATE_REQUEST_COST: Span = Span::from_milliseconds(450);
-/// Target for a first event up to which each millisecond before it counts in full. A longer
-/// target leaves room, so that a wait counts in proportion: rather that than reading or
-/// copying a prompt elsewhere. On a loaded day of 71 nodes 10.1 in place of 12.7 million
-/// prompt tokens were read again and 210 in place of 439 GB copied, and a tenth more short
-/// streams came in time, beside fewer readings.
+/// Longest first-event target at which each millisecond of waiting counts in full. With a longer
+/// target there is slack, so waiting counts in proportion; waiting is then preferred to
+/// prefilling or copying a prompt elsewhere. On a loaded day of 71 nodes this reduced recomputed
+/// prompt tokens from 12.7 to 10.1 million and copied data from 439 to 210 GB. A tenth more short
+/// streams met their targets, as fewer prefills ran beside them.
 const MAX_FULL_WEIGHT_TARGET: Span = Span::from_milliseconds(600);
-/// Time that a full batch costs. A place in a batch costs next to nothing until the
-/// batch is nearly full (a step of 64 streams takes half as long again as one of a
-/// single stream), so the cost rises with the fifth power of its fullness: streams
-/// gather, and leave other engines to long prompts. Near the end it makes up for
-/// choices that other nodes make at the same moment.
+/// Cost of a full batch. A slot costs next to nothing until the batch is nearly full (a step of
+/// 64 streams takes 1.5 times as long as a step of one), so the cost rises with the fifth power
+/// of the batch's fullness. Streams thus gather on few engines and leave the others to long
+/// prompts. The steep end compensates for choices that other nodes make at the same moment.
 const FULL_BATCH_COST: Span = Span::from_milliseconds(256);
-/// Time that a request costs beyond a full batch at least: it waits for an end.
+/// Minimum cost of exceeding a full batch, where a request has to wait for another one to end.
 const QUEUEING_COST: Span = Span::from_milliseconds(1_000);
-/// What reading a shared prompt token again is held to cost beside its time, in
-/// microseconds: the room it takes from other prompts, and the work done twice.
+/// Additional cost of recomputing a cached shared prompt token, in microseconds, on top of the
+/// prefill time: the cache space it takes from other prompts, and the duplicated work.
 const RECOMPUTE_COST_PER_TOKEN: u64 = 70;
-/// The same for a token copied from another engine.
+/// Additional cost of copying a shared prompt token from another engine, in microseconds.
 pub(crate) const COPY_COST_PER_TOKEN: u64 = 30;
-/// Part of an engine's memory beyond which requests begin to push each other out:
-/// what is known of the others is some hundred milliseconds old.
+/// Fraction of an engine's memory above which requests begin to evict each other. It is below 1
+/// because the known loads of other nodes are some hundred milliseconds old.
 const MEMORY_PRESSURE_THRESHOLD: f64 = 0.75;
-/// What a request costs that fills the memory to the end: it, or another, is put back
-/// and read anew.
+/// Cost of a request that fills the memory completely: it, or another one, is preempted and
+/// prefilled again.
 const FULL_MEMORY_COST: Span = Span::from_milliseconds(2_000);
 
-/// What a failure costs a request that may be sent again, and one that may not.
+/// Costs of a failure of a request that may be retried, and of one that may not.
 const RETRYABLE_FAILURE: Span = Span::from_milliseconds(800);
 pub(crate) const PERMANENT_FAILURE: Span = Span::from_milliseconds(4_000);
 
-/// A back end that could take a request.
+/// A back end that may get a request, with the inputs of its cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
-    /// Expected time to the first event there.
+    /// Expected time to the first event.
     pub first_event: Span,
-    /// Time within which the first event is in time.
+    /// Target for the time to the first event.
     pub target: Span,
-    /// Shared prompt tokens that it would have to read although another has them.
+    /// Shared prompt tokens that it would have to recompute although another engine has them
+    /// cached.
     pub recomputed_tokens: u32,
-    /// Whether it is the one that all nodes prefer for the request's prompt.
+    /// Whether it is the home of the request's prompt: the engine that all nodes prefer for it.
     pub is_home: bool,
-    /// Shared prompt tokens that it would have to copy from another.
+    /// Shared prompt tokens that it would have to copy from another engine.
     pub copied_tokens: u32,
-    /// Chance that prompts read there make the request's own events late.
+    /// Probability that prefills there delay the request's own events beyond its target.
     pub own_delay_probability: f64,
-    /// Streams there that its prompt would make late, in expectation.
+    /// Expected number of streams there that the request's prefill would delay beyond their
+    /// targets.
     pub delayed_streams: f64,
-    /// Requests there.
+    /// Requests running there.
     pub running: u32,
-    /// Requests that run there at once.
+    /// Maximum number of requests that run there at once.
     pub slots: u32,
-    /// Part of its memory that is taken with the request; 0 where it has none.
+    /// Fraction of its memory in use with the request included; 0 if it has no memory limit.
     pub memory_fraction: f64,
-    /// What the bytes on the way there cost, as a time.
+    /// Cost of the request's network traffic, as a time.
     pub network_cost: Span,
-    /// By how much its share of failures exceeds that of its pool.
+    /// Excess of its failure share over its pool's usual one.
     pub excess_failures: f64,
-    /// Whether the request may be sent again.
+    /// Whether the request may be retried.
     pub may_retry: bool,
 }
 
 impl Candidate {
-    /// What choosing it costs, as a time.
+    /// Total cost of choosing this back end, as a time.
     pub fn cost(&self) -> Span {
         self.first_event_cost()
             + self.network_cost
@@ -82,15 +83,15 @@
             + self.failure_cost()
     }
 
-    /// What the time to the first event costs, without the chance that it comes late.
+    /// Cost of the time to the first event, without the risk of missing the target.
     fn first_event_cost(&self) -> Span {
         let weight =
             MAX_FULL_WEIGHT_TARGET.0 as f64 / self.target.max(MAX_FULL_WEIGHT_TARGET).0 as f64;
         self.first_event.scaled(weight)
     }
 
-    /// Chance that the first event comes late: prompts that other nodes sent a moment ago
-    /// are not known yet, and the longer the known queue the more of them there are.
+    /// Probability that the first event misses its target. Prompts that other nodes sent a moment
+    /// ago are not known yet, and their number grows with the length of the known queue.
     fn late_first_event_probability(&self) -> f64 {
         if self.target == Span::ZERO {
             return 0.0;
--- a/crates/coordination/dispatch/src/placement/demand.rs
+++ b/crates/coordination/dispatch/src/placement/demand.rs
@@ -1,139 +1,141 @@
-//! What a request asks for, and what becomes of it.
+//! Requirements of a request, and the outcome of placing it.
 
 use crate::{Candidate, Revision};
 use eiderferry_routing::{AllowedRegions, InstanceId, PartId, PoolName};
 use eiderferry_types::{Reason, RequestDigest, Span};
 use std::net::SocketAddr;
 
-/// Names a granted place on a back end within one dispatcher.
+/// Identifies a lease on a back end within one dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
 /// A part of a prompt with its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Which text.
+    /// Identifies the text of the part.
     pub id: PartId,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// A request that wants a back end.
+/// A request that needs a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    /// What it asks, alike each time that its caller sends it.
+    /// Digest of the request; the same whenever its caller sends it again.
     pub digest: RequestDigest,
-    /// Pool it goes to.
+    /// Pool that serves it.
     pub pool: PoolName,
-    /// Rank of its route; 0 is the most urgent.
+    /// Priority rank of its route; 0 is the most urgent.
     pub rank: u8,
     /// Parts of its prompt in order; empty for plain services.
     pub parts: Vec<PromptPart>,
-    /// Tokens of its prompt.
+    /// Length of its prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that may come out.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
-    /// Bytes of the request and, as far as they can be told, of its answer.
+    /// Size of the request and, as far as it can be estimated, of its response, in bytes.
     pub bytes: u32,
-    /// Time within which the answer, or its first event, is in time.
+    /// Target for the time to the complete response or, for streams, to the first event.
     pub target: Span,
-    /// Longest pause between events that is in time, for streams.
+    /// Target for the longest gap between events of a stream.
     pub event_gap_target: Option<Span>,
-    /// Time until the caller gives up.
+    /// Time until the caller's deadline.
     pub remaining: Span,
     /// Regions in which it may run.
     pub allowed_regions: AllowedRegions,
-    /// Back ends that have failed it already.
+    /// Back ends on which it has already failed.
     pub excluded_back_ends: Vec<InstanceId>,
-    /// Whether it may be sent again after it has reached a back end.
+    /// Whether it may be retried after it has reached a back end.
     pub may_retry: bool,
     /// Whether an earlier attempt of the same request has reached a back end.
     pub is_retry: bool,
-    /// Whether it is answered by a stream of events.
+    /// Whether its response is a stream of events.
     pub is_stream: bool,
-    /// The only back end that can take it: the holder of its replica.
+    /// The only back end that can serve it, as the holder of its replica.
     pub required_instance: Option<InstanceId>,
 }
 
 /// The engine that holds a replica of a running request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaTarget {
-    /// Engine.
+    /// Instance of the engine.
     pub instance: InstanceId,
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
 }
 
-/// A place on a back end.
+/// A lease on a back end, with the decision behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// Name of the place; to be given back.
+    /// The lease; it must be released.
     pub lease: LeaseId,
-    /// Back end.
+    /// Instance of the back end.
     pub instance: InstanceId,
-    /// Its address.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// Most connections this node may hold to it.
+    /// Maximum number of connections that this node may hold to it.
     pub connections: u32,
-    /// Tokens of the prompt that it is expected to read.
+    /// Prompt tokens that it is expected to prefill.
     pub uncached_tokens: u32,
-    /// How long ago the engine told that it keeps what it is expected to find of the shared
-    /// parts; `None` where that is only believed, or nothing is found.
+    /// Time since the engine reported that it caches the expected shared parts; `None` if that is
+    /// only assumed, or if no part is expected to be cached.
     pub cache_observation_age: Option<Span>,
-    /// Engine from which it is to copy what it lacks of the prompt.
+    /// Engine from which it is to copy missing parts of the prompt.
     pub copy_from: Option<SocketAddr>,
-    /// Engine at which a replica of the run is kept up.
+    /// Engine that keeps a replica of the run.
     pub replica: Option<Box<ReplicaTarget>>,
-    /// Whether the back end has named a rate limit: an answer that names none ends it.
+    /// Whether the back end has stated a rate limit; a response that states none lifts it.
     pub has_limit: bool,
-    /// What was expected of the back end when it was chosen.
+    /// Estimates on which the choice of the back end rests.
     pub candidate: Box<Candidate>,
-    /// Revision of the list of back ends that the choice rests on.
+    /// Revision of the list of back ends on which the decision rests.
     pub revision: Revision,
-    /// Age of the youngest confirmation of that list.
+    /// Time since that list was last confirmed.
     pub list_age: Span,
 }
 
-/// What is decided about a demand.
+/// Decision about a demand.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it there now.
+    /// Send it to this back end now.
     Grant(Grant),
-    /// Refuse it; it has not run. Trying again may help after the span.
+    /// Refuse it without running it; a retry may succeed after the span.
     Refuse(Reason, Span),
 }
 
 /// How an attempt at a back end ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer of success came.
+    /// A complete successful response.
     Completed,
-    /// A whole answer that finds fault with the request.
+    /// A complete response that reports an error in the request.
     Rejected,
-    /// A whole answer that reports a failure of the back end.
+    /// A complete response that reports a failure of the back end.
     Failed,
-    /// The back end refused it; it did not run.
+    /// The back end refused the request without running it.
     Shed,
-    /// Another run of a back end has the address.
+    /// The address belongs to another run of a back end.
     InstanceReplaced,
-    /// Nothing answered: no connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// The connection was refused: nothing listens there, on a machine that can be reached.
+    /// The connection was refused: nothing listens at the port of a reachable machine.
     ConnectionRefused,
-    /// This node's own bounds kept it from being sent; says nothing of the back end.
+    /// A limit of this node kept the request from being sent; says nothing about the back end.
     NotSent,
-    /// The answer broke off, or was none.
+    /// The response was truncated or malformed.
     IncompleteResponse,
-    /// No answer, or no further event, in time.
+    /// No response, or no further event, before the timeout.
     TimedOut,
-    /// This node took it back, as back ends crash under it; says nothing of the back end.
+    /// This node cancelled the request because it crashes back ends; says nothing about the back
+    /// end.
     Cancelled,
-    /// The caller left, or a planned stop ended it; says nothing of the back end.
+    /// The caller disconnected, or a planned stop ended the request; says nothing about the back
+    /// end.
     Abandoned,
 }
 
 impl Demand {
-    /// Whether a back end has not failed it and is not ruled out.
+    /// Whether the request has not failed on a back end and is not pinned to another one.
     pub(crate) fn is_allowed_on(&self, instance: &InstanceId) -> bool {
         let is_required = self
             .required_instance
@@ -148,20 +150,20 @@
         &self.parts[..count]
     }
 
-    /// Tokens that no other request shares: the rest of the prompt, and the answer.
+    /// Tokens that no other request shares: the rest of the prompt, and the output.
     pub fn unshared_tokens(&self) -> u32 {
         let unshared_prompt = self.prompt_tokens.saturating_sub(self.shared_tokens());
         unshared_prompt.saturating_add(self.output_tokens)
     }
 
-    /// Length of these parts in tokens.
+    /// Total length of the shared parts in tokens.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 }
 
 impl Outcome {
-    /// The word used in logs and metrics.
+    /// Name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -1,26 +1,27 @@
-//! Whether a back end may get a request at all, before what it would cost is looked at.
+//! Eligibility of back ends for a request, checked before their costs are compared.
 
 use crate::Demand;
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::view::View;
 use eiderferry_types::Reason;
 
-/// Why a back end may not get a request.
+/// Why a back end is not eligible for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IneligibilityReason {
-    /// It is leaving, or another run has its address.
+    /// It is leaving, or another run has taken its address.
     Leaving,
-    /// It has asked this node for a rest. That is neither a failure nor a cost, which its good
-    /// answers would outweigh.
+    /// It has asked this node to back off. That is neither a failure nor a cost, since successful
+    /// responses would outweigh a cost.
     BackingOff,
-    /// All nodes together send it what its rate limit allows, and it is not this node's turn. A
-    /// cost would not do: what one node spares, each of the others may send.
+    /// The nodes together already use its rate limit, and it is not this node's turn. A cost
+    /// would not suffice: the capacity that one node leaves unused would be taken by each of the
+    /// others.
     RateLimited,
     /// The request may not run in its region.
     Region,
     /// Its zone is being evacuated.
     Evacuated,
-    /// It is cold, and this node may send it nothing now.
+    /// It is cold, and this node may not send it a request now.
     Cold,
 }
 
@@ -48,13 +49,13 @@
     }
 }
 
-/// Whether a back end may get a request.
+/// Whether a back end is eligible for a request.
 pub(crate) fn is_eligible(state: &BackEndState, view: &View<'_>, demand: &Demand) -> bool {
     ineligibility_reason(state, view, demand).is_none()
 }
 
-/// Why no back end of a pool gets a request: what stands in the way of most of those that
-/// have not failed it and are not leaving.
+/// Reason for the refusal if no back end is eligible: the most frequent one among the back ends
+/// on which the request has not failed and that are not leaving.
 pub(crate) fn refusal(registry: &Registry, view: &View<'_>, demand: &Demand) -> Reason {
     let allowed = registry
         .pool(&demand.pool)
--- a/crates/coordination/dispatch/src/placement/locality.rs
+++ b/crates/coordination/dispatch/src/placement/locality.rs
@@ -1,5 +1,8 @@
-//! Where back ends stand as seen from this node: what the way there costs, and how far the
-//! home of a prompt may lie.
+//! Network locality of back ends: the cost of the network path to them, and the distance within
+//! which the home of a prompt may be.
+//!
+//! The home of a prompt is the engine that all nodes prefer for it, so that its shared parts are
+//! cached there.
 
 use crate::Distance;
 use crate::load::registry::BackEndState;
@@ -7,32 +10,33 @@
 use eiderferry_types::Span;
 use std::collections::HashMap;
 
-/// Time that a request in another zone costs where places are not told apart.
+/// Cost of a request in another zone if locality costs are disabled.
 pub(crate) const OTHER_ZONE_COST: Span = Span::from_milliseconds(20);
-/// Round trips assumed until one was measured: zones of a region are a few kilometres apart,
+/// Round trips assumed until one has been measured. Zones of a region are a few kilometres apart,
 /// regions some thousand.
 const ASSUMED_CROSS_ZONE_ROUND_TRIP: Span = Span::from_milliseconds(2);
 const ASSUMED_CROSS_REGION_ROUND_TRIP: Span = Span::from_milliseconds(40);
-/// Weight of the newest measurement of a round trip. New connections are rare, and one
-/// beside a lost packet takes a second: the smaller, the less such a one counts.
+/// Weight of the newest round-trip measurement. New connections are rare, and one that loses a
+/// packet takes a second, so a small weight limits the effect of such outliers.
 const ROUND_TRIP_SMOOTHING: f64 = 0.2;
-/// Longest round trip that is believed.
+/// Upper limit for measured round trips.
 const MAX_ROUND_TRIP: Span = Span::from_milliseconds(300);
-/// What a byte costs that crosses a zone's border, as time in nanoseconds: a request of 15 kB
-/// costs 38 ms, one of 3 kB 8 ms. Such bytes are paid for where zones are separate sites.
+/// Cost of each byte between zones, in nanoseconds: a request of 15 kB costs 38 ms, one of 3 kB 8
+/// ms. Traffic between zones at separate sites is charged for.
 const CROSS_ZONE_NANOSECONDS_PER_BYTE: u64 = 2_500;
-/// The same for a region's border.
+/// Cost of each byte between regions, in nanoseconds.
 const CROSS_REGION_NANOSECONDS_PER_BYTE: u64 = 4_000;
-/// Fewest engines among which the home of a prompt is sought: with fewer, one prompt that
-/// many ask for fills an engine, and the loss of one moves many homes.
+/// Minimum number of engines among which the home of a prompt is chosen. With fewer, one popular
+/// prompt fills an engine, and the loss of an engine moves many homes.
 const MIN_HOME_ENGINES: usize = 4;
-/// Part of the memory of a place's engines that the shared parts of all prompts may take for
-/// homes to lie there: each place reads, or copies, all of them for itself.
+/// Maximum share of the engines' memory within a distance that the shared parts of all prompts
+/// may take for homes to be restricted to that distance. With restricted homes, each zone or
+/// region prefills or copies all shared parts for itself.
 const NARROWING_MEMORY_SHARE: f64 = 0.45;
-/// The same for homes that lie there already.
+/// The same for homes that are already restricted to that distance.
 const STAY_NARROW_MEMORY_SHARE: f64 = 0.6;
 
-/// Round trip over a border until one was measured.
+/// Round trip to assume until one has been measured.
 fn assumed_round_trip(distance: Distance) -> Span {
     match distance {
         Distance::SameZone => Span::ZERO,
@@ -49,23 +53,23 @@
     }
 }
 
-/// The way to a back end.
+/// Network costs of reaching a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct NetworkPath {
-    /// Time there and back.
+    /// Round-trip time.
     pub round_trip: Span,
-    /// What the bytes of a request and its answer cost, as a time.
+    /// Cost of the bytes of a request and its response, as a time.
     pub transfer_cost: Span,
 }
 
-/// Round trips to the back ends of other zones, as connections that came up told them.
+/// Round trips to the back ends of other zones, measured when connections are established.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RoundTrips {
     smoothed_by_zone: HashMap<ZoneName, Span>,
 }
 
 impl RoundTrips {
-    /// Notes how long a connection to a zone took to come up.
+    /// Records the time that a connection to a zone took to be established.
     pub fn record(&mut self, zone: &ZoneName, round_trip: Span) {
         let round_trip = round_trip.min(MAX_ROUND_TRIP);
         let current = self
@@ -76,7 +80,7 @@
         *current = smoothed + round_trip.scaled(ROUND_TRIP_SMOOTHING);
     }
 
-    /// The way to a zone for so many bytes.
+    /// The network path to a zone for a request that transfers `bytes` in total.
     pub fn network_path(&self, zone: &ZoneName, distance: Distance, bytes: u32) -> NetworkPath {
         if distance == Distance::SameZone {
             return NetworkPath::default();
@@ -91,24 +95,24 @@
     }
 }
 
-/// Nanoseconds of the unit in which spans count.
+/// Nanoseconds in one unit of [`Span`].
 const NANOSECONDS_PER_SPAN_UNIT: u64 = 1_000;
 
-/// How far from a node the homes of prompts lie.
+/// Maximum distance between a node and the homes of the prompts that it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HomeScope {
     max_distance: Distance,
 }
 
 impl HomeScope {
-    /// Homes among all engines.
+    /// Homes may be on any engine.
     pub const ALL: Self = Self {
         max_distance: Distance::CrossRegion,
     };
 
-    /// The nearest place whose engines hold the shared parts of all prompts; `before` is the
-    /// one in force. Homes in the own zone took the bytes
-    /// between zones from 27 to 17 MB on a calm day of 85 nodes in three zones, one run each.
+    /// The smallest distance within which the engines can hold the shared parts of all prompts;
+    /// `previous` is the scope in force. Restricting homes to the node's zone reduced the traffic
+    /// between zones from 27 to 17 MB on a calm day of 85 nodes in three zones (one run each).
     pub fn nearest(
         engines: &[(Distance, &BackEndState)],
         shared_tokens: u64,
@@ -133,12 +137,12 @@
         nearest.map_or(Self::ALL, |max_distance| Self { max_distance })
     }
 
-    /// Whether homes lie in the own zone alone.
+    /// Whether homes are restricted to the node's zone.
     pub fn is_own_zone(self) -> bool {
         self.max_distance == Distance::SameZone
     }
 
-    /// Whether homes may lie so far away.
+    /// Whether homes may be as far away as `distance`.
     pub fn reaches(self, distance: Distance) -> bool {
         distance <= self.max_distance
     }
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -1,4 +1,4 @@
-//! What sending a request to each of some back ends would mean.
+//! Estimates of what sending a request to each of several back ends would cost.
 
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::pool_split::PoolSplit;
@@ -12,47 +12,50 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fewest tokens that are worth copying from another engine: a copy takes 2.5 ms and 0.25 ms
-/// for 100 tokens at 500 Gbit/s, reading them 1.5 ms of every stream there, and their price is
-/// a tenth. On a loaded day of 78 nodes and 90 engines 3.0 million shared tokens were read again
-/// where 4.8 were with 1,000, and 3,566 in place of 2,909 GB copied (one run each).
+/// Minimum number of tokens that are copied from another engine. At 500 Gbit/s a copy takes 2.5
+/// ms plus 0.25 ms per 100 tokens, while prefilling 100 tokens delays every stream on the engine
+/// by 1.5 ms. Copying 100 tokens also has a tenth of the cost of copying 1,000. On a loaded day
+/// of 78 nodes and 90 engines, 3.0 million shared tokens were recomputed and 3,566 GB copied;
+/// with a minimum of 1,000 it was 4.8 million and 2,909 GB (one run each).
 const MINIMUM_COPIED_TOKENS: u32 = 100;
-/// Prompts shorter than this are short: reading one holds nobody up.
+/// Prompts shorter than this are short: prefilling one delays no stream noticeably.
 const SHORT_PROMPT_TOKENS: u32 = 2_000;
-/// Difference of two shares of failures that is put down to chance.
+/// Difference between two failure shares that is attributed to chance.
 const FAILURE_SHARE_TOLERANCE: f64 = 0.07;
-/// Chance that, while a stream runs, another long prompt comes to an engine for each
-/// request with a long prompt that runs there: streams last a few seconds, as long as
-/// those requests do.
+/// Probability that another long prompt arrives at an engine while a stream runs there, for each
+/// running request with a long prompt. Streams run for a few seconds, as long as those requests.
 const FURTHER_LONG_PREFILL_PROBABILITY: f64 = 0.3;
-/// Chance that a request into a zone of which nothing is heard fails: its nodes may all
-/// have ended while the way to its back ends is open.
+/// Probability that a request to a silent zone fails. All nodes of the zone may have failed while
+/// its back ends are still reachable.
 const SILENT_ZONE_FAILURE_PROBABILITY: f64 = 0.8;
-/// Back ends compared for one request where the pool has more.
+/// Maximum number of back ends compared for one request.
 const MAX_COMPARED: usize = 32;
-/// Of these, those first in the order of preference for the request's prompt.
+/// Maximum number of these that are the most preferred ones for the request's prompt.
 const MAX_PREFERRED: usize = 10;
-/// Of these, some of the own zone, and some of all, drawn for each request.
+/// Number of these that are sampled for each request, from this node's zone and from the whole
+/// pool.
 const SAME_ZONE_SAMPLES: usize = 6;
 const POOL_SAMPLES: usize = 8;
 
-/// Part of the engines of a large pool that are kept for streams which long prompts beside
-/// them would make late, while there are such streams: no long prompt has its home there. All
-/// nodes choose them alike, by hashing. Without them such streams run beside the readings of
-/// homes, however well each node knows the engines. On a loaded day of 295 nodes and 320
-/// engines 10,019 of 13,486 of them came in time, where 7,339 did without (one run each).
+/// Share of the engines of a large pool that are reserved for delay-sensitive streams while there
+/// are any: no long prompt has its home there. All nodes choose the same engines by hash. Without
+/// reserved engines such streams run beside prefills at homes, however accurately each node knows
+/// the load. On a loaded day of 295 nodes and 320 engines, 10,019 of 13,486 such streams met
+/// their targets; without reserved engines 7,339 did (one run each).
 const STREAM_ENGINE_SHARE: f64 = 0.125;
-/// Seed of the hash that chooses them.
+/// Seed of the hash that selects the reserved engines.
 const STREAM_ENGINE_SEED: u64 = 0x5354_5245_414d;
-/// Chance to come late beside long prompts from which on a stream is placed apart.
+/// Minimum probability of a delay beside long prompts at which a stream is delay-sensitive, and
+/// so is placed on engines reserved for streams.
 pub(crate) const SENSITIVE_PROBABILITY: f64 = 0.15;
-/// Part of the streams that the longest reading makes late up to which a single reading counts
-/// as harmless to them: the prompt may be read beside streams.
+/// A prompt counts as short if its prefill delays less than this share of the streams that the
+/// longest prefill would delay. It may then be prefilled beside streams.
 const HARMLESS_DELAYED_SHARE: f64 = 0.1;
-/// Requests with long prompts that are expected at an engine with homes besides those there.
+/// Requests with long prompts that are expected at an engine that may be a home, in addition to
+/// those running there.
 const EXPECTED_LONG_PREFILLS: u32 = 1;
 
-/// What sending a request to one back end would mean.
+/// Estimate for sending a request to one back end.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub instance: InstanceId,
@@ -61,15 +64,15 @@
     pub copy_from: Option<SocketAddr>,
 }
 
-/// What a look at back ends for one request came to.
+/// Plans for one request.
 pub(crate) struct Plans {
-    /// Plans for the back ends worth comparing.
+    /// Plans for the back ends that are compared.
     pub plans: Vec<Plan>,
-    /// Back ends that were looked at.
+    /// Number of back ends that were examined.
     pub examined: usize,
 }
 
-/// Plans for the back ends worth comparing.
+/// Plans a request on the back ends that are worth comparing.
 pub(crate) fn plans(
     registry: &Registry,
     view: &View<'_>,
@@ -100,8 +103,8 @@
     }
 }
 
-/// The back ends compared: all of a small pool; of a large one those that a prompt's
-/// beginning prefers, and some drawn at random.
+/// Selects the back ends to compare: all of a small pool; in a large pool those that the
+/// request's prompt prefers, and a random sample.
 fn shortlist<'a>(
     examined: &Examined<'a>,
     split: &RequestSplit<'_>,
@@ -151,22 +154,22 @@
     compared
 }
 
-/// How the engines of a pool are split between streams that long prompts would make late
-/// and long prompts, and which of these a request is.
+/// Split of a pool's engines between delay-sensitive streams and long prompts, and the side on
+/// which a request belongs.
 #[derive(Clone, Copy, Debug)]
 struct RequestSplit<'a> {
     rule: SplitRule<'a>,
     is_delay_sensitive: bool,
 }
 
-/// Which engines are kept for streams.
+/// Which engines are reserved for streams.
 #[derive(Clone, Copy, Debug)]
 enum SplitRule<'a> {
     /// None.
     None,
-    /// A fixed part.
+    /// A fixed share.
     FixedShare,
-    /// As many as the load leaves.
+    /// A share that follows the load.
     ByLoad(&'a PoolSplit),
 }
 
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Whether an engine is kept for requests like this.
+    /// Whether an engine is on the request's side of the split.
     fn matches_request(&self, state: &BackEndState) -> bool {
         self.serves_streams(state)
             .is_none_or(|serves_streams| serves_streams == self.is_delay_sensitive)
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Exposed streams that a long prompt finds at an engine, or that come while it is read.
+    /// Exposed streams that a long prompt finds at an engine, or that arrive during its prefill.
     fn expected_exposed_streams(&self, state: &BackEndState, exposed_now: f64) -> f64 {
         match self.rule {
             SplitRule::ByLoad(split)
@@ -234,13 +237,14 @@
     }
 }
 
-/// Whether an engine is one of the fixed part that is kept for streams.
+/// Whether an engine belongs to the fixed share that is reserved for streams.
 fn is_in_fixed_share(state: &BackEndState) -> bool {
     let hash = xxh3_64_with_seed(&state.digest.to_le_bytes(), STREAM_ENGINE_SEED);
     (hash as f64) < STREAM_ENGINE_SHARE * u64::MAX as f64
 }
 
-/// The two engines that keep most of a prompt's beginning.
+/// The two engines that have most of the prompt's shared parts cached, with the number of cached
+/// tokens.
 struct CopySources<'a> {
     engines: Vec<(u32, &'a BackEndState)>,
 }
@@ -273,7 +277,7 @@
         Self { engines }
     }
 
-    /// Where an engine that keeps so much would copy the rest from.
+    /// Address from which an engine with `cached` tokens would copy the rest.
     fn address_for(&self, instance: &InstanceId, cached: u32) -> Option<SocketAddr> {
         let mut others = self.engines.iter();
         let (most_cached, state) =
@@ -283,7 +287,7 @@
     }
 }
 
-/// What all plans for one request share.
+/// Data shared by all plans for one request.
 struct PlanContext<'a> {
     model: Option<&'a PoolModel>,
     home: Option<&'a InstanceId>,
@@ -293,8 +297,8 @@
     view: &'a View<'a>,
 }
 
-/// Share of failures of the sounder quarter of a pool: where many fail, the rest shows
-/// what is usual.
+/// Failure share of the pool's engine at the lower quartile. It is the baseline even if many
+/// engines fail.
 fn baseline_failure_share(eligible: &[&BackEndState], now: Timestamp) -> f64 {
     let shares = eligible.iter().map(|state| state.load.failure_share(now));
     let mut shares: Vec<f64> = shares.collect();
@@ -378,7 +382,7 @@
     }
 }
 
-/// Part of an engine's memory that single requests take, with one more.
+/// Fraction of an engine's memory that unshared tokens take, with the request included.
 fn memory_fraction(state: &BackEndState, occupancy: &Occupancy, footprint: &Footprint) -> f64 {
     let capacity = state.load.cache.engine_tokens();
     if capacity == 0 {
@@ -388,7 +392,7 @@
     taken as f64 / capacity as f64
 }
 
-/// Prompts that are read at an engine: those that wait there, and the newcomer's.
+/// Prefill times at an engine: of the queued prompts, and of the request's own.
 struct PrefillQueue {
     queued: Span,
     own: Span,
@@ -405,15 +409,15 @@
         }
     }
 
-    /// Chance that the newcomer's events come late: where requests with long prompts
-    /// run, further ones are likely to come while it runs.
+    /// Probability that the request's own events are delayed. Where requests with long prompts
+    /// run, more of them are likely to arrive while it runs.
     fn own_delay_probability(&self, footprint: &Footprint, expected: u32) -> f64 {
         let long_prefills = self.long_prefills + expected;
         let none_arrives = (1.0 - FURTHER_LONG_PREFILL_PROBABILITY).powi(long_prefills as i32);
         footprint.exposure * (1.0 - none_arrives)
     }
 
-    /// Streams that the newcomer's prompt makes late, in expectation.
+    /// Expected number of streams that the request's prefill delays.
     fn delayed_streams(&self, model: &PoolModel, state: &BackEndState, exposed: f64) -> f64 {
         let total = Span(self.queued.0 + self.own.0);
         let after = model.delayed_share(&state.load.speed, total);
@@ -422,7 +426,7 @@
     }
 }
 
-/// By how much a back end fails more than the sound ones of its pool, beyond chance.
+/// Excess of a back end's failure share over the pool's baseline, beyond chance.
 fn excess_failures(state: &BackEndState, context: &PlanContext<'_>) -> f64 {
     let share = state.load.failure_share(context.view.now);
     let excess = (share - context.baseline_failure_share - FAILURE_SHARE_TOLERANCE).max(0.0);
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -1,86 +1,90 @@
-//! How the engines of a pool are split between streams that reading makes late and long
-//! prompts.
+//! Split of a pool's engines between long prompts and the streams that prefills would delay.
 //!
-//! All engines of a pool are ranked once by hashing, zone by zone, so that any part of the
-//! ranking lies in all zones alike. Those before the border read long prompts, those behind it
-//! run streams that a long reading beside them would make late. The border follows the load
-//! that every node sees, in steps: nodes whose sums differ a little choose the same step, and
-//! a step moves only the engines between its two ends.
+//! All engines of a pool are ranked by hash within their zones, so that any share of the ranking
+//! is spread evenly over the zones. Engines before the boundary prefill long prompts; those after
+//! it run streams that a long prefill on the same engine would delay. The boundary follows the
+//! load in steps. Nodes whose views of the load differ slightly choose the same step, and a step
+//! moves only the engines between the old and the new boundary.
 
 use eiderferry_routing::{PoolName, ZoneName};
 use eiderferry_types::Span;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Exposed streams for each slot of a pool from which on, and down to which, its engines are
-/// split: apart, so that homes do not move to and fro.
+/// Exposed streams per slot above which a pool is split, and at or below which a split ends. The
+/// gap between the two keeps homes from moving back and forth.
 const SPLIT_START_THRESHOLD: f64 = 0.01;
 const SPLIT_STOP_THRESHOLD: f64 = 0.003;
-/// Engines that both kinds need, as a multiple of those there are, from which on a pool is split
-/// no more, and down to which it stays so: each engine is needed for whatever comes. At 1.9 three
-/// times as many streams came late split as not (207 and 63 of 2,000, load played).
+/// Engines that both kinds of requests need, relative to the existing ones, at which a pool
+/// counts as saturated, and below which it no longer does. A saturated pool is not split, as each
+/// engine is needed for any request. With simulated load at 1.9, three times as many streams
+/// missed their targets with a split as without (207 and 63 of 2,000).
 const SATURATION_START: f64 = 1.15;
 const SATURATION_STOP: f64 = 1.0;
-/// Part of a pool's slots in use from which on it is split no more, and down to which it stays
-/// so. An engine that reads keeps its requests several times as long: long prompts on few
-/// engines fill their slots first where slots are what is short. With 90 engines of 16 slots
-/// and 0.62 of them in use 551 of 4,804 streams came late split, 419 not.
+/// Share of a pool's slots in use at which the pool counts as saturated, and below which it no
+/// longer does. Engines that prefill keep their requests several times as long, so if slots are
+/// scarce, long prompts on few engines fill these engines' slots first. With 90 engines of 16
+/// slots and 62 % of them in use, 551 of 4,804 streams missed their targets with a split, and 419
+/// without.
 const SLOT_SATURATION_START: f64 = 0.45;
 const SLOT_SATURATION_STOP: f64 = 0.35;
-/// Engines that each side has at least, so that one that fails does not take all along.
+/// Minimum number of engines on each side, so that the failure of one doesn't take down the whole
+/// side.
 const MIN_ENGINES_PER_SIDE: f64 = 2.0;
-/// Part of the engines that each kind has at least, for a burst that no sum tells of yet.
+/// Minimum share of the engines on each side, for bursts that don't show in the reported load
+/// yet.
 const MIN_PROMPT_SHARE: f64 = 0.25;
 const MIN_STREAM_SHARE: f64 = 0.125;
-/// Engines of the smallest pool that is split.
+/// Minimum number of engines of a pool that is split.
 const MIN_POOL_ENGINES: f64 = 8.0;
-/// Part of their time that engines for long prompts are meant to read: room for bursts.
+/// Target share of time that engines for long prompts spend on prefills; the rest is headroom for
+/// bursts.
 const PREFILL_UTILISATION: f64 = 0.6;
-/// Part of its slots that an engine of either side is meant to have in use.
+/// Target share of the slots in use on either side.
 const SLOT_UTILISATION: f64 = 0.5;
-/// Part of an engine's memory that requests which run there are meant to take.
+/// Target share of an engine's memory taken by running requests.
 const MEMORY_UTILISATION: f64 = 0.5;
-/// Part of a ranking that one step of the border takes.
+/// Share of the ranking that one step of the boundary covers.
 const BOUNDARY_STEP: f64 = 0.05;
-/// How far, in steps, the load must be from where the border stands to move it: more than
-/// half a step, so that it does not move to and fro between two.
+/// Distance between target and boundary, in steps, beyond which the boundary moves. It is more
+/// than half a step, so that the boundary doesn't oscillate between two steps.
 const BOUNDARY_HYSTERESIS: f64 = 0.8;
-/// Most steps of the border at a look: a burst that fills the pool is followed within two
-/// seconds.
+/// Maximum number of steps per update; with it, the boundary follows a burst that fills the pool
+/// within two seconds.
 const MAX_STEPS_PER_UPDATE: u32 = 3;
-/// Weight of the newest stream in the exposure of usual ones.
+/// Weight of the newest stream in the mean exposure.
 const EXPOSURE_SMOOTHING: f64 = 0.05;
-/// Looks on end at which a silent zone is taken for cut off: three seconds, where messages were late
-/// for 2.2 s at most (1,238 times on a day without a cut).
+/// Consecutive checks after which a silent zone counts as cut off: three seconds. Messages were
+/// at most 2.2 s late (1,238 times on a day without a partition).
 const PERSISTENT_SILENCE_CHECKS: u32 = 6;
 /// Seed of the hash that ranks the engines.
 const RANKING_SEED: u64 = 0x5354_5245_414d;
-/// Weight of the newest measurement of the tokens placed a second, of two a second: the
-/// figure follows a burst within two seconds.
+/// Weight of the newest measurement of the placement rate. With two measurements per second the
+/// rate follows a burst within two seconds.
 const RATE_SMOOTHING: f64 = 0.3;
 
-/// What runs at a pool, over all nodes, and what its usable engines have.
+/// Load of a pool over all nodes, and the resources of its usable engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Engines that take work.
+    /// Usable engines.
     pub engines: u32,
     /// Their slots.
     pub slots: u32,
     /// Their memory in tokens.
     pub memory_tokens: u64,
-    /// Requests that run there.
+    /// Running requests.
     pub running: u32,
-    /// Streams that a long prompt would make late, in expectation.
+    /// Expected number of streams that a long prompt would delay beyond their targets.
     pub exposed_streams: f64,
-    /// Requests that read long there.
+    /// Running requests with long prefills.
     pub long_requests: u32,
-    /// Tokens of memory that only one request has.
+    /// Memory taken by tokens that only one request uses, in tokens.
     pub unshared_tokens: u64,
-    /// Prompt tokens that one engine reads in a second.
+    /// Prompt tokens that one engine prefills per second.
     pub prefill_rate: f64,
 }
 
-/// How many engines each kind of request needs.
+/// Number of engines that each kind of request needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineNeed {
     /// Engines for long prompts.
@@ -90,7 +94,8 @@
 }
 
 impl EngineNeed {
-    /// What a load needs in which so many tokens a second are placed.
+    /// Engines needed for a load, given the unshared tokens placed per second and the mean
+    /// exposure of a stream.
     fn of(load: &PoolLoad, placed_rate: f64, mean_exposure: f64) -> Self {
         let engines = f64::from(load.engines.max(1));
         let slots_per_engine = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
@@ -99,7 +104,7 @@
         let running = f64::from(load.running);
         let streams = (load.exposed_streams / mean_exposure).min(running);
         let other_requests = running - streams;
-        // Nearly all of what only one request has belongs to long prompts.
+        // Nearly all unshared tokens belong to long prompts.
         let memory_need = load.unshared_tokens as f64 / memory_per_engine;
         Self {
             prompts: prefill_need
@@ -109,9 +114,9 @@
         }
     }
 
-    /// Part of the engines that long prompts get. What neither kind needs is halved: the fewer
-    /// streams an engine has, the fewer does a reading make late; the more engines read, the
-    /// more shared parts they keep.
+    /// Share of the engines for long prompts. Spare engines are divided equally: the fewer
+    /// streams an engine has, the fewer of them a prefill delays, and the more engines prefill,
+    /// the more shared parts they cache.
     fn prompt_share(&self, engines: u32) -> f64 {
         let engines = f64::from(engines);
         let spare = engines - self.prompts - self.streams;
@@ -126,30 +131,30 @@
     }
 }
 
-/// Figures of a split, for metrics and logs.
+/// Statistics of a split, for metrics and logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SplitStats {
     /// Engines for long prompts; 0 while the pool is not split.
     pub prompt_engines: u32,
-    /// All engines that are ranked.
+    /// All engines in the ranking.
     pub ranked_engines: u32,
-    /// Engines that each kind needs.
+    /// Engines that each kind of request needs.
     pub need: EngineNeed,
-    /// What the need rests on.
+    /// The load from which the need was computed.
     pub load: PoolLoad,
-    /// Tokens placed a second.
+    /// Unshared tokens placed per second.
     pub placed_rate: f64,
 }
 
-/// Zones that were silent at several looks on end. Where messages are late a zone counts as
-/// silent for some hundred milliseconds now and then, and borders would follow that.
+/// Zones that were silent at several consecutive checks. Where messages are delayed, a zone
+/// appears silent for some hundred milliseconds now and then, and boundaries would follow that.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PersistentSilence {
     silent_checks: BTreeMap<ZoneName, u32>,
 }
 
 impl PersistentSilence {
-    /// Notes the zones that are silent at this look.
+    /// Records the zones that are silent at this check.
     pub fn record(&mut self, silent: &BTreeSet<ZoneName>) {
         self.silent_checks.retain(|zone, _| silent.contains(zone));
         for zone in silent {
@@ -158,7 +163,7 @@
         }
     }
 
-    /// Whether a zone has been silent for long.
+    /// Whether a zone has been silent for long enough to count as cut off.
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.silent_checks
             .get(zone)
@@ -166,16 +171,16 @@
     }
 }
 
-/// A pool whose engines are split in another way than before.
+/// A change of a pool's split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitChange {
     /// The pool.
     pub pool: PoolName,
-    /// How they are split now.
+    /// Statistics of the new split.
     pub stats: SplitStats,
 }
 
-/// An engine in the ranking.
+/// An engine to be ranked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RankedEngine<'a> {
     pub digest: u32,
@@ -185,21 +190,22 @@
 /// The split of one pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PoolSplit {
-    /// Steps of the border; `None` while the pool is not split.
+    /// Position of the boundary in steps; `None` while the pool is not split.
     boundary: Option<u32>,
     is_saturated: bool,
     prompt_engines: HashSet<u32>,
     last_placed: Option<u64>,
-    /// Looks at which tokens had been placed.
+    /// Number of measurements with a positive placement rate.
     rate_count: u32,
-    /// Exposure of a stream that is placed apart, on average.
+    /// Mean exposure of the streams that are placed on engines for streams.
     mean_exposure: Option<f64>,
     stats: SplitStats,
 }
 
 impl PoolSplit {
-    /// Renews the split from what runs now and the tokens that were ever placed; the last
-    /// renewal was so many seconds ago. Returns whether the border has moved.
+    /// Updates the split from the current load and `placed`, the total number of unshared tokens
+    /// ever placed; `seconds` is the time since the last update. Returns whether the boundary has
+    /// moved.
     pub fn update(
         &mut self,
         engines: &[RankedEngine<'_>],
@@ -227,11 +233,11 @@
     }
 
     fn record_placed(&mut self, placed: u64, seconds: f64) {
-        // A sum that falls has lost a teller: it begins anew.
+        // A falling total means that the reports of a node are gone; the measurement restarts.
         if let Some(before) = self.last_placed.filter(|before| *before <= placed) {
             let rate = (placed - before) as f64 / seconds.max(f64::EPSILON);
-            // The first ones are averaged: a pool that is too full from the start must not be
-            // split for the seconds in which the figure grows.
+            // The first rates are averaged. Otherwise a pool that is saturated from the start
+            // would be split for the seconds in which the smoothed rate rises.
             self.rate_count = self.rate_count.saturating_add(u32::from(rate > 0.0));
             let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rate_count.max(1)));
             self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
@@ -264,7 +270,7 @@
         })
     }
 
-    /// Notes a stream that is exposed to long prompts.
+    /// Records the exposure of a stream to long prompts.
     pub fn record_exposure(&mut self, exposure: f64) {
         let mean = self.mean_exposure.get_or_insert(exposure);
         *mean += EXPOSURE_SMOOTHING * (exposure - *mean);
@@ -295,23 +301,23 @@
         self.boundary.is_some()
     }
 
-    /// Whether both kinds need more engines than there are, so that the load splits nothing.
+    /// Whether the pool is too loaded to be split, because it lacks engines or slots.
     pub fn is_saturated(&self) -> bool {
         self.is_saturated
     }
 
-    /// Whether an engine is kept for streams.
+    /// Whether an engine is on the streams' side.
     pub fn serves_streams(&self, digest: u32) -> bool {
         !self.prompt_engines.contains(&digest)
     }
 
-    /// Time in which an engine of the pool reads so many tokens.
+    /// Time in which an engine of the pool prefills a number of tokens.
     pub fn prefill_time(&self, tokens: u32) -> Span {
         let rate = self.stats.load.prefill_rate.max(1.0);
         Span::from_seconds(f64::from(tokens) / rate)
     }
 
-    /// Exposed streams that an engine for streams has on average.
+    /// Mean number of exposed streams per engine for streams.
     pub fn mean_exposed_streams(&self) -> f64 {
         let stats = &self.stats;
         let engines = stats.ranked_engines.saturating_sub(stats.prompt_engines);
@@ -323,8 +329,8 @@
     }
 }
 
-/// The engines in the first part of the ranking. Each zone has its own, which begins at
-/// another fraction of an engine, so that their ends do not all come at once.
+/// The engines in the first `share` of each zone's ranking. Each zone rounds with a different
+/// offset, so that a moving boundary doesn't pass an engine in all zones at once.
 fn first_ranked(engines: &[RankedEngine<'_>], share: f64) -> HashSet<u32> {
     let mut zones: BTreeMap<&ZoneName, Vec<(u64, u32)>> = BTreeMap::new();
     for engine in engines {
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -1,7 +1,8 @@
-//! Which running streams get a replica at a second engine, and which engine holds it.
+//! Replication of running streams: which of them get a replica on a second engine, and which
+//! engine holds it.
 //!
-//! A replica costs bytes for each token, and saves the stream if its engine is lost. Both are
-//! weighed in the unit in which back ends are compared: times.
+//! A replica costs network traffic for each token and saves the stream if its engine is lost.
+//! Both are compared as times, like the costs of back ends.
 
 use crate::load::registry::{BackEndState, Registry};
 use crate::placement::candidate::{COPY_COST_PER_TOKEN, PERMANENT_FAILURE};
@@ -14,38 +15,40 @@
 use rand::seq::IteratorRandom;
 use std::collections::HashMap;
 
-/// Chance that a stream is lost while nothing has failed lately: engines crash without a
-/// warning. With it, streams of up to 400 tokens are always replicated. With 1.2 %, up to 1,600
-/// tokens, a quiet day of 60 engines moved 1,099 GB in place of 91 and saved no stream.
+/// Probability that a stream is lost although nothing has failed recently, as engines crash
+/// without warning. With this value, streams of up to 400 tokens are always replicated. With 1.2
+/// %, which replicates up to 1,600 tokens, replicas took 1,099 GB instead of 91 GB on a quiet day
+/// of 60 engines and saved no stream.
 const BASELINE_LOSS_PROBABILITY: f64 = 0.003;
-/// Part of a chance of loss that is left at the next look half a second later without new
-/// failures: half of it after 5 s, so that a spell of failures counts beyond the 4 s for
-/// which outcomes are told.
+/// Factor by which a loss probability decays per update, each half second, without new failures.
+/// It halves in 5 s, so that a series of failures counts for longer than the 4 s for which
+/// outcomes are reported.
 const LOSS_DECAY: f64 = 0.933;
-/// Expected tokens out from which on a replica is worth keeping. Engines send a run's memory
-/// some times a second, and a token takes 3 ms and more: a shorter run has ended before.
+/// Minimum expected output of a run that is replicated, in tokens. Engines transfer a run's
+/// memory a few times a second and a token takes at least 3 ms, so a shorter run ends before its
+/// replica is of use.
 const MINIMUM_OUTPUT_TOKENS: u32 = 100;
-/// Fullest batch, and fullest memory with the replica, of an engine that holds one, over the
-/// requests and replicas of all nodes. A replica takes no place in the batch, and its run is
-/// admitted before all that wait.
+/// Limits on the batch and the memory (with the replica) of an engine that holds a replica, as
+/// fractions, counting the requests and replicas of all nodes. A replica takes no slot in the
+/// batch, and after a takeover its run is admitted before all waiting requests.
 const MAX_BATCH_FRACTION: f64 = 1.0;
 const MAX_MEMORY_FRACTION: f64 = 0.6;
-/// What the share of failures at an engine weighs against its fullness: a quarter of failures as
-/// much as a full batch. Outcomes count for 4 s, so that an engine lost 3 s ago has still ended
-/// requests well: without this weight 17 of 33 failed takeovers after a second crash had gone to
-/// engines lost in the first one.
+/// Weight of an engine's failure share relative to its utilisation: a failure share of a quarter
+/// weighs as much as a full batch. Outcomes count for 4 s, so an engine lost 3 s ago still shows
+/// completed requests. Without this weight, 17 of 33 takeovers that failed after a second crash
+/// had gone to engines lost in the first one.
 const FAILURE_WEIGHT: f64 = 4.0;
-/// Engines compared for one replica.
+/// Maximum number of engines compared for one replica.
 const MAX_COMPARED: usize = 4;
 
-/// How likely a stream of each pool is to be lost, by what failed there lately at all nodes.
+/// Probability that a stream of each pool is lost, estimated from recent failures at all nodes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LossProbabilities {
     by_pool: HashMap<PoolName, f64>,
 }
 
 impl LossProbabilities {
-    /// Takes in how requests ended lately; to be called twice a second.
+    /// Updates the estimates from recent outcomes; to be called twice a second.
     pub fn update(&mut self, registry: &Registry, now: Timestamp) {
         for pool in registry.pool_names() {
             let failure_shares = registry.pool(pool);
@@ -63,8 +66,8 @@
     }
 }
 
-/// Whether a request's run is worth a replica: a stream that no other attempt mends, and
-/// whose loss, by its chance, costs more than the replica's bytes.
+/// Whether a run is worth a replica: it is a stream that can't be retried, and its expected loss
+/// costs more than the replica's traffic.
 pub(crate) fn should_replicate(
     demand: &Demand,
     source_failure_share: f64,
@@ -82,13 +85,13 @@
     loss.0 >= u64::from(replica_tokens(demand)) * COPY_COST_PER_TOKEN
 }
 
-/// Tokens that a replica takes at the end of its run.
+/// Tokens in a replica at the end of its run.
 pub(crate) fn replica_tokens(demand: &Demand) -> u32 {
     demand.prompt_tokens.saturating_add(demand.output_tokens)
 }
 
-/// The engine that holds the replica of a run: in another zone of its engine's region if one
-/// there has room, else in the same zone. Bytes to another region are dear and late.
+/// Selects the engine to hold the replica of a run: in another zone of the same region if one
+/// there has room, otherwise in the same zone. Traffic to another region is expensive and slow.
 pub(crate) fn holder(
     registry: &Registry,
     view: &View<'_>,
@@ -126,18 +129,18 @@
     })
 }
 
-/// What the requests that ended at an engine lately, at any node, show of it.
+/// Outcomes of requests that recently ended at an engine, over all nodes.
 ///
-/// An engine that crashed stays listed for a while, and looks empty: where the emptiest of all
-/// was taken, 15 of 20 takeovers that failed after a second crash had gone to engines lost in
-/// the first one.
+/// An engine that has crashed stays listed for a while and appears idle. When the engine with the
+/// lowest utilisation was always chosen, 15 of 20 takeovers that failed after a second crash had
+/// gone to engines lost in the first one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RecentResults {
-    /// Some ended well.
+    /// Some requests completed.
     SomeCompleted,
-    /// None ended.
+    /// No request ended.
     NoneFinished,
-    /// All that ended failed.
+    /// All requests that ended failed.
     AllFailed,
 }
 
@@ -154,7 +157,7 @@
     }
 }
 
-/// Whether an engine may get a request at all, is sound, warm and heard.
+/// Whether an engine can hold a replica: eligible, not ejected, warm and in a zone that is heard.
 fn is_usable(state: &BackEndState, view: &View<'_>, demand: &Demand) -> bool {
     let start = view.cold_start.as_ref();
     let is_cold = start.is_some_and(|start| state.warmup.is_cold(start, view.now));
@@ -169,7 +172,7 @@
     view.silent_zones.contains(zone)
 }
 
-/// How full an engine is with the replica; nothing where there is no room for it.
+/// Utilisation of an engine with the replica included; `None` if it has no room for it.
 fn utilisation(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<f64> {
     let occupancy = state.load.occupancy(view.now);
     let batch_fraction = f64::from(occupancy.running) / f64::from(state.back_end.slots.max(1));
@@ -180,7 +183,7 @@
         .then_some(batch_fraction.max(memory_fraction))
 }
 
-/// Whether the holder of a replica may still take the request over.
+/// Whether the holder of a replica may still take over the request.
 pub(crate) fn may_take_over(
     registry: &Registry,
     view: &View<'_>,
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -1,8 +1,8 @@
-//! Which back ends are looked at for one request.
+//! Selection of the back ends that are examined for one request.
 //!
-//! Of a small pool all are. Of a large one those where the request's prompt may have its home,
-//! those that hold it, and some drawn at random, near and anywhere: a number that does not grow
-//! with the pool.
+//! In a small pool all are examined. In a large one it is those where the request's prompt may
+//! have its home, those that have its shared parts cached, and random samples from this node's
+//! zone and from the whole pool. Their number does not grow with the pool.
 
 use crate::Demand;
 use crate::load::pool_index::HashGroups;
@@ -14,52 +14,53 @@
 use std::collections::HashSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Back ends up to which all of a pool are looked at: up to that many the choice is exact and
-/// takes 0.2 to 0.3 ms. Of 6,000 engines a look at each took 5.8 ms a request, a twentieth of a
-/// second on a node that has an eighth of a core, and takes 0.1 ms now (`benches/scale.rs`).
+/// Largest pool of which all back ends are examined. Up to this size the choice is exact and
+/// takes 0.2 to 0.3 ms. With 6,000 engines, examining all of them took 5.8 ms per request (about
+/// 50 ms on a node with an eighth of a core); sampling takes 0.1 ms (`benches/scale.rs`).
 pub(crate) const MAX_EXAMINED: usize = 512;
-/// Back ends drawn from all of a large pool, and from its part in the own zone. With 24 or more,
-/// one of the emptier quarter is missed once in a thousand draws.
+/// Numbers of back ends sampled from a large pool, and from its part in this node's zone. With 24
+/// or more, a sample misses the least loaded quarter once in a thousand times.
 const POOL_SAMPLES: usize = 32;
 const SAME_ZONE_SAMPLES: usize = 24;
-/// Fewest back ends where the prompt may have its home.
+/// Minimum number of examined back ends that may be the prompt's home.
 const MIN_PREFERRED: usize = 16;
-/// Groups gone through for them: where a prompt may run in one of ten regions only, a group of
-/// 32 to 64 holds four.
+/// Maximum number of groups examined to find them. If a prompt may run in only one of ten
+/// regions, a group of 32 to 64 back ends contains four allowed ones.
 const MAX_GROUPS: usize = 12;
 
-/// Preference of a back end for a prompt: all nodes compute it alike.
+/// Preference of a back end for a prompt (rendezvous hashing); all nodes compute the same value.
 pub(crate) fn preference(state: &BackEndState, demand: &Demand) -> u64 {
     xxh3_64_with_seed(&state.digest.to_le_bytes(), prompt_seed(demand))
 }
 
-/// Names a prompt by the deepest of the parts that it shares with others.
+/// Seed that identifies a prompt by the last of its shared parts.
 fn prompt_seed(demand: &Demand) -> u64 {
     let last_shared = demand.shared_parts().last();
     last_shared.map_or(0, |part| part.id.0)
 }
 
-/// Back ends that may get a request, as far as they were looked at.
+/// The examined back ends that are eligible for a request.
 pub(crate) struct Examined<'a> {
-    /// Those among which all nodes prefer the same ones for the request's prompt.
+    /// Back ends that all nodes examine alike for the request's prompt: the whole of a small
+    /// pool, or the groups selected by the prompt's hash.
     pub preferred: Vec<&'a BackEndState>,
-    /// Others.
+    /// Other examined back ends.
     pub others: Vec<&'a BackEndState>,
-    /// The one that all nodes prefer, if the prompt shares parts with others.
+    /// The home of the prompt, if it has shared parts and one was found.
     pub home: Option<&'a BackEndState>,
-    /// How many were looked at.
+    /// Number of examined back ends, including ineligible ones.
     pub count: usize,
 }
 
 impl<'a> Examined<'a> {
-    /// All that were looked at and may get the request.
+    /// All examined back ends that are eligible.
     pub fn eligible(&self) -> impl Iterator<Item = &'a BackEndState> + Clone {
         self.preferred.iter().chain(&self.others).copied()
     }
 }
 
-/// The back ends of a request's pool that are looked at for it and may get it. `may_be_home`
-/// tells whether the prompt's home may be there.
+/// Examines back ends of a request's pool. `may_be_home` tells whether a back end may be the
+/// prompt's home.
 pub(crate) fn examine<'a>(
     registry: &'a Registry,
     view: &View<'_>,
@@ -72,7 +73,7 @@
     }
     let mut sample = Sample::new(registry, view, demand);
     if let Some(required) = &demand.required_instance {
-        // A run is taken over where its replica is, which no draw would find.
+        // A run is taken over by the holder of its replica, which a random sample would miss.
         let holder = sample.examine_new([required]);
         sample.examined.others.extend(holder);
         return sample.examined;
@@ -81,7 +82,8 @@
     sample.examine_holders();
     sample.examine_random(random);
     if sample.examined.eligible().next().is_none() {
-        // Most may be evacuated, cold or not allowed: rather all than none.
+        // Most back ends may be evacuated, cold or not allowed; examine all rather than find
+        // none.
         return whole_pool(registry, view, demand, may_be_home);
     }
     sample.examined
@@ -116,7 +118,7 @@
     homes.max_by_key(|state| preference(state, demand)).copied()
 }
 
-/// A look at some back ends of a large pool.
+/// A sample of a large pool for one request.
 struct Sample<'a, 'b> {
     registry: &'a Registry,
     view: &'b View<'b>,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Those of some back ends that may get the request, but for the ones looked at before.
+    /// Examines the back ends that have not been examined yet, and returns the eligible ones.
     fn examine_new<'c>(
         &mut self,
         instances: impl IntoIterator<Item = &'c InstanceId>,
@@ -158,8 +160,8 @@
             .collect()
     }
 
-    /// Looks at the groups that the prompt names, one after the other, until enough of their
-    /// back ends may be its home. It is in the first group that has one.
+    /// Examines the groups selected by the prompt's hash, in order, until enough of their back
+    /// ends may be the home. The home is in the first group that has a suitable back end.
     fn examine_home_groups(&mut self, may_be_home: impl Fn(&BackEndState) -> bool) {
         if self.demand.shared_parts().is_empty() {
             return;
@@ -184,7 +186,8 @@
         }
     }
 
-    /// The groups of the own zone where homes lie there, otherwise those of all zones.
+    /// The groups of this node's zone if homes are restricted to it, otherwise the groups of the
+    /// whole pool.
     fn home_groups(&self) -> Option<&'a HashGroups> {
         let index = self.registry.pool_index(&self.demand.pool)?;
         if self.view.home_scope.is_own_zone() {
@@ -193,7 +196,7 @@
         Some(index.all())
     }
 
-    /// Looks at the back ends that were given the prompt's shared parts last.
+    /// Examines the back ends that most recently got the prompt's shared parts.
     fn examine_holders(&mut self) {
         for part in self.demand.shared_parts() {
             let holders = self.registry.holders(part.id, &self.demand.pool);
--- a/crates/coordination/dispatch/src/placement/stream_isolation.rs
+++ b/crates/coordination/dispatch/src/placement/stream_isolation.rs
@@ -1,12 +1,12 @@
-//! When some engines of a pool are kept for streams that long prompts would make late.
+//! Decision whether a pool reserves some engines for streams that long prompts would delay.
 
-/// Exposed streams for each slot of a pool from which on, and down to which, engines are kept
-/// for them: apart, so that homes do not move to and fro.
+/// Exposed streams per slot above which engines are reserved for streams, and at or below which
+/// they no longer are. The gap between the two keeps homes from moving back and forth.
 const ISOLATION_START_THRESHOLD: f64 = 0.01;
 const ISOLATION_STOP_THRESHOLD: f64 = 0.003;
 
-/// Whether the streams of a pool, so many of them exposed to long prompts over so many slots,
-/// are kept apart from now on.
+/// Whether a pool reserves engines for streams, given its exposed streams and slots, and whether
+/// it does so already.
 pub(crate) fn should_isolate_streams(exposed_streams: f64, slots: u32, is_isolating: bool) -> bool {
     let threshold = if is_isolating {
         ISOLATION_STOP_THRESHOLD
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,4 +1,4 @@
-//! What a node sees of the deployment when it decides about a request.
+//! A node's view of the deployment when it places a request.
 
 use crate::Distance;
 use crate::placement::locality::{HomeScope, NetworkPath, OTHER_ZONE_COST, RoundTrips};
@@ -6,36 +6,36 @@
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
 
-/// Where and when a node decides.
+/// The inputs of a placement decision that don't depend on the request or a single back end.
 #[derive(Clone, Copy)]
 pub(crate) struct View<'a> {
-    /// Its zone.
+    /// Zone of this node.
     pub zone: &'a ZoneName,
-    /// Zones that it hears nothing of.
+    /// Zones from which nothing is heard.
     pub silent_zones: &'a BTreeSet<ZoneName>,
     /// Region of each zone.
     pub regions: &'a ZoneRegions,
-    /// Zones whose back ends get nothing new.
+    /// Zones whose back ends get no new requests.
     pub evacuated_zones: &'a BTreeSet<ZoneName>,
-    /// How the back ends of the request's pool start, if they start cold.
+    /// Cold-start settings of the request's pool, if its back ends start cold.
     pub cold_start: Option<ColdStart>,
-    /// Round trips to other zones.
+    /// Measured round trips to other zones.
     pub round_trips: &'a RoundTrips,
-    /// Where the homes of prompts lie.
+    /// Maximum distance of the homes of prompts.
     pub home_scope: HomeScope,
-    /// Whether back ends cost what the way to them takes.
+    /// Whether the costs of a back end include the network path to it.
     pub costs_locality: bool,
-    /// The time.
+    /// Current time.
     pub now: Timestamp,
 }
 
 impl View<'_> {
-    /// What lies between this node and a zone.
+    /// Distance between this node and a zone.
     pub fn distance(&self, zone: &ZoneName) -> Distance {
         Distance::between(self.zone, zone, self.regions)
     }
 
-    /// The way to a zone for a request that takes so many bytes with its answer.
+    /// The network path to a zone for a request that transfers `bytes` in total.
     pub fn network_path(&self, zone: &ZoneName, bytes: u32) -> NetworkPath {
         if self.costs_locality {
             return self
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether a prompt's home may lie in a zone.
+    /// Whether a prompt's home may be in a zone.
     pub fn may_be_home(&self, zone: &ZoneName) -> bool {
         self.home_scope.reaches(self.distance(zone))
     }
