--- a/crates/coordination/dispatch/src/documents/document_service.rs
+++ b/crates/coordination/dispatch/src/documents/document_service.rs
@@ -71,9 +71,9 @@
         self.transfers
             .retain(|transfer| now.since(transfer.started_at) < TRANSFER_TIMEOUT);
         if self.transfers.len() >= MAX_CONCURRENT_TRANSFERS {
-            let others = self.recent_receivers.iter().copied();
-            let others = others.filter(|address| *address != from);
-            return Admission::SentOn(others.choose_multiple(random, MAX_ALTERNATIVES));
+            let alternatives = self.recent_receivers.iter().copied();
+            let alternatives = alternatives.filter(|address| *address != from);
+            return Admission::SentOn(alternatives.choose_multiple(random, MAX_ALTERNATIVES));
         }
         let id = TransferId(self.next_id);
         self.next_id += 1;
--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -438,7 +438,7 @@
                 EvacuationState::Expired(grace_period) => DocumentContent::Expired(grace_period),
             },
         });
-        let back_ends = self.back_ends_after(known);
+        let back_ends = self.back_end_changes_after(known);
         table.chain(back_ends).chain(evacuations).collect()
     }
 
@@ -449,7 +449,7 @@
         let evacuations = evacuations.filter(|evacuation| !known.covers(evacuation.revision));
         let table = self.table.as_ref();
         let has_table = table.is_some_and(|(stamp, _)| !known.covers(stamp.revision));
-        let back_ends = self.changed_after(known).count();
+        let back_ends = self.changed_back_ends_after(known).count();
         let count = back_ends + evacuations.count() + usize::from(has_table);
         (count, has_table)
     }
@@ -462,7 +462,7 @@
     }
 
     /// Changes of back ends that `known` does not cover, ordered by revision.
-    fn changed_after(
+    fn changed_back_ends_after(
         &self,
         known: &VersionVector,
     ) -> impl Iterator<Item = &(Revision, InstanceId)> {
@@ -474,12 +474,12 @@
         earlier.chain(self.by_revision.range(lower_bound(last)..))
     }
 
-    fn back_ends_after(&self, known: &VersionVector) -> impl Iterator<Item = Change> {
-        self.changed_after(known)
+    fn back_end_changes_after(&self, known: &VersionVector) -> impl Iterator<Item = Change> {
+        self.changed_back_ends_after(known)
             .map(|(revision, instance)| Change {
                 key: DocumentKey::BackEnd(instance.clone()),
                 revision: *revision,
-                content: match self.listed_at(instance, *revision) {
+                content: match self.entry_at(instance, *revision) {
                     Some(back_end) => DocumentContent::BackEnd(back_end.clone()),
                     None => DocumentContent::Removed,
                 },
@@ -487,7 +487,7 @@
     }
 
     /// The listed or withheld entry of a back end, if a change of this revision wrote it.
-    fn listed_at(&self, instance: &InstanceId, revision: Revision) -> Option<&BackEnd> {
+    fn entry_at(&self, instance: &InstanceId, revision: Revision) -> Option<&BackEnd> {
         let entries = [&self.back_ends, &self.withheld];
         let entries = entries.into_iter().filter_map(|map| map.get(instance));
         let mut at = entries.filter(|(listed, _)| *listed == revision);
--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -8,22 +8,22 @@
 pub(crate) struct NodesByZone<'a> {
     peers: &'a Peers,
     /// Hashes of the peers' addresses.
-    hashes: BTreeMap<&'a ZoneName, Vec<u64>>,
+    hashes_by_zone: BTreeMap<&'a ZoneName, Vec<u64>>,
 }
 
 impl Peers {
     /// Groups the active peers by zone.
     pub(crate) fn by_zone(&self) -> NodesByZone<'_> {
-        let mut hashes: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
+        let mut hashes_by_zone: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
         for (_, peer) in self.active_peers() {
-            hashes
+            hashes_by_zone
                 .entry(&peer.zone)
                 .or_default()
                 .push(peer.role_priority.hash());
         }
         NodesByZone {
             peers: self,
-            hashes,
+            hashes_by_zone,
         }
     }
 }
@@ -37,11 +37,14 @@
         let index = if *zone == self.peers.zone {
             self.peers.sender_index(back_end)
         } else {
-            let in_zone = self.hashes.get(zone).map_or(0, Vec::len);
+            let in_zone = self.hashes_by_zone.get(zone).map_or(0, Vec::len);
             if in_zone >= senders {
                 return None;
             }
-            let other_zones = self.hashes.iter().filter(|(other, _)| **other != zone);
+            let other_zones = self
+                .hashes_by_zone
+                .iter()
+                .filter(|(other, _)| **other != zone);
             let other_zones = other_zones.flat_map(|(_, hashes)| hashes);
             in_zone + self.peers.count_before_own(back_end, other_zones)
         };
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -76,9 +76,9 @@
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Vec<Member> {
-        let zone_members = self.members(|peer| Some(&peer.zone) == zone, now);
+        let zone_members = self.live_members(|peer| Some(&peer.zone) == zone, now);
         let mut sampled = zone_members.choose_multiple(random, MEMBERS_PER_MESSAGE * 3 / 4);
-        let others = self.members(|peer| Some(&peer.zone) != zone, now);
+        let others = self.live_members(|peer| Some(&peer.zone) != zone, now);
         let remaining = MEMBERS_PER_MESSAGE - sampled.len();
         sampled.extend(others.choose_multiple(random, remaining));
         sampled
@@ -86,24 +86,24 @@
 
     /// A random sample of nodes to name in a message.
     pub fn sample(&self, now: Timestamp, random: &mut impl Rng) -> Vec<Member> {
-        self.members(|_| true, now)
+        self.live_members(|_| true, now)
             .choose_multiple(random, MEMBERS_PER_MESSAGE)
     }
 
     /// `count` nodes of this node's zone to name in a message, starting at index `first` modulo
     /// their number.
     pub fn same_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
-        let same_zone = self.members(|peer| peer.zone == self.zone, now);
+        let same_zone = self.live_members(|peer| peer.zone == self.zone, now);
         rotating_slice(same_zone.collect(), first, count)
     }
 
     /// Like [`Self::same_zone_members`], for nodes of other zones.
     pub fn other_zone_members(&self, first: usize, count: usize, now: Timestamp) -> Vec<Member> {
-        let other_zones = self.members(|peer| peer.zone != self.zone, now);
+        let other_zones = self.live_members(|peer| peer.zone != self.zone, now);
         rotating_slice(other_zones.collect(), first, count)
     }
 
-    fn members(
+    fn live_members(
         &self,
         is_included: impl Fn(&Peer) -> bool,
         now: Timestamp,
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -18,7 +18,7 @@
     /// others.
     RateLimited,
     /// The request may not run in its region.
-    Region,
+    RegionNotAllowed,
     /// Its zone is being evacuated.
     Evacuated,
     /// It is cold, and this node may not send it a request now.
@@ -39,7 +39,7 @@
     } else if !state.limiter.may_send_request(view.now) {
         Some(IneligibilityReason::RateLimited)
     } else if !demand.allowed_regions.allows(zone, view.regions) {
-        Some(IneligibilityReason::Region)
+        Some(IneligibilityReason::RegionNotAllowed)
     } else if view.evacuated_zones.contains(zone) {
         Some(IneligibilityReason::Evacuated)
     } else if cold_start.is_some_and(|start| !state.warmup.may_send_request(start, view.now)) {
@@ -73,7 +73,10 @@
             count(IneligibilityReason::RateLimited),
             Reason::BackEndsLimited,
         ),
-        (count(IneligibilityReason::Region), Reason::RegionNotAllowed),
+        (
+            count(IneligibilityReason::RegionNotAllowed),
+            Reason::RegionNotAllowed,
+        ),
         (count(IneligibilityReason::Evacuated), Reason::ZoneEvacuated),
         (count(IneligibilityReason::Cold), Reason::ColdBackEnds),
     ];
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -194,7 +194,7 @@
     boundary: Option<u32>,
     is_saturated: bool,
     prompt_engines: HashSet<u32>,
-    last_placed: Option<u64>,
+    last_placed_tokens: Option<u64>,
     /// Number of measurements with a positive placement rate.
     rate_count: u32,
     /// Mean exposure of the streams that are placed on engines for streams.
@@ -203,17 +203,17 @@
 }
 
 impl PoolSplit {
-    /// Updates the split from the current load and `placed`, the total number of unshared tokens
-    /// ever placed; `seconds` is the time since the last update. Returns whether the boundary has
-    /// moved.
+    /// Updates the split from the current load and `placed_tokens`, the total number of unshared
+    /// tokens ever placed; `elapsed_seconds` is the time since the last update. Returns whether
+    /// the boundary has moved.
     pub fn update(
         &mut self,
         engines: &[RankedEngine<'_>],
         load: PoolLoad,
-        placed: u64,
-        seconds: f64,
+        placed_tokens: u64,
+        elapsed_seconds: f64,
     ) -> bool {
-        self.record_placed(placed, seconds);
+        self.record_placed(placed_tokens, elapsed_seconds);
         let exposure = self.mean_exposure.unwrap_or(1.0);
         let need = EngineNeed::of(&load, self.stats.placed_rate, exposure);
         let before = self.boundary;
@@ -232,26 +232,29 @@
         self.boundary != before
     }
 
-    fn record_placed(&mut self, placed: u64, seconds: f64) {
+    fn record_placed(&mut self, placed_tokens: u64, elapsed_seconds: f64) {
         // A falling total means that the reports of a node are gone; the measurement restarts.
-        if let Some(before) = self.last_placed.filter(|before| *before <= placed) {
-            let rate = (placed - before) as f64 / seconds.max(f64::EPSILON);
+        if let Some(before) = self
+            .last_placed_tokens
+            .filter(|before| *before <= placed_tokens)
+        {
+            let rate = (placed_tokens - before) as f64 / elapsed_seconds.max(f64::EPSILON);
             // The first rates are averaged. Otherwise a pool that is saturated from the start
             // would be split for the seconds in which the smoothed rate rises.
             self.rate_count = self.rate_count.saturating_add(u32::from(rate > 0.0));
             let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rate_count.max(1)));
             self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
         }
-        self.last_placed = Some(placed);
+        self.last_placed_tokens = Some(placed_tokens);
     }
 
     fn next_boundary(&mut self, load: &PoolLoad, need: &EngineNeed) -> Option<u32> {
         let is_large = f64::from(load.engines) >= MIN_POOL_ENGINES;
-        if !is_large || !self.has_streams(load) {
+        if !is_large || !self.has_exposed_streams(load) {
             self.is_saturated = false;
             return None;
         }
-        if !self.has_room(load, need) {
+        if !self.has_capacity(load, need) {
             return None;
         }
         let target = need.prompt_share(load.engines) / BOUNDARY_STEP;
@@ -276,16 +279,16 @@
         *mean += EXPOSURE_SMOOTHING * (exposure - *mean);
     }
 
-    fn has_streams(&self, load: &PoolLoad) -> bool {
-        let limit = if self.boundary.is_some() {
+    fn has_exposed_streams(&self, load: &PoolLoad) -> bool {
+        let threshold = if self.boundary.is_some() {
             SPLIT_STOP_THRESHOLD
         } else {
             SPLIT_START_THRESHOLD
         };
-        load.exposed_streams > limit * f64::from(load.slots)
+        load.exposed_streams > threshold * f64::from(load.slots)
     }
 
-    fn has_room(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
+    fn has_capacity(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
         let (engine_limit, slot_limit) = if self.is_saturated {
             (SATURATION_STOP, SLOT_SATURATION_STOP)
         } else {
@@ -339,17 +342,17 @@
         ranking.push((hash, engine.digest));
     }
     let zone_count = zones.len() as f64;
-    let mut first = HashSet::new();
+    let mut selected = HashSet::new();
     for (index, mut ranking) in zones.into_values().enumerate() {
         ranking.sort_unstable();
         let offset = (index as f64 + 0.5) / zone_count;
         let count = ranking.len() as f64 * share + offset;
-        first.extend(
+        selected.extend(
             ranking
                 .iter()
                 .take(count as usize)
                 .map(|(_, digest)| digest),
         );
     }
-    first
+    selected
 }
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -55,9 +55,9 @@
             let failure_shares = failure_shares.map(|state| state.load.failure_share(now));
             let (sum, count) =
                 failure_shares.fold((0.0, 0.0), |(sum, count), share| (sum + share, count + 1.0));
-            let current = if count > 0.0 { sum / count } else { 0.0 };
+            let mean_failure_share = if count > 0.0 { sum / count } else { 0.0 };
             let probability = self.by_pool.entry(pool.clone()).or_default();
-            *probability = (*probability * LOSS_DECAY).max(current);
+            *probability = (*probability * LOSS_DECAY).max(mean_failure_share);
         }
     }
 
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -69,7 +69,7 @@
     random: &mut impl Rng,
 ) -> Examined<'a> {
     if registry.pool_size(&demand.pool) <= MAX_EXAMINED {
-        return whole_pool(registry, view, demand, may_be_home);
+        return examine_whole_pool(registry, view, demand, may_be_home);
     }
     let mut sample = Sample::new(registry, view, demand);
     if let Some(required) = &demand.required_instance {
@@ -84,12 +84,12 @@
     if sample.examined.eligible().next().is_none() {
         // Most back ends may be evacuated, cold or not allowed; examine all rather than find
         // none.
-        return whole_pool(registry, view, demand, may_be_home);
+        return examine_whole_pool(registry, view, demand, may_be_home);
     }
     sample.examined
 }
 
-fn whole_pool<'a>(
+fn examine_whole_pool<'a>(
     registry: &'a Registry,
     view: &View<'_>,
     demand: &Demand,
@@ -99,14 +99,14 @@
     let eligible = all.filter(|state| is_eligible(state, view, demand));
     let eligible: Vec<&BackEndState> = eligible.collect();
     Examined {
-        home: home_among(&eligible, demand, may_be_home),
+        home: find_home(&eligible, demand, may_be_home),
         preferred: eligible,
         others: Vec::new(),
         count: registry.pool_size(&demand.pool),
     }
 }
 
-fn home_among<'a>(
+fn find_home<'a>(
     eligible: &[&'a BackEndState],
     demand: &Demand,
     may_be_home: impl Fn(&BackEndState) -> bool,
@@ -177,7 +177,7 @@
             let eligible = self.examine_new(group);
             home_count += eligible.iter().filter(|state| may_be_home(state)).count();
             if self.examined.home.is_none() {
-                self.examined.home = home_among(&eligible, self.demand, &may_be_home);
+                self.examined.home = find_home(&eligible, self.demand, &may_be_home);
             }
             self.examined.preferred.extend(eligible);
             if home_count >= MIN_PREFERRED {
