--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -66,8 +66,10 @@
     own_hash: u64,
     pub(super) zone: ZoneName,
     pub(super) peers: BTreeMap<SocketAddr, Peer>,
+    /// Zone and time of last contact of reported nodes that are not peers yet; probe targets.
     pub(super) indirect: BTreeMap<SocketAddr, (ZoneName, Timestamp)>,
     seeds: Vec<SocketAddr>,
+    /// Maximum number of nodes known at once, including this one.
     max_known: u32,
     /// Last time at which this node's zone was large.
     last_large_at: Timestamp,
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -165,11 +165,11 @@
 /// Which engines are reserved for streams.
 #[derive(Clone, Copy, Debug)]
 enum SplitRule<'a> {
-    /// None.
+    /// No engines.
     None,
-    /// A fixed share.
+    /// A fixed share of the pool.
     FixedShare,
-    /// A share that follows the load.
+    /// A share of the pool that follows the load.
     ByLoad(&'a PoolSplit),
 }
 
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -194,6 +194,7 @@
     boundary: Option<u32>,
     is_saturated: bool,
     prompt_engines: HashSet<u32>,
+    /// Total of the placed tokens at the last update.
     last_placed_tokens: Option<u64>,
     /// Number of measurements with a positive placement rate.
     rate_count: u32,
@@ -288,6 +289,7 @@
         load.exposed_streams > threshold * f64::from(load.slots)
     }
 
+    /// Updates the saturation, and returns whether the pool has capacity for a split.
     fn has_capacity(&mut self, load: &PoolLoad, need: &EngineNeed) -> bool {
         let (engine_limit, slot_limit) = if self.is_saturated {
             (SATURATION_STOP, SLOT_SATURATION_STOP)
