--- a/crates/coordination/dispatch/src/documents/document_store.rs
+++ b/crates/coordination/dispatch/src/documents/document_store.rs
@@ -1,13 +1,13 @@
-//! The documents a node works from, with their revisions.
+//! The documents that a node works from, with their revisions.
 //!
-//! Each item carries the revision of the platform's change that made it. An item
-//! never yields to an older one, whether it comes from the platform or from a peer.
+//! Each document carries the revision of the platform's change that wrote it. It is never
+//! replaced by an older one, whether that comes from the platform or from a peer.
 //!
-//! A restore of the platform's store from an older copy raises the epoch, so restored items carry
-//! newer revisions than the items they replace, although their contents may be older. Changes of
-//! different epochs are therefore compared by content: a table by its version, a back end by its
-//! run and by whether it is draining. A back end that an earlier epoch removed and a newer one
-//! lists is withheld at first, as its removal may not have been written again yet.
+//! A restore of the platform's store from an older copy raises the epoch, so restored documents
+//! carry newer revisions than the documents they replace, although their contents may be older.
+//! Changes of different epochs are therefore compared by content: a table by its version, a back
+//! end by its run and by whether it is draining. A back end that an earlier epoch removed and a
+//! newer one lists is withheld at first, as its removal may not have been written again yet.
 
 use super::revision::{Revision, VersionVector};
 use eiderferry_routing::{BackEnd, InstanceId, RoutingTable, TableDocument, ZoneName};
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Removed items remembered, so that an older list can't bring them back.
+/// Number of removed back ends remembered, so that an older list can't bring them back.
 const MAXIMUM_TOMBSTONES: usize = 4_096;
-/// Zones remembered for which an evacuation was ever asked.
+/// Number of zones remembered for which an evacuation was ever requested.
 const MAXIMUM_EVACUATIONS: usize = 256;
 
-/// What an item is.
+/// Identifies a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DocumentKey {
     /// The routing table.
     Table,
-    /// A back end.
+    /// The list entry of a back end.
     BackEnd(InstanceId),
     /// The evacuation of a zone.
     Evacuation(ZoneName),
 }
 
 impl DocumentKey {
-    /// What kind of item it is, as a word for logs.
+    /// Kind of the document, as written to logs.
     pub fn kind(&self) -> &'static str {
         match self {
             DocumentKey::Table => "table",
@@ -43,24 +43,24 @@
     }
 }
 
-/// What an item says.
+/// Content of a document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DocumentContent {
-    /// The routing table.
+    /// A routing table.
     Table(TableDocument),
-    /// A back end.
+    /// A back end's list entry.
     BackEnd(BackEnd),
-    /// The zone's back ends are to get nothing new.
+    /// The zone's back ends get no new requests.
     Evacuated,
-    /// The item is gone.
+    /// The document was removed.
     Removed,
-    /// The item ran out while the platform was away; it is gone unless it is back within
-    /// the span.
+    /// The document expired while the platform was unreachable; it counts as removed unless it is
+    /// written again within the span.
     Expired(Span),
 }
 
 impl DocumentContent {
-    /// What became of the item, as a word for logs.
+    /// Kind of the change, as written to logs.
     pub fn kind(&self) -> &'static str {
         match self {
             DocumentContent::Table(_) | DocumentContent::BackEnd(_) => "written",
@@ -71,40 +71,41 @@
     }
 }
 
-/// One change.
+/// A change of one document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Which item.
+    /// The changed document.
     pub key: DocumentKey,
     /// Revision of the change.
     pub revision: Revision,
-    /// What it says now.
+    /// The document's new content.
     pub content: DocumentContent,
 }
 
-/// What came of a change.
+/// Result of applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The change is in force.
     Applied,
-    /// It lists a back end that an earlier epoch removed; see [`DocumentStore::release_withheld`].
+    /// The change lists a back end that an earlier epoch removed; see
+    /// [`DocumentStore::release_withheld`].
     Withheld,
-    /// Something as new was known.
+    /// A change that is at least as new was known already.
     AlreadyKnown,
-    /// It is not usable; what was known stays.
+    /// The content is invalid, for the given reason; the known content stays in force.
     Rejected(String),
 }
 
 /// Order of tables: by version, which operators raise with each table, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TableStamp {
-    /// Version that the table itself names.
+    /// Version stated in the table.
     pub version: u64,
     /// Revision of the change that published it.
     pub revision: Revision,
 }
 
-/// Whether a zone is evacuated, and the revision of the change that said so last.
+/// Evacuation state of a zone, and the revision of its last change.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     revision: Revision,
@@ -113,24 +114,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum EvacuationState {
-    On,
-    Over,
-    /// Over unless it is written again within the span.
-    Lapsed(Span),
+    Active,
+    Ended,
+    /// Ended unless it is written again within the span.
+    Expired(Span),
 }
 
-/// All documents known to a node.
+/// All documents that a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentStore {
     table: Option<(TableStamp, Arc<RoutingTable>)>,
-    refused_table: TableStamp,
+    rejected_table: TableStamp,
     back_ends: BTreeMap<InstanceId, (Revision, BackEnd)>,
-    gone: BTreeMap<InstanceId, Revision>,
+    tombstones: BTreeMap<InstanceId, Revision>,
     /// Back ends that an earlier epoch removed and a newer one lists.
     withheld: BTreeMap<InstanceId, (Revision, BackEnd)>,
-    /// Back ends, listed and gone, by the revisions of their latest changes: what is told to
-    /// others after a change costs as much as the change is large. Without it each of 585 nodes
-    /// copied all of 6,000 entries for each change it passed on.
+    /// Listed and removed back ends by the revisions of their latest changes, so that the cost of
+    /// finding the changes for a peer depends only on their number. Without this index each of
+    /// 585 nodes copied all of 6,000 entries for each change that it forwarded.
     by_revision: BTreeSet<(Revision, InstanceId)>,
     evacuations: BTreeMap<ZoneName, Evacuation>,
     version_vector: VersionVector,
@@ -143,7 +144,7 @@
         self.table.as_ref().map(|(_, table)| table)
     }
 
-    /// Stamp of the table in force; the least stamp without a table.
+    /// Stamp of the table in force; the lowest stamp if there is none.
     pub fn table_stamp(&self) -> TableStamp {
         let table = self.table.as_ref();
         table.map_or_else(TableStamp::default, |(stamp, _)| *stamp)
@@ -159,7 +160,7 @@
         &self.version_vector
     }
 
-    /// Age of the youngest confirmation by the platform.
+    /// Time since the platform's latest confirmation.
     pub fn confirmed_age(&self, now: Timestamp) -> Option<Span> {
         self.confirmed_at.map(|at| now.since(at))
     }
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes a change over if it is newer than what is known.
+    /// Applies a change if it is newer than the known content.
     pub fn apply(&mut self, change: Change) -> ApplyOutcome {
         match (change.key, change.content) {
             (DocumentKey::Table, DocumentContent::Table(document)) => {
@@ -188,14 +189,14 @@
                 DocumentContent::Removed | DocumentContent::Expired(_),
             ) => self.remove(instance, change.revision),
             (DocumentKey::Evacuation(zone), DocumentContent::Evacuated) => {
-                self.apply_evacuation(zone, change.revision, EvacuationState::On)
+                self.apply_evacuation(zone, change.revision, EvacuationState::Active)
             }
-            (DocumentKey::Evacuation(zone), DocumentContent::Expired(within)) => {
-                let state = EvacuationState::Lapsed(within);
+            (DocumentKey::Evacuation(zone), DocumentContent::Expired(grace_period)) => {
+                let state = EvacuationState::Expired(grace_period);
                 self.apply_evacuation(zone, change.revision, state)
             }
             (DocumentKey::Evacuation(zone), DocumentContent::Removed) => {
-                self.apply_evacuation(zone, change.revision, EvacuationState::Over)
+                self.apply_evacuation(zone, change.revision, EvacuationState::Ended)
             }
             _ => ApplyOutcome::AlreadyKnown,
         }
@@ -218,18 +219,18 @@
         ApplyOutcome::Applied
     }
 
-    /// Zones whose back ends get nothing new, with the revision since which that is so.
+    /// Zones whose back ends get no new requests, with the revisions of their evacuations.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         let evacuations = self.evacuations.iter();
         let evacuated =
-            evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::On);
+            evacuations.filter(|(_, evacuation)| evacuation.state == EvacuationState::Active);
         evacuated.map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
     fn apply_table(&mut self, revision: Revision, document: TableDocument) -> ApplyOutcome {
         let version = document.version;
         let stamp = TableStamp { version, revision };
-        if stamp <= self.table_stamp() || stamp == self.refused_table {
+        if stamp <= self.table_stamp() || stamp == self.rejected_table {
             return ApplyOutcome::AlreadyKnown;
         }
         if let Some((known, table)) = &mut self.table
@@ -244,7 +245,7 @@
                 ApplyOutcome::Applied
             }
             Err(error) => {
-                self.refused_table = stamp;
+                self.rejected_table = stamp;
                 ApplyOutcome::Rejected(error.to_string())
             }
         }
@@ -264,27 +265,27 @@
             // A restore changes the revisions of unchanged entries too.
             let is_same = known.epoch != revision.epoch && *listed == newer;
             self.by_revision.remove(&(known, instance.clone()));
-            self.list(instance, revision, newer);
+            self.upsert(instance, revision, newer);
             return if is_same {
                 ApplyOutcome::AlreadyKnown
             } else {
                 ApplyOutcome::Applied
             };
         }
-        match self.gone.get(&instance).copied() {
-            Some(gone) if revision <= gone => ApplyOutcome::AlreadyKnown,
-            Some(gone) if revision.epoch > gone.epoch => {
+        match self.tombstones.get(&instance).copied() {
+            Some(removed) if revision <= removed => ApplyOutcome::AlreadyKnown,
+            Some(removed) if revision.epoch > removed.epoch => {
                 self.withhold(instance, revision, back_end)
             }
             _ => {
                 self.forget_removal(&instance);
-                self.list(instance, revision, back_end);
+                self.upsert(instance, revision, back_end);
                 ApplyOutcome::Applied
             }
         }
     }
 
-    fn list(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) {
+    fn upsert(&mut self, instance: InstanceId, revision: Revision, back_end: BackEnd) {
         self.by_revision.insert((revision, instance.clone()));
         self.back_ends.insert(instance, (revision, back_end));
     }
@@ -316,7 +317,7 @@
     pub fn release_withheld(&mut self, instance: &InstanceId) -> Option<Change> {
         let (revision, back_end) = self.withheld.get(instance).cloned()?;
         self.forget_removal(instance);
-        self.list(instance.clone(), revision, back_end.clone());
+        self.upsert(instance.clone(), revision, back_end.clone());
         Some(Change {
             key: DocumentKey::BackEnd(instance.clone()),
             revision,
@@ -326,8 +327,8 @@
 
     fn forget_removal(&mut self, instance: &InstanceId) {
         let withheld = self.withheld.remove(instance).map(|(listed, _)| listed);
-        let gone = self.gone.remove(instance);
-        for revision in withheld.into_iter().chain(gone) {
+        let removed = self.tombstones.remove(instance);
+        for revision in withheld.into_iter().chain(removed) {
             self.by_revision.remove(&(revision, instance.clone()));
         }
     }
@@ -337,7 +338,7 @@
         if listed.is_some_and(|listed| listed.epoch > revision.epoch) {
             return self.withhold_listed(instance, revision);
         }
-        let known = listed.max(self.gone.get(&instance).copied());
+        let known = listed.max(self.tombstones.get(&instance).copied());
         if known.is_some_and(|known| revision <= known) {
             return ApplyOutcome::AlreadyKnown;
         }
@@ -358,11 +359,11 @@
     }
 
     /// Withholds a listed back end that an earlier epoch removed.
-    fn withhold_listed(&mut self, instance: InstanceId, gone: Revision) -> ApplyOutcome {
+    fn withhold_listed(&mut self, instance: InstanceId, removed: Revision) -> ApplyOutcome {
         if let Some(entry) = self.back_ends.remove(&instance) {
             self.withheld.insert(instance.clone(), entry);
         }
-        self.add_tombstone(instance, gone);
+        self.add_tombstone(instance, removed);
         ApplyOutcome::Withheld
     }
 
@@ -370,22 +371,23 @@
     /// withheld back ends are never dropped.
     fn add_tombstone(&mut self, instance: InstanceId, revision: Revision) {
         self.by_revision.insert((revision, instance.clone()));
-        self.gone.insert(instance, revision);
-        while self.gone.len() > MAXIMUM_TOMBSTONES {
-            let gone = self.gone.iter();
-            let settled = gone.filter(|(name, _)| !self.withheld.contains_key(*name));
-            let oldest = settled.min_by_key(|(_, revision)| **revision);
+        self.tombstones.insert(instance, revision);
+        while self.tombstones.len() > MAXIMUM_TOMBSTONES {
+            let tombstones = self.tombstones.iter();
+            let droppable = tombstones.filter(|(name, _)| !self.withheld.contains_key(*name));
+            let oldest = droppable.min_by_key(|(_, revision)| **revision);
             let Some((oldest, revision)) = oldest.map(|(name, at)| (name.clone(), *at)) else {
                 break;
             };
-            self.gone.remove(&oldest);
+            self.tombstones.remove(&oldest);
             self.by_revision.remove(&(revision, oldest));
         }
     }
 
-    /// Back ends and evacuations missing from a whole listing that began at `revision` are
-    /// gone. Those that an earlier epoch listed may have been lost in a restore: they lapse, and
-    /// are gone unless they are written again within the grace period.
+    /// Back ends and evacuations that are missing from a complete listing which began at
+    /// `revision`. They count as removed. Those that an earlier epoch listed may have been lost
+    /// in a restore: they expire, and count as removed unless they are written again within the
+    /// grace period.
     pub fn missing_from_listing(
         &self,
         listed: &BTreeSet<DocumentKey>,
@@ -415,8 +417,8 @@
             .collect()
     }
 
-    /// All changes that a peer lacks that knows `known`: the table first, which tells what the
-    /// back ends are.
+    /// All changes that a peer with the version vector `known` lacks. The table comes first, as
+    /// it defines the pools that back ends belong to.
     pub fn changes_after(&self, known: &VersionVector) -> Vec<Change> {
         let table = self.table.iter();
         let table = table.filter(|(stamp, _)| !known.covers(stamp.revision));
@@ -431,36 +433,36 @@
             key: DocumentKey::Evacuation(zone.clone()),
             revision: evacuation.revision,
             content: match evacuation.state {
-                EvacuationState::On => DocumentContent::Evacuated,
-                EvacuationState::Over => DocumentContent::Removed,
-                EvacuationState::Lapsed(within) => DocumentContent::Expired(within),
+                EvacuationState::Active => DocumentContent::Evacuated,
+                EvacuationState::Ended => DocumentContent::Removed,
+                EvacuationState::Expired(grace_period) => DocumentContent::Expired(grace_period),
             },
         });
-        let back_ends = self.back_ends_after(known);
+        let back_ends = self.back_end_changes_after(known);
         table.chain(back_ends).chain(evacuations).collect()
     }
 
-    /// Number of changes that a peer lacks that knows `known`, and whether the table is among
-    /// them.
+    /// Number of changes that a peer with the version vector `known` lacks, and whether the table
+    /// is among them.
     pub fn count_after(&self, known: &VersionVector) -> (usize, bool) {
         let evacuations = self.evacuations.values();
         let evacuations = evacuations.filter(|evacuation| !known.covers(evacuation.revision));
         let table = self.table.as_ref();
         let has_table = table.is_some_and(|(stamp, _)| !known.covers(stamp.revision));
-        let back_ends = self.changed_after(known).count();
+        let back_ends = self.changed_back_ends_after(known).count();
         let count = back_ends + evacuations.count() + usize::from(has_table);
         (count, has_table)
     }
 
-    /// Whether a peer that knows `known` lacks this node's newest epoch, and so nearly all
-    /// documents.
+    /// Whether a peer with the version vector `known` lacks this node's newest epoch, and
+    /// therefore nearly all documents.
     pub fn peer_lacks_newest_epoch(&self, known: &VersionVector) -> bool {
         let newest = self.version_vector.newest();
         newest.is_none_or(|newest| !known.has_epoch(newest.epoch))
     }
 
-    /// Changes of back ends that are not in `known`, in order of revision.
-    fn changed_after(
+    /// Changes of back ends that `known` does not cover, ordered by revision.
+    fn changed_back_ends_after(
         &self,
         known: &VersionVector,
     ) -> impl Iterator<Item = &(Revision, InstanceId)> {
@@ -472,12 +474,12 @@
         earlier.chain(self.by_revision.range(lower_bound(last)..))
     }
 
-    fn back_ends_after(&self, known: &VersionVector) -> impl Iterator<Item = Change> {
-        self.changed_after(known)
+    fn back_end_changes_after(&self, known: &VersionVector) -> impl Iterator<Item = Change> {
+        self.changed_back_ends_after(known)
             .map(|(revision, instance)| Change {
                 key: DocumentKey::BackEnd(instance.clone()),
                 revision: *revision,
-                content: match self.listed_at(instance, *revision) {
+                content: match self.entry_at(instance, *revision) {
                     Some(back_end) => DocumentContent::BackEnd(back_end.clone()),
                     None => DocumentContent::Removed,
                 },
@@ -485,7 +487,7 @@
     }
 
     /// The listed or withheld entry of a back end, if a change of this revision wrote it.
-    fn listed_at(&self, instance: &InstanceId, revision: Revision) -> Option<&BackEnd> {
+    fn entry_at(&self, instance: &InstanceId, revision: Revision) -> Option<&BackEnd> {
         let entries = [&self.back_ends, &self.withheld];
         let entries = entries.into_iter().filter_map(|map| map.get(instance));
         let mut at = entries.filter(|(listed, _)| *listed == revision);
@@ -493,7 +495,7 @@
     }
 }
 
-/// The new entry, as to be stored, if it is newer than the known one.
+/// The entry to store, if the new one is newer than the known one.
 fn newer_entry(
     (known_revision, known): (Revision, &BackEnd),
     (revision, mut new): (Revision, BackEnd),
--- a/crates/coordination/dispatch/src/fleet/limit_senders.rs
+++ b/crates/coordination/dispatch/src/fleet/limit_senders.rs
@@ -1,46 +1,53 @@
-//! Which nodes send to a back end that has named a rate limit.
+//! Selection of the nodes that send to a back end with a rate limit.
 
 use super::peers::Peers;
 use eiderferry_routing::ZoneName;
 use std::collections::BTreeMap;
 
-/// The other nodes that are there and not stopping, by their zones.
+/// The active peers, grouped by zone.
 pub(crate) struct NodesByZone<'a> {
     peers: &'a Peers,
-    /// Hashes of their addresses.
-    hashes: BTreeMap<&'a ZoneName, Vec<u64>>,
+    /// Hashes of the peers' addresses.
+    hashes_by_zone: BTreeMap<&'a ZoneName, Vec<u64>>,
 }
 
 impl Peers {
-    /// Sorts the other nodes by their zones.
+    /// Groups the active peers by zone.
     pub(crate) fn by_zone(&self) -> NodesByZone<'_> {
-        let mut hashes: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
+        let mut hashes_by_zone: BTreeMap<&ZoneName, Vec<u64>> = BTreeMap::new();
         for (_, peer) in self.active_peers() {
-            hashes.entry(&peer.zone).or_default().push(peer.rank.hash());
+            hashes_by_zone
+                .entry(&peer.zone)
+                .or_default()
+                .push(peer.role_priority.hash());
         }
         NodesByZone {
             peers: self,
-            hashes,
+            hashes_by_zone,
         }
     }
 }
 
 impl NodesByZone<'_> {
-    /// Place of this node among the first so many of those that send to a back end of a zone;
-    /// `None` behind them. Nodes of that zone come first: they hear at once when one of them ends,
-    /// and a cut that parts them from the others parts the back end from these as well.
+    /// Index of this node among the first `senders` nodes that send to a back end in `zone`;
+    /// `None` if it is not one of them. Nodes of the back end's zone come first: they detect each
+    /// other's failures soonest, and a network partition that separates them from the other nodes
+    /// also separates the back end from those.
     pub fn own_index(&self, back_end: u32, zone: &ZoneName, senders: usize) -> Option<usize> {
-        let before = if *zone == self.peers.zone {
+        let index = if *zone == self.peers.zone {
             self.peers.sender_index(back_end)
         } else {
-            let there = self.hashes.get(zone).map_or(0, Vec::len);
-            if there >= senders {
+            let in_zone = self.hashes_by_zone.get(zone).map_or(0, Vec::len);
+            if in_zone >= senders {
                 return None;
             }
-            let elsewhere = self.hashes.iter().filter(|(other, _)| **other != zone);
-            let elsewhere = elsewhere.flat_map(|(_, hashes)| hashes);
-            there + self.peers.count_before_own(back_end, elsewhere)
+            let other_zones = self
+                .hashes_by_zone
+                .iter()
+                .filter(|(other, _)| **other != zone);
+            let other_zones = other_zones.flat_map(|(_, hashes)| hashes);
+            in_zone + self.peers.count_before_own(back_end, other_zones)
         };
-        (before < senders).then_some(before)
+        (index < senders).then_some(index)
     }
 }
--- a/crates/coordination/dispatch/src/fleet/retry_budget.rs
+++ b/crates/coordination/dispatch/src/fleet/retry_budget.rs
@@ -1,40 +1,41 @@
-//! How many repeats a node may send to a pool, without asking the other nodes.
+//! Limit on the retries that a node may send to a pool, enforced without coordination between the
+//! nodes.
 //!
-//! The bound holds for the sum over all nodes. Each node takes its part: a share
-//! of its own requests, and the fixed allowance divided by the largest number of
-//! nodes it has ever known. Nodes that cannot hear each other therefore never
-//! spend more together than the bound.
+//! The limit holds for the sum over all nodes. Each node's share is a ratio of its own requests,
+//! plus the fixed allowance divided by the largest number of nodes it has ever known. Nodes that
+//! are partitioned from each other therefore never exceed the limit together.
 
 use eiderferry_types::{Span, Timestamp};
 use std::collections::VecDeque;
 
-/// Part of the bound that is used: requests counted here may arrive in a later
-/// window than their repeats.
-const USED_PART: f64 = 0.8;
-/// Parts of the window that are counted apart.
+/// Share of the limit that is used. Requests that a node counts in one window may reach the back
+/// end in a later one than their retries.
+const USABLE_SHARE: f64 = 0.8;
+/// Number of buckets into which the window is divided.
 const BUCKETS: u64 = 10;
-/// Nodes assumed until the fleet is known.
+/// Minimum number of nodes by which the allowance is divided, until the size of the fleet is
+/// known.
 const ASSUMED_NODES: u32 = 8;
 
-/// The bound over all nodes.
+/// The limit over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats allowed for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all nodes.
+    /// Additional retries allowed in each window, summed over all nodes.
     pub allowance: f64,
-    /// Window in which both hold.
+    /// Sliding window over which requests and retries are counted.
     pub window: Span,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    number: u64,
+    index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// The budget of one pool on one node.
+/// The retry budget of one pool on one node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -42,7 +43,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates a budget of which nothing is spent.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
@@ -52,46 +53,46 @@
 
     fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
         let width = (self.settings.window.0 / BUCKETS).max(1);
-        let number = now.0 / width;
+        let index = now.0 / width;
         while self
             .buckets
             .front()
-            .is_some_and(|bucket| bucket.number + BUCKETS < number)
+            .is_some_and(|bucket| bucket.index + BUCKETS < index)
         {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|last| last.number < number) {
+        if self.buckets.back().is_none_or(|last| last.index < index) {
             self.buckets.push_back(Bucket {
-                number,
+                index,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.buckets.len() - 1;
         &mut self.buckets[last]
     }
 
-    /// Counts a caller's request.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: Timestamp) {
         self.bucket(now).requests += 1;
     }
 
-    /// Repeats that may still be sent now, in a fleet of at most `nodes` nodes.
+    /// Retries that may still be sent now, in a fleet of at most `nodes` nodes.
     pub fn remaining(&mut self, now: Timestamp, nodes: u32) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let nodes = f64::from(nodes.max(ASSUMED_NODES));
         let allowed = self.settings.ratio * f64::from(requests) + self.settings.allowance / nodes;
-        USED_PART * allowed - f64::from(repeats)
+        USABLE_SHARE * allowed - f64::from(retries)
     }
 
-    /// Spends one repeat if the budget allows it.
+    /// Spends one retry if the budget allows it.
     pub fn try_spend(&mut self, now: Timestamp, nodes: u32) -> bool {
         if self.remaining(now, nodes) < 1.0 {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 }
