--- a/crates/coordination/dispatch/benches/scale.rs
+++ b/crates/coordination/dispatch/benches/scale.rs
@@ -13,7 +13,7 @@
 };
 
 /// Nodes, engines and zones of the fleets that are compared.
-const SIZES: [(usize, usize, usize); 4] = [
+const FLEET_SIZES: [(usize, usize, usize); 4] = [
     (30, 300, 5),
     (300, 3_000, 5),
     (585, 6_000, 5),
@@ -24,7 +24,7 @@
 const CHANGES: u64 = 100;
 
 /// A node of such a fleet that knows all others and all engines.
-fn node(nodes: usize, engines: usize, zones: usize) -> Dispatcher {
+fn node_in_fleet(nodes: usize, engines: usize, zones: usize) -> Dispatcher {
     let mut subject = dispatcher(0, 0, Vec::new());
     subject.apply(table_change(1), START);
     for number in 0..engines {
@@ -33,13 +33,13 @@
         subject.apply(back_end_change(back_end, 2), START);
     }
     subject.record_confirmation(&known(2), START);
-    meet(&mut subject, nodes, zones, START);
+    receive_from_all(&mut subject, nodes, zones, START);
     subject.announce(true, START);
     subject
 }
 
 /// All other nodes are heard.
-fn meet(subject: &mut Dispatcher, nodes: usize, zones: usize, now: Timestamp) {
+fn receive_from_all(subject: &mut Dispatcher, nodes: usize, zones: usize, now: Timestamp) {
     for number in 1..nodes {
         let mut other = dispatcher(number, number % zones, Vec::new());
         let message = other.gossip(false, now);
@@ -47,32 +47,32 @@
     }
 }
 
-fn microseconds(begun: Instant, count: u64) -> f64 {
-    begun.elapsed().as_secs_f64() * 1e6 / count as f64
+fn microseconds_per_item(started: Instant, count: u64) -> f64 {
+    started.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
-fn request(subject: &mut Dispatcher, now: Timestamp) -> f64 {
-    let begun = Instant::now();
+fn time_requests(subject: &mut Dispatcher, now: Timestamp) -> f64 {
+    let started = Instant::now();
     for prompt in 1..=REQUESTS {
         if let Decision::Grant(grant) = subject.dispatch(&demand(prompt, 6_000, 500), now) {
             subject.release(grant.lease, Outcome::Completed, now);
         }
     }
-    microseconds(begun, REQUESTS)
+    microseconds_per_item(started, REQUESTS)
 }
 
-fn tick(subject: &mut Dispatcher, first: Timestamp) -> f64 {
-    let begun = Instant::now();
+fn time_ticks(subject: &mut Dispatcher, start: Timestamp) -> f64 {
+    let started = Instant::now();
     for tick in 1..=TICKS {
-        let now = Timestamp(first.0 + tick * TICK.0);
+        let now = Timestamp(start.0 + tick * TICK.0);
         subject.tick(now);
         subject.cache_calls(now);
     }
-    microseconds(begun, TICKS)
+    microseconds_per_item(started, TICKS)
 }
 
-fn change(subject: &mut Dispatcher, now: Timestamp) -> f64 {
-    let begun = Instant::now();
+fn time_changes(subject: &mut Dispatcher, now: Timestamp) -> f64 {
+    let started = Instant::now();
     for number in 0..CHANGES {
         let revision = 10 + number;
         let name = format!("engine-{number}");
@@ -81,17 +81,17 @@
         subject.record_confirmation(&known(revision), now);
         subject.announce(false, now);
     }
-    microseconds(begun, CHANGES)
+    microseconds_per_item(started, CHANGES)
 }
 
 fn main() {
     println!("nodes engines | us a request, a tick, a change passed on");
-    for (nodes, engines, zones) in SIZES {
-        let mut subject = node(nodes, engines, zones);
+    for (nodes, engines, zones) in FLEET_SIZES {
+        let mut subject = node_in_fleet(nodes, engines, zones);
         let now = START + Span::from_milliseconds(100);
-        let request = request(&mut subject, now);
-        let tick = tick(&mut subject, now);
-        let change = change(&mut subject, now);
+        let request = time_requests(&mut subject, now);
+        let tick = time_ticks(&mut subject, now);
+        let change = time_changes(&mut subject, now);
         println!("{nodes:>5} {engines:>7} | {request:>9.1} {tick:>9.1} {change:>9.1}");
     }
 }
--- a/crates/coordination/dispatch/tests/cache.rs
+++ b/crates/coordination/dispatch/tests/cache.rs
@@ -5,7 +5,7 @@
 use eiderferry_types::{Span, Timestamp};
 
 /// When the parts have been read.
-const READ: Timestamp = Timestamp(5_000_000);
+const PREFILLED_AT: Timestamp = Timestamp(5_000_000);
 
 fn part(id: u64, tokens: u32) -> PromptPart {
     PromptPart {
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn a_part_counts_only_if_all_before_it_are_kept() {
+fn a_part_counts_only_if_all_parts_before_it_are_cached() {
     let mut cache = PrefixCache::new(100_000);
-    cache.insert(&[part(1, 1_000), part(2, 500), part(3, 200)], READ);
+    cache.insert(&[part(1, 1_000), part(2, 500), part(3, 200)], PREFILLED_AT);
     assert_eq!(
         cache.cached_tokens(&[part(1, 1_000), part(2, 500), part(9, 70)]),
         1_500
@@ -26,37 +26,37 @@
 }
 
 #[test]
-fn the_least_recently_used_part_gives_way() {
+fn the_least_recently_used_part_is_evicted() {
     let mut cache = PrefixCache::new(1_000);
-    cache.insert(&[part(1, 400)], READ);
-    cache.insert(&[part(2, 400)], READ);
-    cache.insert(&[part(1, 400)], READ);
-    cache.insert(&[part(3, 400)], READ);
+    cache.insert(&[part(1, 400)], PREFILLED_AT);
+    cache.insert(&[part(2, 400)], PREFILLED_AT);
+    cache.insert(&[part(1, 400)], PREFILLED_AT);
+    cache.insert(&[part(3, 400)], PREFILLED_AT);
     assert!(cache.contains(PartId(1)));
     assert!(!cache.contains(PartId(2)));
     assert!(cache.contains(PartId(3)));
 }
 
 #[test]
-fn the_beginning_of_a_prompt_outlives_its_end() {
+fn the_end_of_a_prompt_is_evicted_before_its_beginning() {
     let mut cache = PrefixCache::new(1_000);
-    cache.insert(&[part(1, 400), part(2, 400)], READ);
-    cache.insert(&[part(3, 300)], READ);
+    cache.insert(&[part(1, 400), part(2, 400)], PREFILLED_AT);
+    cache.insert(&[part(3, 300)], PREFILLED_AT);
     assert!(cache.contains(PartId(1)));
     assert!(!cache.contains(PartId(2)));
 }
 
 #[test]
-fn a_back_end_without_memory_keeps_nothing() {
+fn a_cache_without_capacity_stores_nothing() {
     let mut cache = PrefixCache::new(0);
-    cache.insert(&[part(1, 1)], READ);
+    cache.insert(&[part(1, 1)], PREFILLED_AT);
     assert!(!cache.contains(PartId(1)));
 }
 
 #[test]
-fn tokens_of_single_requests_take_room_from_shared_parts() {
+fn unshared_tokens_evict_shared_parts() {
     let mut cache = PrefixCache::new(1_000);
-    cache.insert(&[part(1, 400)], READ);
+    cache.insert(&[part(1, 400)], PREFILLED_AT);
     cache.insert_unshared(300);
     assert!(cache.contains(PartId(1)));
     cache.insert_unshared(300);
@@ -64,18 +64,18 @@
         !cache.contains(PartId(1)),
         "700 of 850 usable tokens came after it"
     );
-    cache.insert(&[part(2, 400)], READ);
+    cache.insert(&[part(2, 400)], PREFILLED_AT);
     assert!(cache.contains(PartId(2)), "the older of the two made room");
 }
 
 #[test]
-fn what_is_still_being_read_can_not_be_copied() {
+fn parts_still_being_prefilled_do_not_count_as_computed() {
     let mut cache = PrefixCache::new(100_000);
-    let later = READ + Span::from_milliseconds(400);
-    cache.insert(&[part(1, 1_000)], READ);
+    let later = PREFILLED_AT + Span::from_milliseconds(400);
+    cache.insert(&[part(1, 1_000)], PREFILLED_AT);
     cache.insert(&[part(1, 1_000), part(2, 500)], later);
     let parts = [part(1, 1_000), part(2, 500)];
     assert_eq!(cache.cached_tokens(&parts), 1_500);
-    assert_eq!(cache.computed_tokens(&parts, READ), 1_000);
+    assert_eq!(cache.computed_tokens(&parts, PREFILLED_AT), 1_000);
     assert_eq!(cache.computed_tokens(&parts, later), 1_500);
 }
--- a/crates/coordination/dispatch/tests/document_service.rs
+++ b/crates/coordination/dispatch/tests/document_service.rs
@@ -12,65 +12,65 @@
     SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7340))
 }
 
-fn admitted(admission: Admission) -> TransferId {
+fn expect_transfer(admission: Admission) -> TransferId {
     match admission {
         Admission::Admitted(Some(transfer)) => transfer,
-        sent_on => panic!("expected a transfer, got {sent_on:?}"),
+        redirected => panic!("expected a transfer, got {redirected:?}"),
     }
 }
 
 #[test]
-fn a_busy_node_names_those_that_got_theirs() {
+fn a_busy_node_redirects_to_nodes_that_already_have_documents() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut service = DocumentService::default();
     let now = Timestamp(0);
     let transfers: Vec<TransferId> = (1..3)
-        .map(|number| admitted(service.admit(address(number), true, &mut random, now)))
+        .map(|number| expect_transfer(service.admit(address(number), true, &mut random, now)))
         .collect();
-    let nobody = service.admit(address(5), true, &mut random, now);
-    assert_eq!(nobody, Admission::SentOn(Vec::new()));
+    let without_holders = service.admit(address(5), true, &mut random, now);
+    assert_eq!(without_holders, Admission::SentOn(Vec::new()));
     service.finish(transfers[0]);
-    admitted(service.admit(address(5), true, &mut random, now));
-    let sent_on = service.admit(address(6), true, &mut random, now);
-    assert_eq!(sent_on, Admission::SentOn(vec![address(1)]));
+    expect_transfer(service.admit(address(5), true, &mut random, now));
+    let redirected = service.admit(address(6), true, &mut random, now);
+    assert_eq!(redirected, Admission::SentOn(vec![address(1)]));
 }
 
 #[test]
-fn a_node_that_knows_some_documents_is_never_sent_on() {
+fn a_node_with_some_documents_is_never_redirected() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut service = DocumentService::default();
     for number in 1..20 {
         let admission = service.admit(address(number), false, &mut random, Timestamp(0));
         assert_eq!(admission, Admission::Admitted(None));
     }
-    admitted(service.admit(address(20), true, &mut random, Timestamp(0)));
+    expect_transfer(service.admit(address(20), true, &mut random, Timestamp(0)));
 }
 
 #[test]
-fn a_connection_that_went_silent_holds_nobody_up_for_good() {
+fn a_stalled_transfer_blocks_others_only_for_a_limited_time() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut service = DocumentService::default();
     for number in 1..3 {
-        admitted(service.admit(address(number), true, &mut random, Timestamp(0)));
+        expect_transfer(service.admit(address(number), true, &mut random, Timestamp(0)));
     }
     let later = Timestamp(0) + Span::from_milliseconds(2_000);
-    admitted(service.admit(address(5), true, &mut random, later));
+    expect_transfer(service.admit(address(5), true, &mut random, later));
 }
 
 /// Link of every node, in bytes a millisecond: 10 Mbit/s.
-const LINK: f64 = 1_250.0;
+const LINK_BYTES_PER_MS: f64 = 1_250.0;
 const SEEDS: usize = 3;
 
 struct Transfer {
     from: usize,
     to: usize,
     id: TransferId,
-    left: f64,
+    remaining_bytes: f64,
 }
 
 /// Milliseconds until all nodes have documents of so many bytes, on links that the transfers
 /// of a node share. A node that is sent on asks the nodes named and then waits for 150 ms.
-fn spreading_time(nodes: usize, bytes: f64) -> u64 {
+fn spread_time_ms(nodes: usize, bytes: f64) -> u64 {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut services: BTreeMap<usize, DocumentService> = (0..SEEDS)
         .map(|seed| (seed, DocumentService::default()))
@@ -88,7 +88,7 @@
             .collect();
         for node in due {
             let mut source = node % SEEDS;
-            let mut begun = None;
+            let mut started = None;
             for _ in 0..4 {
                 let Some(service) = services.get_mut(&source) else {
                     break;
@@ -96,11 +96,11 @@
                 match service.admit(address(node), true, &mut random, now) {
                     Admission::Admitted(id) => {
                         let id = id.expect("a transfer that counts");
-                        begun = Some(Transfer {
+                        started = Some(Transfer {
                             from: source,
                             to: node,
                             id,
-                            left: bytes,
+                            remaining_bytes: bytes,
                         });
                         break;
                     }
@@ -110,7 +110,7 @@
                     },
                 }
             }
-            match begun {
+            match started {
                 Some(transfer) => {
                     waiting.remove(&node);
                     transfers.push(transfer);
@@ -120,18 +120,18 @@
                 }
             }
         }
-        let mut open: BTreeMap<usize, f64> = BTreeMap::new();
+        let mut transfer_counts: BTreeMap<usize, f64> = BTreeMap::new();
         for transfer in &transfers {
-            *open.entry(transfer.from).or_default() += 1.0;
+            *transfer_counts.entry(transfer.from).or_default() += 1.0;
         }
         for transfer in &mut transfers {
-            transfer.left -= LINK / open[&transfer.from];
+            transfer.remaining_bytes -= LINK_BYTES_PER_MS / transfer_counts[&transfer.from];
         }
-        let (ended, running) = transfers
+        let (finished, running) = transfers
             .into_iter()
-            .partition(|one: &Transfer| one.left <= 0.0);
+            .partition(|transfer: &Transfer| transfer.remaining_bytes <= 0.0);
         transfers = running;
-        for transfer in ended {
+        for transfer in finished {
             services
                 .entry(transfer.from)
                 .or_default()
@@ -152,15 +152,15 @@
 #[case::engines_1000(300, 60_000.0, 1_000)]
 #[case::engines_3000(300, 180_000.0, 2_200)]
 #[case::in_two_years(2_200, 600_000.0, 11_500)]
-fn documents_spread_faster_than_a_few_sources_could_send_them(
+fn documents_spread_faster_than_the_seeds_alone_could_send_them(
     #[case] nodes: usize,
     #[case] bytes: f64,
-    #[case] within: u64,
+    #[case] limit_ms: u64,
 ) {
-    let milliseconds = spreading_time(nodes, bytes);
-    let by_seeds = nodes as f64 / SEEDS as f64 * bytes / LINK;
+    let milliseconds = spread_time_ms(nodes, bytes);
+    let seeds_alone_ms = nodes as f64 / SEEDS as f64 * bytes / LINK_BYTES_PER_MS;
     assert!(
-        milliseconds <= within,
-        "{milliseconds} ms, {by_seeds} ms by the seeds alone"
+        milliseconds <= limit_ms,
+        "{milliseconds} ms, {seeds_alone_ms} ms by the seeds alone"
     );
 }
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -15,7 +15,7 @@
 };
 
 /// Time within which an evacuation has to be obeyed by all nodes that are in touch.
-const EVACUATED_WITHIN_MS: u64 = 5_000;
+const PROPAGATION_DEADLINE_MS: u64 = 5_000;
 
 fn evacuation(zone: ZoneName, revision: u64, content: DocumentContent) -> Change {
     Change {
@@ -45,14 +45,18 @@
 }
 
 /// Zones in which so many requests with different prompts are placed.
-fn zones_used(subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
-    zones_used_by(0..60, subject, now)
+fn zones_of_grants(subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
+    zones_of_grants_for(0..60, subject, now)
 }
 
-fn zones_used_by(things: Range<u64>, subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
+fn zones_of_grants_for(
+    shared_parts: Range<u64>,
+    subject: &mut Dispatcher,
+    now: Timestamp,
+) -> Vec<usize> {
     let mut zones = Vec::new();
-    for thing in things {
-        let grant = granted(subject.dispatch(&demand(thing, 2_000, 100), now));
+    for shared_part in shared_parts {
+        let grant = granted(subject.dispatch(&demand(shared_part, 2_000, 100), now));
         subject.release(grant.lease, Outcome::Completed, now);
         let number = engine_number(&grant);
         zones.push(number % 3);
@@ -61,21 +65,21 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_is_removed() {
     let mut subject = with_three_zones();
-    assert!(zones_used(&mut subject, START).contains(&1));
+    assert!(zones_of_grants(&mut subject, START).contains(&1));
     subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
-    assert!(!zones_used(&mut subject, START).contains(&1));
+    assert!(!zones_of_grants(&mut subject, START).contains(&1));
     subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), START);
-    assert!(zones_used(&mut subject, START).contains(&1));
+    assert!(zones_of_grants(&mut subject, START).contains(&1));
 }
 
 #[test]
-fn an_older_word_on_an_evacuation_changes_nothing() {
+fn an_older_evacuation_document_is_ignored() {
     let mut subject = with_three_zones();
     subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), START);
     subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
-    assert!(zones_used(&mut subject, START).contains(&1));
+    assert!(zones_of_grants(&mut subject, START).contains(&1));
 }
 
 #[test]
@@ -93,33 +97,33 @@
 }
 
 #[test]
-fn a_second_attempt_and_a_copy_stay_out_of_an_evacuated_zone() {
+fn retries_and_cache_copies_avoid_an_evacuated_zone() {
     let mut subject = with_three_zones();
     let prompt = demand(5, 13_000, 100);
     let first = granted(subject.dispatch(&prompt, START));
     subject.record_first_event(first.lease, START);
     subject.release(first.lease, Outcome::IncompleteResponse, START);
     let number = engine_number(&first);
-    let its_zone = number % 3;
+    let evacuated_zone = number % 3;
     subject.apply(
-        evacuation(zone(its_zone), 7, DocumentContent::Evacuated),
+        evacuation(zone(evacuated_zone), 7, DocumentContent::Evacuated),
         START,
     );
     let later = START + Span::from_milliseconds(3_000);
-    let mut again = prompt.clone();
-    again.is_retry = true;
-    again.excluded_back_ends = vec![first.instance];
-    again.parts[1] = PromptPart {
-        id: again.parts[1].id,
+    let mut retry = prompt.clone();
+    retry.is_retry = true;
+    retry.excluded_back_ends = vec![first.instance];
+    retry.parts[1] = PromptPart {
+        id: retry.parts[1].id,
         tokens: 90,
     };
     for _ in 0..20 {
-        subject.count_request(&again.pool, later);
+        subject.count_request(&retry.pool, later);
     }
     for _ in 0..3 {
-        let grant = granted(subject.dispatch(&again, later));
+        let grant = granted(subject.dispatch(&retry, later));
         let number = engine_number(&grant);
-        assert_ne!(number % 3, its_zone);
+        assert_ne!(number % 3, evacuated_zone);
         assert_eq!(
             grant.copy_from, None,
             "the only engine that keeps it is there"
@@ -129,7 +133,7 @@
 }
 
 #[test]
-fn engines_of_a_zone_that_is_taken_back_are_cold() {
+fn engines_of_a_readmitted_zone_are_cold() {
     let mut subject = dispatcher(0, 0, Vec::new());
     subject.tick(START);
     let mut table = table_change(1);
@@ -142,19 +146,22 @@
     }
     subject.apply(table, START);
     engines_in_three_zones(&mut subject);
-    let back = START + Span::from_milliseconds(8_000);
+    let readmitted_at = START + Span::from_milliseconds(8_000);
     subject.apply(evacuation(zone(1), 7, DocumentContent::Evacuated), START);
-    subject.apply(evacuation(zone(1), 9, DocumentContent::Removed), back);
+    subject.apply(
+        evacuation(zone(1), 9, DocumentContent::Removed),
+        readmitted_at,
+    );
     // A node of another zone sends nothing there before they are warm.
-    assert!(!zones_used(&mut subject, back).contains(&1));
-    let warm = back + Span::from_milliseconds(3_200);
-    assert!(zones_used_by(100..160, &mut subject, warm).contains(&1));
+    assert!(!zones_of_grants(&mut subject, readmitted_at).contains(&1));
+    let warm_at = readmitted_at + Span::from_milliseconds(3_200);
+    assert!(zones_of_grants_for(100..160, &mut subject, warm_at).contains(&1));
 }
 
 #[rstest]
 #[case::grown(87, 3)]
 #[case::large(295, 5)]
-fn all_nodes_obey_in_time_those_too_that_start_or_were_cut_off(
+fn all_nodes_apply_an_evacuation_in_time_even_restarted_or_partitioned_ones(
     #[case] count: usize,
     #[case] zones: usize,
 ) {
@@ -163,8 +170,8 @@
         engines_in_three_zones(node);
     }
     fleet.run_with_platform(20_000, 1);
-    let dead = 4;
-    fleet.dark.insert(dead);
+    let restarted = 4;
+    fleet.dark.insert(restarted);
     fleet.cut.insert((0, 2));
     let reader = *fleet.readers().first().expect("a reader");
     fleet.read_change(
@@ -175,8 +182,8 @@
     fleet.run_with_platform(500, 5);
     fleet.cut.clear();
     fleet.dark.clear();
-    fleet.restart(dead);
-    fleet.run_with_platform(EVACUATED_WITHIN_MS - 500, 5);
+    fleet.restart(restarted);
+    fleet.run_with_platform(PROPAGATION_DEADLINE_MS - 500, 5);
     for (number, node) in fleet.nodes.iter().enumerate() {
         assert!(node.evacuated_zones().contains(&zone(1)), "node {number}");
     }
--- a/crates/coordination/dispatch/tests/health.rs
+++ b/crates/coordination/dispatch/tests/health.rs
@@ -14,20 +14,20 @@
 #[case::nothing_answers(Outcome::Unreachable, false)]
 #[case::nobody_listens(Outcome::ConnectionRefused, false)]
 #[case::another_run_has_the_address(Outcome::InstanceReplaced, true)]
-fn a_back_end_that_is_gone_gets_no_work_at_once(
+fn an_unavailable_back_end_is_ejected_at_once(
     #[case] outcome: Outcome,
-    #[case] is_for_good: bool,
+    #[case] is_permanent: bool,
 ) {
     let mut health = Health::default();
     let change = health.record(outcome, 0.0, START);
     assert!(matches!(change, Some(HealthChange::Ejected(_))));
     assert!(health.is_ejected(after(500)));
-    assert_eq!(health.is_ejected(after(1_500)), is_for_good);
-    assert_eq!(health.is_ejected(after(3_600_000)), is_for_good);
+    assert_eq!(health.is_ejected(after(1_500)), is_permanent);
+    assert_eq!(health.is_ejected(after(3_600_000)), is_permanent);
 }
 
 #[test]
-fn what_this_node_could_not_send_says_nothing_of_a_back_end() {
+fn requests_that_were_not_sent_do_not_affect_health() {
     let mut health = Health::default();
     for _ in 0..20 {
         assert_eq!(health.record(Outcome::NotSent, 0.0, START), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn failures_between_successes_eject_when_the_rest_of_the_pool_is_sound() {
+fn frequent_failures_eject_when_the_rest_of_the_pool_is_healthy() {
     let mut health = Health::default();
     let outcomes = [Outcome::Failed, Outcome::Completed, Outcome::Failed];
     let mut ejected = false;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn failures_that_the_whole_pool_has_eject_nobody() {
+fn failures_across_the_whole_pool_eject_no_back_end() {
     let mut health = Health::default();
     for step in 0..60_u64 {
         let outcome = if step % 2 == 0 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_says_nothing_of_the_back_end() {
+fn abandoned_requests_do_not_affect_health() {
     let mut health = Health::default();
     for _ in 0..50 {
         assert_eq!(health.record(Outcome::Abandoned, 0.0, START), None);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn each_ejection_lasts_longer_and_an_answer_after_it_restores() {
+fn each_ejection_lasts_longer_and_a_later_success_restores_the_back_end() {
     let mut health = Health::default();
     let first = health.record(Outcome::Unreachable, 0.0, START);
     let second = health.record(Outcome::Unreachable, 0.0, after(1_100));
--- a/crates/coordination/dispatch/tests/support/limits.rs
+++ b/crates/coordination/dispatch/tests/support/limits.rs
@@ -37,8 +37,8 @@
 
 /// A place at the engine of that number.
 pub fn lease_at(subject: &mut Dispatcher, number: usize, now: Timestamp) -> LeaseId {
-    for thing in 0..200 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
+    for shared_part in 0..200 {
+        let grant = granted(subject.dispatch(&demand(shared_part, 1_000, 100), now));
         if engine_number(&grant) == number {
             return grant.lease;
         }
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -90,10 +90,10 @@
         let watched = known.filter(|known| known.epoch == self.epoch);
         let number = watched.map_or(0, |known| known.number);
         let changes = self.changes_after(number);
-        let is_gone = |change: &Change| change.content == DocumentContent::Removed;
-        let present = changes.iter().filter(|change| !is_gone(change));
+        let is_removed = |change: &Change| change.content == DocumentContent::Removed;
+        let present = changes.iter().filter(|change| !is_removed(change));
         let listed: BTreeSet<DocumentKey> = present.map(|change| change.key.clone()).collect();
-        let is_reported = |change: &Change| watched.is_some() || !is_gone(change);
+        let is_reported = |change: &Change| watched.is_some() || !is_removed(change);
         for change in changes.iter().filter(|change| is_reported(change)) {
             fleet.nodes[node].apply(change.clone(), fleet.now);
         }
