--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -10,9 +10,9 @@
 /// Engines of the loaded fleet.
 const ENGINES: usize = 320;
 /// Requests beyond which an engine of 64 slots gets no more.
-const MOST_AT_ENGINE: usize = 84;
+const MAX_REQUESTS_AT_ENGINE: usize = 84;
 /// Largest message that the relays read.
-const LARGEST_MESSAGE_BYTES: usize = 16_384;
+const MAX_MESSAGE_BYTES: usize = 16_384;
 
 /// A fleet before so many engines, at which each node places two requests a tick.
 fn loaded_fleet(count: usize, zones: usize, ticks: usize) -> Fleet {
@@ -25,17 +25,17 @@
     }
     fleet.run_with_platform(20_000, 1);
     fleet.measure_bytes();
-    load(&mut fleet, ticks);
+    apply_load(&mut fleet, ticks);
     fleet
 }
 
-fn load(fleet: &mut Fleet, ticks: usize) {
+fn apply_load(fleet: &mut Fleet, ticks: usize) {
     for tick in 0..ticks {
         let now = fleet.now;
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
-                let thing = (tick * 31 + number * 7) as u64 % 3_000;
-                granted(node.dispatch(&demand(thing, 13_000, 900), now));
+                let shared_part = (tick * 31 + number * 7) as u64 % 3_000;
+                granted(node.dispatch(&demand(shared_part, 13_000, 900), now));
             }
         }
         fleet.run_with_platform(100, 1);
@@ -49,64 +49,68 @@
     let seconds = 3;
     let mut fleet = loaded_fleet(295, 5, 10);
     let (messages, bytes) = (fleet.messages, fleet.bytes);
-    load(&mut fleet, seconds * 10);
+    apply_load(&mut fleet, seconds * 10);
     let node_seconds = (fleet.nodes.len() * seconds) as f64;
     let messages = (fleet.messages - messages) as f64 / node_seconds;
     let bytes = (fleet.bytes - bytes) as f64 / node_seconds;
     assert!(messages <= 35.0, "{messages} messages a second");
     assert!(bytes <= 50_000.0, "{bytes} bytes a second");
     assert!(
-        fleet.largest_message <= LARGEST_MESSAGE_BYTES,
+        fleet.largest_message_bytes <= MAX_MESSAGE_BYTES,
         "{} bytes in a message",
-        fleet.largest_message
+        fleet.largest_message_bytes
     );
 }
 
 /// Summaries to a whole zone at once, by nodes chosen without regard to their links, took 1.4
 /// times what a weak link carries in a tick.
 #[test]
-fn no_link_is_filled_by_messages() {
+fn messages_use_less_than_half_of_every_link() {
     let fleet = loaded_fleet(295, 5, 20);
     assert!(
-        fleet.busiest_link <= 0.4,
+        fleet.peak_link_utilization <= 0.4,
         "{} of a link",
-        fleet.busiest_link
+        fleet.peak_link_utilization
     );
 }
 
 #[test]
-fn lost_messages_cost_no_aggregator_its_place() {
+fn message_loss_neither_removes_peers_nor_breaks_counts() {
     let mut fleet = fleet_with_one_engine(71, 3);
     fleet.lost_each = Some(13);
     fleet.lost.clear();
     fleet.run_with_platform(20_000, 2);
     assert_eq!(fleet.lost, Vec::new());
-    place(&mut fleet, 7, 30);
+    place_requests(&mut fleet, 7, 30);
     fleet.run_with_platform(1_500, 2);
-    assert_all_count(&mut fleet, 30, &[]);
+    assert_all_nodes_count(&mut fleet, 30, &[]);
 }
 
 /// Requests that each node still places on the only engine, which holds so many already.
-fn assert_all_count(fleet: &mut Fleet, running: usize, besides: &[usize]) {
+fn assert_all_nodes_count(fleet: &mut Fleet, running: usize, excluded: &[usize]) {
     let now = fleet.now;
-    for number in (0..fleet.nodes.len()).filter(|number| !besides.contains(number)) {
+    for number in (0..fleet.nodes.len()).filter(|number| !excluded.contains(number)) {
         if fleet.dark.contains(&number) {
             continue;
         }
         let node = &mut fleet.nodes[number];
-        let asked: Vec<Decision> = (0..100)
+        let decisions: Vec<Decision> = (0..100)
             .map(|own| node.dispatch(&demand(2, 13_000, own), now))
             .collect();
-        let granted = asked
+        let granted = decisions
             .iter()
             .filter(|decision| matches!(decision, Decision::Grant(_)));
-        assert_eq!(granted.count(), MOST_AT_ENGINE - running, "node {number}");
-        end_all(node, &asked, now);
+        assert_eq!(
+            granted.count(),
+            MAX_REQUESTS_AT_ENGINE - running,
+            "node {number}"
+        );
+        release_all(node, &decisions, now);
     }
 }
 
-fn end_all(node: &mut Dispatcher, asked: &[Decision], now: eiderferry_types::Timestamp) {
-    for decision in asked {
+fn release_all(node: &mut Dispatcher, decisions: &[Decision], now: eiderferry_types::Timestamp) {
+    for decision in decisions {
         if let Decision::Grant(grant) = decision {
             node.release(grant.lease, Outcome::Abandoned, now);
         }
@@ -121,7 +125,7 @@
     fleet
 }
 
-fn place(fleet: &mut Fleet, number: usize, requests: u32) {
+fn place_requests(fleet: &mut Fleet, number: usize, requests: u32) {
     let now = fleet.now;
     for own in 0..requests {
         granted(fleet.nodes[number].dispatch(&demand(1, 13_000, own), now));
@@ -132,16 +136,16 @@
 #[case::one_zone(60, 1, 600)]
 #[case::three_zones(71, 3, 1_000)]
 #[case::five_zones(295, 5, 1_000)]
-fn own_requests_count_once_when_the_sums_hold_them(
+fn own_requests_are_counted_once_when_the_totals_include_them(
     #[case] count: usize,
     #[case] zones: usize,
     #[case] milliseconds: u64,
 ) {
     let mut fleet = fleet_with_one_engine(count, zones);
-    place(&mut fleet, 7, 30);
-    place(&mut fleet, 8, 10);
+    place_requests(&mut fleet, 7, 30);
+    place_requests(&mut fleet, 8, 10);
     fleet.run_with_platform(milliseconds, 2);
-    assert_all_count(&mut fleet, 40, &[]);
+    assert_all_nodes_count(&mut fleet, 40, &[]);
 }
 
 #[test]
@@ -153,47 +157,47 @@
     let reporter = (0..71)
         .find(|number| !fleet.dark.contains(number))
         .expect("one");
-    place(&mut fleet, reporter, 40);
+    place_requests(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
-    assert_all_count(&mut fleet, 40, &[]);
+    assert_all_nodes_count(&mut fleet, 40, &[]);
 }
 
 #[test]
-fn a_cut_zone_goes_on_counting_its_own_requests() {
+fn a_partitioned_zone_keeps_counting_its_own_requests() {
     let mut fleet = fleet_with_one_engine(71, 3);
     fleet.cut.extend([(0, 1), (0, 2)]);
     fleet.run_with_platform(4_000, 2);
     let reporter = (0..71)
         .find(|number| fleet.zones[*number] == 0)
         .expect("one");
-    place(&mut fleet, reporter, 40);
+    place_requests(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     let outside: Vec<usize> = (0..71).filter(|number| fleet.zones[*number] != 0).collect();
-    assert_all_count(&mut fleet, 40, &outside);
+    assert_all_nodes_count(&mut fleet, 40, &outside);
 }
 
 #[test]
-fn a_node_that_no_aggregator_hears_again_counts_its_own_requests() {
+fn a_node_without_reachable_aggregators_counts_its_own_requests() {
     let mut fleet = fleet_with_one_engine(71, 3);
-    place(&mut fleet, 5, 20);
+    place_requests(&mut fleet, 5, 20);
     fleet.run_with_platform(1_000, 2);
     let others = (0..71).filter(|number| *number != 5);
     fleet.dark.extend(others);
     fleet.run_with_platform(3_000, 2);
-    assert_all_count(&mut fleet, 20, &[]);
+    assert_all_nodes_count(&mut fleet, 20, &[]);
 }
 
 /// Share of the prompts placed a second ago by any node that others know of.
-fn known_share(count: usize, zones: usize) -> f64 {
+fn share_of_known_prompts(count: usize, zones: usize) -> f64 {
     let mut fleet = loaded_fleet(count, zones, 0);
     let mut placed = Vec::new();
     for tick in 0..20_usize {
         let now = fleet.now;
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             if (tick + number).is_multiple_of(3) {
-                let thing = (1 + tick * count + number) as u64;
-                granted(node.dispatch(&demand(thing, 1_500, 100), now));
-                placed.push(thing);
+                let shared_part = (1 + tick * count + number) as u64;
+                granted(node.dispatch(&demand(shared_part, 1_500, 100), now));
+                placed.push(shared_part);
             }
         }
         fleet.run_with_platform(100, 1);
@@ -201,10 +205,10 @@
     fleet.run_with_platform(1_000, 1);
     let now = fleet.now;
     let (mut known, mut asked) = (0, 0);
-    for (number, thing) in placed.iter().enumerate().step_by(7) {
-        let asking = (number * 13 + 5) % count;
-        let node = &mut fleet.nodes[asking];
-        let grant = granted(node.dispatch(&demand(*thing, 1_500, 100), now));
+    for (number, shared_part) in placed.iter().enumerate().step_by(7) {
+        let asking_node = (number * 13 + 5) % count;
+        let node = &mut fleet.nodes[asking_node];
+        let grant = granted(node.dispatch(&demand(*shared_part, 1_500, 100), now));
         node.release(grant.lease, Outcome::Abandoned, now);
         known += usize::from(grant.uncached_tokens <= 100);
         asked += 1;
@@ -216,10 +220,10 @@
 #[rstest]
 #[case::seventy_one(71, 3)]
 #[case::large(295, 5)]
-fn prompts_placed_by_a_loaded_fleet_are_known_to_the_others(
+fn prompts_placed_by_a_loaded_fleet_are_known_to_other_nodes(
     #[case] count: usize,
     #[case] zones: usize,
 ) {
-    let share = known_share(count, zones);
+    let share = share_of_known_prompts(count, zones);
     assert!(share >= 0.97, "{share} of the prompts are known");
 }
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/borders.rs
@@ -25,20 +25,20 @@
 ];
 
 /// Bytes across borders, by kind.
-fn by_kind(fleet: &Fleet) -> String {
+fn kilobytes_by_kind(fleet: &Fleet) -> String {
     let kinds = KINDS.iter().map(|kind| {
-        let kilobytes = fleet.border_bytes(Some(*kind)) as f64 / 1_000.0;
+        let kilobytes = fleet.cross_zone_bytes(Some(*kind)) as f64 / 1_000.0;
         format!("{} {kilobytes:.0}", kind.label())
     });
     kinds.collect::<Vec<String>>().join(", ")
 }
 
 /// A fleet that has all documents, of ten engines a node.
-fn informed_fleet(count: usize) -> Fleet {
-    inform(Fleet::new(count, ZONES))
+fn fleet_with_documents(count: usize) -> Fleet {
+    distribute_documents(Fleet::new(count, ZONES))
 }
 
-fn inform(mut fleet: Fleet) -> Fleet {
+fn distribute_documents(mut fleet: Fleet) -> Fleet {
     let count = fleet.nodes.len();
     fleet.measure_bytes();
     fleet.first_documents = documents(count);
@@ -55,15 +55,15 @@
 }
 
 /// Requests placed in each tick by the whole fleet, whatever its size.
-const PLACED_PER_TICK: usize = 40;
+const REQUESTS_PER_TICK: usize = 40;
 
-fn load(fleet: &mut Fleet, ticks: usize) {
+fn apply_load(fleet: &mut Fleet, ticks: usize) {
     for tick in 0..ticks {
         let now = fleet.now;
-        for place in 0..PLACED_PER_TICK {
-            let number = (tick * 17 + place * 7) % fleet.nodes.len();
-            let thing = (tick * 31 + place * 11) as u64 % 3_000;
-            granted(fleet.nodes[number].dispatch(&demand(thing, 1_300, 90), now));
+        for request in 0..REQUESTS_PER_TICK {
+            let number = (tick * 17 + request * 7) % fleet.nodes.len();
+            let shared_part = (tick * 31 + request * 11) as u64 % 3_000;
+            granted(fleet.nodes[number].dispatch(&demand(shared_part, 1_300, 90), now));
         }
         fleet.run_with_platform(100, 1);
     }
@@ -76,16 +76,19 @@
 #[case::small(30, [1_100, 1_500, 750, 550])]
 #[case::middle(100, [400, 1_000, 550, 300])]
 #[case::large(300, [1_000, 1_000, 550, 900])]
-fn bytes_across_borders_hardly_grow_with_nodes(#[case] count: usize, #[case] bounds: [usize; 4]) {
-    let mut fleet = informed_fleet(count);
+fn cross_zone_bytes_hardly_grow_with_the_number_of_nodes(
+    #[case] count: usize,
+    #[case] bounds: [usize; 4],
+) {
+    let mut fleet = fleet_with_documents(count);
     let mut kilobytes = Vec::new();
-    let mut count_and_clear = |fleet: &mut Fleet, what: &str| {
-        println!("{count} nodes, {what}: {}", by_kind(fleet));
-        kilobytes.push(fleet.border_bytes(None) / 1_000);
+    let mut count_and_clear = |fleet: &mut Fleet, phase: &str| {
+        println!("{count} nodes, {phase}: {}", kilobytes_by_kind(fleet));
+        kilobytes.push(fleet.cross_zone_bytes(None) / 1_000);
         fleet.traffic.clear();
     };
     count_and_clear(&mut fleet, "20 s from the start");
-    load(&mut fleet, 100);
+    apply_load(&mut fleet, 100);
     count_and_clear(&mut fleet, "10 s of load");
     for revision in 2..12 {
         let change = back_end_change(back_end("engine-0", 0, 0), revision);
@@ -104,12 +107,12 @@
 }
 
 /// Milliseconds until a condition holds for all nodes that are not dark.
-fn until(fleet: &mut Fleet, holds: impl Fn(&Dispatcher) -> bool) -> u64 {
+fn milliseconds_until(fleet: &mut Fleet, condition: impl Fn(&Dispatcher) -> bool) -> u64 {
     let mut waited = 0;
     let all = |fleet: &Fleet| {
         let nodes = fleet.nodes.iter().enumerate();
-        let mut living = nodes.filter(|(number, _)| !fleet.dark.contains(number));
-        living.all(|(_, node)| holds(node))
+        let mut live = nodes.filter(|(number, _)| !fleet.dark.contains(number));
+        live.all(|(_, node)| condition(node))
     };
     while !all(fleet) && waited < 20_000 {
         fleet.run_with_platform(100, 1);
@@ -121,12 +124,12 @@
 #[rstest]
 #[case::small(30)]
 #[case::large(300)]
-fn after_a_loss_of_all_each_node_has_the_documents_within_two_seconds(#[case] count: usize) {
-    let mut fleet = informed_fleet(count);
+fn each_node_has_the_documents_within_two_seconds_after_all_restart(#[case] count: usize) {
+    let mut fleet = fleet_with_documents(count);
     for number in 0..count {
         fleet.restart(number);
     }
-    let waited = until(&mut fleet, |node| {
+    let waited = milliseconds_until(&mut fleet, |node| {
         !node.document_store().version_vector().is_empty()
     });
     println!("{count} nodes have documents after {waited} ms");
@@ -135,7 +138,7 @@
 
 /// Only one node of zone 0 reaches the platform: the documents cross each border few times.
 #[test]
-fn zones_without_documents_get_them_across_the_border_few_times() {
+fn documents_cross_zone_boundaries_few_times() {
     let mut fleet = Fleet::new(300, ZONES);
     fleet.measure_bytes();
     fleet.run(1_000);
@@ -143,7 +146,7 @@
         fleet.nodes[0].apply(change, fleet.now);
     }
     fleet.read_change(0, table_change(1), 1);
-    let package = 138_000;
+    let package_bytes = 138_000;
     let mut waited = 0;
     while fleet
         .nodes
@@ -154,13 +157,13 @@
         fleet.run(100);
         waited += 100;
     }
-    let bytes = fleet.border_bytes(Some(MessageKind::Documents));
+    let bytes = fleet.cross_zone_bytes(Some(MessageKind::Documents));
     println!("{bytes} bytes of documents across borders, {waited} ms");
     assert!(waited <= 3_000, "{waited} ms");
-    assert!(bytes <= 8 * package, "{bytes} bytes");
+    assert!(bytes <= 8 * package_bytes, "{bytes} bytes");
 }
 
-fn silent(fleet: &Fleet, zones: &[usize]) -> BTreeSet<ZoneName> {
+fn zone_names(fleet: &Fleet, zones: &[usize]) -> BTreeSet<ZoneName> {
     assert!(zones.iter().all(|zone| *zone < fleet.zones.len()));
     zones.iter().map(|number| zone(*number)).collect()
 }
@@ -169,52 +172,55 @@
 #[rstest]
 #[case::small(30)]
 #[case::large(300)]
-fn a_cut_zone_is_known_and_meets_the_fleet_again_without_a_storm(#[case] count: usize) {
-    let mut fleet = informed_fleet(count);
+fn a_partition_is_detected_and_heals_with_little_traffic(#[case] count: usize) {
+    let mut fleet = fleet_with_documents(count);
     fleet.cut.extend([(0, 1), (0, 2)]);
-    let (outside, inside) = (silent(&fleet, &[0]), silent(&fleet, &[1, 2]));
-    let known = until(&mut fleet, |node| {
+    let (outside, inside) = (zone_names(&fleet, &[0]), zone_names(&fleet, &[1, 2]));
+    let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
     fleet.run_with_platform(5_000, 1);
     fleet.cut.clear();
     fleet.traffic.clear();
-    let over = until(&mut fleet, |node| node.silent_zones().is_empty());
+    let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
     fleet.run_with_platform(3_000, 1);
-    let kilobytes = fleet.border_bytes(None) / 1_000;
-    println!("{count} nodes: cut known after {known} ms, over after {over} ms, {kilobytes} kB");
-    assert!(known <= 2_500, "known after {known} ms");
-    assert!(over <= 2_500, "over after {over} ms");
+    let kilobytes = fleet.cross_zone_bytes(None) / 1_000;
+    println!(
+        "{count} nodes: cut known after {detected} ms, over after {healed} ms, {kilobytes} kB"
+    );
+    assert!(detected <= 2_500, "known after {detected} ms");
+    assert!(healed <= 2_500, "over after {healed} ms");
     assert!(kilobytes <= 600, "{kilobytes} kB");
 }
 
 /// Kilobytes across borders in a start and 5 s of load.
-fn start_and_load(fleet: Fleet) -> (usize, usize) {
-    let mut fleet = inform(fleet);
-    let start = fleet.border_bytes(None) / 1_000;
+fn cross_zone_kilobytes(fleet: Fleet) -> (usize, usize) {
+    let mut fleet = distribute_documents(fleet);
+    let start = fleet.cross_zone_bytes(None) / 1_000;
     fleet.traffic.clear();
-    load(&mut fleet, 50);
-    (start, fleet.border_bytes(None) / 1_000)
+    apply_load(&mut fleet, 50);
+    (start, fleet.cross_zone_bytes(None) / 1_000)
 }
 
 #[test]
-fn without_speakers_each_node_crosses_the_borders() {
-    let (start, load) = start_and_load(Fleet::new(100, ZONES));
-    let (start_off, load_off) = start_and_load(Fleet::without_zone_speakers(100, ZONES));
-    println!("start {start} and {start_off} kB, load {load} and {load_off} kB");
-    assert!(start * 5 < start_off, "{start} and {start_off} kB");
-    assert!(load * 5 < load_off * 4, "{load} and {load_off} kB");
+fn without_zone_representatives_each_node_sends_to_other_zones() {
+    let (start, load) = cross_zone_kilobytes(Fleet::new(100, ZONES));
+    let (start_without, load_without) =
+        cross_zone_kilobytes(Fleet::without_zone_representatives(100, ZONES));
+    println!("start {start} and {start_without} kB, load {load} and {load_without} kB");
+    assert!(start * 5 < start_without, "{start} and {start_without} kB");
+    assert!(load * 5 < load_without * 4, "{load} and {load_without} kB");
 }
 
 /// How soon a cut and a change are known with speakers, and without.
 #[test]
-fn what_few_nodes_tell_is_known_as_soon() {
+fn zone_representatives_do_not_delay_detection_or_changes() {
     for count in [100, 300] {
         let fleets = [
             Fleet::new(count, ZONES),
-            Fleet::without_zone_speakers(count, ZONES),
+            Fleet::without_zone_representatives(count, ZONES),
         ];
-        let [with, without] = fleets.map(|fleet| times_known(inform(fleet)));
+        let [with, without] = fleets.map(|fleet| detection_times(distribute_documents(fleet)));
         println!("{count} nodes: cut, heard again, change known: {with:?} and {without:?} ms");
         for (with, without) in with.into_iter().zip(without) {
             assert!(with <= without + 300, "{with} and {without} ms");
@@ -223,45 +229,45 @@
 }
 
 /// Milliseconds until a cut of a zone, its end, and a change are known to all.
-fn times_known(mut fleet: Fleet) -> [u64; 3] {
-    let (outside, inside) = (silent(&fleet, &[0]), silent(&fleet, &[1, 2]));
+fn detection_times(mut fleet: Fleet) -> [u64; 3] {
+    let (outside, inside) = (zone_names(&fleet, &[0]), zone_names(&fleet, &[1, 2]));
     fleet.cut.extend([(0, 1), (0, 2)]);
-    let cut = until(&mut fleet, |node| {
+    let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
     fleet.run_with_platform(5_000, 1);
     fleet.cut.clear();
-    let over = until(&mut fleet, |node| node.silent_zones().is_empty());
+    let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
     fleet.run_with_platform(3_000, 1);
     fleet.read_change(1, back_end_change(back_end("engine-0", 0, 0), 5), 5);
-    let change = until(&mut fleet, |node| {
+    let change = milliseconds_until(&mut fleet, |node| {
         *node.document_store().version_vector() == known(5)
     });
-    [cut, over, change]
+    [detected, healed, change]
 }
 
 #[test]
-fn a_zone_whose_two_speakers_die_together_is_heard_again() {
-    let mut fleet = informed_fleet(100);
-    let speakers = fleet.nodes.iter().enumerate();
-    let speakers =
-        speakers.filter(|(number, node)| fleet.zones[*number] == 0 && node.is_aggregator());
-    let speakers: Vec<usize> = speakers.map(|(number, _)| number).collect();
-    assert_eq!(speakers.len(), 2);
-    fleet.dark.extend(speakers);
+fn a_zone_is_heard_again_after_both_its_representatives_fail() {
+    let mut fleet = fleet_with_documents(100);
+    let representatives = fleet.nodes.iter().enumerate();
+    let representatives =
+        representatives.filter(|(number, node)| fleet.zones[*number] == 0 && node.is_aggregator());
+    let representatives: Vec<usize> = representatives.map(|(number, _)| number).collect();
+    assert_eq!(representatives.len(), 2);
+    fleet.dark.extend(representatives);
     fleet.run_with_platform(4_500, 1);
-    let living = (0..fleet.nodes.len()).filter(|number| !fleet.dark.contains(number));
-    for number in living {
+    let live = (0..fleet.nodes.len()).filter(|number| !fleet.dark.contains(number));
+    for number in live {
         let silent = fleet.nodes[number].silent_zones();
         assert!(silent.is_empty(), "node {number}: {silent:?}");
     }
     fleet.traffic.clear();
-    load(&mut fleet, 10);
-    assert!(fleet.border_bytes(Some(MessageKind::Digest)) > 0);
+    apply_load(&mut fleet, 10);
+    assert!(fleet.cross_zone_bytes(Some(MessageKind::Digest)) > 0);
 }
 
 #[test]
-fn nodes_of_three_regions_know_all_others_and_lose_none() {
+fn nodes_in_three_regions_know_all_peers_despite_message_loss() {
     let mut fleet = Fleet::in_three_regions(120);
     fleet.run_with_platform(20_000, 1);
     fleet.lost.clear();
@@ -275,32 +281,35 @@
 }
 
 #[test]
-fn a_region_that_is_cut_off_is_known_and_comes_back() {
+fn a_region_partition_is_detected_and_heals() {
     let mut fleet = Fleet::in_three_regions(120);
     fleet.run_with_platform(20_000, 1);
     for inside in [0, 1] {
         fleet.cut.extend((2..6).map(|outside| (inside, outside)));
     }
-    let (outside, inside) = (silent(&fleet, &[0, 1]), silent(&fleet, &[2, 3, 4, 5]));
-    let known = until(&mut fleet, |node| {
+    let (outside, inside) = (
+        zone_names(&fleet, &[0, 1]),
+        zone_names(&fleet, &[2, 3, 4, 5]),
+    );
+    let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
     fleet.cut.clear();
-    let over = until(&mut fleet, |node| node.silent_zones().is_empty());
-    println!("region cut known after {known} ms, over after {over} ms");
-    assert!(known <= 2_500, "known after {known} ms");
-    assert!(over <= 2_500, "over after {over} ms");
+    let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
+    println!("region cut known after {detected} ms, over after {healed} ms");
+    assert!(detected <= 2_500, "known after {detected} ms");
+    assert!(healed <= 2_500, "over after {healed} ms");
 }
 
 #[rstest]
 #[case::small(30)]
 #[case::large(300)]
-fn a_leaving_engine_is_known_everywhere_at_once(#[case] count: usize) {
-    let mut fleet = informed_fleet(count);
-    let mut change = back_end("engine-0", 0, 0);
-    change.draining = true;
-    fleet.read_change(1, back_end_change(change, 5), 5);
-    let waited = until(&mut fleet, |node| {
+fn a_draining_engine_is_known_to_all_nodes_within_half_a_second(#[case] count: usize) {
+    let mut fleet = fleet_with_documents(count);
+    let mut engine = back_end("engine-0", 0, 0);
+    engine.draining = true;
+    fleet.read_change(1, back_end_change(engine, 5), 5);
+    let waited = milliseconds_until(&mut fleet, |node| {
         *node.document_store().version_vector() == known(5)
     });
     println!("{count} nodes: a change is known after {waited} ms");
--- a/crates/coordination/dispatch/tests/few_readers.rs
+++ b/crates/coordination/dispatch/tests/few_readers.rs
@@ -7,15 +7,15 @@
 use std::collections::BTreeSet;
 use support::Fleet;
 
-const APPLY_WITHIN: Span = Span::from_milliseconds(4_000);
+const PROPAGATION_DEADLINE: Span = Span::from_milliseconds(4_000);
 
-fn settled(count: usize, zones: usize) -> Fleet {
-    let mut fleet = Fleet::with_apply_within(count, zones, APPLY_WITHIN);
+fn settled_fleet(count: usize, zones: usize) -> Fleet {
+    let mut fleet = Fleet::with_propagation_deadline(count, zones, PROPAGATION_DEADLINE);
     fleet.run_with_platform(30_000, 1);
     fleet
 }
 
-fn reading_zones(fleet: &Fleet) -> BTreeSet<usize> {
+fn reader_zones(fleet: &Fleet) -> BTreeSet<usize> {
     let readers = fleet.readers();
     readers.into_iter().map(|node| fleet.zones[node]).collect()
 }
@@ -24,12 +24,12 @@
 #[case::eighteen(18, 5)]
 #[case::seventy_one(71, 3)]
 #[case::large(295, 5)]
-fn one_node_in_each_of_two_zones_reads(#[case] count: usize, #[case] zones: usize) {
-    let mut fleet = settled(count, zones);
+fn one_node_in_each_of_two_zones_reads_the_platform(#[case] count: usize, #[case] zones: usize) {
+    let mut fleet = settled_fleet(count, zones);
     for _ in 0..50 {
         fleet.run_with_platform(100, 1);
         assert_eq!(fleet.readers().len(), 2);
-        assert_eq!(reading_zones(&fleet).len(), 2);
+        assert_eq!(reader_zones(&fleet).len(), 2);
     }
 }
 
@@ -37,11 +37,11 @@
 #[rstest]
 #[case::eighteen(18, 5)]
 #[case::large(295, 5)]
-fn when_both_readers_die_somebody_reads_within_three_seconds(
+fn when_both_readers_fail_another_node_reads_within_three_seconds(
     #[case] count: usize,
     #[case] zones: usize,
 ) {
-    let mut fleet = settled(count, zones);
+    let mut fleet = settled_fleet(count, zones);
     let dead = fleet.readers();
     fleet.dark.extend(dead.iter().copied());
     fleet.run(3_000);
@@ -51,36 +51,39 @@
 #[rstest]
 #[case::eighteen(18, 5)]
 #[case::large(295, 5)]
-fn a_zone_that_is_cut_off_reads_for_itself(#[case] count: usize, #[case] zones: usize) {
-    let mut fleet = settled(count, zones);
-    let reading = reading_zones(&fleet);
-    let cut = (0..zones)
-        .find(|zone| !reading.contains(zone))
+fn a_partitioned_zone_reads_for_itself(#[case] count: usize, #[case] zones: usize) {
+    let mut fleet = settled_fleet(count, zones);
+    let readers = reader_zones(&fleet);
+    let partitioned = (0..zones)
+        .find(|zone| !readers.contains(zone))
         .expect("one");
     fleet.cut.extend(
         (0..zones)
-            .filter(|zone| *zone != cut)
-            .map(|zone| (cut, zone)),
+            .filter(|zone| *zone != partitioned)
+            .map(|zone| (partitioned, zone)),
     );
     fleet.run_with_platform(3_000, 1);
-    assert_eq!(reading_zones(&fleet).len(), 3);
+    assert_eq!(reader_zones(&fleet).len(), 3);
     fleet.cut.clear();
     fleet.run_with_platform(4_000, 1);
-    assert_eq!(reading_zones(&fleet).len(), 2);
+    assert_eq!(reader_zones(&fleet).len(), 2);
 }
 
 #[rstest]
 #[case::eighteen(18, 5)]
 #[case::large(295, 5)]
-fn when_the_reading_zones_are_cut_off_others_read(#[case] count: usize, #[case] zones: usize) {
-    let mut fleet = settled(count, zones);
-    for cut in reading_zones(&fleet) {
-        let others = (0..zones).filter(|zone| *zone != cut);
-        fleet.cut.extend(others.map(|zone| (cut, zone)));
+fn when_the_reader_zones_are_partitioned_two_other_zones_read(
+    #[case] count: usize,
+    #[case] zones: usize,
+) {
+    let mut fleet = settled_fleet(count, zones);
+    for partitioned in reader_zones(&fleet) {
+        let others = (0..zones).filter(|zone| *zone != partitioned);
+        fleet.cut.extend(others.map(|zone| (partitioned, zone)));
     }
     fleet.run_with_platform(3_000, 1);
     assert_eq!(
-        reading_zones(&fleet).len(),
+        reader_zones(&fleet).len(),
         4,
         "two of those that hear each other read too"
     );
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -12,9 +12,9 @@
 };
 
 /// Time that a message of two nodes takes.
-const ON_THE_WAY: Span = Span(900);
+const MESSAGE_DELAY: Span = Span(900);
 /// Requests beyond which an engine of 64 slots gets no more.
-const MOST_AT_ENGINE: usize = 84;
+const MAX_REQUESTS_AT_ENGINE: usize = 84;
 
 #[rstest]
 #[case::today(7, 3)]
@@ -32,7 +32,7 @@
 #[case::today(7, 3)]
 #[case::larger(71, 3)]
 #[case::much_larger(240, 5)]
-fn nobody_loses_a_peer_that_is_there(#[case] count: usize, #[case] zones: usize) {
+fn no_node_declares_a_live_peer_lost(#[case] count: usize, #[case] zones: usize) {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(30_000, 1);
     fleet.lost.clear();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_messages_of_a_node_do_not_grow_with_the_fleet() {
+fn messages_per_node_do_not_grow_with_the_fleet() {
     let mut per_node = Vec::new();
     for count in [60, 240] {
         let mut fleet = Fleet::new(count, 3);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_reads_the_platform_itself() {
+fn an_isolated_node_reads_the_platform_itself() {
     let mut fleet = Fleet::new(7, 3);
     fleet.run_with_platform(10_000, 1);
     let follower = (0..7)
@@ -101,22 +101,22 @@
 }
 
 #[test]
-fn the_place_of_a_dead_reader_is_taken_within_a_second() {
+fn a_dead_reader_is_replaced_within_a_second() {
     let mut fleet = Fleet::new(7, 1);
     fleet.run_with_platform(10_000, 1);
     let reader = fleet.readers()[0];
     fleet.dark.insert(reader);
     fleet.run_with_platform(1_100, 1);
-    let living: Vec<usize> = fleet
+    let live_readers: Vec<usize> = fleet
         .readers()
         .into_iter()
         .filter(|number| *number != reader)
         .collect();
-    assert_eq!(living.len(), 1);
+    assert_eq!(live_readers.len(), 1);
 }
 
 #[test]
-fn zones_that_were_cut_off_hear_each_other_again_and_catch_up() {
+fn partitioned_zones_catch_up_when_the_partition_heals() {
     let mut fleet = Fleet::new(9, 3);
     fleet.run_with_platform(10_000, 1);
     fleet.cut.extend([(0, 1), (0, 2)]);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_small_change_travels_with_the_announcement_and_nothing_is_fetched() {
+fn a_small_change_is_sent_in_the_announcement_and_not_fetched() {
     let mut fleet = Fleet::new(7, 3);
     fleet.run_with_platform(10_000, 1);
     let before = fleet.fetches;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_node_that_missed_an_announcement_fetches_what_it_lacks() {
+fn a_node_that_missed_an_announcement_fetches_the_missing_changes() {
     let mut fleet = Fleet::new(7, 1);
     fleet.run_with_platform(10_000, 1);
     fleet.dark.insert(6);
@@ -174,7 +174,7 @@
     let mut readers = BTreeSet::new();
     for _ in 0..60 {
         fleet.run_with_platform(100, 1);
-        readers.extend(fleet.read_by.iter().copied());
+        readers.extend(fleet.platform_readers.iter().copied());
     }
     assert!(readers.len() <= 5 * zones, "read by {readers:?}");
     for node in &fleet.nodes {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_zone_whose_reader_hears_nothing_from_the_platform_does_not_read_all_at_once() {
+fn when_a_reader_gets_no_response_only_a_few_nodes_of_its_zone_start_reading() {
     let mut fleet = Fleet::new(24, 1);
     fleet.run_with_platform(10_000, 1);
     fleet.run(2_400);
@@ -229,14 +229,19 @@
     let mut fleet = busy_fleet(count, zones, 70, milliseconds);
     let now = fleet.now;
     for number in 1..count {
-        let asked = (0..100).map(|own| fleet.nodes[number].dispatch(&demand(2, 13_000, own), now));
-        let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
-        assert_eq!(granted.count(), MOST_AT_ENGINE - 70, "node {number}");
+        let decisions =
+            (0..100).map(|own| fleet.nodes[number].dispatch(&demand(2, 13_000, own), now));
+        let granted = decisions.filter(|decision| matches!(decision, Decision::Grant(_)));
+        assert_eq!(
+            granted.count(),
+            MAX_REQUESTS_AT_ENGINE - 70,
+            "node {number}"
+        );
     }
 }
 
 #[test]
-fn a_zone_whose_digest_senders_are_dead_is_told_of_by_others() {
+fn other_nodes_send_the_digest_of_a_zone_whose_digest_senders_are_dead() {
     let mut fleet = busy_fleet(71, 3, 0, 0);
     let mut nodes = 0..71;
     let reporter = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
@@ -253,9 +258,9 @@
     let other = (0..71)
         .find(|number| fleet.zones[*number] == 0 && !fleet.dark.contains(number))
         .expect("one");
-    let asked = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
-    let granted = asked.filter(|decision| matches!(decision, Decision::Grant(_)));
-    assert_eq!(granted.count(), MOST_AT_ENGINE - 70);
+    let decisions = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
+    let granted = decisions.filter(|decision| matches!(decision, Decision::Grant(_)));
+    assert_eq!(granted.count(), MAX_REQUESTS_AT_ENGINE - 70);
 }
 
 #[rstest]
@@ -273,13 +278,13 @@
         let grant = granted(node.dispatch(&demand(1, 13_000, 500), now));
         grant.uncached_tokens < 1_000
     };
-    let knowing = fleet.nodes.iter_mut().map(knows);
-    let knowing = knowing.filter(|knows| *knows).count();
-    assert!(knowing * 10 >= count * 9, "{knowing} of {count}");
+    let informed = fleet.nodes.iter_mut().map(knows);
+    let informed = informed.filter(|knows| *knows).count();
+    assert!(informed * 10 >= count * 9, "{informed} of {count}");
 }
 
 #[test]
-fn a_confirmation_does_not_grow_younger_on_its_way_between_nodes() {
+fn the_age_of_a_confirmation_includes_its_time_in_transit() {
     let mut one = support::dispatcher(0, 0, Vec::new());
     let mut two = support::dispatcher(1, 0, Vec::new());
     let mut now = support::START;
@@ -289,10 +294,10 @@
     }
     for _ in 0..500 {
         let message = one.gossip(false, now);
-        now = now + ON_THE_WAY;
+        now = now + MESSAGE_DELAY;
         two.receive(support::node_address(0), &message, now);
         let message = two.gossip(false, now);
-        now = now + ON_THE_WAY;
+        now = now + MESSAGE_DELAY;
         one.receive(support::node_address(1), &message, now);
     }
     let age = now.since(support::START);
@@ -302,34 +307,34 @@
 #[rstest]
 #[case::today(7, 3)]
 #[case::larger(71, 3)]
-fn within_two_and_a_half_seconds_of_silence_somebody_reads(
+fn other_nodes_read_after_two_and_a_half_seconds_without_confirmation(
     #[case] count: usize,
     #[case] zones: usize,
 ) {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(10_000, 1);
-    let appointed = fleet.readers();
+    let initial_readers = fleet.readers();
     fleet.run(2_500);
-    let others = fleet.readers().len() - appointed.len();
+    let others = fleet.readers().len() - initial_readers.len();
     assert!((zones..=5 * zones).contains(&others), "{others} others");
 }
 
 #[test]
-fn a_node_knows_that_nobody_reads_only_after_others_tried() {
+fn a_confirmation_is_overdue_only_after_other_nodes_tried_to_read() {
     let mut fleet = Fleet::new(7, 3);
     fleet.run_with_platform(10_000, 1);
-    let lacks = |fleet: &Fleet| {
+    let overdue_count = |fleet: &Fleet| {
         let nodes = fleet.nodes.iter();
         nodes
             .filter(|node| node.is_confirmation_overdue(fleet.now))
             .count()
     };
     fleet.run(1_900);
-    assert_eq!(lacks(&fleet), 0);
+    assert_eq!(overdue_count(&fleet), 0);
     fleet.run(1_300);
-    assert_eq!(lacks(&fleet), 7);
+    assert_eq!(overdue_count(&fleet), 7);
     fleet.run_with_platform(500, 1);
-    assert_eq!(lacks(&fleet), 0);
+    assert_eq!(overdue_count(&fleet), 0);
 }
 
 #[test]
@@ -346,9 +351,9 @@
 }
 
 /// Zone of the engine that a demand of a node goes to, without leaving it there.
-fn zone_chosen(fleet: &mut Fleet, node: usize, thing: u64) -> usize {
+fn chosen_zone(fleet: &mut Fleet, node: usize, shared_part: u64) -> usize {
     let now = fleet.now;
-    let grant = granted(fleet.nodes[node].dispatch(&demand(thing, 600, 100), now));
+    let grant = granted(fleet.nodes[node].dispatch(&demand(shared_part, 600, 100), now));
     fleet.nodes[node].release(grant.lease, Outcome::Abandoned, now);
     engine_number(&grant) % 3
 }
@@ -356,7 +361,7 @@
 #[rstest]
 #[case::today(9)]
 #[case::larger(87)]
-fn a_zone_of_which_nothing_is_heard_gets_no_requests_until_it_is_heard_again(#[case] count: usize) {
+fn a_silent_zone_gets_no_requests_until_it_is_heard_again(#[case] count: usize) {
     let mut fleet = Fleet::new(count, 3);
     fleet.switch(HOMES_ANYWHERE);
     for node in &mut fleet.nodes {
@@ -366,8 +371,8 @@
         }
     }
     fleet.run_with_platform(20_000, 1);
-    let zones_of = |fleet: &mut Fleet, things: std::ops::Range<u64>| {
-        let chosen = things.map(|thing| zone_chosen(fleet, 0, thing));
+    let zones_of = |fleet: &mut Fleet, shared_parts: std::ops::Range<u64>| {
+        let chosen = shared_parts.map(|shared_part| chosen_zone(fleet, 0, shared_part));
         chosen.collect::<BTreeSet<usize>>()
     };
     let all = BTreeSet::from([0, 1, 2]);
@@ -385,14 +390,14 @@
 }
 
 /// A release replaces 53 engines in a second: 64 changes between two looks at the platform.
-const RELEASED_BETWEEN_LOOKS: u64 = 64;
+const CHANGES_PER_CHECK: u64 = 64;
 /// Time between two looks.
-const LOOK: u64 = 400;
-const LOOKS: u64 = 5;
+const CHECK_INTERVAL_MS: u64 = 400;
+const CHECKS: u64 = 5;
 
 /// What a node does for one look at the platform in a release.
 #[derive(Clone, Copy, Debug)]
-struct CostOfALook {
+struct CostPerCheck {
     /// Messages beyond those of a calm time.
     messages: f64,
     /// Fetches of documents.
@@ -400,37 +405,37 @@
 }
 
 /// What a release costs a node, after which all nodes know all changes.
-fn cost_of_a_look(nodes: usize) -> CostOfALook {
+fn cost_per_check(nodes: usize) -> CostPerCheck {
     let mut fleet = Fleet::new(nodes, 5);
     fleet.run_with_platform(3_000, 1);
     let before = fleet.messages;
-    fleet.run_with_platform(LOOK * LOOKS, 1);
-    let calm = fleet.messages - before;
+    fleet.run_with_platform(CHECK_INTERVAL_MS * CHECKS, 1);
+    let idle = fleet.messages - before;
     let fetches = fleet.fetches;
     let before = fleet.messages;
     let reader = fleet.readers()[0];
-    for look in 0..LOOKS {
-        let revision = 2 + look;
-        let first = look * RELEASED_BETWEEN_LOOKS;
-        for number in first..first + RELEASED_BETWEEN_LOOKS {
+    for check in 0..CHECKS {
+        let revision = 2 + check;
+        let first = check * CHANGES_PER_CHECK;
+        for number in first..first + CHANGES_PER_CHECK {
             let name = format!("engine-{number}");
             let engine = back_end(&name, number as usize, number as usize % 5);
             fleet.nodes[reader].apply(back_end_change(engine, revision), fleet.now);
         }
-        let last = format!("last-{look}");
-        let last = back_end_change(back_end(&last, 60_000 + look as usize, 0), revision);
+        let last = format!("last-{check}");
+        let last = back_end_change(back_end(&last, 60_000 + check as usize, 0), revision);
         fleet.read_change(reader, last, revision);
-        fleet.run(LOOK);
+        fleet.run(CHECK_INTERVAL_MS);
     }
-    let told = fleet.messages - before;
+    let sent = fleet.messages - before;
     fleet.run(1_000);
-    let known = (LOOKS * (RELEASED_BETWEEN_LOOKS + 1)) as usize;
+    let known = (CHECKS * (CHANGES_PER_CHECK + 1)) as usize;
     for node in &fleet.nodes {
         assert_eq!(node.document_store().back_ends().count(), known);
     }
-    let all = nodes as f64 * LOOKS as f64;
-    CostOfALook {
-        messages: (told as f64 - calm as f64) / all,
+    let all = nodes as f64 * CHECKS as f64;
+    CostPerCheck {
+        messages: (sent as f64 - idle as f64) / all,
         fetches: (fleet.fetches - fetches) as f64 / all,
     }
 }
@@ -438,12 +443,15 @@
 /// One node in twenty is told of a look by none of the three that each node tells, and fetches:
 /// 0.056 of 585 nodes and 0.052 of 1,170, with 9.8 and 9.4 messages a node.
 #[test]
-fn a_release_costs_a_node_no_more_in_a_larger_fleet_and_few_fetch() {
-    let (half, today) = (cost_of_a_look(290), cost_of_a_look(585));
-    println!("for a look: {half:?} of 290, {today:?} of 585 nodes");
-    for cost in [half, today] {
+fn the_cost_of_a_release_per_node_does_not_grow_with_the_fleet_and_few_nodes_fetch() {
+    let (small, large) = (cost_per_check(290), cost_per_check(585));
+    println!("for a check: {small:?} of 290, {large:?} of 585 nodes");
+    for cost in [small, large] {
         assert!(cost.messages < 12.0, "{cost:?}");
         assert!(cost.fetches < 0.1, "{cost:?}");
     }
-    assert!(today.messages < half.messages * 1.2, "{half:?}, {today:?}");
+    assert!(
+        large.messages < small.messages * 1.2,
+        "{small:?}, {large:?}"
+    );
 }
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -23,27 +23,31 @@
 
 pub const START: Timestamp = Timestamp(10_000_000_000);
 pub const ENGINES: &str = "engines";
-pub const BUDGET: RetryBudgetSettings = RetryBudgetSettings {
+pub const RETRY_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
     window: Span::from_milliseconds(10_000),
 };
 
-pub const COLD_BOUND: ColdRateLimit = ColdRateLimit {
+pub const COLD_RATE_LIMIT: ColdRateLimit = ColdRateLimit {
     overage: 1.5,
     slack: 5.0,
 };
 
 /// Each node of so many has a strong link, the others a weak one.
-const STRONG_EACH: usize = 17;
+const STRONG_LINK_INTERVAL: usize = 17;
 /// Time within which a change has to be in force.
-pub const APPLY_WITHIN: Span = Span::from_milliseconds(2_000);
+pub const PROPAGATION_DEADLINE: Span = Span::from_milliseconds(2_000);
 
 /// Bytes that a link of 1 Mbit/s carries between two ticks.
-const BYTES_A_TICK: usize = 12_500;
+const BYTES_PER_TICK_AND_MBPS: usize = 12_500;
 
 fn link_mbps(number: usize) -> u16 {
-    if number % STRONG_EACH == 7 { 200 } else { 20 }
+    if number % STRONG_LINK_INTERVAL == 7 {
+        200
+    } else {
+        20
+    }
 }
 
 pub fn node_address(number: usize) -> SocketAddr {
@@ -77,11 +81,11 @@
 }
 
 pub fn table_change(revision: u64) -> Change {
-    table_with(revision, 12)
+    table_with_event_calls(revision, 12)
 }
 
 /// A table whose engines hold so many calls for cache events.
-fn table_with(revision: u64, cache_event_calls: u32) -> Change {
+fn table_with_event_calls(revision: u64, cache_event_calls: u32) -> Change {
     let pool = Pool {
         health_path: "/health".to_owned(),
         maximum_connections: 360,
@@ -137,14 +141,14 @@
 }
 
 pub fn dispatcher(number: usize, zone_number: usize, seeds: Vec<SocketAddr>) -> Dispatcher {
-    dispatcher_with(number, zone_number, seeds, APPLY_WITHIN)
+    dispatcher_with(number, zone_number, seeds, PROPAGATION_DEADLINE)
 }
 
 /// A dispatcher without some features.
 pub fn dispatcher_with_features(zone_number: usize, features: Features) -> Dispatcher {
     Dispatcher::new(DispatcherSettings {
         features,
-        ..settings(0, zone_number, Vec::new(), APPLY_WITHIN, regions())
+        ..settings(0, zone_number, Vec::new(), PROPAGATION_DEADLINE, regions())
     })
 }
 
@@ -178,14 +182,14 @@
 ) -> DispatcherSettings {
     DispatcherSettings {
         propagation_deadline,
-        cold_rate_limit: COLD_BOUND,
+        cold_rate_limit: COLD_RATE_LIMIT,
         link_mbps: link_mbps(number),
         node: NodeName::from(format!("node-{number}")),
         zone: zone(zone_number),
         address: node_address(number),
         seeds,
         incarnation: 1,
-        retry_budget: BUDGET,
+        retry_budget: RETRY_BUDGET,
         regions,
         features: Features::ALL,
     }
@@ -217,31 +221,31 @@
 
 /// A dispatcher with parts switched off that knows one engine, which holds so many calls for
 /// cache events.
-pub fn with_features(features: Features, cache_event_calls: u32) -> Dispatcher {
+pub fn with_one_engine(features: Features, cache_event_calls: u32) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
-    subject.apply(table_with(1, cache_event_calls), START);
+    subject.apply(table_with_event_calls(1, cache_event_calls), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
     subject.record_confirmation(&known(2), START);
     subject
 }
 
 /// A demand whose prompt begins with the shared part `thing`.
-pub fn demand(thing: u64, shared: u32, own: u32) -> Demand {
+pub fn demand(shared_part: u64, shared_tokens: u32, own_tokens: u32) -> Demand {
     Demand {
-        digest: RequestDigest(thing.rotate_left(20) ^ u64::from(own)),
+        digest: RequestDigest(shared_part.rotate_left(20) ^ u64::from(own_tokens)),
         pool: PoolName::from(ENGINES),
         rank: 2,
         parts: vec![
             PromptPart {
-                id: PartId(thing),
-                tokens: shared,
+                id: PartId(shared_part),
+                tokens: shared_tokens,
             },
             PromptPart {
-                id: PartId(thing.wrapping_mul(7_919) + u64::from(own)),
-                tokens: own,
+                id: PartId(shared_part.wrapping_mul(7_919) + u64::from(own_tokens)),
+                tokens: own_tokens,
             },
         ],
-        prompt_tokens: shared + own,
+        prompt_tokens: shared_tokens + own_tokens,
         output_tokens: 100,
         bytes: 4_000,
         target: Span::from_milliseconds(2_500),
@@ -280,7 +284,7 @@
 }
 
 /// Time that a message takes within a region.
-const HOP: Span = Span::from_milliseconds(1);
+const MESSAGE_DELAY: Span = Span::from_milliseconds(1);
 
 /// A fleet whose messages take a millisecond, or thirty between regions.
 pub struct Fleet {
@@ -299,20 +303,20 @@
     pub fetches: u64,
     /// Bytes of messages, once they are measured, and the largest one.
     pub bytes: usize,
-    pub largest_message: usize,
+    pub largest_message_bytes: usize,
     /// The same bytes by kind of message and border, document packages included.
     pub traffic: BTreeMap<(MessageKind, Distance), usize>,
     /// Largest part of its link that a node's messages of one tick took.
-    pub busiest_link: f64,
+    pub peak_link_utilization: f64,
     /// Each of so many messages is lost, if any is.
     pub lost_each: Option<u64>,
     measures_bytes: bool,
     /// Nodes that have read the platform.
-    pub read_by: BTreeSet<usize>,
+    pub platform_readers: BTreeSet<usize>,
     /// Messages on their way, by when they arrive.
     in_flight: BTreeMap<(Timestamp, u64), (usize, SocketAddr, Rc<Gossip>)>,
     /// Time that a message takes between regions.
-    pub region_hop: Span,
+    pub cross_region_delay: Span,
     /// Parts in use on nodes that start anew.
     pub features: Features,
     /// Region of each zone.
@@ -322,21 +326,25 @@
     /// Documents that the platform has besides the table.
     pub first_documents: Vec<Change>,
     /// Number of the latest run of any node.
-    runs: u32,
+    latest_incarnation: u32,
 }
 
 impl Fleet {
     pub fn new(count: usize, zone_count: usize) -> Self {
-        Self::with_apply_within(count, zone_count, APPLY_WITHIN)
+        Self::with_propagation_deadline(count, zone_count, PROPAGATION_DEADLINE)
     }
 
     /// A fleet in which changes have to be in force within so long.
-    pub fn with_apply_within(count: usize, zone_count: usize, propagation_deadline: Span) -> Self {
+    pub fn with_propagation_deadline(
+        count: usize,
+        zone_count: usize,
+        propagation_deadline: Span,
+    ) -> Self {
         Self::with_regions(count, zone_count, propagation_deadline, regions())
     }
 
     /// A fleet in which each node speaks for itself to other zones.
-    pub fn without_zone_speakers(count: usize, zone_count: usize) -> Self {
+    pub fn without_zone_representatives(count: usize, zone_count: usize) -> Self {
         let mut fleet = Self::new(count, zone_count);
         fleet.features.zone_representatives = false;
         for number in 0..count {
@@ -376,19 +384,19 @@
             messages: 0,
             fetches: 0,
             bytes: 0,
-            largest_message: 0,
+            largest_message_bytes: 0,
             traffic: BTreeMap::new(),
-            busiest_link: 0.0,
+            peak_link_utilization: 0.0,
             lost_each: None,
             measures_bytes: false,
-            read_by: BTreeSet::new(),
+            platform_readers: BTreeSet::new(),
             in_flight: BTreeMap::new(),
-            region_hop: HOP,
+            cross_region_delay: MESSAGE_DELAY,
             features: Features::ALL,
             regions,
             first_documents: Vec::new(),
             busy: BTreeSet::new(),
-            runs: 1,
+            latest_incarnation: 1,
         }
     }
 
@@ -403,22 +411,22 @@
     /// Starts a node anew: a run that knows nothing but the seeds.
     pub fn restart(&mut self, number: usize) {
         let seeds: Vec<SocketAddr> = (0..3).map(node_address).collect();
-        self.runs += 1;
+        self.latest_incarnation += 1;
         let zone_number = self.zones[number];
         self.nodes[number] = Dispatcher::new(DispatcherSettings {
-            incarnation: self.runs,
+            incarnation: self.latest_incarnation,
             features: self.features,
             ..settings(
                 number,
                 zone_number,
                 seeds,
-                APPLY_WITHIN,
+                PROPAGATION_DEADLINE,
                 self.regions.clone(),
             )
         });
     }
 
-    fn number_of(&self, address: SocketAddr) -> Option<usize> {
+    fn node_at(&self, address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else {
             return None;
         };
@@ -427,11 +435,11 @@
         (number < self.nodes.len()).then_some(number)
     }
 
-    fn hears(&self, from: usize, to: usize) -> bool {
+    fn is_connected(&self, from: usize, to: usize) -> bool {
         let (one, two) = (self.zones[from], self.zones[to]);
         let is_cut = self.cut.contains(&(one, two)) || self.cut.contains(&(two, one));
-        let is_off = |node| self.dark.contains(&node) || self.isolated.contains(&node);
-        !is_cut && !is_off(from) && !is_off(to)
+        let is_unreachable = |node| self.dark.contains(&node) || self.isolated.contains(&node);
+        !is_cut && !is_unreachable(from) && !is_unreachable(to)
     }
 
     /// One tick of every node, and the messages that follow from it; documents that a
@@ -473,9 +481,9 @@
     fn post(&mut self, from: usize, messages: Vec<Envelope>) {
         let before = self.bytes;
         self.encode_and_post(from, messages);
-        let link = usize::from(link_mbps(from)) * BYTES_A_TICK;
-        let part = (self.bytes - before) as f64 / link as f64;
-        self.busiest_link = self.busiest_link.max(part);
+        let link = usize::from(link_mbps(from)) * BYTES_PER_TICK_AND_MBPS;
+        let utilization = (self.bytes - before) as f64 / link as f64;
+        self.peak_link_utilization = self.peak_link_utilization.max(utilization);
     }
 
     fn encode_and_post(&mut self, from: usize, messages: Vec<Envelope>) {
@@ -483,9 +491,9 @@
             if self.measures_bytes {
                 let bytes = postcard::to_stdvec(&envelope.message).expect("a message");
                 self.bytes += bytes.len() * envelope.to.len();
-                self.largest_message = self.largest_message.max(bytes.len());
+                self.largest_message_bytes = self.largest_message_bytes.max(bytes.len());
                 for to in &envelope.to {
-                    self.count(envelope.kind, from, *to, bytes.len());
+                    self.count_bytes(envelope.kind, from, *to, bytes.len());
                 }
             }
             let message = Rc::new(envelope.message);
@@ -502,17 +510,20 @@
     }
 
     fn deliver(&mut self, from: usize, address: SocketAddr, message: &Gossip) {
-        let Some(to) = self.number_of(address).filter(|to| self.hears(from, *to)) else {
+        let Some(to) = self
+            .node_at(address)
+            .filter(|to| self.is_connected(from, *to))
+        else {
             return;
         };
         let received = self.nodes[to].receive(node_address(from), message, self.now);
         if received.wants_reply {
-            let answer = self.nodes[to].reply(node_address(from), self.now);
-            let to_asker = vec![node_address(from)];
+            let reply = self.nodes[to].reply(node_address(from), self.now);
+            let recipients = vec![node_address(from)];
             let envelope = Envelope {
                 kind: MessageKind::Reply,
-                to: to_asker,
-                message: answer,
+                to: recipients,
+                message: reply,
             };
             self.post(to, vec![envelope]);
         }
@@ -520,11 +531,11 @@
             self.fetch_wanted(to, Some(node_address(from)));
         }
         let known = self.nodes[to].document_store().version_vector();
-        let is_taken = |news: &ReceivedChange| news.outcome == ApplyOutcome::Applied;
-        let is_covered = |news: &ReceivedChange| known.covers(news.revision);
+        let is_applied = |change: &ReceivedChange| change.outcome == ApplyOutcome::Applied;
+        let is_covered = |change: &ReceivedChange| known.covers(change.revision);
         let changes = &received.changes;
         // A change that stays uncovered would be announced back and forth without end.
-        let is_new = changes.iter().any(is_taken);
+        let is_new = changes.iter().any(is_applied);
         if is_new || !changes.is_empty() && changes.iter().all(is_covered) {
             self.announce(to, false);
         }
@@ -569,7 +580,7 @@
             for number in 0..self.nodes.len() {
                 let is_dark = self.dark.contains(&number);
                 if !is_dark && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
-                    self.read_by.insert(number);
+                    self.platform_readers.insert(number);
                     self.nodes[number].apply(table_change(revision), self.now);
                     for change in &self.first_documents {
                         self.nodes[number].apply(change.clone(), self.now);
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -1,6 +1,6 @@
 //! Ways between the nodes of a fleet: how long they take, and the bytes that go over them.
 
-use super::{APPLY_WITHIN, Fleet, HOP, node_address, zone};
+use super::{Fleet, MESSAGE_DELAY, PROPAGATION_DEADLINE, node_address, zone};
 use eiderferry_dispatch::{Distance, DocumentStore, Gossip, MessageKind};
 use eiderferry_routing::RegionName;
 use eiderferry_types::Span;
@@ -8,45 +8,51 @@
 use std::rc::Rc;
 
 /// Time that a message takes between two regions.
-const REGION_HOP: Span = Span::from_milliseconds(30);
+const CROSS_REGION_DELAY: Span = Span::from_milliseconds(30);
 
 impl Fleet {
     /// A fleet in three regions of two zones each.
     pub fn in_three_regions(count: usize) -> Self {
         let region = |number: usize| RegionName::from(format!("region-{}", number / 2));
         let regions = (0..6).map(|number| (zone(number), region(number)));
-        let fleet = Self::with_regions(count, 6, APPLY_WITHIN, regions.collect());
+        let fleet = Self::with_regions(count, 6, PROPAGATION_DEADLINE, regions.collect());
         Self {
-            region_hop: REGION_HOP,
+            cross_region_delay: CROSS_REGION_DELAY,
             ..fleet
         }
     }
 
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, message: &Rc<Gossip>) {
-        let hop = match self.distance(from, to) {
-            Some(Distance::CrossRegion) => self.region_hop,
-            _ => HOP,
+        let delay = match self.distance(from, to) {
+            Some(Distance::CrossRegion) => self.cross_region_delay,
+            _ => MESSAGE_DELAY,
         };
-        let key = (self.now + hop, self.messages);
+        let key = (self.now + delay, self.messages);
         let sent = (from, to, Rc::clone(message));
         self.in_flight.insert(key, sent);
     }
 
     fn distance(&self, from: usize, to: SocketAddr) -> Option<Distance> {
-        let to = self.number_of(to)?;
+        let to = self.node_at(to)?;
         let (from, to) = (zone(self.zones[from]), zone(self.zones[to]));
         Some(Distance::between(&from, &to, &self.regions))
     }
 
     /// Counts bytes on their way from a node.
-    pub(super) fn count(&mut self, kind: MessageKind, from: usize, to: SocketAddr, bytes: usize) {
+    pub(super) fn count_bytes(
+        &mut self,
+        kind: MessageKind,
+        from: usize,
+        to: SocketAddr,
+        bytes: usize,
+    ) {
         if let Some(distance) = self.distance(from, to) {
             *self.traffic.entry((kind, distance)).or_default() += bytes;
         }
     }
 
     /// Bytes that crossed a border of a zone or region, of one kind or of all.
-    pub fn border_bytes(&self, kind: Option<MessageKind>) -> usize {
+    pub fn cross_zone_bytes(&self, kind: Option<MessageKind>) -> usize {
         let traffic = self.traffic.iter();
         let crossing = traffic.filter(|((_, distance), _)| *distance != Distance::SameZone);
         let counted = crossing.filter(|((of, _), _)| kind.is_none_or(|kind| *of == kind));
@@ -54,14 +60,14 @@
     }
 
     /// Fetches documents that a node lacks from the node that it chooses.
-    pub(super) fn fetch_wanted(&mut self, number: usize, told_by: Option<SocketAddr>) {
+    pub(super) fn fetch_wanted(&mut self, number: usize, reporter: Option<SocketAddr>) {
         let now = self.now;
-        let Some(source) = self.nodes[number].document_source(told_by, now) else {
+        let Some(source) = self.nodes[number].document_source(reporter, now) else {
             return;
         };
         let from = self
-            .number_of(source)
-            .filter(|from| self.hears(*from, number));
+            .node_at(source)
+            .filter(|from| self.is_connected(*from, number));
         match from {
             Some(from) if !self.busy.contains(&from) => self.fetch(number, from),
             from => self.nodes[number].record_failed_fetch(source, from.is_some(), now),
@@ -75,7 +81,7 @@
         let changes = source.changes_after(&known);
         if self.measures_bytes {
             let bytes = postcard::to_stdvec(&changes).expect("a package").len();
-            self.count(MessageKind::Documents, from, node_address(to), bytes);
+            self.count_bytes(MessageKind::Documents, from, node_address(to), bytes);
         }
         for change in changes {
             self.nodes[to].apply(change, self.now);
