--- a/crates/coordination/dispatch/benches/scale.rs
+++ b/crates/coordination/dispatch/benches/scale.rs
@@ -1,6 +1,7 @@
-//! What a request, a tick and a change cost a node, by the number of nodes and back ends.
+//! Measures the time a node takes for a request, a tick and a change, by the size of the fleet.
 //!
-//! `cargo bench -p eiderferry-dispatch` prints a table in microseconds; no verdict hangs on it.
+//! `cargo bench -p eiderferry-dispatch` prints a table in microseconds; there is no pass or fail
+//! threshold.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -12,7 +13,7 @@
     START, back_end, back_end_change, demand, dispatcher, known, node_address, table_change,
 };
 
-/// Nodes, engines and zones of the fleets that are compared.
+/// Nodes, engines and zones of each fleet.
 const FLEET_SIZES: [(usize, usize, usize); 4] = [
     (30, 300, 5),
     (300, 3_000, 5),
@@ -23,7 +24,7 @@
 const TICKS: u64 = 50;
 const CHANGES: u64 = 100;
 
-/// A node of such a fleet that knows all others and all engines.
+/// A node that knows all other nodes and all engines of a fleet.
 fn node_in_fleet(nodes: usize, engines: usize, zones: usize) -> Dispatcher {
     let mut subject = dispatcher(0, 0, Vec::new());
     subject.apply(table_change(1), START);
@@ -38,7 +39,7 @@
     subject
 }
 
-/// All other nodes are heard.
+/// Lets the node receive one message from every other node.
 fn receive_from_all(subject: &mut Dispatcher, nodes: usize, zones: usize, now: Timestamp) {
     for number in 1..nodes {
         let mut other = dispatcher(number, number % zones, Vec::new());
@@ -85,7 +86,7 @@
 }
 
 fn main() {
-    println!("nodes engines | us a request, a tick, a change passed on");
+    println!("nodes engines | microseconds per request, tick and announced change");
     for (nodes, engines, zones) in FLEET_SIZES {
         let mut subject = node_in_fleet(nodes, engines, zones);
         let now = START + Span::from_milliseconds(100);
--- a/crates/coordination/dispatch/tests/cache.rs
+++ b/crates/coordination/dispatch/tests/cache.rs
@@ -1,10 +1,10 @@
-//! What an engine is believed to keep.
+//! The estimate of the prompt parts that an engine has in its prefix cache.
 
 use eiderferry_dispatch::{PrefixCache, PromptPart};
 use eiderferry_routing::PartId;
 use eiderferry_types::{Span, Timestamp};
 
-/// When the parts have been read.
+/// Time when the prefill of the parts ends.
 const PREFILLED_AT: Timestamp = Timestamp(5_000_000);
 
 fn part(id: u64, tokens: u32) -> PromptPart {
@@ -62,10 +62,13 @@
     cache.insert_unshared(300);
     assert!(
         !cache.contains(PartId(1)),
-        "700 of 850 usable tokens came after it"
+        "400 + 300 + 300 tokens exceed the 850 usable ones"
     );
     cache.insert(&[part(2, 400)], PREFILLED_AT);
-    assert!(cache.contains(PartId(2)), "the older of the two made room");
+    assert!(
+        cache.contains(PartId(2)),
+        "the older unshared tokens were evicted"
+    );
 }
 
 #[test]
--- a/crates/coordination/dispatch/tests/costs.rs
+++ b/crates/coordination/dispatch/tests/costs.rs
@@ -1,11 +1,11 @@
-//! What choices cost against each other.
+//! The choice between candidates by cost.
 
 use eiderferry_dispatch::{Candidate, choose};
 use eiderferry_types::Span;
 use rstest::rstest;
 
-/// An engine that keeps the prompt and one that would read it again, with first events of
-/// a request with such a target.
+/// Chooses between an engine that has the prompt cached (0) and one that would recompute it (1),
+/// given the target and the expected times to the first event.
 fn choose_cached_or_uncached(target_ms: u64, cached_ms: u64, uncached_ms: u64) -> usize {
     let cached = Candidate {
         first_event: Span::from_milliseconds(cached_ms),
@@ -18,7 +18,7 @@
         recomputed_tokens: 10_000,
         ..cached
     };
-    choose(&[cached, uncached]).expect("one of them")
+    choose(&[cached, uncached]).expect("a candidate")
 }
 
 #[rstest]
--- a/crates/coordination/dispatch/tests/crashing_requests.rs
+++ b/crates/coordination/dispatch/tests/crashing_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that crash back ends, over a whole fleet: nodes that are cut off, restart, pause
-//! or lose messages.
+//! Quarantine of requests that crash back ends across a fleet whose nodes are partitioned, restart,
+//! pause or lose messages.
 
 mod support;
 
@@ -9,23 +9,23 @@
 use rstest::rstest;
 use support::{Fleet, back_end, back_end_change, demand, granted};
 
-/// Engines of the fleet.
+/// Number of engines of the fleet.
 const ENGINES: usize = 12;
-/// Time that nodes have to hear of the third crash.
+/// Time in milliseconds within which all nodes must know of the third crash.
 const PROPAGATION_MS: u64 = 3_000;
-/// The request that crashes engines.
+/// Shared part of the prompt of the request that crashes engines.
 const CRASHING_PROMPT: u64 = 77;
 
-/// Engines that crashed last and are not back yet.
+/// Number of crashed engines that are down at the same time; the earlier ones have restarted.
 const MAX_DOWN: usize = 3;
 
-/// A fleet before engines, some of which are down.
+/// A fleet with engines, some of which are down.
 struct CrashScenario {
     fleet: Fleet,
     down: Vec<InstanceId>,
 }
 
-/// A fleet in three zones before engines of these zones.
+/// A scenario with nodes and engines in three zones.
 fn scenario(count: usize) -> CrashScenario {
     let mut fleet = Fleet::new(count, 3);
     add_engines(&mut fleet, 0..count);
@@ -56,7 +56,8 @@
         add_engines(&mut self.fleet, node..node + 1);
     }
 
-    /// Sends the fatal request by a node; whether an engine got it, which then crashed.
+    /// Dispatches the crashing request at a node. Returns whether an engine got it, which then
+    /// crashed.
     fn send_crashing_request(&mut self, node: usize) -> bool {
         let now = self.fleet.now;
         let mut crashing_request = demand(CRASHING_PROMPT, 2_000, 100);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Crashes three engines by three nodes, half a second apart.
+    /// Crashes three engines through three different nodes, half a second apart.
     fn crash_three_engines(&mut self) {
         let count = self.fleet.nodes.len();
         for number in 0..3 {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Engines that the request still reaches when each node is asked once.
+    /// Number of nodes that still send the request to an engine when each is asked once.
     fn count_sends_by_all_nodes(&mut self) -> usize {
         let nodes = 0..self.fleet.nodes.len();
         nodes
@@ -145,7 +146,7 @@
     assert_eq!(scenario.count_sends_by_all_nodes(), 0);
 }
 
-/// A rolling restart: no node is there from before, what is known lives on in the others.
+/// Each node learns of the crashes from the others before the last node that saw them restarts.
 #[test]
 fn the_quarantine_survives_a_rolling_restart() {
     let mut scenario = scenario(8);
@@ -170,7 +171,7 @@
     assert!(!scenario.send_crashing_request(5));
 }
 
-/// Nobody is left who knows: it costs three engines once more, and no fourth.
+/// After a restart of all nodes none knows of the crashes: three more engines crash, and no fourth.
 #[test]
 fn after_a_restart_of_all_nodes_the_request_crashes_only_three_engines() {
     let mut scenario = scenario(8);
@@ -187,7 +188,7 @@
     assert_eq!(sends, 3);
 }
 
-/// Requests that broke off together with the fatal one are served elsewhere, by all nodes.
+/// Requests that were interrupted together with the crashing one are still served by all nodes.
 #[test]
 fn requests_that_ran_beside_the_crashing_one_are_served() {
     let mut scenario = scenario(8);
@@ -224,7 +225,7 @@
     pacing
 }
 
-/// Of what breaks off with one back end, most is told by one message.
+/// Delaying later announcements reports most requests interrupted by one crash in one message.
 #[test]
 fn a_crash_is_announced_at_once_and_later_ones_are_batched() {
     let mut scenario = scenario(8);
@@ -233,17 +234,17 @@
     assert_eq!(node.crash_announcement(now), None);
     let crashed = InstanceId::from("engine-1");
     node.record_crash(demand(1, 2_000, 100).digest, &crashed, now);
-    let announcement = node.crash_announcement(now).expect("news");
+    let announcement = node.crash_announcement(now).expect("an announcement");
     assert_eq!(announcement.message.crashing_requests.len(), 1);
     assert_eq!(announcement.to.len(), 7);
     node.record_crash(demand(2, 2_000, 100).digest, &crashed, now);
     assert_eq!(node.crash_announcement(now), None);
     now = now + Span::from_milliseconds(60);
-    let announcement = node.crash_announcement(now).expect("news");
+    let announcement = node.crash_announcement(now).expect("an announcement");
     assert_eq!(announcement.message.crashing_requests.len(), 2);
 }
 
-/// An answer that finds fault with the request shows no run.
+/// A response that rejects the request does not show that an engine ran it.
 #[test]
 fn a_rejection_does_not_clear_the_quarantine() {
     let mut scenario = scenario(8);
@@ -266,7 +267,7 @@
     ));
 }
 
-/// Without the quarantine each node sends it on for ever.
+/// Without the quarantine every node keeps sending the request to engines.
 #[test]
 fn without_the_quarantine_the_request_keeps_crashing_engines() {
     let mut scenario = scenario(8);
@@ -285,7 +286,7 @@
     }
 }
 
-/// A crash breaks sixty requests of one node off.
+/// A crash interrupts sixty requests of one node.
 #[test]
 fn announcing_a_crash_takes_few_bytes_and_ends_soon() {
     let mut scenario = scenario(72);
@@ -300,8 +301,11 @@
     scenario.run(10_000);
     let after = bytes_in_one_second(&mut scenario);
     let per_node = (during - quiet) / 72;
-    assert!(per_node <= 8_000, "{per_node} bytes a second and node");
-    assert!(after <= quiet + quiet / 10, "{after} bytes after {quiet}");
+    assert!(per_node <= 8_000, "{per_node} bytes per node and second");
+    assert!(
+        after <= quiet + quiet / 10,
+        "{after} bytes per second afterwards, {quiet} before"
+    );
 }
 
 fn bytes_in_one_second(scenario: &mut CrashScenario) -> usize {
--- a/crates/coordination/dispatch/tests/document_service.rs
+++ b/crates/coordination/dispatch/tests/document_service.rs
@@ -1,4 +1,4 @@
-//! How documents spread when all nodes of a fleet want them at once.
+//! Distribution of documents when all nodes of a fleet request them at once.
 
 use eiderferry_dispatch::{Admission, DocumentService, TransferId};
 use eiderferry_types::{Span, Timestamp};
@@ -57,7 +57,7 @@
     expect_transfer(service.admit(address(5), true, &mut random, later));
 }
 
-/// Link of every node, in bytes a millisecond: 10 Mbit/s.
+/// Link rate of every node in bytes per millisecond: 10 Mbit/s.
 const LINK_BYTES_PER_MS: f64 = 1_250.0;
 const SEEDS: usize = 3;
 
@@ -68,8 +68,8 @@
     remaining_bytes: f64,
 }
 
-/// Milliseconds until all nodes have documents of so many bytes, on links that the transfers
-/// of a node share. A node that is sent on asks the nodes named and then waits for 150 ms.
+/// Milliseconds until all nodes have documents of `bytes` bytes. The transfers from a node share
+/// its link. A redirected node tries the nodes it was given and then waits for 150 ms.
 fn spread_time_ms(nodes: usize, bytes: f64) -> u64 {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut services: BTreeMap<usize, DocumentService> = (0..SEEDS)
@@ -95,7 +95,7 @@
                 };
                 match service.admit(address(node), true, &mut random, now) {
                     Admission::Admitted(id) => {
-                        let id = id.expect("a transfer that counts");
+                        let id = id.expect("a counted transfer");
                         started = Some(Transfer {
                             from: source,
                             to: node,
@@ -145,9 +145,9 @@
     60_000
 }
 
-/// With all asking the seeds at once a seed's link carries the documents of a third of the
-/// fleet: 4.8 s for 300 nodes and 60 kB, 14 s for 180 kB, 352 s for 2,200 nodes and 600 kB.
-/// Now: under 1.0 s, 2.1 s and 11.0 s.
+/// If the three seeds alone served all nodes, each would send the documents to a third of the
+/// fleet: 4.8 s for 300 nodes and 60 kB, 14 s for 180 kB, 352 s for 2,200 nodes and 600 kB. With
+/// redirection it takes under 1.0 s, 2.1 s and 11.0 s.
 #[rstest]
 #[case::engines_1000(300, 60_000.0, 1_000)]
 #[case::engines_3000(300, 180_000.0, 2_200)]
@@ -161,6 +161,6 @@
     let seeds_alone_ms = nodes as f64 / SEEDS as f64 * bytes / LINK_BYTES_PER_MS;
     assert!(
         milliseconds <= limit_ms,
-        "{milliseconds} ms, {seeds_alone_ms} ms by the seeds alone"
+        "{milliseconds} ms, {seeds_alone_ms} ms from the seeds alone"
     );
 }
--- a/crates/coordination/dispatch/tests/document_source.rs
+++ b/crates/coordination/dispatch/tests/document_source.rs
@@ -1,4 +1,4 @@
-//! From whom a node fetches documents that it lacks.
+//! The choice of the node from which missing documents are fetched.
 
 mod support;
 
@@ -7,21 +7,21 @@
 use std::net::SocketAddr;
 use support::{START, dispatcher, known, node_address, table_change};
 
-/// A time by which nobody is patient any more.
+/// Time in milliseconds after which a node no longer waits for sources in its own zone or region.
 const LONG_WAIT_MS: u64 = 2_500;
 
 fn after(milliseconds: u64) -> Timestamp {
     START + Span::from_milliseconds(milliseconds)
 }
 
-/// The node under test: it is of zone 0, no seed, and knows nothing.
+/// The node under test: in zone 0, not a seed, and without documents.
 fn subject() -> Dispatcher {
     let mut subject = dispatcher(50, 0, vec![node_address(0)]);
     subject.tick(START);
     subject
 }
 
-/// Lets the subject hear a node of a zone that knows documents up to a revision.
+/// Lets the subject receive a message from a node of a zone that has documents up to a revision.
 fn receive_from(
     subject: &mut Dispatcher,
     number: usize,
@@ -65,7 +65,7 @@
         let same_zone = subject.document_source(Some(node_address(7)), START);
         assert_eq!(same_zone, Some(node_address(7)));
         let other_zone = subject.document_source(Some(node_address(30)), START);
-        assert_ne!(other_zone, Some(node_address(30)), "it is of another zone");
+        assert_ne!(other_zone, Some(node_address(30)), "it is in another zone");
     }
 }
 
@@ -77,7 +77,7 @@
     assert_eq!(
         chosen_source(&mut subject, 0),
         None,
-        "its zone may yet be heard"
+        "a node of its own zone may still be heard"
     );
     for _ in 0..20 {
         assert_eq!(
@@ -98,7 +98,7 @@
     assert_eq!(
         chosen_source(&mut subject, 200),
         None,
-        "others of the zone go first"
+        "other nodes of the zone fetch first"
     );
     assert_eq!(
         chosen_source(&mut subject, LONG_WAIT_MS),
@@ -113,7 +113,7 @@
     assert_eq!(
         chosen_source(&mut subject, 0),
         None,
-        "its zone may yet be heard"
+        "a node of its own zone may still be heard"
     );
     assert_eq!(chosen_source(&mut subject, 250), Some(node_address(45)));
 }
@@ -136,7 +136,7 @@
     receive_from(&mut subject, 2, 1, 5, START);
     assert_eq!(chosen_source(&mut subject, 0), Some(node_address(1)));
     subject.record_failed_fetch(node_address(1), true, START);
-    assert_eq!(chosen_source(&mut subject, 100), None, "it is busy");
+    assert_eq!(chosen_source(&mut subject, 100), None, "the source is busy");
     assert_eq!(chosen_source(&mut subject, 200), Some(node_address(1)));
     subject.record_failed_fetch(node_address(1), true, after(LONG_WAIT_MS));
     assert_eq!(
@@ -158,7 +158,7 @@
     assert_eq!(
         chosen_source(&mut subject, 2_000),
         None,
-        "its zone may yet be heard"
+        "a node of its own zone may still be heard"
     );
     assert_eq!(chosen_source(&mut subject, 2_300), Some(node_address(2)));
 }
--- a/crates/coordination/dispatch/tests/engine_model.rs
+++ b/crates/coordination/dispatch/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines from the streams that ran there.
+//! What the model learns about engines from the streams that ran on them.
 
 use eiderferry_dispatch::{EngineSpeed, PoolModel, StreamPacing};
 use eiderferry_routing::EngineSpecification;
@@ -19,7 +19,7 @@
     }
 }
 
-/// A stream of 21 events with so much time between two, and one longer pause.
+/// A stream of 21 events with a fixed time between events, and one longer pause.
 fn stream(spacing_ms: u64, longest_ms: u64) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = Timestamp(1_000_000);
--- a/crates/coordination/dispatch/tests/health.rs
+++ b/crates/coordination/dispatch/tests/health.rs
@@ -1,4 +1,4 @@
-//! Which back ends get no work, judged by their answers.
+//! Ejection of back ends by the outcomes of their requests.
 
 use eiderferry_dispatch::{Health, HealthChange, Outcome};
 use eiderferry_types::{Span, Timestamp};
--- a/crates/coordination/dispatch/tests/support/limits.rs
+++ b/crates/coordination/dispatch/tests/support/limits.rs
@@ -1,17 +1,17 @@
-//! Limits that engines name, to one node or to a fleet.
+//! Helpers for rate limits that engines state to one node or to a fleet.
 
 use super::{Fleet, START, demand, engine_number, granted, with_engines};
 use eiderferry_dispatch::{Decision, Dispatcher, LeaseId, Outcome, RateLimit};
 use eiderferry_types::{Span, Timestamp};
 
-/// Time in which the nodes of a fleet come to know each other.
+/// Time in milliseconds after which all nodes of a fleet know each other.
 pub const SETTLING_MS: u64 = 15_000;
 
 pub fn limit(rate: f64) -> RateLimit {
-    RateLimit::from_requests_per_second(rate).expect("a limit")
+    RateLimit::from_requests_per_second(rate).expect("a valid rate limit")
 }
 
-/// A node is told of the back ends that the platform has.
+/// Applies the documents that the platform has besides the table to a node.
 pub fn give_documents(fleet: &mut Fleet, number: usize) {
     let now = fleet.now;
     for change in fleet.first_documents.clone() {
@@ -19,7 +19,7 @@
     }
 }
 
-/// A node alone before engines, long after its start.
+/// A single node with engines, and a time when its startup is long over.
 pub fn alone(engines: usize) -> (Dispatcher, Timestamp) {
     let mut subject = with_engines(engines);
     subject.tick(START);
@@ -28,14 +28,15 @@
     (subject, now)
 }
 
-/// Sends a request to the engine of that number, whose answer names a limit or none.
+/// Sends a request to the engine of that number, whose response states a limit or none.
 pub fn answer_with(subject: &mut Dispatcher, number: usize, rate: Option<f64>, now: Timestamp) {
     let lease = lease_at(subject, number, now);
     subject.record_limit(lease, rate.map(limit), now);
     subject.release(lease, Outcome::Completed, now);
 }
 
-/// A place at the engine of that number.
+/// Dispatches requests with different prompts until the engine of that number gets one, and
+/// returns its lease.
 pub fn lease_at(subject: &mut Dispatcher, number: usize, now: Timestamp) -> LeaseId {
     for shared_part in 0..200 {
         let grant = granted(subject.dispatch(&demand(shared_part, 1_000, 100), now));
@@ -44,10 +45,10 @@
         }
         subject.release(grant.lease, Outcome::Completed, now);
     }
-    panic!("engine {number} got nothing");
+    panic!("no request was placed on engine {number}");
 }
 
-/// When the only engine gets requests while many are sent.
+/// Offers a request every 100 ms; returns the times in milliseconds when one was granted.
 pub fn sent_at(subject: &mut Dispatcher, from: Timestamp, milliseconds: u64) -> Vec<u64> {
     let ticks = (0..milliseconds / 100).filter(|tick| {
         let now = from + Span::from_milliseconds(tick * 100);
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of dispatchers on a virtual clock, without I/O.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use eiderferry_dispatch::{
     ApplyOutcome, Change, ColdRateLimit, Decision, Demand, Dispatcher, DispatcherSettings,
@@ -34,12 +34,12 @@
     slack: 5.0,
 };
 
-/// Each node of so many has a strong link, the others a weak one.
+/// One in this many nodes has a fast link of 200 Mbit/s; the others have 20 Mbit/s.
 const STRONG_LINK_INTERVAL: usize = 17;
-/// Time within which a change has to be in force.
+/// Time within which a change has to be applied by all nodes.
 pub const PROPAGATION_DEADLINE: Span = Span::from_milliseconds(2_000);
 
-/// Bytes that a link of 1 Mbit/s carries between two ticks.
+/// Bytes that a link carries between two ticks for each Mbit/s of its rate.
 const BYTES_PER_TICK_AND_MBPS: usize = 12_500;
 
 fn link_mbps(number: usize) -> u16 {
@@ -75,7 +75,7 @@
     }
 }
 
-/// All changes up to a number, for a source that was never restored.
+/// The version vector that covers all changes up to a number, of a source never restored.
 pub fn known(number: u64) -> VersionVector {
     Revision::from(number).into()
 }
@@ -84,7 +84,7 @@
     table_with_event_calls(revision, 12)
 }
 
-/// A table whose engines hold so many calls for cache events.
+/// A table whose engines accept this many concurrent calls for cache events.
 fn table_with_event_calls(revision: u64, cache_event_calls: u32) -> Change {
     let pool = Pool {
         health_path: "/health".to_owned(),
@@ -144,7 +144,7 @@
     dispatcher_with(number, zone_number, seeds, PROPAGATION_DEADLINE)
 }
 
-/// A dispatcher without some features.
+/// A dispatcher with the given features, which knows no documents.
 pub fn dispatcher_with_features(zone_number: usize, features: Features) -> Dispatcher {
     Dispatcher::new(DispatcherSettings {
         features,
@@ -152,7 +152,7 @@
     })
 }
 
-/// Features without the ones that keep prompts near: engines of all zones are used.
+/// All features except locality costs, so that engines of all zones are used alike.
 pub const HOMES_ANYWHERE: Features = Features {
     locality_costs: false,
     ..Features::ALL
@@ -195,19 +195,19 @@
     }
 }
 
-/// Zones 0 and 1 lie in one region, zone 2 in another; of further ones it isn't known.
+/// Zones 0 and 1 are in one region and zone 2 in another; further zones have no known region.
 fn regions() -> ZoneRegions {
     let region = |number: usize| RegionName::from(if number < 2 { "west" } else { "east" });
     let zones = (0..3).map(|number| (zone(number), region(number)));
     zones.collect()
 }
 
-/// A dispatcher that knows so many engines, all in its zone.
+/// A dispatcher that knows `count` engines, all in its zone.
 pub fn with_engines(count: usize) -> Dispatcher {
     with_engines_and(count, Features::ALL)
 }
 
-/// The same with some parts of the dispatcher switched off.
+/// Like [`with_engines`], with the given features.
 pub fn with_engines_and(count: usize, features: Features) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_change(1), START);
@@ -219,8 +219,8 @@
     subject
 }
 
-/// A dispatcher with parts switched off that knows one engine, which holds so many calls for
-/// cache events.
+/// A dispatcher with the given features that knows one engine, which accepts
+/// `cache_event_calls` concurrent calls for cache events.
 pub fn with_one_engine(features: Features, cache_event_calls: u32) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_with_event_calls(1, cache_event_calls), START);
@@ -229,7 +229,7 @@
     subject
 }
 
-/// A demand whose prompt begins with the shared part `thing`.
+/// A demand whose prompt begins with the part `shared_part`, followed by a part of its own.
 pub fn demand(shared_part: u64, shared_tokens: u32, own_tokens: u32) -> Demand {
     Demand {
         digest: RequestDigest(shared_part.rotate_left(20) ^ u64::from(own_tokens)),
@@ -260,7 +260,8 @@
     }
 }
 
-/// Most of some moments that lie within a span which ends at one of them, from a moment on.
+/// The largest number of times in any window of length `span` that ends at one of them, counting
+/// only windows that end at `from` or later.
 pub fn most_within(times: &[Timestamp], span: Span, from: Timestamp) -> usize {
     let ends = times.iter().filter(|at| **at >= from);
     let counts = ends.map(|end| {
@@ -277,55 +278,56 @@
     }
 }
 
-/// Number of the engine that was granted: they are named `engine-0` and so on.
+/// Number of the granted engine; engines are named `engine-0` and so on.
 pub fn engine_number(grant: &Grant) -> usize {
     let name = grant.instance.as_str();
     name["engine-".len()..].parse().expect("a number")
 }
 
-/// Time that a message takes within a region.
+/// Delay of a message within a region.
 const MESSAGE_DELAY: Span = Span::from_milliseconds(1);
 
-/// A fleet whose messages take a millisecond, or thirty between regions.
+/// A fleet of nodes that exchange messages with a fixed delay within and between regions.
 pub struct Fleet {
     pub now: Timestamp,
     next_tick: Timestamp,
     pub nodes: Vec<Dispatcher>,
     pub zones: Vec<usize>,
-    /// Pairs of zones that don't hear each other.
+    /// Pairs of zones without a connection between them.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Nodes that neither send nor receive.
+    /// Nodes that are stopped: they neither tick, send nor receive.
     pub dark: BTreeSet<usize>,
-    /// Nodes that run on, but hear no other and are not heard.
+    /// Nodes that keep running without a connection to any other.
     pub isolated: BTreeSet<usize>,
+    /// Peers declared lost, each with the node that declared it.
     pub lost: Vec<(usize, NodeName)>,
     pub messages: u64,
     pub fetches: u64,
-    /// Bytes of messages, once they are measured, and the largest one.
+    /// Bytes of all messages and of the largest one, counted after [`Fleet::measure_bytes`].
     pub bytes: usize,
     pub largest_message_bytes: usize,
-    /// The same bytes by kind of message and border, document packages included.
+    /// Bytes by kind of message and distance, including fetched documents.
     pub traffic: BTreeMap<(MessageKind, Distance), usize>,
-    /// Largest part of its link that a node's messages of one tick took.
+    /// Largest fraction of its link's capacity per tick that a node used for messages sent at once.
     pub peak_link_utilization: f64,
-    /// Each of so many messages is lost, if any is.
+    /// One in this many messages is lost; `None` loses none.
     pub lost_each: Option<u64>,
     measures_bytes: bool,
-    /// Nodes that have read the platform.
+    /// Nodes that have read documents from the platform.
     pub platform_readers: BTreeSet<usize>,
-    /// Messages on their way, by when they arrive.
+    /// Messages in transit by arrival time and sequence number.
     in_flight: BTreeMap<(Timestamp, u64), (usize, SocketAddr, Rc<Gossip>)>,
-    /// Time that a message takes between regions.
+    /// Delay of a message between regions.
     pub cross_region_delay: Span,
-    /// Parts in use on nodes that start anew.
+    /// Features of nodes that are restarted.
     pub features: Features,
     /// Region of each zone.
     pub regions: ZoneRegions,
-    /// Nodes that hand out no documents.
+    /// Nodes that are too busy to serve documents.
     pub busy: BTreeSet<usize>,
     /// Documents that the platform has besides the table.
     pub first_documents: Vec<Change>,
-    /// Number of the latest run of any node.
+    /// Highest incarnation number given to any node.
     latest_incarnation: u32,
 }
 
@@ -334,7 +336,7 @@
         Self::with_propagation_deadline(count, zone_count, PROPAGATION_DEADLINE)
     }
 
-    /// A fleet in which changes have to be in force within so long.
+    /// A fleet in which changes have to be applied within the given time.
     pub fn with_propagation_deadline(
         count: usize,
         zone_count: usize,
@@ -343,7 +345,7 @@
         Self::with_regions(count, zone_count, propagation_deadline, regions())
     }
 
-    /// A fleet in which each node speaks for itself to other zones.
+    /// A fleet without zone representatives: each node sends to other zones itself.
     pub fn without_zone_representatives(count: usize, zone_count: usize) -> Self {
         let mut fleet = Self::new(count, zone_count);
         fleet.features.zone_representatives = false;
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Starts all nodes anew with some parts of the dispatcher switched off.
+    /// Restarts all nodes with the given features.
     pub fn switch(&mut self, features: Features) {
         self.features = features;
         for number in 0..self.nodes.len() {
@@ -408,7 +410,7 @@
         }
     }
 
-    /// Starts a node anew: a run that knows nothing but the seeds.
+    /// Restarts a node with a new incarnation that knows only the seeds.
     pub fn restart(&mut self, number: usize) {
         let seeds: Vec<SocketAddr> = (0..3).map(node_address).collect();
         self.latest_incarnation += 1;
@@ -442,8 +444,8 @@
         !is_cut && !is_unreachable(from) && !is_unreachable(to)
     }
 
-    /// One tick of every node, and the messages that follow from it; documents that a
-    /// node lacks are fetched at once.
+    /// Runs one tick of every node and delivers the messages that follow from it. Documents
+    /// that a node lacks are fetched without delay.
     pub fn step(&mut self) {
         self.next_tick = self.next_tick + TICK;
         self.now = self.next_tick;
@@ -473,7 +475,7 @@
         }
     }
 
-    /// From now on messages are encoded to count their bytes.
+    /// Starts encoding messages to count their bytes.
     pub fn measure_bytes(&mut self) {
         self.measures_bytes = true;
     }
@@ -534,7 +536,7 @@
         let is_applied = |change: &ReceivedChange| change.outcome == ApplyOutcome::Applied;
         let is_covered = |change: &ReceivedChange| known.covers(change.revision);
         let changes = &received.changes;
-        // A change that stays uncovered would be announced back and forth without end.
+        // A change that stays uncovered would otherwise be announced back and forth forever.
         let is_new = changes.iter().any(is_applied);
         if is_new || !changes.is_empty() && changes.iter().all(is_covered) {
             self.announce(to, false);
@@ -546,13 +548,13 @@
         self.post(number, vec![messages]);
     }
 
-    /// A node reads a change from the platform, and announces it.
+    /// Lets a node read a change from the platform and announce it.
     pub fn read_change(&mut self, number: usize, change: Change, revision: impl Into<Revision>) {
         self.nodes[number].apply(change, self.now);
         self.confirm(number, &revision.into().into(), self.now, true);
     }
 
-    /// Notes a confirmation; news are announced, as the control thread does it.
+    /// Records a confirmation and announces any new changes, as the control thread does.
     pub fn confirm(
         &mut self,
         number: usize,
@@ -573,7 +575,7 @@
         }
     }
 
-    /// The platform answers all nodes that have to read.
+    /// Runs the fleet; all nodes with the reader role get the documents from the platform.
     pub fn run_with_platform(&mut self, milliseconds: u64, revision: u64) {
         for _ in 0..milliseconds / TICK.milliseconds() {
             self.step();
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -6,16 +6,16 @@
 use eiderferry_types::Span;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time in which entries that a restore has lost are written again.
+/// Time allowed for writing entries again that a restore has lost.
 pub const GRACE_PERIOD: Span = Span::from_milliseconds(2_000);
 
-/// The documents that the nodes of a fleet read.
+/// A simulated document source that the nodes of a fleet read.
 #[derive(Default)]
 pub struct Source {
     epoch: u64,
-    /// All writes in order; the number of each is its index plus one.
+    /// All writes in order; the revision number of each is its index plus one.
     history: Vec<(DocumentKey, DocumentContent)>,
-    /// The last write of each item, lost or not.
+    /// The last write of each document, including writes lost in a restore.
     written: BTreeMap<DocumentKey, DocumentContent>,
     /// Nodes that cannot reach the source.
     pub unreachable: BTreeSet<usize>,
@@ -56,7 +56,8 @@
         self.write(instance_key(name), DocumentContent::Removed);
     }
 
-    /// Restores the copy made at a number. Returns the last write of each item that lost one.
+    /// Restores the copy made at a revision number. Returns the last write of each document of
+    /// which a write was lost.
     pub fn restore(&mut self, number: u64) -> BTreeMap<DocumentKey, DocumentContent> {
         self.epoch += 1;
         let lost = self.history.split_off(number as usize);
@@ -65,7 +66,7 @@
             .collect()
     }
 
-    /// The last change of each item after a number.
+    /// The last change of each document after a revision number.
     fn changes_after(&self, number: u64) -> Vec<Change> {
         let mut latest = BTreeMap::new();
         for (index, (key, content)) in self.history.iter().enumerate() {
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// Lets a node watch for changes, or list all documents if it does not know the epoch.
+    /// Lets a node watch for changes, or list all documents if it doesn't know the epoch.
     fn read(&self, fleet: &mut Fleet, node: usize) {
         let known = fleet.nodes[node].document_store().version_vector().newest();
         let watched = known.filter(|known| known.epoch == self.epoch);
--- a/crates/coordination/dispatch/tests/support/traffic.rs
+++ b/crates/coordination/dispatch/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Ways between the nodes of a fleet: how long they take, and the bytes that go over them.
+//! Network paths between the nodes of a fleet: their delays and the bytes sent over them.
 
 use super::{Fleet, MESSAGE_DELAY, PROPAGATION_DEADLINE, node_address, zone};
 use eiderferry_dispatch::{Distance, DocumentStore, Gossip, MessageKind};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time that a message takes between two regions.
+/// Delay of a message between two regions.
 const CROSS_REGION_DELAY: Span = Span::from_milliseconds(30);
 
 impl Fleet {
@@ -38,7 +38,7 @@
         Some(Distance::between(&from, &to, &self.regions))
     }
 
-    /// Counts bytes on their way from a node.
+    /// Counts bytes that a node sends, if the receiver is a node of the fleet.
     pub(super) fn count_bytes(
         &mut self,
         kind: MessageKind,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Bytes that crossed a border of a zone or region, of one kind or of all.
+    /// Bytes sent between zones or regions, of one kind of message or of all kinds.
     pub fn cross_zone_bytes(&self, kind: Option<MessageKind>) -> usize {
         let traffic = self.traffic.iter();
         let crossing = traffic.filter(|((_, distance), _)| *distance != Distance::SameZone);
@@ -59,7 +59,7 @@
         counted.map(|(_, bytes)| bytes).sum()
     }
 
-    /// Fetches documents that a node lacks from the node that it chooses.
+    /// Fetches the documents that a node lacks from the source that it chooses.
     pub(super) fn fetch_wanted(&mut self, number: usize, reporter: Option<SocketAddr>) {
         let now = self.now;
         let Some(source) = self.nodes[number].document_source(reporter, now) else {
@@ -80,7 +80,9 @@
         let source: DocumentStore = self.nodes[from].document_store().clone();
         let changes = source.changes_after(&known);
         if self.measures_bytes {
-            let bytes = postcard::to_stdvec(&changes).expect("a package").len();
+            let bytes = postcard::to_stdvec(&changes)
+                .expect("encodable changes")
+                .len();
             self.count_bytes(MessageKind::Documents, from, node_address(to), bytes);
         }
         for change in changes {
