--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -1,5 +1,5 @@
-//! Large zones: a few aggregators collect what the nodes of a zone report and tell all of
-//! them the sums, so that the cost of a node does not grow with its zone.
+//! Aggregation in large zones: a few aggregators collect the reports of the nodes of a zone and
+//! send the totals to all of them, so that the cost per node does not grow with the zone.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use rstest::rstest;
 use support::{Fleet, back_end, back_end_change, demand, granted};
 
-/// Engines of the loaded fleet.
+/// Number of engines of the loaded fleet.
 const ENGINES: usize = 320;
-/// Requests beyond which an engine of 64 slots gets no more.
+/// Most requests placed on an engine with 64 slots at the same time.
 const MAX_REQUESTS_AT_ENGINE: usize = 84;
-/// Largest message that the relays read.
+/// Size in bytes of the largest message that relays accept.
 const MAX_MESSAGE_BYTES: usize = 16_384;
 
-/// A fleet before so many engines, at which each node places two requests a tick.
+/// A fleet with [`ENGINES`] engines, in which each node places a request in every third tick.
 fn loaded_fleet(count: usize, zones: usize, ticks: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones);
     for node in &mut fleet.nodes {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Before there were aggregators: 142 messages and 77 kB a second for each node; with them 24
-/// and 41.
+/// Without aggregators each node sent 142 messages and 77 kB per second; with them 24 messages
+/// and 41 kB.
 #[test]
 fn a_loaded_node_of_a_large_fleet_sends_few_messages() {
     let seconds = 3;
@@ -53,23 +53,23 @@
     let node_seconds = (fleet.nodes.len() * seconds) as f64;
     let messages = (fleet.messages - messages) as f64 / node_seconds;
     let bytes = (fleet.bytes - bytes) as f64 / node_seconds;
-    assert!(messages <= 35.0, "{messages} messages a second");
-    assert!(bytes <= 50_000.0, "{bytes} bytes a second");
+    assert!(messages <= 35.0, "{messages} messages per second");
+    assert!(bytes <= 50_000.0, "{bytes} bytes per second");
     assert!(
         fleet.largest_message_bytes <= MAX_MESSAGE_BYTES,
-        "{} bytes in a message",
+        "largest message has {} bytes",
         fleet.largest_message_bytes
     );
 }
 
-/// Summaries to a whole zone at once, by nodes chosen without regard to their links, took 1.4
-/// times what a weak link carries in a tick.
+/// Guards against aggregators that fill their links: sending summaries to a whole zone at once,
+/// from nodes chosen regardless of link speed, took 1.4 times what a slow link carries in a tick.
 #[test]
 fn messages_use_less_than_half_of_every_link() {
     let fleet = loaded_fleet(295, 5, 20);
     assert!(
         fleet.peak_link_utilization <= 0.4,
-        "{} of a link",
+        "used {} of a link",
         fleet.peak_link_utilization
     );
 }
@@ -86,7 +86,8 @@
     assert_all_nodes_count(&mut fleet, 30, &[]);
 }
 
-/// Requests that each node still places on the only engine, which holds so many already.
+/// Asserts that each node counts `running` requests on the only engine: it can place just as many
+/// more as the engine has room for.
 fn assert_all_nodes_count(fleet: &mut Fleet, running: usize, excluded: &[usize]) {
     let now = fleet.now;
     for number in (0..fleet.nodes.len()).filter(|number| !excluded.contains(number)) {
@@ -156,7 +157,7 @@
     fleet.run_with_platform(2_000, 2);
     let reporter = (0..71)
         .find(|number| !fleet.dark.contains(number))
-        .expect("one");
+        .expect("a live node");
     place_requests(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     assert_all_nodes_count(&mut fleet, 40, &[]);
@@ -169,7 +170,7 @@
     fleet.run_with_platform(4_000, 2);
     let reporter = (0..71)
         .find(|number| fleet.zones[*number] == 0)
-        .expect("one");
+        .expect("a node of zone 0");
     place_requests(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
     let outside: Vec<usize> = (0..71).filter(|number| fleet.zones[*number] != 0).collect();
@@ -187,7 +188,7 @@
     assert_all_nodes_count(&mut fleet, 20, &[]);
 }
 
-/// Share of the prompts placed a second ago by any node that others know of.
+/// Share of the prompts placed over a second ago that another node knows to be cached.
 fn share_of_known_prompts(count: usize, zones: usize) -> f64 {
     let mut fleet = loaded_fleet(count, zones, 0);
     let mut placed = Vec::new();
@@ -216,7 +217,7 @@
     f64::from(known as u32) / f64::from(asked)
 }
 
-/// Before there were aggregators: 0.90 and 0.53 of them.
+/// Without aggregators 0.90 and 0.53 of the prompts were known.
 #[rstest]
 #[case::seventy_one(71, 3)]
 #[case::large(295, 5)]
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/borders.rs
@@ -1,5 +1,5 @@
-//! What control costs at the borders of zones and regions, and how soon things are known
-//! beyond them.
+//! Control traffic between zones and regions, and how soon changes and failures are known in
+//! other zones.
 
 mod support;
 
@@ -9,9 +9,9 @@
 use std::collections::BTreeSet;
 use support::{Fleet, back_end, back_end_change, demand, granted, known, table_change, zone};
 
-/// Zones of the fleet: 0 and 1 lie in one region, 2 in another.
+/// Number of zones of the fleet: 0 and 1 are in one region, 2 is in another.
 const ZONES: usize = 3;
-/// Engines for each ten nodes.
+/// Engines per ten nodes.
 const ENGINES_PER_TEN: usize = 100;
 const KINDS: [MessageKind; 8] = [
     MessageKind::Report,
@@ -24,7 +24,7 @@
     MessageKind::Documents,
 ];
 
-/// Bytes across borders, by kind.
+/// Kilobytes sent between zones, by kind of message.
 fn kilobytes_by_kind(fleet: &Fleet) -> String {
     let kinds = KINDS.iter().map(|kind| {
         let kilobytes = fleet.cross_zone_bytes(Some(*kind)) as f64 / 1_000.0;
@@ -33,7 +33,7 @@
     kinds.collect::<Vec<String>>().join(", ")
 }
 
-/// A fleet that has all documents, of ten engines a node.
+/// A fleet that knows all documents, with ten engines per node.
 fn fleet_with_documents(count: usize) -> Fleet {
     distribute_documents(Fleet::new(count, ZONES))
 }
@@ -54,7 +54,7 @@
         .collect()
 }
 
-/// Requests placed in each tick by the whole fleet, whatever its size.
+/// Requests placed in each tick by the whole fleet, regardless of its size.
 const REQUESTS_PER_TICK: usize = 40;
 
 fn apply_load(fleet: &mut Fleet, ticks: usize) {
@@ -69,9 +69,9 @@
     }
 }
 
-/// Kilobytes across borders in a start, in 10 s of load, in ten changes and in a start anew.
-/// Before documents were fetched in the own zone and few nodes spoke for each, 300 nodes sent
-/// 43.9, 1.87, 1.43 and 42.9 MB.
+/// Bounds the kilobytes sent between zones during startup, 10 s of load, ten changes and a restart
+/// of all nodes. When nodes fetched documents from other zones and each sent to other zones
+/// itself, 300 nodes sent 43.9, 1.87, 1.43 and 42.9 MB.
 #[rstest]
 #[case::small(30, [1_100, 1_500, 750, 550])]
 #[case::middle(100, [400, 1_000, 550, 300])]
@@ -87,7 +87,7 @@
         kilobytes.push(fleet.cross_zone_bytes(None) / 1_000);
         fleet.traffic.clear();
     };
-    count_and_clear(&mut fleet, "20 s from the start");
+    count_and_clear(&mut fleet, "first 20 s");
     apply_load(&mut fleet, 100);
     count_and_clear(&mut fleet, "10 s of load");
     for revision in 2..12 {
@@ -100,13 +100,17 @@
         fleet.restart(number);
     }
     fleet.run_with_platform(10_000, 12);
-    count_and_clear(&mut fleet, "10 s from a start anew");
+    count_and_clear(&mut fleet, "10 s after a restart of all nodes");
     for (kilobytes, bound) in kilobytes.iter().zip(bounds) {
-        assert!(*kilobytes <= bound, "{kilobytes} of {bound} kB");
+        assert!(
+            *kilobytes <= bound,
+            "{kilobytes} kB, expected at most {bound} kB"
+        );
     }
 }
 
-/// Milliseconds until a condition holds for all nodes that are not dark.
+/// Runs the fleet until a condition holds for all live nodes, for 20 s at most. Returns the
+/// milliseconds that this took.
 fn milliseconds_until(fleet: &mut Fleet, condition: impl Fn(&Dispatcher) -> bool) -> u64 {
     let mut waited = 0;
     let all = |fleet: &Fleet| {
@@ -136,7 +140,8 @@
     assert!(waited <= 2_000, "{waited} ms");
 }
 
-/// Only one node of zone 0 reaches the platform: the documents cross each border few times.
+/// Only one node, in zone 0, reaches the platform. The documents, 138 kB in all, should be sent
+/// between zones only a few times.
 #[test]
 fn documents_cross_zone_boundaries_few_times() {
     let mut fleet = Fleet::new(300, ZONES);
@@ -158,7 +163,7 @@
         waited += 100;
     }
     let bytes = fleet.cross_zone_bytes(Some(MessageKind::Documents));
-    println!("{bytes} bytes of documents across borders, {waited} ms");
+    println!("{bytes} bytes of documents sent between zones, {waited} ms");
     assert!(waited <= 3_000, "{waited} ms");
     assert!(bytes <= 8 * package_bytes, "{bytes} bytes");
 }
@@ -168,7 +173,8 @@
     zones.iter().map(|number| zone(*number)).collect()
 }
 
-/// How soon a cut is known, and over: both were so before few nodes spoke for a zone.
+/// Zone representatives must not delay the detection of a partition or of its end: both bounds
+/// held before there were representatives.
 #[rstest]
 #[case::small(30)]
 #[case::large(300)]
@@ -186,14 +192,14 @@
     fleet.run_with_platform(3_000, 1);
     let kilobytes = fleet.cross_zone_bytes(None) / 1_000;
     println!(
-        "{count} nodes: cut known after {detected} ms, over after {healed} ms, {kilobytes} kB"
+        "{count} nodes: partition detected after {detected} ms, end after {healed} ms, {kilobytes} kB"
     );
-    assert!(detected <= 2_500, "known after {detected} ms");
-    assert!(healed <= 2_500, "over after {healed} ms");
+    assert!(detected <= 2_500, "detected after {detected} ms");
+    assert!(healed <= 2_500, "end detected after {healed} ms");
     assert!(kilobytes <= 600, "{kilobytes} kB");
 }
 
-/// Kilobytes across borders in a start and 5 s of load.
+/// Kilobytes sent between zones during startup and during 5 s of load.
 fn cross_zone_kilobytes(fleet: Fleet) -> (usize, usize) {
     let mut fleet = distribute_documents(fleet);
     let start = fleet.cross_zone_bytes(None) / 1_000;
@@ -207,12 +213,12 @@
     let (start, load) = cross_zone_kilobytes(Fleet::new(100, ZONES));
     let (start_without, load_without) =
         cross_zone_kilobytes(Fleet::without_zone_representatives(100, ZONES));
-    println!("start {start} and {start_without} kB, load {load} and {load_without} kB");
+    println!("startup {start} and {start_without} kB, load {load} and {load_without} kB");
     assert!(start * 5 < start_without, "{start} and {start_without} kB");
     assert!(load * 5 < load_without * 4, "{load} and {load_without} kB");
 }
 
-/// How soon a cut and a change are known with speakers, and without.
+/// Compares the time until a partition and a change are known with and without representatives.
 #[test]
 fn zone_representatives_do_not_delay_detection_or_changes() {
     for count in [100, 300] {
@@ -221,14 +227,16 @@
             Fleet::without_zone_representatives(count, ZONES),
         ];
         let [with, without] = fleets.map(|fleet| detection_times(distribute_documents(fleet)));
-        println!("{count} nodes: cut, heard again, change known: {with:?} and {without:?} ms");
+        println!(
+            "{count} nodes: partition, its end, change known: {with:?} ms, without representatives {without:?} ms"
+        );
         for (with, without) in with.into_iter().zip(without) {
             assert!(with <= without + 300, "{with} and {without} ms");
         }
     }
 }
 
-/// Milliseconds until a cut of a zone, its end, and a change are known to all.
+/// Milliseconds until all nodes know of a partition of a zone, of its end, and of a change.
 fn detection_times(mut fleet: Fleet) -> [u64; 3] {
     let (outside, inside) = (zone_names(&fleet, &[0]), zone_names(&fleet, &[1, 2]));
     fleet.cut.extend([(0, 1), (0, 2)]);
@@ -296,9 +304,9 @@
     });
     fleet.cut.clear();
     let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
-    println!("region cut known after {detected} ms, over after {healed} ms");
-    assert!(detected <= 2_500, "known after {detected} ms");
-    assert!(healed <= 2_500, "over after {healed} ms");
+    println!("region partition detected after {detected} ms, end after {healed} ms");
+    assert!(detected <= 2_500, "detected after {detected} ms");
+    assert!(healed <= 2_500, "end detected after {healed} ms");
 }
 
 #[rstest]
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -1,4 +1,4 @@
-//! What engines tell of their caches corrects what is believed; one failure a test.
+//! Corrections of the assumed cache contents by what engines report. Each test covers one failure.
 
 mod support;
 
@@ -16,10 +16,11 @@
     table_change, with_engines,
 };
 
-/// The shared part of the prompts, and its length.
+/// The part that the prompts share, and its length in tokens.
 const SHARED_PART: u64 = 7;
 const SHARED_TOKENS: u32 = 5_000;
-/// After this a node knows whom it follows, and what was sent at the start has been read.
+/// After this time a node knows which engines it follows, and the prefill of requests sent at the
+/// start has ended.
 const SETTLING_TIME: Span = Span::from_milliseconds(3_000);
 
 fn engine() -> InstanceId {
@@ -30,11 +31,11 @@
     Span::from_milliseconds(milliseconds)
 }
 
-/// Prompts so far: each has a part of its own.
+/// Number of the next prompt. It is also the length of the part that only this prompt has.
 static NEXT_PROMPT: AtomicU32 = AtomicU32::new(1);
 
-/// Tokens of a shared part that a request beginning with it is expected to read, and how long
-/// ago the engine told that it keeps it.
+/// Dispatches a request that begins with a shared part. Returns the tokens of that part that are
+/// expected to be uncached, and the age of the engine's report that it has the part.
 fn dispatch_shared(
     subject: &mut Dispatcher,
     shared_part: u64,
@@ -45,12 +46,13 @@
     (grant.uncached_tokens - own, grant.cache_observation_age)
 }
 
-/// Tokens of the shared part that the next request is expected to read.
+/// Tokens of the shared part that are expected to be uncached for the next request.
 fn uncached_shared_tokens(subject: &mut Dispatcher, now: Timestamp) -> u32 {
     dispatch_shared(subject, SHARED_PART, now).0
 }
 
-/// A node that sent the shared part to its only engine at the start, three seconds later.
+/// A node that sent the shared part to its only engine at the start and so assumes it is cached,
+/// and a time three seconds later.
 fn with_assumed_part() -> (Dispatcher, Timestamp) {
     let mut subject = with_engines(1);
     subject.tick(START);
@@ -89,7 +91,7 @@
     }
 }
 
-/// Makes the call that is due and answers it.
+/// Makes the call that is due and handles a response to it.
 fn answer_due_call(
     subject: &mut Dispatcher,
     response: CacheResponse,
@@ -99,7 +101,7 @@
     subject.handle_cache_response(&engine(), response, now)
 }
 
-/// Hands events over with the next call.
+/// Answers the next call with events.
 fn answer_with_events(
     subject: &mut Dispatcher,
     reported: CacheEvents,
@@ -111,7 +113,7 @@
 #[test]
 fn a_part_missing_from_the_listing_is_no_longer_assumed_cached() {
     let (mut subject, now) = with_assumed_part();
-    let update = answer_due_call(&mut subject, listing(&[]), now).expect("news");
+    let update = answer_due_call(&mut subject, listing(&[]), now).expect("an update");
     assert_eq!((update.stale, update.missing), (1, 0));
     assert_eq!(uncached_shared_tokens(&mut subject, now), SHARED_TOKENS);
 }
@@ -170,8 +172,8 @@
     answer_due_call(&mut subject, listing(&[(SHARED_PART, SHARED_TOKENS)]), now);
     let later = now + ms(20_000);
     dispatch_shared(&mut subject, 8, later);
-    let update =
-        answer_with_events(&mut subject, cache_events(1, 10, &[]), later + ms(100)).expect("news");
+    let update = answer_with_events(&mut subject, cache_events(1, 10, &[]), later + ms(100))
+        .expect("an update");
     assert_eq!(update.stale, 0);
     assert_eq!(dispatch_shared(&mut subject, 8, later + ms(200)).0, 0);
 }
@@ -185,7 +187,7 @@
         has_gap: true,
         ..cache_events(1, 40, &[])
     };
-    let update = answer_with_events(&mut subject, with_gap, now).expect("news of a gap");
+    let update = answer_with_events(&mut subject, with_gap, now).expect("an update on the gap");
     assert_eq!((update.stale, update.counts.gaps), (0, 1));
     assert_eq!(due_cache_calls(&mut subject, now), [CacheCall::List]);
     subject.handle_cache_response(&engine(), listing(&[]), now);
@@ -258,7 +260,7 @@
     }
     assert!(
         (3..=9).contains(&call_count),
-        "{call_count} calls in 100 s without a gain"
+        "{call_count} calls in 100 s without a correction"
     );
 }
 
@@ -268,7 +270,7 @@
     subject.tick(START);
     for shared_part in 100..140 {
         granted(subject.dispatch(&demand(shared_part, 1_000, 10), START));
-        // Placements are told, and make room for further ones.
+        // Ticks send the placements, which makes room for further ones.
         (0..4).for_each(|_| drop(subject.tick(START)));
     }
     let mut now = START + ms(60_000);
@@ -279,8 +281,8 @@
             _ => CacheResponse::Events(cache_events(1, 10, &[])),
         };
         let update = subject.handle_cache_response(&engine(), response, now);
-        let stale = update.expect("news").stale;
-        assert!(stale <= 12, "{stale} in one answer");
+        let stale = update.expect("an update").stale;
+        assert!(stale <= 12, "{stale} corrections from one response");
         corrected += stale;
         (0..4).for_each(|_| drop(subject.tick(now)));
         now = now + ms(20_000);
@@ -288,7 +290,7 @@
     assert_eq!(corrected, 40);
 }
 
-/// A second node of the same zone that believes as the first does.
+/// A second node of the same zone with the same assumptions as the first.
 fn second_node() -> Dispatcher {
     let mut second = dispatcher(1, 0, vec![node_address(0)]);
     second.apply(table_change(1), START);
@@ -299,7 +301,8 @@
     second
 }
 
-/// Both nodes hear each other; returns the one that follows and the other.
+/// Two nodes that have heard each other: the one that follows the engine, the other one, and the
+/// number of the follower.
 fn connected_pair(now: Timestamp) -> (Dispatcher, Dispatcher, usize) {
     let (mut first, _) = with_assumed_part();
     let mut second = second_node();
@@ -359,7 +362,7 @@
     subject.resume_after_pause(resumed);
     let update =
         subject.handle_cache_response(&engine(), listing(&[(SHARED_PART, SHARED_TOKENS)]), resumed);
-    assert_eq!(update.expect("news").stale, 0);
+    assert_eq!(update.expect("an update").stale, 0);
     assert_eq!(uncached_shared_tokens(&mut subject, resumed), 0);
 }
 
@@ -378,7 +381,7 @@
     );
 }
 
-/// It wants nothing from this node, also no calls for what it keeps.
+/// The backoff that an engine asks for also applies to calls for its cache contents.
 #[test]
 fn an_engine_is_not_called_during_its_backoff() {
     let (mut subject, now) = with_assumed_part();
@@ -388,7 +391,7 @@
     assert_eq!(due_cache_calls(&mut subject, now + ms(1_000)).len(), 1);
 }
 
-/// It is in need, and its limit is kept for requests.
+/// A rate-limited engine is overloaded, and its limit is reserved for requests.
 #[test]
 fn an_engine_is_not_called_while_it_is_rate_limited() {
     let (mut subject, now) = with_assumed_part();
@@ -431,7 +434,7 @@
         fleet.read_change(0, back_end_change(back_end(&name, number, 0), 2), 2);
     }
     fleet.read_change(0, table_change(3), 3);
-    // One call at each engine, and no two nodes at one.
+    // Each engine gets one call, from one node.
     let mut called = BTreeSet::new();
     for _ in 0..12 {
         fleet.step();
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -1,4 +1,5 @@
-//! Cold back ends: what all nodes together send them, whatever the nodes know of each other.
+//! The rate limit of cold back ends holds for all nodes together, whatever they know of each
+//! other.
 
 mod support;
 
@@ -16,9 +17,9 @@
     duration: Span::from_milliseconds(3_000),
     requests_per_second: 5.2,
 };
-/// What all nodes together may send to one cold engine in a second.
+/// Most requests per second that all nodes together may send to one cold engine.
 const MAX_REQUESTS_PER_SECOND: usize = 12;
-/// Requests that each node gets between two ticks: more than any could serve.
+/// Requests offered to each node between two ticks: more than it may send to cold engines.
 const REQUESTS_PER_NODE_AND_TICK: u32 = 3;
 const SECOND: Span = Span::from_milliseconds(1_000);
 
@@ -42,7 +43,7 @@
     back_end_change(engine, revision)
 }
 
-/// A node that has been up for so long and knows one cold engine in its zone.
+/// A node with the given uptime that knows one cold engine in its zone.
 fn node_with_a_cold_engine(uptime: Span) -> (Dispatcher, Timestamp) {
     let mut subject = dispatcher(0, 0, Vec::new());
     subject.tick(START);
@@ -135,7 +136,8 @@
 /// Requests that reached each cold engine, with their times.
 type Arrivals = BTreeMap<String, Vec<Timestamp>>;
 
-/// Every node is asked for more than it can serve, for so long. Answers come at once.
+/// Offers every node more requests than it may send, for a number of milliseconds. Engines respond
+/// at once.
 fn overload(fleet: &mut Fleet, milliseconds: u64, arrivals: &mut Arrivals) {
     for _ in 0..milliseconds / 100 {
         fleet.step();
@@ -163,12 +165,12 @@
         let peak = most_within(times, SECOND, Timestamp::default());
         assert!(
             peak <= MAX_REQUESTS_PER_SECOND,
-            "{engine}: {peak} in a second"
+            "{engine}: {peak} requests in a second"
         );
     }
 }
 
-/// A settled fleet whose table tells of cold starts.
+/// A fleet whose nodes know each other and a table with cold starts.
 fn settled_fleet(count: usize, zones: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(20_000, 1);
@@ -177,7 +179,7 @@
     fleet
 }
 
-/// So many engines of a zone turn up cold at once, on every node.
+/// Adds cold engines of a zone on all nodes at the same time.
 fn add_cold_engines(fleet: &mut Fleet, engines: usize, zone: usize, revision: u64) {
     let now = fleet.now;
     for node in &mut fleet.nodes {
@@ -201,11 +203,14 @@
     let mut arrivals = Arrivals::new();
     overload(&mut fleet, 2_800, &mut arrivals);
     assert_within_rate_limit(&arrivals);
-    assert_eq!(arrivals.len(), 30, "each of them is used");
+    assert_eq!(arrivals.len(), 30, "every engine gets requests");
     let total: usize = arrivals.values().map(Vec::len).sum();
     let senders = 6.min(count / zones);
     let minimum = 30 * senders * 2;
-    assert!(total >= minimum, "{total} requests of {minimum} or more");
+    assert!(
+        total >= minimum,
+        "{total} requests, expected {minimum} or more"
+    );
 }
 
 #[rstest]
@@ -239,7 +244,7 @@
 ) {
     let mut fleet = settled_fleet(count, zones);
     let mut arrivals = Arrivals::new();
-    // Half of the zone ends and comes back as new runs, which know nobody.
+    // Half of the nodes stop and restart without knowing any peer.
     let restarted: Vec<usize> = (0..count).filter(|number| number % 2 == 0).collect();
     fleet.dark.extend(restarted.iter().copied());
     add_cold_engines(&mut fleet, 10, 1, 3);
@@ -252,7 +257,7 @@
     }
     add_cold_engines(&mut fleet, 10, 1, 4);
     overload(&mut fleet, 3_000, &mut arrivals);
-    // The zone is cut off from the others while its engines start again.
+    // The zone is partitioned from the others while its engines restart.
     fleet.cut.extend([(0, 1), (1, 2)]);
     add_cold_engines(&mut fleet, 10, 1, 5);
     overload(&mut fleet, 3_000, &mut arrivals);
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: their back ends get nothing new, from any node, by any way.
+//! Back ends of evacuated zones get no new requests, retries or cache copies from any node.
 
 mod support;
 
@@ -14,7 +14,7 @@
     table_change, zone,
 };
 
-/// Time within which an evacuation has to be obeyed by all nodes that are in touch.
+/// Time in milliseconds within which all connected nodes must apply an evacuation.
 const PROPAGATION_DEADLINE_MS: u64 = 5_000;
 
 fn evacuation(zone: ZoneName, revision: u64, content: DocumentContent) -> Change {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Six engines, two in each of three zones.
+/// Adds six engines, two in each of three zones.
 fn engines_in_three_zones(subject: &mut Dispatcher) {
     for number in 0..6 {
         let name = format!("engine-{number}");
@@ -44,7 +44,7 @@
     subject
 }
 
-/// Zones in which so many requests with different prompts are placed.
+/// Zones of the engines on which 60 requests with different prompts are placed.
 fn zones_of_grants(subject: &mut Dispatcher, now: Timestamp) -> Vec<usize> {
     zones_of_grants_for(0..60, subject, now)
 }
@@ -126,7 +126,7 @@
         assert_ne!(number % 3, evacuated_zone);
         assert_eq!(
             grant.copy_from, None,
-            "the only engine that keeps it is there"
+            "the only engine that has it cached is in the evacuated zone"
         );
         subject.release(grant.lease, Outcome::Abandoned, later);
     }
@@ -152,7 +152,7 @@
         evacuation(zone(1), 9, DocumentContent::Removed),
         readmitted_at,
     );
-    // A node of another zone sends nothing there before they are warm.
+    // A node of another zone sends nothing to the engines until they are warm.
     assert!(!zones_of_grants(&mut subject, readmitted_at).contains(&1));
     let warm_at = readmitted_at + Span::from_milliseconds(3_200);
     assert!(zones_of_grants_for(100..160, &mut subject, warm_at).contains(&1));
--- a/crates/coordination/dispatch/tests/few_readers.rs
+++ b/crates/coordination/dispatch/tests/few_readers.rs
@@ -1,4 +1,4 @@
-//! Where changes may take a few seconds, two zones read the platform for all.
+//! With a propagation deadline of a few seconds, only two zones read the platform for all.
 
 mod support;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The others of the reading zones are there: they follow when nothing fresh is heard.
+/// Other nodes of the reader zones take over when they hear no fresh confirmation.
 #[rstest]
 #[case::eighteen(18, 5)]
 #[case::large(295, 5)]
@@ -56,7 +56,7 @@
     let readers = reader_zones(&fleet);
     let partitioned = (0..zones)
         .find(|zone| !readers.contains(zone))
-        .expect("one");
+        .expect("a zone without readers");
     fleet.cut.extend(
         (0..zones)
             .filter(|zone| *zone != partitioned)
@@ -85,6 +85,6 @@
     assert_eq!(
         reader_zones(&fleet).len(),
         4,
-        "two of those that hear each other read too"
+        "two of the zones that still hear each other read as well"
     );
 }
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many nodes together: they find each other, share the reading, and pass on news.
+//! Many nodes together: they discover each other, share the reading of the platform, and forward
+//! changes.
 
 mod support;
 
@@ -11,9 +12,9 @@
     table_change,
 };
 
-/// Time that a message of two nodes takes.
+/// Delay of a message between two nodes: 900 microseconds.
 const MESSAGE_DELAY: Span = Span(900);
-/// Requests beyond which an engine of 64 slots gets no more.
+/// Most requests placed on an engine with 64 slots at the same time.
 const MAX_REQUESTS_AT_ENGINE: usize = 84;
 
 #[rstest]
@@ -65,7 +66,7 @@
     }
     assert!(
         per_node[1] <= per_node[0] * 1.1,
-        "{per_node:?} messages a second"
+        "{per_node:?} messages per second and node"
     );
 }
 
@@ -202,7 +203,7 @@
     assert!((2..=4).contains(&readers), "{readers} readers");
 }
 
-/// A fleet that knows one engine, at which the first node has so many requests.
+/// A fleet with one engine, on which the first node has placed `requests` requests.
 fn busy_fleet(count: usize, zones: usize, requests: u32, milliseconds: u64) -> Fleet {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(20_000, 1);
@@ -244,7 +245,9 @@
 fn other_nodes_send_the_digest_of_a_zone_whose_digest_senders_are_dead() {
     let mut fleet = busy_fleet(71, 3, 0, 0);
     let mut nodes = 0..71;
-    let reporter = nodes.find(|number| fleet.zones[*number] == 1).expect("one");
+    let reporter = nodes
+        .find(|number| fleet.zones[*number] == 1)
+        .expect("a node of zone 1");
     let readers = fleet.readers();
     let dead = readers.into_iter().filter(|number| *number != reporter);
     fleet.dark.extend(dead);
@@ -257,7 +260,7 @@
     let now = fleet.now;
     let other = (0..71)
         .find(|number| fleet.zones[*number] == 0 && !fleet.dark.contains(number))
-        .expect("one");
+        .expect("a live node of zone 0");
     let decisions = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
     let granted = decisions.filter(|decision| matches!(decision, Decision::Grant(_)));
     assert_eq!(granted.count(), MAX_REQUESTS_AT_ENGINE - 70);
@@ -350,7 +353,7 @@
     }
 }
 
-/// Zone of the engine that a demand of a node goes to, without leaving it there.
+/// Zone of the engine to which a node sends a demand. The lease is released at once.
 fn chosen_zone(fleet: &mut Fleet, node: usize, shared_part: u64) -> usize {
     let now = fleet.now;
     let grant = granted(fleet.nodes[node].dispatch(&demand(shared_part, 600, 100), now));
@@ -379,7 +382,7 @@
     assert_eq!(
         zones_of(&mut fleet, 0..40),
         all,
-        "each zone is home to some"
+        "each zone gets some prompts"
     );
     fleet.cut.insert((0, 1));
     fleet.run_with_platform(1_700, 1);
@@ -389,22 +392,21 @@
     assert_eq!(zones_of(&mut fleet, 100..140), all);
 }
 
-/// A release replaces 53 engines in a second: 64 changes between two looks at the platform.
+/// Changes between two checks of the platform: a release replaces 53 engines per second.
 const CHANGES_PER_CHECK: u64 = 64;
-/// Time between two looks.
+/// Time in milliseconds between two checks of the platform.
 const CHECK_INTERVAL_MS: u64 = 400;
 const CHECKS: u64 = 5;
 
-/// What a node does for one look at the platform in a release.
+/// Cost to a node per check of the platform during a release.
 #[derive(Clone, Copy, Debug)]
 struct CostPerCheck {
-    /// Messages beyond those of a calm time.
+    /// Messages beyond those of an idle fleet.
     messages: f64,
-    /// Fetches of documents.
     fetches: f64,
 }
 
-/// What a release costs a node, after which all nodes know all changes.
+/// Runs a release and measures its cost per node; all nodes must know all changes afterwards.
 fn cost_per_check(nodes: usize) -> CostPerCheck {
     let mut fleet = Fleet::new(nodes, 5);
     fleet.run_with_platform(3_000, 1);
@@ -440,12 +442,12 @@
     }
 }
 
-/// One node in twenty is told of a look by none of the three that each node tells, and fetches:
-/// 0.056 of 585 nodes and 0.052 of 1,170, with 9.8 and 9.4 messages a node.
+/// Each node forwards an announcement to three others. About one node in twenty gets none and
+/// fetches the changes: 0.056 of 585 nodes and 0.052 of 1,170, with 9.8 and 9.4 messages per node.
 #[test]
 fn the_cost_of_a_release_per_node_does_not_grow_with_the_fleet_and_few_nodes_fetch() {
     let (small, large) = (cost_per_check(290), cost_per_check(585));
-    println!("for a check: {small:?} of 290, {large:?} of 585 nodes");
+    println!("per check: {small:?} with 290 nodes, {large:?} with 585 nodes");
     for cost in [small, large] {
         assert!(cost.messages < 12.0, "{cost:?}");
         assert!(cost.fetches < 0.1, "{cost:?}");
