--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -205,16 +205,16 @@
     }
     fleet.run_with_platform(1_000, 1);
     let now = fleet.now;
-    let (mut known, mut asked) = (0, 0);
+    let (mut known, mut sampled) = (0, 0);
     for (number, shared_part) in placed.iter().enumerate().step_by(7) {
         let asking_node = (number * 13 + 5) % count;
         let node = &mut fleet.nodes[asking_node];
         let grant = granted(node.dispatch(&demand(*shared_part, 1_500, 100), now));
         node.release(grant.lease, Outcome::Abandoned, now);
         known += usize::from(grant.uncached_tokens <= 100);
-        asked += 1;
+        sampled += 1;
     }
-    f64::from(known as u32) / f64::from(asked)
+    f64::from(known as u32) / f64::from(sampled)
 }
 
 /// Without aggregators 0.90 and 0.53 of the prompts were known.
--- a/crates/coordination/dispatch/tests/few_readers.rs
+++ b/crates/coordination/dispatch/tests/few_readers.rs
@@ -53,9 +53,9 @@
 #[case::large(295, 5)]
 fn a_partitioned_zone_reads_for_itself(#[case] count: usize, #[case] zones: usize) {
     let mut fleet = settled_fleet(count, zones);
-    let readers = reader_zones(&fleet);
+    let reading_zones = reader_zones(&fleet);
     let partitioned = (0..zones)
-        .find(|zone| !readers.contains(zone))
+        .find(|zone| !reading_zones.contains(zone))
         .expect("a zone without readers");
     fleet.cut.extend(
         (0..zones)
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -431,14 +431,14 @@
     }
     let sent = fleet.messages - before;
     fleet.run(1_000);
-    let known = (CHECKS * (CHANGES_PER_CHECK + 1)) as usize;
+    let expected = (CHECKS * (CHANGES_PER_CHECK + 1)) as usize;
     for node in &fleet.nodes {
-        assert_eq!(node.document_store().back_ends().count(), known);
+        assert_eq!(node.document_store().back_ends().count(), expected);
     }
-    let all = nodes as f64 * CHECKS as f64;
+    let node_checks = nodes as f64 * CHECKS as f64;
     CostPerCheck {
-        messages: (sent as f64 - idle as f64) / all,
-        fetches: (fleet.fetches - fetches) as f64 / all,
+        messages: (sent as f64 - idle as f64) / node_checks,
+        fetches: (fleet.fetches - fetches) as f64 / node_checks,
     }
 }
 
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -483,8 +483,8 @@
     fn post(&mut self, from: usize, messages: Vec<Envelope>) {
         let before = self.bytes;
         self.encode_and_post(from, messages);
-        let link = usize::from(link_mbps(from)) * BYTES_PER_TICK_AND_MBPS;
-        let utilization = (self.bytes - before) as f64 / link as f64;
+        let capacity = usize::from(link_mbps(from)) * BYTES_PER_TICK_AND_MBPS;
+        let utilization = (self.bytes - before) as f64 / capacity as f64;
         self.peak_link_utilization = self.peak_link_utilization.max(utilization);
     }
 
