--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of dispatchers on a virtual clock, without I/O.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use eiderferry_dispatch::{
     ApplyOutcome, Change, ColdRateLimit, Decision, Demand, Dispatcher, DispatcherSettings,
@@ -23,27 +23,31 @@
 
 pub const START: Timestamp = Timestamp(10_000_000_000);
 pub const ENGINES: &str = "engines";
-pub const BUDGET: RetryBudgetSettings = RetryBudgetSettings {
+pub const RETRY_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
     window: Span::from_milliseconds(10_000),
 };
 
-pub const COLD_BOUND: ColdRateLimit = ColdRateLimit {
+pub const COLD_RATE_LIMIT: ColdRateLimit = ColdRateLimit {
     overage: 1.5,
     slack: 5.0,
 };
 
-/// Each node of so many has a strong link, the others a weak one.
-const STRONG_EACH: usize = 17;
-/// Time within which a change has to be in force.
-pub const APPLY_WITHIN: Span = Span::from_milliseconds(2_000);
+/// One in this many nodes has a fast link of 200 Mbit/s; the others have 20 Mbit/s.
+const STRONG_LINK_INTERVAL: usize = 17;
+/// Time within which a change has to be applied by all nodes.
+pub const PROPAGATION_DEADLINE: Span = Span::from_milliseconds(2_000);
 
-/// Bytes that a link of 1 Mbit/s carries between two ticks.
-const BYTES_A_TICK: usize = 12_500;
+/// Bytes that a link carries between two ticks for each Mbit/s of its rate.
+const BYTES_PER_TICK_AND_MBPS: usize = 12_500;
 
 fn link_mbps(number: usize) -> u16 {
-    if number % STRONG_EACH == 7 { 200 } else { 20 }
+    if number % STRONG_LINK_INTERVAL == 7 {
+        200
+    } else {
+        20
+    }
 }
 
 pub fn node_address(number: usize) -> SocketAddr {
@@ -71,17 +75,17 @@
     }
 }
 
-/// All changes up to a number, for a source that was never restored.
+/// The version vector that covers all changes up to a number, of a source never restored.
 pub fn known(number: u64) -> VersionVector {
     Revision::from(number).into()
 }
 
 pub fn table_change(revision: u64) -> Change {
-    table_with(revision, 12)
+    table_with_event_calls(revision, 12)
 }
 
-/// A table whose engines hold so many calls for cache events.
-fn table_with(revision: u64, cache_event_calls: u32) -> Change {
+/// A table whose engines accept this many concurrent calls for cache events.
+fn table_with_event_calls(revision: u64, cache_event_calls: u32) -> Change {
     let pool = Pool {
         health_path: "/health".to_owned(),
         maximum_connections: 360,
@@ -137,18 +141,18 @@
 }
 
 pub fn dispatcher(number: usize, zone_number: usize, seeds: Vec<SocketAddr>) -> Dispatcher {
-    dispatcher_with(number, zone_number, seeds, APPLY_WITHIN)
+    dispatcher_with(number, zone_number, seeds, PROPAGATION_DEADLINE)
 }
 
-/// A dispatcher without some features.
+/// A dispatcher with the given features, which knows no documents.
 pub fn dispatcher_with_features(zone_number: usize, features: Features) -> Dispatcher {
     Dispatcher::new(DispatcherSettings {
         features,
-        ..settings(0, zone_number, Vec::new(), APPLY_WITHIN, regions())
+        ..settings(0, zone_number, Vec::new(), PROPAGATION_DEADLINE, regions())
     })
 }
 
-/// Features without the ones that keep prompts near: engines of all zones are used.
+/// All features except locality costs, so that engines of all zones are used alike.
 pub const HOMES_ANYWHERE: Features = Features {
     locality_costs: false,
     ..Features::ALL
@@ -178,32 +182,32 @@
 ) -> DispatcherSettings {
     DispatcherSettings {
         propagation_deadline,
-        cold_rate_limit: COLD_BOUND,
+        cold_rate_limit: COLD_RATE_LIMIT,
         link_mbps: link_mbps(number),
         node: NodeName::from(format!("node-{number}")),
         zone: zone(zone_number),
         address: node_address(number),
         seeds,
         incarnation: 1,
-        retry_budget: BUDGET,
+        retry_budget: RETRY_BUDGET,
         regions,
         features: Features::ALL,
     }
 }
 
-/// Zones 0 and 1 lie in one region, zone 2 in another; of further ones it isn't known.
+/// Zones 0 and 1 are in one region and zone 2 in another; further zones have no known region.
 fn regions() -> ZoneRegions {
     let region = |number: usize| RegionName::from(if number < 2 { "west" } else { "east" });
     let zones = (0..3).map(|number| (zone(number), region(number)));
     zones.collect()
 }
 
-/// A dispatcher that knows so many engines, all in its zone.
+/// A dispatcher that knows `count` engines, all in its zone.
 pub fn with_engines(count: usize) -> Dispatcher {
     with_engines_and(count, Features::ALL)
 }
 
-/// The same with some parts of the dispatcher switched off.
+/// Like [`with_engines`], with the given features.
 pub fn with_engines_and(count: usize, features: Features) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_change(1), START);
@@ -215,33 +219,33 @@
     subject
 }
 
-/// A dispatcher with parts switched off that knows one engine, which holds so many calls for
-/// cache events.
-pub fn with_features(features: Features, cache_event_calls: u32) -> Dispatcher {
+/// A dispatcher with the given features that knows one engine, which accepts
+/// `cache_event_calls` concurrent calls for cache events.
+pub fn with_one_engine(features: Features, cache_event_calls: u32) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
-    subject.apply(table_with(1, cache_event_calls), START);
+    subject.apply(table_with_event_calls(1, cache_event_calls), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
     subject.record_confirmation(&known(2), START);
     subject
 }
 
-/// A demand whose prompt begins with the shared part `thing`.
-pub fn demand(thing: u64, shared: u32, own: u32) -> Demand {
+/// A demand whose prompt begins with the part `shared_part`, followed by a part of its own.
+pub fn demand(shared_part: u64, shared_tokens: u32, own_tokens: u32) -> Demand {
     Demand {
-        digest: RequestDigest(thing.rotate_left(20) ^ u64::from(own)),
+        digest: RequestDigest(shared_part.rotate_left(20) ^ u64::from(own_tokens)),
         pool: PoolName::from(ENGINES),
         rank: 2,
         parts: vec![
             PromptPart {
-                id: PartId(thing),
-                tokens: shared,
+                id: PartId(shared_part),
+                tokens: shared_tokens,
             },
             PromptPart {
-                id: PartId(thing.wrapping_mul(7_919) + u64::from(own)),
-                tokens: own,
+                id: PartId(shared_part.wrapping_mul(7_919) + u64::from(own_tokens)),
+                tokens: own_tokens,
             },
         ],
-        prompt_tokens: shared + own,
+        prompt_tokens: shared_tokens + own_tokens,
         output_tokens: 100,
         bytes: 4_000,
         target: Span::from_milliseconds(2_500),
@@ -256,7 +260,8 @@
     }
 }
 
-/// Most of some moments that lie within a span which ends at one of them, from a moment on.
+/// The largest number of times in any window of length `span` that ends at one of them, counting
+/// only windows that end at `from` or later.
 pub fn most_within(times: &[Timestamp], span: Span, from: Timestamp) -> usize {
     let ends = times.iter().filter(|at| **at >= from);
     let counts = ends.map(|end| {
@@ -273,70 +278,75 @@
     }
 }
 
-/// Number of the engine that was granted: they are named `engine-0` and so on.
+/// Number of the granted engine; engines are named `engine-0` and so on.
 pub fn engine_number(grant: &Grant) -> usize {
     let name = grant.instance.as_str();
     name["engine-".len()..].parse().expect("a number")
 }
 
-/// Time that a message takes within a region.
-const HOP: Span = Span::from_milliseconds(1);
+/// Delay of a message within a region.
+const MESSAGE_DELAY: Span = Span::from_milliseconds(1);
 
-/// A fleet whose messages take a millisecond, or thirty between regions.
+/// A fleet of nodes that exchange messages with a fixed delay within and between regions.
 pub struct Fleet {
     pub now: Timestamp,
     next_tick: Timestamp,
     pub nodes: Vec<Dispatcher>,
     pub zones: Vec<usize>,
-    /// Pairs of zones that don't hear each other.
+    /// Pairs of zones without a connection between them.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Nodes that neither send nor receive.
+    /// Nodes that are stopped: they neither tick, send nor receive.
     pub dark: BTreeSet<usize>,
-    /// Nodes that run on, but hear no other and are not heard.
+    /// Nodes that keep running without a connection to any other.
     pub isolated: BTreeSet<usize>,
+    /// Peers declared lost, each with the node that declared it.
     pub lost: Vec<(usize, NodeName)>,
     pub messages: u64,
     pub fetches: u64,
-    /// Bytes of messages, once they are measured, and the largest one.
+    /// Bytes of all messages and of the largest one, counted after [`Fleet::measure_bytes`].
     pub bytes: usize,
-    pub largest_message: usize,
-    /// The same bytes by kind of message and border, document packages included.
+    pub largest_message_bytes: usize,
+    /// Bytes by kind of message and distance, including fetched documents.
     pub traffic: BTreeMap<(MessageKind, Distance), usize>,
-    /// Largest part of its link that a node's messages of one tick took.
-    pub busiest_link: f64,
-    /// Each of so many messages is lost, if any is.
+    /// Largest fraction of its link's capacity per tick that a node used for messages sent at once.
+    pub peak_link_utilization: f64,
+    /// One in this many messages is lost; `None` loses none.
     pub lost_each: Option<u64>,
     measures_bytes: bool,
-    /// Nodes that have read the platform.
-    pub read_by: BTreeSet<usize>,
-    /// Messages on their way, by when they arrive.
+    /// Nodes that have read documents from the platform.
+    pub platform_readers: BTreeSet<usize>,
+    /// Messages in transit by arrival time and sequence number.
     in_flight: BTreeMap<(Timestamp, u64), (usize, SocketAddr, Rc<Gossip>)>,
-    /// Time that a message takes between regions.
-    pub region_hop: Span,
-    /// Parts in use on nodes that start anew.
+    /// Delay of a message between regions.
+    pub cross_region_delay: Span,
+    /// Features of nodes that are restarted.
     pub features: Features,
     /// Region of each zone.
     pub regions: ZoneRegions,
-    /// Nodes that hand out no documents.
+    /// Nodes that are too busy to serve documents.
     pub busy: BTreeSet<usize>,
     /// Documents that the platform has besides the table.
     pub first_documents: Vec<Change>,
-    /// Number of the latest run of any node.
-    runs: u32,
+    /// Highest incarnation number given to any node.
+    latest_incarnation: u32,
 }
 
 impl Fleet {
     pub fn new(count: usize, zone_count: usize) -> Self {
-        Self::with_apply_within(count, zone_count, APPLY_WITHIN)
+        Self::with_propagation_deadline(count, zone_count, PROPAGATION_DEADLINE)
     }
 
-    /// A fleet in which changes have to be in force within so long.
-    pub fn with_apply_within(count: usize, zone_count: usize, propagation_deadline: Span) -> Self {
+    /// A fleet in which changes have to be applied within the given time.
+    pub fn with_propagation_deadline(
+        count: usize,
+        zone_count: usize,
+        propagation_deadline: Span,
+    ) -> Self {
         Self::with_regions(count, zone_count, propagation_deadline, regions())
     }
 
-    /// A fleet in which each node speaks for itself to other zones.
-    pub fn without_zone_speakers(count: usize, zone_count: usize) -> Self {
+    /// A fleet without zone representatives: each node sends to other zones itself.
+    pub fn without_zone_representatives(count: usize, zone_count: usize) -> Self {
         let mut fleet = Self::new(count, zone_count);
         fleet.features.zone_representatives = false;
         for number in 0..count {
@@ -376,23 +386,23 @@
             messages: 0,
             fetches: 0,
             bytes: 0,
-            largest_message: 0,
+            largest_message_bytes: 0,
             traffic: BTreeMap::new(),
-            busiest_link: 0.0,
+            peak_link_utilization: 0.0,
             lost_each: None,
             measures_bytes: false,
-            read_by: BTreeSet::new(),
+            platform_readers: BTreeSet::new(),
             in_flight: BTreeMap::new(),
-            region_hop: HOP,
+            cross_region_delay: MESSAGE_DELAY,
             features: Features::ALL,
             regions,
             first_documents: Vec::new(),
             busy: BTreeSet::new(),
-            runs: 1,
+            latest_incarnation: 1,
         }
     }
 
-    /// Starts all nodes anew with some parts of the dispatcher switched off.
+    /// Restarts all nodes with the given features.
     pub fn switch(&mut self, features: Features) {
         self.features = features;
         for number in 0..self.nodes.len() {
@@ -400,25 +410,25 @@
         }
     }
 
-    /// Starts a node anew: a run that knows nothing but the seeds.
+    /// Restarts a node with a new incarnation that knows only the seeds.
     pub fn restart(&mut self, number: usize) {
         let seeds: Vec<SocketAddr> = (0..3).map(node_address).collect();
-        self.runs += 1;
+        self.latest_incarnation += 1;
         let zone_number = self.zones[number];
         self.nodes[number] = Dispatcher::new(DispatcherSettings {
-            incarnation: self.runs,
+            incarnation: self.latest_incarnation,
             features: self.features,
             ..settings(
                 number,
                 zone_number,
                 seeds,
-                APPLY_WITHIN,
+                PROPAGATION_DEADLINE,
                 self.regions.clone(),
             )
         });
     }
 
-    fn number_of(&self, address: SocketAddr) -> Option<usize> {
+    fn node_at(&self, address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else {
             return None;
         };
@@ -427,15 +437,15 @@
         (number < self.nodes.len()).then_some(number)
     }
 
-    fn hears(&self, from: usize, to: usize) -> bool {
+    fn is_connected(&self, from: usize, to: usize) -> bool {
         let (one, two) = (self.zones[from], self.zones[to]);
         let is_cut = self.cut.contains(&(one, two)) || self.cut.contains(&(two, one));
-        let is_off = |node| self.dark.contains(&node) || self.isolated.contains(&node);
-        !is_cut && !is_off(from) && !is_off(to)
+        let is_unreachable = |node| self.dark.contains(&node) || self.isolated.contains(&node);
+        !is_cut && !is_unreachable(from) && !is_unreachable(to)
     }
 
-    /// One tick of every node, and the messages that follow from it; documents that a
-    /// node lacks are fetched at once.
+    /// Runs one tick of every node and delivers the messages that follow from it. Documents
+    /// that a node lacks are fetched without delay.
     pub fn step(&mut self) {
         self.next_tick = self.next_tick + TICK;
         self.now = self.next_tick;
@@ -465,7 +475,7 @@
         }
     }
 
-    /// From now on messages are encoded to count their bytes.
+    /// Starts encoding messages to count their bytes.
     pub fn measure_bytes(&mut self) {
         self.measures_bytes = true;
     }
@@ -473,9 +483,9 @@
     fn post(&mut self, from: usize, messages: Vec<Envelope>) {
         let before = self.bytes;
         self.encode_and_post(from, messages);
-        let link = usize::from(link_mbps(from)) * BYTES_A_TICK;
-        let part = (self.bytes - before) as f64 / link as f64;
-        self.busiest_link = self.busiest_link.max(part);
+        let capacity = usize::from(link_mbps(from)) * BYTES_PER_TICK_AND_MBPS;
+        let utilization = (self.bytes - before) as f64 / capacity as f64;
+        self.peak_link_utilization = self.peak_link_utilization.max(utilization);
     }
 
     fn encode_and_post(&mut self, from: usize, messages: Vec<Envelope>) {
@@ -483,9 +493,9 @@
             if self.measures_bytes {
                 let bytes = postcard::to_stdvec(&envelope.message).expect("a message");
                 self.bytes += bytes.len() * envelope.to.len();
-                self.largest_message = self.largest_message.max(bytes.len());
+                self.largest_message_bytes = self.largest_message_bytes.max(bytes.len());
                 for to in &envelope.to {
-                    self.count(envelope.kind, from, *to, bytes.len());
+                    self.count_bytes(envelope.kind, from, *to, bytes.len());
                 }
             }
             let message = Rc::new(envelope.message);
@@ -502,17 +512,20 @@
     }
 
     fn deliver(&mut self, from: usize, address: SocketAddr, message: &Gossip) {
-        let Some(to) = self.number_of(address).filter(|to| self.hears(from, *to)) else {
+        let Some(to) = self
+            .node_at(address)
+            .filter(|to| self.is_connected(from, *to))
+        else {
             return;
         };
         let received = self.nodes[to].receive(node_address(from), message, self.now);
         if received.wants_reply {
-            let answer = self.nodes[to].reply(node_address(from), self.now);
-            let to_asker = vec![node_address(from)];
+            let reply = self.nodes[to].reply(node_address(from), self.now);
+            let recipients = vec![node_address(from)];
             let envelope = Envelope {
                 kind: MessageKind::Reply,
-                to: to_asker,
-                message: answer,
+                to: recipients,
+                message: reply,
             };
             self.post(to, vec![envelope]);
         }
@@ -520,11 +533,11 @@
             self.fetch_wanted(to, Some(node_address(from)));
         }
         let known = self.nodes[to].document_store().version_vector();
-        let is_taken = |news: &ReceivedChange| news.outcome == ApplyOutcome::Applied;
-        let is_covered = |news: &ReceivedChange| known.covers(news.revision);
+        let is_applied = |change: &ReceivedChange| change.outcome == ApplyOutcome::Applied;
+        let is_covered = |change: &ReceivedChange| known.covers(change.revision);
         let changes = &received.changes;
-        // A change that stays uncovered would be announced back and forth without end.
-        let is_new = changes.iter().any(is_taken);
+        // A change that stays uncovered would otherwise be announced back and forth forever.
+        let is_new = changes.iter().any(is_applied);
         if is_new || !changes.is_empty() && changes.iter().all(is_covered) {
             self.announce(to, false);
         }
@@ -535,13 +548,13 @@
         self.post(number, vec![messages]);
     }
 
-    /// A node reads a change from the platform, and announces it.
+    /// Lets a node read a change from the platform and announce it.
     pub fn read_change(&mut self, number: usize, change: Change, revision: impl Into<Revision>) {
         self.nodes[number].apply(change, self.now);
         self.confirm(number, &revision.into().into(), self.now, true);
     }
 
-    /// Notes a confirmation; news are announced, as the control thread does it.
+    /// Records a confirmation and announces any new changes, as the control thread does.
     pub fn confirm(
         &mut self,
         number: usize,
@@ -562,14 +575,14 @@
         }
     }
 
-    /// The platform answers all nodes that have to read.
+    /// Runs the fleet; all nodes with the reader role get the documents from the platform.
     pub fn run_with_platform(&mut self, milliseconds: u64, revision: u64) {
         for _ in 0..milliseconds / TICK.milliseconds() {
             self.step();
             for number in 0..self.nodes.len() {
                 let is_dark = self.dark.contains(&number);
                 if !is_dark && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
-                    self.read_by.insert(number);
+                    self.platform_readers.insert(number);
                     self.nodes[number].apply(table_change(revision), self.now);
                     for change in &self.first_documents {
                         self.nodes[number].apply(change.clone(), self.now);
