--- a/crates/transport/relay/src/answer.rs
+++ b/crates/transport/relay/src/answer.rs
@@ -1,6 +1,6 @@
 //! Bodies of answers to callers.
 
-use crate::whole_body::WholeBody;
+use crate::buffered_body::BufferedBody;
 use bytes::Bytes;
 use futures_lite::Stream;
 use http_body::{Body, Frame, SizeHint};
@@ -28,14 +28,14 @@
     }
 }
 
-pub(crate) type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenResponse>>>>;
+pub(crate) type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenResponse>>>>;
 
 /// The body of an answer to a caller.
 pub enum RelayBody {
     /// All of it is here.
-    Whole(WholeBody),
+    Buffered(BufferedBody),
     /// It comes in pieces.
-    Pieces(Pieces),
+    Stream(ChunkStream),
 }
 
 impl From<String> for RelayBody {
@@ -46,7 +46,7 @@
 
 impl From<Bytes> for RelayBody {
     fn from(bytes: Bytes) -> Self {
-        RelayBody::Whole(WholeBody::from(bytes))
+        RelayBody::Buffered(BufferedBody::from(bytes))
     }
 }
 
@@ -59,27 +59,27 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
         match self.get_mut() {
-            RelayBody::Whole(body) => Pin::new(body)
+            RelayBody::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            RelayBody::Pieces(pieces) => pieces
+            RelayBody::Stream(chunks) => chunks
                 .as_mut()
                 .poll_next(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RelayBody::Whole(body) => body.is_end_stream(),
-            RelayBody::Pieces(_) => false,
+            RelayBody::Buffered(body) => body.is_end_stream(),
+            RelayBody::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RelayBody::Whole(body) => body.size_hint(),
-            RelayBody::Pieces(_) => SizeHint::default(),
+            RelayBody::Buffered(body) => body.size_hint(),
+            RelayBody::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -1,10 +1,10 @@
 //! The attempts of one request at back ends, from its head to its final answer.
 
 use crate::answer::RelayBody;
-use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY, RunReplica, Traffic};
+use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY_AFTER, RunReplica, Traffic};
 use crate::forwarding::{
-    ForwardedRequest, answer, forwarded_headers, is_event_stream, path_and_query, read_body,
-    read_response, request_id,
+    ForwardedRequest, forwarded_headers, is_event_stream, path_and_query, read_body, read_response,
+    request_id, response_for_caller,
 };
 use crate::lease::Lease;
 use crate::local_reply::LocalReply;
@@ -26,9 +26,9 @@
 
 /// Longest wait for the first configuration: other nodes or the store answer a node that
 /// has just started in 0.1 to 0.3 s, and a refusal costs the caller as long.
-const FIRST_TABLE_PATIENCE: Span = Span::from_milliseconds(250);
+const FIRST_TABLE_TIMEOUT: Span = Span::from_milliseconds(250);
 /// Time between two looks for it.
-const FIRST_TABLE_CHECK: Span = Span::from_milliseconds(10);
+const FIRST_TABLE_CHECK_INTERVAL: Span = Span::from_milliseconds(10);
 /// Serves one request.
 pub(crate) async fn serve(
     traffic: Rc<Traffic>,
@@ -38,10 +38,10 @@
     let started = traffic.clock.now();
     match prepare(traffic, request, started, progress).await {
         Ok(exchange) => exchange.run().await,
-        Err((id, answer)) => {
-            metrics::local_reply(answer.reason());
-            events::replied_locally(&id, &answer, Span::ZERO);
-            answer.response()
+        Err((id, reply)) => {
+            metrics::local_reply(reply.reason());
+            events::replied_locally(&id, &reply, Span::ZERO);
+            reply.response()
         }
     }
 }
@@ -54,22 +54,22 @@
 ) -> Result<Exchange, (String, LocalReply)> {
     let (parts, body) = request.into_parts();
     let id = request_id(&parts, &traffic.header_names);
-    let Some(table) = first_table(&traffic).await else {
-        let answer = LocalReply::NotRun(Reason::NotReady, NOT_READY_RETRY);
-        return Err((id, answer));
+    let Some(table) = wait_for_table(&traffic).await else {
+        let reply = LocalReply::NotRun(Reason::NotReady, NOT_READY_RETRY_AFTER);
+        return Err((id, reply));
     };
     let head = RequestHead::read(&parts, &table, &traffic.header_names)
-        .map_err(|answer| (id.clone(), answer))?;
+        .map_err(|reply| (id.clone(), reply))?;
     let deadline = started + head.remaining;
-    let limit = table.limits().maximum_body_bytes;
+    let body_limit = table.limits().maximum_body_bytes;
     progress
         .memory
         .set_request(&id, metrics::kind(&head.route), head.rank);
-    let body = read_body(body, limit, &progress.memory)
+    let body = read_body(body, body_limit, &progress.memory)
         .await
-        .map_err(|answer| (id, answer))?;
-    let point = rand::random::<f64>();
-    let pool = head.route.pool(point).cloned();
+        .map_err(|reply| (id, reply))?;
+    let split_sample = rand::random::<f64>();
+    let pool = head.route.pool(split_sample).cloned();
     let pool = pool.unwrap_or_else(|| PoolName::from(""));
     let headers = forwarded_headers(&parts.headers, &traffic.header_names);
     let digest = head.digest(&parts, &body);
@@ -99,14 +99,14 @@
 }
 
 /// The table in force. A node that has just started waits a little for its first one.
-async fn first_table(traffic: &Traffic) -> Option<Arc<RoutingTable>> {
-    let until = traffic.clock.now() + FIRST_TABLE_PATIENCE;
+async fn wait_for_table(traffic: &Traffic) -> Option<Arc<RoutingTable>> {
+    let until = traffic.clock.now() + FIRST_TABLE_TIMEOUT;
     loop {
         let table = traffic.table.load_full();
         if table.is_some() || traffic.clock.now() >= until {
             return table;
         }
-        smol::Timer::after(duration(FIRST_TABLE_CHECK)).await;
+        smol::Timer::after(duration(FIRST_TABLE_CHECK_INTERVAL)).await;
     }
 }
 
@@ -116,7 +116,7 @@
         loop {
             let lease = match self.request_lease().await {
                 Ok(lease) => lease,
-                Err(answer) => return self.conclude(fallback, answer),
+                Err(reply) => return self.conclude(fallback, reply),
             };
             let instance = lease.grant.instance.clone();
             let address = lease.grant.address;
@@ -142,25 +142,22 @@
             self.record_failed_attempt(&instance, address, outcome)
                 .await;
             if let Some(until) = self.cancelled_until {
-                let lasts = self.traffic.clock.now().until(until);
-                let answer = self.refuse_crashing(lasts);
-                return self.conclude(fallback, answer);
+                let remaining = self.traffic.clock.now().until(until);
+                let reply = self.refuse_crashing(remaining);
+                return self.conclude(fallback, reply);
             }
             if !self.may_retry_elsewhere() {
-                let answer = self.final_reply(outcome);
-                return self.conclude(fallback, answer);
+                let reply = self.final_reply(outcome);
+                return self.conclude(fallback, reply);
             }
         }
     }
 
     /// One attempt at a back end. The exchange comes back unless a stream holds it.
     async fn attempt(mut self, lease: Lease) -> (Option<Self>, AttemptEnd) {
-        let since = self.traffic.clock.now();
+        let sent_at = self.traffic.clock.now();
         let holder = lease.grant.replica.clone();
-        self.replica = holder.map(|holder| RunReplica {
-            holder,
-            sent_at: since,
-        });
+        self.replica = holder.map(|holder| RunReplica { holder, sent_at });
         match self.send(&lease).await {
             Err(outcome) => {
                 metrics::attempt(outcome.as_str());
@@ -171,22 +168,22 @@
                 StreamRelay::start(self, lease, response, connection).await
             }
             Ok((response, connection)) => {
-                let end = self.whole_answer(lease, response, connection).await;
+                let end = self.read_whole_response(lease, response, connection).await;
                 (Some(self), end)
             }
         }
     }
 
-    async fn whole_answer(
+    async fn read_whole_response(
         &mut self,
         lease: Lease,
         response: Response<Incoming>,
         connection: Connection,
     ) -> AttemptEnd {
         let (parts, body) = response.into_parts();
-        let limit = self.head_deadline(&lease);
+        let timeout_after = self.response_head_timeout(&lease);
         let timeout = async {
-            self.traffic.clock.sleep(limit).await;
+            self.traffic.clock.sleep(timeout_after).await;
             Err(Outcome::TimedOut)
         };
         let outcome = match read_response(body, &self.progress.memory).or(timeout).await {
@@ -197,8 +194,8 @@
                     .return_connection(connection, &parts.headers);
                 let elapsed = self.elapsed();
                 metrics::first_event(&self.head.route, self.head.rank, elapsed);
-                lease.first_event();
-                return self.judge_answer(lease, &parts, bytes);
+                lease.record_first_event();
+                return self.classify_response(lease, &parts, bytes);
             }
         };
         metrics::attempt(outcome.as_str());
@@ -206,13 +203,13 @@
         AttemptEnd::NoResponse(outcome)
     }
 
-    fn judge_answer(
+    fn classify_response(
         &self,
         lease: Lease,
         parts: &http::response::Parts,
         bytes: Bytes,
     ) -> AttemptEnd {
-        let response = answer(parts, RelayBody::from(bytes));
+        let response = response_for_caller(parts, RelayBody::from(bytes));
         let is_failure = parts.status.is_server_error();
         let outcome = match parts.status {
             _ if is_failure => Outcome::Failed,
--- a/crates/transport/relay/src/whole_body.rs
+++ b/crates/transport/relay/src/buffered_body.rs
@@ -12,15 +12,15 @@
 const SLICE_BYTES: usize = 16 * 1024;
 
 /// A body whose bytes are all here.
-pub(crate) struct WholeBody(Bytes);
+pub(crate) struct BufferedBody(Bytes);
 
-impl From<Bytes> for WholeBody {
+impl From<Bytes> for BufferedBody {
     fn from(bytes: Bytes) -> Self {
         Self(bytes)
     }
 }
 
-impl WholeBody {
+impl BufferedBody {
     fn next_slice(&mut self) -> Option<Bytes> {
         let length = self.0.len().min(SLICE_BYTES);
         if length == 0 {
@@ -35,7 +35,7 @@
     }
 }
 
-impl Body for WholeBody {
+impl Body for BufferedBody {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -25,9 +25,9 @@
 use std::time::Duration;
 
 /// Longest time for an answer beyond the time that the engine is asked to wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest answer read; an engine's 1,900 parts take some 80 kB.
-const MOST_BYTES: usize = 512 * 1024;
+const MAXIMUM_RESPONSE_BYTES: usize = 512 * 1024;
 
 quick_error! {
     /// An answer whose shape is not the known one.
@@ -42,9 +42,9 @@
 
 impl MalformedResponse {
     /// The field and what was found there.
-    pub fn new(field: &'static str, found: &str) -> Self {
-        const MOST_CHARACTERS: usize = 100;
-        Self::Field(field, found.chars().take(MOST_CHARACTERS).collect())
+    pub fn new(field: &'static str, value: &str) -> Self {
+        const MAXIMUM_CHARACTERS: usize = 100;
+        Self::Field(field, value.chars().take(MAXIMUM_CHARACTERS).collect())
     }
 }
 
@@ -76,7 +76,7 @@
 
 impl CallError {
     /// An answer that is too large has no known shape.
-    fn answer(&self) -> CacheResponse {
+    fn response(&self) -> CacheResponse {
         match self {
             Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Malformed,
             _ => CacheResponse::Failed,
@@ -105,7 +105,7 @@
 }
 
 /// An engine's answer to a call.
-struct Reply {
+struct EngineResponse {
     status: StatusCode,
     /// What its head says of the engine.
     notice: Notice,
@@ -118,7 +118,7 @@
     header_names: HeaderNames,
     executor: Rc<LocalExecutor<'static>>,
     /// One connection to each engine that is followed.
-    resting: RefCell<HashMap<InstanceId, Connection>>,
+    idle: RefCell<HashMap<InstanceId, Connection>>,
 }
 
 impl CacheFollower {
@@ -131,110 +131,114 @@
             protocol,
             header_names,
             executor,
-            resting: RefCell::default(),
+            idle: RefCell::default(),
         }
     }
 
     /// Begins the calls that are due.
-    pub fn begin_calls(self: &Rc<Self>, control: &Rc<Control>) {
+    pub fn start_calls(self: &Rc<Self>, control: &Rc<Control>) {
         let now = control.clock.now();
-        let orders = control.dispatcher.borrow_mut().cache_calls(now);
+        let due_calls = control.dispatcher.borrow_mut().cache_calls(now);
         {
             let dispatcher = control.dispatcher.borrow();
-            let mut resting = self.resting.borrow_mut();
-            resting.retain(|instance, _| dispatcher.follows_cache(instance));
+            let mut idle = self.idle.borrow_mut();
+            idle.retain(|instance, _| dispatcher.follows_cache(instance));
         }
-        for order in orders {
+        for due_call in due_calls {
             let (follower, control) = (Rc::clone(self), Rc::clone(control));
-            let call = async move { follower.carry_out(order, &control).await };
+            let call = async move { follower.run_call(due_call, &control).await };
             self.executor.spawn(call).detach();
         }
     }
 
-    async fn carry_out(&self, order: DueCacheCall, control: &Control) {
-        let reply = self.reply(&order).await;
+    async fn run_call(&self, due_call: DueCacheCall, control: &Control) {
+        let reply = self.call_engine(&due_call).await;
         let now = control.clock.now();
         if let Ok(reply) = &reply {
-            control.apply_call_notice(&order, reply.notice, now);
+            control.apply_call_notice(&due_call, reply.notice, now);
         }
-        let answer = self.answer(&order, reply);
-        let news =
-            control
-                .dispatcher
-                .borrow_mut()
-                .handle_cache_response(&order.instance, answer, now);
-        if let Some(news) = news {
-            events::cache_updated(&order.instance, &news);
+        let response = self.classify_response(&due_call, reply);
+        let update = control.dispatcher.borrow_mut().handle_cache_response(
+            &due_call.instance,
+            response,
+            now,
+        );
+        if let Some(update) = update {
+            events::cache_updated(&due_call.instance, &update);
         }
     }
 
-    async fn reply(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
-        let wait = match order.call {
+    async fn call_engine(&self, due_call: &DueCacheCall) -> Result<EngineResponse, CallError> {
+        let wait = match due_call.call {
             CacheCall::List => Span::ZERO,
             CacheCall::Events { wait, .. } => wait,
         };
         let timeout = async {
-            Timer::after(duration(wait) + ANSWER_TIMEOUT).await;
+            Timer::after(duration(wait) + RESPONSE_TIMEOUT).await;
             Err(CallError::TimedOut)
         };
-        self.exchange(order).or(timeout).await
+        self.send_call(due_call).or(timeout).await
     }
 
-    fn answer(&self, order: &DueCacheCall, reply: Result<Reply, CallError>) -> CacheResponse {
+    fn classify_response(
+        &self,
+        due_call: &DueCacheCall,
+        reply: Result<EngineResponse, CallError>,
+    ) -> CacheResponse {
         match reply {
             Ok(reply) => match reply.status {
-                StatusCode::OK => self.read(order, &reply.body),
+                StatusCode::OK => self.parse_body(due_call, &reply.body),
                 StatusCode::TOO_MANY_REQUESTS => CacheResponse::Refused,
                 status => {
-                    events::cache_call_failed(&order.instance, status.as_str());
+                    events::cache_call_failed(&due_call.instance, status.as_str());
                     CacheResponse::Failed
                 }
             },
             Err(error) => {
-                events::cache_call_failed(&order.instance, &error.to_string());
-                error.answer()
+                events::cache_call_failed(&due_call.instance, &error.to_string());
+                error.response()
             }
         }
     }
 
-    fn read(&self, order: &DueCacheCall, body: &[u8]) -> CacheResponse {
-        let read = match order.call {
+    fn parse_body(&self, due_call: &DueCacheCall, body: &[u8]) -> CacheResponse {
+        let parsed = match due_call.call {
             CacheCall::List => (self.protocol.read_listing)(body).map(CacheResponse::Listing),
             CacheCall::Events { .. } => {
                 (self.protocol.read_events)(body).map(CacheResponse::Events)
             }
         };
-        read.unwrap_or_else(|error| {
-            events::cache_answer_doubtful(&order.instance, &error);
+        parsed.unwrap_or_else(|error| {
+            events::malformed_cache_response(&due_call.instance, &error);
             CacheResponse::Malformed
         })
     }
 
-    async fn exchange(&self, order: &DueCacheCall) -> Result<Reply, CallError> {
-        let resting = self.resting.borrow_mut().remove(&order.instance);
-        let mut connection = match usable(resting).await {
+    async fn send_call(&self, due_call: &DueCacheCall) -> Result<EngineResponse, CallError> {
+        let idle = self.idle.borrow_mut().remove(&due_call.instance);
+        let mut connection = match ready_connection(idle).await {
             Some(connection) => connection,
-            None => self.connect(order.address).await?,
+            None => self.connect(due_call.address).await?,
         };
-        let request = self.request(order)?;
+        let request = self.request(due_call)?;
         let response = connection.sender.send_request(request).await?;
         let status = response.status();
         let notice = Notice::read(&response, &self.header_names);
-        let body = Limited::new(response.into_body(), MOST_BYTES);
+        let body = Limited::new(response.into_body(), MAXIMUM_RESPONSE_BYTES);
         let body = body.collect().await?.to_bytes();
-        self.resting
+        self.idle
             .borrow_mut()
-            .insert(order.instance.clone(), connection);
-        Ok(Reply {
+            .insert(due_call.instance.clone(), connection);
+        Ok(EngineResponse {
             status,
             notice,
             body,
         })
     }
 
-    fn request(&self, order: &DueCacheCall) -> Result<Request<Empty<Bytes>>, http::Error> {
-        let host = order.address.to_string();
-        let request = match order.call {
+    fn request(&self, due_call: &DueCacheCall) -> Result<Request<Empty<Bytes>>, http::Error> {
+        let host = due_call.address.to_string();
+        let request = match due_call.call {
             CacheCall::List => Request::get(self.protocol.listing_path),
             CacheCall::Events { after, wait } => {
                 let path = (self.protocol.events_path)(after);
@@ -260,7 +264,7 @@
 }
 
 /// The connection, once it is ready for another call.
-async fn usable(connection: Option<Connection>) -> Option<Connection> {
+async fn ready_connection(connection: Option<Connection>) -> Option<Connection> {
     let mut connection = connection?;
     connection.sender.ready().await.ok()?;
     Some(connection)
--- a/crates/transport/relay/src/caller_socket.rs
+++ b/crates/transport/relay/src/caller_socket.rs
@@ -21,7 +21,7 @@
 
 /// How sending stands on one connection.
 #[derive(Default)]
-pub(crate) struct Sending {
+pub(crate) struct SendState {
     /// The body has more at once than the connection has taken.
     has_more: Cell<bool>,
     /// The socket took bytes in this turn, and was not blocked since.
@@ -30,7 +30,7 @@
     is_flushed: Cell<bool>,
 }
 
-impl Sending {
+impl SendState {
     /// Whether the turn that has just ended may have missed its wake-up.
     pub fn needs_wakeup(&self) -> bool {
         self.has_written.replace(false) && self.has_more.get()
@@ -40,14 +40,14 @@
 /// A caller's socket.
 pub(crate) struct CallerSocket {
     inner: FuturesIo<TcpStream>,
-    sending: Rc<Sending>,
+    state: Rc<SendState>,
 }
 
 impl CallerSocket {
-    pub fn new(stream: TcpStream, sending: Rc<Sending>) -> Self {
+    pub fn new(stream: TcpStream, state: Rc<SendState>) -> Self {
         Self {
             inner: FuturesIo::new(stream),
-            sending,
+            state,
         }
     }
 }
@@ -69,13 +69,13 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.sending.has_written.set(written.is_ready());
+        self.state.has_written.set(written.is_ready());
         written
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         // Called once nothing is left to be written.
-        self.sending.is_flushed.set(true);
+        self.state.is_flushed.set(true);
         Pin::new(&mut self.inner).poll_flush(context)
     }
 
@@ -85,33 +85,33 @@
 }
 
 /// An answer on its way through a connection.
-pub(crate) struct SentBody {
+pub(crate) struct TrackedBody {
     body: RelayBody,
     /// Why it breaks off: told once all before it was written, for a connection that is
     /// told so forgets what it has not written.
-    broken: Option<BrokenResponse>,
-    sending: Rc<Sending>,
+    pending_error: Option<BrokenResponse>,
+    state: Rc<SendState>,
 }
 
-impl SentBody {
-    pub fn new(body: RelayBody, sending: Rc<Sending>) -> Self {
+impl TrackedBody {
+    pub fn new(body: RelayBody, state: Rc<SendState>) -> Self {
         Self {
             body,
-            broken: None,
-            sending,
+            pending_error: None,
+            state,
         }
     }
 
-    fn poll_broken(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
-        if !self.sending.is_flushed.get() {
-            self.sending.has_more.set(true);
+    fn poll_pending_error(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
+        if !self.state.is_flushed.get() {
+            self.state.has_more.set(true);
             return Poll::Pending;
         }
-        Poll::Ready(self.broken.take().map(Err))
+        Poll::Ready(self.pending_error.take().map(Err))
     }
 }
 
-impl Body for SentBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BrokenResponse;
 
@@ -119,19 +119,19 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
-        if self.broken.is_some() {
-            return self.poll_broken();
+        if self.pending_error.is_some() {
+            return self.poll_pending_error();
         }
         let frame = Pin::new(&mut self.body).poll_frame(context);
         if let Poll::Ready(Some(Err(error))) = frame {
-            self.broken = Some(error);
-            return self.poll_broken();
+            self.pending_error = Some(error);
+            return self.poll_pending_error();
         }
-        let came = matches!(frame, Poll::Ready(Some(Ok(_))));
-        if came {
-            self.sending.is_flushed.set(false);
+        let has_data = matches!(frame, Poll::Ready(Some(Ok(_))));
+        if has_data {
+            self.state.is_flushed.set(false);
         }
-        self.sending.has_more.set(came && !self.is_end_stream());
+        self.state.has_more.set(has_data && !self.is_end_stream());
         frame
     }
 
@@ -144,8 +144,8 @@
     }
 }
 
-impl Drop for SentBody {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.sending.has_more.set(false);
+        self.state.has_more.set(false);
     }
 }
--- a/crates/transport/relay/src/cancellation.rs
+++ b/crates/transport/relay/src/cancellation.rs
@@ -10,11 +10,11 @@
 /// The quarantined requests, as the control thread tells them to those that wait for answers.
 #[derive(Clone, Default)]
 pub(crate) struct Cancellations {
-    shared: Arc<Shared>,
+    shared: Arc<QuarantineState>,
 }
 
 #[derive(Default)]
-struct Shared {
+struct QuarantineState {
     /// Until when each is refused.
     refused: Mutex<HashMap<RequestDigest, Timestamp>>,
     changed: Event,
@@ -39,7 +39,7 @@
     }
 
     /// Waits until a request is quarantined; until when it is.
-    pub async fn of(&self, request: RequestDigest) -> Timestamp {
+    pub async fn wait_for_quarantine(&self, request: RequestDigest) -> Timestamp {
         loop {
             let changed = self.shared.changed.listen();
             if let Some(until) = self.refused_until(request) {
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -24,18 +24,18 @@
 use std::sync::Arc;
 
 /// A tick this much later than planned shows that the process stood still.
-const PAUSE: Span = Span::from_milliseconds(700);
+const PAUSE_THRESHOLD: Span = Span::from_milliseconds(700);
 /// Ticks between two updates of the gauges.
-const GAUGE_TICKS: u64 = 10;
+const GAUGE_INTERVAL_TICKS: u64 = 10;
 /// Pause after nodes that were busy with others, at the least; up to as much is added, so that
 /// nodes which started together don't ask together.
-const FETCH_PAUSE: Span = Span::from_milliseconds(100);
+const BUSY_RETRY_DELAY: Span = Span::from_milliseconds(100);
 /// Time between two looks at whether documents are to be fetched now.
-const FETCH_CHECK: Span = Span::from_milliseconds(50);
+const FETCH_CHECK_INTERVAL: Span = Span::from_milliseconds(50);
 /// Time between two looks at whether this node has to read documents.
-const DUTY_CHECK: Span = Span::from_milliseconds(150);
+const ROLE_CHECK_INTERVAL: Span = Span::from_milliseconds(150);
 /// The same while nothing is known yet.
-const START_CHECK: Span = Span::from_milliseconds(20);
+const START_CHECK_INTERVAL: Span = Span::from_milliseconds(20);
 
 /// A table that every thread may read.
 pub(crate) type SharedTable = Arc<ArcSwapOption<RoutingTable>>;
@@ -80,51 +80,51 @@
 
     /// Asks for a back end; `None` if the control thread is gone.
     pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
-        let (reply, answer) = async_channel::bounded(1);
-        let answer = PendingDecision::new(answer, self.clone());
+        let (reply, receiver) = async_channel::bounded(1);
+        let decision = PendingDecision::new(receiver, self.clone());
         let command = Command::Dispatch {
             demand: Box::new(demand),
             is_first,
             reply,
         };
         self.commands.send(command).await.ok()?;
-        answer.decision().await
+        decision.receive().await
     }
 
     /// Whether nothing shows that a back end still works.
     pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
-        let (reply, answer) = async_channel::bounded(1);
-        let asked = self
+        let (reply, receiver) = async_channel::bounded(1);
+        let sent = self
             .commands
             .send(Command::IsPresumedDown { instance, reply });
-        asked.await.is_ok() && answer.recv().await.unwrap_or(false)
+        sent.await.is_ok() && receiver.recv().await.unwrap_or(false)
     }
 
     pub fn record_first_event(&self, lease: LeaseId) {
-        self.tell(Command::FirstEvent(lease));
+        self.enqueue(Command::FirstEvent(lease));
     }
 
     pub fn record_notice(&self, lease: LeaseId, notice: Notice) {
-        self.tell(Command::Notice(lease, notice));
+        self.enqueue(Command::Notice(lease, notice));
     }
 
     pub fn release(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
-        self.tell(Command::Release(lease, outcome, pacing));
+        self.enqueue(Command::Release(lease, outcome, pacing));
     }
 
     pub fn record_crash(&self, request: RequestDigest, instance: InstanceId) {
-        self.tell(Command::Crash(request, instance));
+        self.enqueue(Command::Crash(request, instance));
     }
 
     pub fn record_round_trip(&self, instance: InstanceId, round_trip: Span) {
-        self.tell(Command::RoundTrip(instance, round_trip));
+        self.enqueue(Command::RoundTrip(instance, round_trip));
     }
 
     pub fn stop(&self) {
-        self.tell(Command::Stop);
+        self.enqueue(Command::Stop);
     }
 
-    fn tell(&self, command: Command) {
+    fn enqueue(&self, command: Command) {
         // The channel is unbounded; it only fails when the control thread is gone.
         let _ = self.commands.try_send(command);
     }
@@ -139,16 +139,16 @@
     cancellations: Cancellations,
     /// Where this node answers other nodes.
     address: SocketAddr,
-    fetching: Cell<bool>,
+    is_fetching: Cell<bool>,
 }
 
 /// What of a dispatcher's standing is logged when it changes.
-struct Standing {
+struct LoggedState {
     is_aggregator: bool,
     silent_zones: BTreeSet<ZoneName>,
 }
 
-impl Standing {
+impl LoggedState {
     fn log_changes(&self, after: &Self) {
         if self.is_aggregator != after.is_aggregator {
             events::aggregating(after.is_aggregator);
@@ -174,8 +174,8 @@
     {
         events::back_end_leaving(&instance);
     }
-    if let Some(rest) = notice.backoff {
-        dispatcher.record_backoff(source, rest, now);
+    if let Some(backoff) = notice.backoff {
+        dispatcher.record_backoff(source, backoff, now);
     }
     match notice.limit {
         StatedLimit::Stated(limit) => dispatcher.record_limit(source, Some(limit), now),
@@ -200,7 +200,7 @@
             socket,
             cancellations,
             address,
-            fetching: Cell::new(false),
+            is_fetching: Cell::new(false),
         }
     }
 
@@ -224,8 +224,8 @@
                     dispatcher.count_request(&demand.pool, now);
                 }
                 let decision = dispatcher.dispatch(&demand, now);
-                if let Err(unheard) = reply.try_send(decision) {
-                    release_unclaimed(unheard.into_inner(), |lease| {
+                if let Err(unsent) = reply.try_send(decision) {
+                    release_unclaimed(unsent.into_inner(), |lease| {
                         dispatcher.release(lease, Outcome::NotSent, now);
                     });
                 }
@@ -236,14 +236,17 @@
             }
             Command::Release(lease, outcome, pacing) => {
                 dispatcher.record_pacing(lease, &pacing);
-                let ended = dispatcher.release(lease, outcome, now);
-                for (instance, change) in &ended.health_changes {
+                let released = dispatcher.release(lease, outcome, now);
+                for (instance, change) in &released.health_changes {
                     events::back_end_health(instance, *change, outcome);
                 }
-                self.note_quarantine(&ended.quarantine_change, now);
+                self.record_quarantine_changes(&released.quarantine_change, now);
             }
             Command::Crash(request, instance) => {
-                self.note_quarantine(&dispatcher.record_crash(request, &instance, now), now);
+                self.record_quarantine_changes(
+                    &dispatcher.record_crash(request, &instance, now),
+                    now,
+                );
                 let announcement = dispatcher.crash_announcement(now);
                 drop(dispatcher);
                 if let Some(announcement) = announcement {
@@ -270,23 +273,23 @@
             let now = self.clock.now();
             let gap = now.since(previous);
             previous = now;
-            if gap.0 > TICK.0 + PAUSE.0 {
+            if gap.0 > TICK.0 + PAUSE_THRESHOLD.0 {
                 events::paused(gap);
                 self.dispatcher.borrow_mut().resume_after_pause(now);
             }
             self.tick(now);
-            follower.begin_calls(self);
+            follower.start_calls(self);
             count += 1;
-            if count.is_multiple_of(GAUGE_TICKS) {
+            if count.is_multiple_of(GAUGE_INTERVAL_TICKS) {
                 metrics::set_gauges(&self.dispatcher.borrow().snapshot(now));
             }
         }
     }
 
     fn tick(&self, now: Timestamp) {
-        let before = self.standing();
+        let before = self.logged_state();
         let output = self.dispatcher.borrow_mut().tick(now);
-        before.log_changes(&self.standing());
+        before.log_changes(&self.logged_state());
         for change in &output.peer_changes {
             events::peer(change);
         }
@@ -299,7 +302,7 @@
         for change in &output.split_changes {
             events::pool_split(change);
         }
-        self.note_quarantine(&output.quarantine_changes, now);
+        self.record_quarantine_changes(&output.quarantine_changes, now);
         for expired in &output.expired_leases {
             events::lease_expired(expired);
         }
@@ -309,12 +312,12 @@
     }
 
     /// Takes in what the answer to a call says of its engine.
-    pub fn apply_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
+    pub fn apply_call_notice(&self, call: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
-        apply_notice(&mut dispatcher, order.into(), notice, now);
+        apply_notice(&mut dispatcher, call.into(), notice, now);
     }
 
-    fn note_quarantine<'a>(
+    fn record_quarantine_changes<'a>(
         &self,
         changes: impl IntoIterator<Item = &'a QuarantineChange>,
         now: Timestamp,
@@ -331,9 +334,9 @@
         self.socket.send(envelope, distance);
     }
 
-    fn standing(&self) -> Standing {
+    fn logged_state(&self) -> LoggedState {
         let dispatcher = self.dispatcher.borrow();
-        Standing {
+        LoggedState {
             is_aggregator: dispatcher.is_aggregator(),
             silent_zones: dispatcher.silent_zones().clone(),
         }
@@ -350,8 +353,8 @@
             if let Some(change) = &received.change {
                 events::peer(change);
             }
-            self.follow_news(&received.changes);
-            self.note_quarantine(&received.quarantine_changes, now);
+            self.handle_received_changes(&received.changes);
+            self.record_quarantine_changes(&received.quarantine_changes, now);
             if received.wants_reply {
                 let message = self.dispatcher.borrow_mut().reply(from, now);
                 self.send(&Envelope {
@@ -361,7 +364,7 @@
                 });
             }
             if received.has_newer_documents {
-                self.fetch_wanted(Some(from), executor);
+                self.fetch_if_needed(Some(from), executor);
             }
         }
     }
@@ -369,24 +372,28 @@
     /// Looks for ever whether documents are to be fetched that were left to others at first.
     pub async fn run_fetches(self: &Rc<Self>, executor: &smol::LocalExecutor<'static>) {
         loop {
-            smol::Timer::after(eiderferry_clock::duration(FETCH_CHECK)).await;
-            self.fetch_wanted(None, executor);
+            smol::Timer::after(eiderferry_clock::duration(FETCH_CHECK_INTERVAL)).await;
+            self.fetch_if_needed(None, executor);
         }
     }
 
-    fn fetch_wanted(
+    fn fetch_if_needed(
         self: &Rc<Self>,
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         executor: &smol::LocalExecutor<'static>,
     ) {
-        if self.fetching.get() {
+        if self.is_fetching.get() {
             return;
         }
         let now = self.clock.now();
-        let Some(source) = self.dispatcher.borrow_mut().document_source(told_by, now) else {
+        let Some(source) = self
+            .dispatcher
+            .borrow_mut()
+            .document_source(announced_by, now)
+        else {
             return;
         };
-        self.fetching.set(true);
+        self.is_fetching.set(true);
         let control = Rc::clone(self);
         executor
             .spawn(async move { control.fetch(source).await })
@@ -396,15 +403,15 @@
     async fn fetch(&self, from: SocketAddr) {
         let known = self.known_changes();
         let result = crate::documents::fetch(from, &known, self.address, |next| {
-            self.is_as_near(next, from)
+            self.is_no_farther(next, from)
         })
         .await;
         if let Err(FetchError::Busy(_)) = &result {
-            let part = rand::random::<f64>();
-            let pause = FETCH_PAUSE + FETCH_PAUSE.scaled(part);
+            let jitter = rand::random::<f64>();
+            let pause = BUSY_RETRY_DELAY + BUSY_RETRY_DELAY.scaled(jitter);
             smol::Timer::after(eiderferry_clock::duration(pause)).await;
         }
-        self.fetching.set(false);
+        self.is_fetching.set(false);
         if let Err(error) = &result {
             let is_busy = matches!(error, FetchError::Busy(_));
             let now = self.clock.now();
@@ -413,11 +420,15 @@
         }
         match result {
             Ok(package) => {
-                let heard = self.clock.now();
+                let received_at = self.clock.now();
                 let age = package.confirmed_ms.map(Span::from_milliseconds);
-                self.take(package.changes, "peer");
-                let at = age.map(|age| heard - age);
-                self.confirm(&package.version_vector, at.unwrap_or_default(), false);
+                self.apply_changes(package.changes, "peer");
+                let confirmed_at = age.map(|age| received_at - age);
+                self.record_confirmation(
+                    &package.version_vector,
+                    confirmed_at.unwrap_or_default(),
+                    false,
+                );
             }
             Err(FetchError::Busy(peer)) => log::debug!("documents: {peer} is busy"),
             Err(error) => events::fetch_failed(from, &error),
@@ -425,21 +436,21 @@
     }
 
     /// Whether the way to a node crosses no border that the way to another doesn't.
-    fn is_as_near(&self, address: SocketAddr, other: SocketAddr) -> bool {
+    fn is_no_farther(&self, address: SocketAddr, other: SocketAddr) -> bool {
         let dispatcher = self.dispatcher.borrow();
         dispatcher.distance_to(address) <= dispatcher.distance_to(other)
     }
 
     /// Takes changes over; tells the other nodes when anything was new.
-    fn take(&self, changes: Vec<Change>, source: &'static str) {
-        let mut is_news = false;
+    fn apply_changes(&self, changes: Vec<Change>, source: &'static str) {
+        let mut has_changes = false;
         for change in changes {
             let now = self.clock.now();
-            let taken = self.dispatcher.borrow_mut().apply(change, now);
-            is_news |= taken.outcome == ApplyOutcome::Applied;
-            events::document_received(&taken, source);
+            let received = self.dispatcher.borrow_mut().apply(change, now);
+            has_changes |= received.outcome == ApplyOutcome::Applied;
+            events::document_received(&received, source);
         }
-        if !is_news {
+        if !has_changes {
             return;
         }
         let table = self.dispatcher.borrow().document_store().table().cloned();
@@ -455,7 +466,7 @@
             .clone()
     }
 
-    fn confirm(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
+    fn record_confirmation(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
         let before = self.known_changes();
         self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
@@ -464,13 +475,13 @@
     }
 
     /// Notes changes that came with a message, and passes them on.
-    fn follow_news(&self, taken: &[ReceivedChange]) {
-        for news in taken {
-            events::document_received(news, "peer");
+    fn handle_received_changes(&self, changes: &[ReceivedChange]) {
+        for change in changes {
+            events::document_received(change, "peer");
         }
-        if taken
+        if changes
             .iter()
-            .any(|news| news.outcome == ApplyOutcome::Applied)
+            .any(|change| change.outcome == ApplyOutcome::Applied)
         {
             self.announce(false);
         }
@@ -501,11 +512,11 @@
             if self.control.dispatcher.borrow().reader_role(now) == ReaderRole::Reader {
                 return;
             }
-            let knows_nothing = self.newest_revision().is_none();
-            let pause = if knows_nothing {
-                START_CHECK
+            let has_no_documents = self.newest_revision().is_none();
+            let pause = if has_no_documents {
+                START_CHECK_INTERVAL
             } else {
-                DUTY_CHECK
+                ROLE_CHECK_INTERVAL
             };
             smol::Timer::after(eiderferry_clock::duration(pause)).await;
         }
@@ -528,9 +539,10 @@
 
     /// Hands changes over; `revision` is the one up to which all is then known.
     pub fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
-        self.control.take(changes, "store");
+        self.control.apply_changes(changes, "store");
         let now = self.control.clock.now();
-        self.control.confirm(&revision.into(), now, true);
+        self.control
+            .record_confirmation(&revision.into(), now, true);
     }
 
     /// Hands a whole listing over that began at `revision`. Items that it lacks after a restore
@@ -542,7 +554,7 @@
         revision: Revision,
         grace_period: Span,
     ) {
-        self.control.take(changes, "store");
+        self.control.apply_changes(changes, "store");
         let missing = {
             let dispatcher = self.control.dispatcher.borrow();
             dispatcher
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -43,10 +43,10 @@
             control: self.traffic.control.clone(),
         };
         match outcome {
-            Outcome::IncompleteResponse => run.record_crash().await,
+            Outcome::IncompleteResponse => run.report_if_crashed().await,
             // Where nothing answers the check takes as long as a connection may: the next
             // attempt does not wait for it.
-            Outcome::TimedOut => self.traffic.upstream.spawn(run.record_crash()),
+            Outcome::TimedOut => self.traffic.upstream.spawn(run.report_if_crashed()),
             _ => {}
         }
     }
@@ -54,7 +54,7 @@
 
 impl LostRun {
     /// Tells the control thread if the back end is gone.
-    async fn record_crash(self) {
+    async fn report_if_crashed(self) {
         let check = check_connection(self.address).await;
         let has_crashed = match check {
             ConnectionCheck::Listening => false,
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -25,7 +25,7 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Nodes asked for one package: the sources grow about threefold with each transfer, and the
 /// later ones that are named are the less busy ones.
-const MOST_ASKED: usize = 4;
+const MAXIMUM_SOURCES: usize = 4;
 
 quick_error! {
     /// Why documents could not be fetched. They are asked for again later.
@@ -80,18 +80,18 @@
 pub(crate) async fn fetch(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
     may_ask: impl Fn(SocketAddr) -> bool,
 ) -> Result<Package, FetchError> {
     let mut asked = vec![peer];
     while let Some(source) = asked.last().copied() {
-        match ask(source, known, own).await? {
+        match request_documents(source, known, own_address).await? {
             Reply::Package(package) => return Ok(package),
             Reply::SentOn(others) => {
                 let mut others = others
                     .into_iter()
                     .filter(|other| !asked.contains(other) && may_ask(*other));
-                let next = others.next().filter(|_| asked.len() < MOST_ASKED);
+                let next = others.next().filter(|_| asked.len() < MAXIMUM_SOURCES);
                 asked.push(next.ok_or(FetchError::Busy(peer))?);
             }
         }
@@ -99,79 +99,85 @@
     Err(FetchError::Busy(peer))
 }
 
-async fn ask(
+async fn request_documents(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Reply, FetchError> {
     let timeout = async {
         smol::Timer::after(FETCH_TIMEOUT).await;
         Err(FetchError::TimedOut)
     };
-    let bytes = Compat::new(call(peer, known, own)).or(timeout).await?;
+    let bytes = Compat::new(call_peer(peer, known, own_address))
+        .or(timeout)
+        .await?;
     Ok(postcard::from_bytes(&bytes)?)
 }
 
-async fn call(
+async fn call_peer(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Vec<u8>, FetchError> {
     let mut connect = tarpc::serde_transport::tcp::connect(peer, Bincode::default);
     connect.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
     let transport = connect.await?;
     let client = DocumentsClient::new(client::Config::default(), transport).spawn();
     let known = known.revisions().iter();
-    let known = known.map(|last| (last.epoch, last.number)).collect();
-    let documents = client.changes_after(context::current(), known, own);
+    let known = known
+        .map(|revision| (revision.epoch, revision.number))
+        .collect();
+    let documents = client.changes_after(context::current(), known, own_address);
     Ok(documents.await?)
 }
 
 /// What the control thread is told of a node that wants documents.
 pub(crate) enum DocumentRequest {
     /// It asks for the changes that it lacks.
-    Ask {
+    Fetch {
         known: VersionVector,
         caller: SocketAddr,
         reply: async_channel::Sender<(Vec<u8>, Option<TransferId>)>,
     },
     /// Its connection has ended.
-    Ended(TransferId),
+    TransferEnded(TransferId),
 }
 
-type Requests = async_channel::Sender<DocumentRequest>;
+type RequestSender = async_channel::Sender<DocumentRequest>;
 
 /// Tells the control thread, when it is dropped with its connection, that a transfer is over.
 struct OpenTransfer {
     id: TransferId,
-    requests: Requests,
+    requests: RequestSender,
 }
 
 impl Drop for OpenTransfer {
     fn drop(&mut self) {
         // The channel is unbounded; it only fails when the control thread is gone.
-        let _ = self.requests.try_send(DocumentRequest::Ended(self.id));
+        let _ = self
+            .requests
+            .try_send(DocumentRequest::TransferEnded(self.id));
     }
 }
 
 #[derive(Clone)]
-struct Server {
-    requests: Requests,
+struct DocumentServer {
+    requests: RequestSender,
     /// Transfers of the connection that this serves.
     transfers: Arc<Mutex<Vec<OpenTransfer>>>,
 }
 
-impl Documents for Server {
+impl Documents for DocumentServer {
     async fn changes_after(
         self,
         _: context::Context,
         known: Vec<(u64, u64)>,
         caller: SocketAddr,
     ) -> Vec<u8> {
-        let (reply, answer) = async_channel::bounded(1);
+        let (reply, receiver) = async_channel::bounded(1);
         let known = known.into_iter();
         let known = known.map(|(epoch, number)| Revision { epoch, number });
-        let request = DocumentRequest::Ask {
+        let request = DocumentRequest::Fetch {
             known: known.collect(),
             caller,
             reply,
@@ -179,7 +185,7 @@
         if self.requests.send(request).await.is_err() {
             return Vec::new();
         }
-        let Ok((bytes, transfer)) = answer.recv().await else {
+        let Ok((bytes, transfer)) = receiver.recv().await else {
             return Vec::new();
         };
         let open = transfer.map(|id| OpenTransfer {
@@ -194,7 +200,7 @@
 }
 
 /// Answers requests on the control thread.
-pub(crate) async fn answer(
+pub(crate) async fn answer_requests(
     control: Rc<Control>,
     clock: Clock,
     requests: async_channel::Receiver<DocumentRequest>,
@@ -203,8 +209,8 @@
     while let Ok(request) = requests.recv().await {
         let now = clock.now();
         match request {
-            DocumentRequest::Ended(transfer) => service.finish(transfer),
-            DocumentRequest::Ask {
+            DocumentRequest::TransferEnded(transfer) => service.finish(transfer),
+            DocumentRequest::Fetch {
                 known,
                 caller,
                 reply,
@@ -214,9 +220,9 @@
                     dispatcher.document_store().peer_lacks_newest_epoch(&known)
                 };
                 let admission = service.admit(caller, wants_whole_epoch, &mut rand::rng(), now);
-                let (answer, transfer) = match admission {
+                let (response, transfer) = match admission {
                     Admission::Admitted(transfer) => {
-                        let package = package(&control, &known, now);
+                        let package = build_package(&control, &known, now);
                         (Reply::Package(package), transfer)
                     }
                     Admission::SentOn(others) => {
@@ -224,7 +230,7 @@
                         (Reply::SentOn(others), None)
                     }
                 };
-                let bytes = encode(&answer);
+                let bytes = encode(&response);
                 let distance = control.dispatcher.borrow().distance_to(caller);
                 metrics::control_bytes(MessageKind::Documents, distance, bytes.len());
                 // A caller that has left needs no answer; its connection ends the transfer.
@@ -234,7 +240,7 @@
     }
 }
 
-fn package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
+fn build_package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
     let dispatcher = control.dispatcher.borrow();
     let document_store = dispatcher.document_store();
     let age = document_store.confirmed_age(now);
@@ -257,13 +263,13 @@
 }
 
 /// Accepts peers' calls for ever.
-pub(crate) async fn serve(listener: std::net::TcpListener, requests: Requests) {
+pub(crate) async fn serve(listener: std::net::TcpListener, requests: RequestSender) {
     if let Err(error) = Compat::new(accept(listener, requests)).await {
         log::error!("documents can't be passed on: {error}");
     }
 }
 
-async fn accept(listener: std::net::TcpListener, requests: Requests) -> std::io::Result<()> {
+async fn accept(listener: std::net::TcpListener, requests: RequestSender) -> std::io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let mut incoming = tarpc::serde_transport::tcp::listen_on(listener, Bincode::default).await?;
@@ -276,7 +282,7 @@
                 continue;
             }
         };
-        let server = Server {
+        let server = DocumentServer {
             requests: requests.clone(),
             transfers: Arc::default(),
         };
--- a/crates/transport/relay/src/event_stream.rs
+++ b/crates/transport/relay/src/event_stream.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-const FIELD_ID: &[u8] = b"id:";
+const ID_FIELD_PREFIX: &[u8] = b"id:";
 
 /// Collects bytes of an event stream and hands out whole events.
 #[derive(Debug, Default)]
@@ -71,6 +71,6 @@
 
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
-    let field = lines.find_map(|line| line.strip_prefix(FIELD_ID))?;
+    let field = lines.find_map(|line| line.strip_prefix(ID_FIELD_PREFIX))?;
     std::str::from_utf8(field).ok()?.trim().parse().ok()
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -20,8 +20,8 @@
 use std::net::SocketAddr;
 
 /// A node serves callers from now on.
-pub(crate) fn started(node: &str, zone: &str, listen: SocketAddr) {
-    log::info!(event = "started", node = node, zone = zone, listen:% = listen; "started");
+pub(crate) fn started(node: &str, zone: &str, address: SocketAddr) {
+    log::info!(event = "started", node = node, zone = zone, listen:% = address; "started");
 }
 
 /// A planned stop has begun, or goes on to its next phase.
@@ -94,13 +94,13 @@
         log::info!(event = "back_end_unlimited", back_end = back_end; "a rate limit is over");
         return;
     };
-    let each = match role {
-        LimitRole::Sender(each) => Some(each),
+    let interval = match role {
+        LimitRole::Sender(interval) => Some(interval),
         LimitRole::OtherNodes => None,
     };
     log::info!(
-        event = "back_end_limited", back_end = back_end, limit:% = limit, sender = each.is_some(),
-        each_ms = each.unwrap_or_default().milliseconds();
+        event = "back_end_limited", back_end = back_end, limit:% = limit, sender = interval.is_some(),
+        each_ms = interval.unwrap_or_default().milliseconds();
         "a rate limit, or who sends under it, changed"
     );
 }
@@ -177,33 +177,33 @@
 }
 
 /// A document holds a value that makes no sense; the safe reading of it is in force.
-pub fn document_invalid(key: &str, doubt: &str) {
+pub fn document_invalid(key: &str, problem: &str) {
     metrics::document_invalid("value");
-    log::warn!(event = "document_doubtful", item = key, doubt = doubt; "document used with doubt");
+    log::warn!(event = "document_doubtful", item = key, doubt = problem; "document used with doubt");
 }
 
 /// A document names a zone or region that the settings don't know.
-fn unknown_name(news: &ReceivedChange, unknown: &UnknownName) {
+fn unknown_name(change: &ReceivedChange, unknown: &UnknownName) {
     metrics::document_invalid(unknown.kind());
     log::warn!(
-        event = "document_doubtful", item = news.key.kind(), revision:% = news.revision,
+        event = "document_doubtful", item = change.key.kind(), revision:% = change.revision,
         names = unknown.kind(), name = unknown.as_str();
         "a document names what the settings don't know"
     );
 }
 
 /// A document was taken, or refused.
-pub(crate) fn document_received(news: &ReceivedChange, source: &'static str) {
-    for unknown in &news.unknown_names {
-        unknown_name(news, unknown);
+pub(crate) fn document_received(change: &ReceivedChange, source: &'static str) {
+    for unknown in &change.unknown_names {
+        unknown_name(change, unknown);
     }
-    let (kind, revision) = (news.kind, news.revision);
-    let item = match &news.key {
+    let (kind, revision) = (change.kind, change.revision);
+    let item = match &change.key {
         DocumentKey::Table => "table",
         DocumentKey::BackEnd(instance) => instance.as_str(),
         DocumentKey::Evacuation(zone) => zone.as_str(),
     };
-    match &news.outcome {
+    match &change.outcome {
         ApplyOutcome::AlreadyKnown => {}
         ApplyOutcome::Withheld => log::info!(
             event = "document_withheld", item = item, revision:% = revision, source = source;
@@ -234,19 +234,19 @@
     );
 }
 
-fn percent(part: f64) -> u64 {
-    (part * 100.0) as u64
+fn percent(fraction: f64) -> u64 {
+    (fraction * 100.0) as u64
 }
 
 /// What an engine told of its cache corrected what was believed, or has a gap.
-pub(crate) fn cache_updated(instance: &InstanceId, news: &CacheUpdate) {
-    let counts = &news.counts;
-    if news.stale + news.missing == 0 && counts.listings > 0 && counts.responses > 0 {
+pub(crate) fn cache_updated(instance: &InstanceId, update: &CacheUpdate) {
+    let counts = &update.counts;
+    if update.stale + update.missing == 0 && counts.listings > 0 && counts.responses > 0 {
         return;
     }
     log::info!(
-        event = "cache_told", back_end = instance.as_str(), gone = news.stale, kept = news.missing,
-        followed_ms = news.followed_for.milliseconds(), listings = counts.listings,
+        event = "cache_told", back_end = instance.as_str(), gone = update.stale, kept = update.missing,
+        followed_ms = update.followed_for.milliseconds(), listings = counts.listings,
         answers = counts.responses, gaps = counts.gaps, vain = counts.failed_calls;
         "an engine told what it keeps"
     );
@@ -262,7 +262,7 @@
 }
 
 /// An engine's word on what it keeps makes no sense; it is not used.
-pub(crate) fn cache_answer_doubtful(instance: &InstanceId, error: &MalformedResponse) {
+pub(crate) fn malformed_cache_response(instance: &InstanceId, error: &MalformedResponse) {
     metrics::cache_call_failed("shape");
     log::warn!(
         event = "cache_answer_doubtful", back_end = instance.as_str(), doubt:% = error;
@@ -417,38 +417,38 @@
 }
 
 /// A request was answered by this node itself.
-pub(crate) fn replied_locally(id: &str, answer: &LocalReply, elapsed: Span) {
+pub(crate) fn replied_locally(id: &str, reply: &LocalReply, elapsed: Span) {
     log::warn!(
-        event = "answered_here", request = id, status = answer.status().as_u16(),
-        reason = answer.reason(), verdict = answer.verdict().as_str(),
-        digest:% = answer.digest().map(|digest| digest.to_string()).unwrap_or_default(),
+        event = "answered_here", request = id, status = reply.status().as_u16(),
+        reason = reply.reason(), verdict = reply.verdict().as_str(),
+        digest:% = reply.digest().map(|digest| digest.to_string()).unwrap_or_default(),
         elapsed_ms = elapsed.milliseconds();
         "answered here"
     );
 }
 
 /// A request ended with a back end's answer, whole or not.
-pub(crate) fn ended(id: &str, how: &'static str, status: u16, attempts: u32, elapsed: Span) {
-    if how == "whole" {
+pub(crate) fn ended(id: &str, outcome: &'static str, status: u16, attempts: u32, elapsed: Span) {
+    if outcome == "whole" {
         log::info!(
-            event = "ended", request = id, how = how, status = status, attempts = attempts,
+            event = "ended", request = id, how = outcome, status = status, attempts = attempts,
             elapsed_ms = elapsed.milliseconds();
             "ended"
         );
         return;
     }
     log::warn!(
-        event = "ended", request = id, how = how, status = status, attempts = attempts,
+        event = "ended", request = id, how = outcome, status = status, attempts = attempts,
         elapsed_ms = elapsed.milliseconds();
         "ended"
     );
 }
 
 /// A request was ended because what it held did not fit any longer.
-pub(crate) fn ended_for_memory(id: &str, route: &'static str, held: u64, why: &'static str) {
-    metrics::ended_for_memory(why, route);
+pub(crate) fn ended_for_memory(id: &str, route: &'static str, held: u64, reason: &'static str) {
+    metrics::ended_for_memory(reason, route);
     log::warn!(
-        event = "ended_for_memory", request = id, route = route, held_bytes = held, why = why;
+        event = "ended_for_memory", request = id, route = route, held_bytes = held, why = reason;
         "ended for memory"
     );
 }
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 
 /// Time after which a request without a configuration is worth sending again.
-pub(crate) const NOT_READY_RETRY: Span = Span::from_milliseconds(300);
+pub(crate) const NOT_READY_RETRY_AFTER: Span = Span::from_milliseconds(300);
 /// Back ends tried without a connection coming up.
 const MAXIMUM_UNREACHABLE: u32 = 3;
 /// Bytes of an answer for each token that may come out: an event of 75 bytes holds 8 or 9
@@ -88,27 +88,27 @@
     pub fn conclude(
         mut self,
         fallback: Option<Response<RelayBody>>,
-        answer: LocalReply,
+        reply: LocalReply,
     ) -> Response<RelayBody> {
         if let Some(response) = fallback {
             return self.forward(response);
         }
         self.is_finished = true;
         let elapsed = self.elapsed();
-        events::replied_locally(&self.head.id, &answer, elapsed);
-        metrics::local_reply(answer.reason());
-        metrics::request(&self.head.route, self.head.rank, answer.reason(), elapsed);
-        answer.response()
+        events::replied_locally(&self.head.id, &reply, elapsed);
+        metrics::local_reply(reply.reason());
+        metrics::request(&self.head.route, self.head.rank, reply.reason(), elapsed);
+        reply.response()
     }
 
     /// Notes how the request ended.
-    pub fn finish(&mut self, how: &'static str) {
+    pub fn finish(&mut self, outcome: &'static str) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let elapsed = self.elapsed();
-        events::ended(&self.head.id, how, self.status, self.attempts, elapsed);
-        metrics::request(&self.head.route, self.head.rank, how, elapsed);
+        events::ended(&self.head.id, outcome, self.status, self.attempts, elapsed);
+        metrics::request(&self.head.route, self.head.rank, outcome, elapsed);
     }
 
     pub fn elapsed(&self) -> Span {
@@ -127,7 +127,7 @@
             Outcome::Shed => Reason::QueueFull,
             _ => Reason::NoBackEnd,
         };
-        LocalReply::NotRun(reason, NOT_READY_RETRY)
+        LocalReply::NotRun(reason, NOT_READY_RETRY_AFTER)
     }
 
     /// Whether another back end may be tried.
@@ -141,11 +141,14 @@
 
     /// Asks for a place.
     pub async fn request_lease(&mut self) -> Result<Lease, LocalReply> {
-        self.ask_at(None).await
+        self.request_lease_on(None).await
     }
 
     /// Asks for a place at any back end, or at one alone.
-    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, LocalReply> {
+    pub async fn request_lease_on(
+        &mut self,
+        required_instance: Option<InstanceId>,
+    ) -> Result<Lease, LocalReply> {
         let now = self.traffic.clock.now();
         let demand = Demand {
             digest: self.digest,
@@ -154,7 +157,7 @@
             parts: self.head.parts.clone(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
-            bytes: self.transferred_bytes(),
+            bytes: self.estimated_transfer_bytes(),
             target: self.head.route.target,
             event_gap_target: self.head.route.event_gap_target,
             remaining: now.until(self.deadline),
@@ -163,7 +166,7 @@
             may_retry: self.head.route.may_retry(),
             is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
-            required_instance: only,
+            required_instance,
         };
         let is_first = self.attempts == 0 && self.unreachable == 0;
         let decision = self.traffic.control.dispatch(demand, is_first).await;
@@ -180,8 +183,8 @@
                     digest,
                     &grant,
                 );
-                let kept = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
-                metrics::prompt(kept, grant.uncached_tokens);
+                let cached_tokens = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
+                metrics::prompt_tokens(cached_tokens, grant.uncached_tokens);
                 if grant.replica.is_some() {
                     metrics::replica_started();
                 }
@@ -192,15 +195,15 @@
                 events::not_granted(&self.head.id, reason, retry_after);
                 Err(self.refusal(reason, retry_after))
             }
-            None => Err(self.refusal(Reason::Draining, NOT_READY_RETRY)),
+            None => Err(self.refusal(Reason::Draining, NOT_READY_RETRY_AFTER)),
         }
     }
 
     /// The answer to a request that is refused for so long because back ends crash under it.
-    pub fn refuse_crashing(&self, lasts: Span) -> LocalReply {
+    pub fn refuse_crashing(&self, remaining: Span) -> LocalReply {
         LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
-            duration: lasts,
+            duration: remaining,
             verdict: self.verdict(),
         })
     }
@@ -214,9 +217,9 @@
     }
 
     /// Bytes of the request, and about as many as its answer takes.
-    fn transferred_bytes(&self) -> u32 {
-        let answer = u64::from(self.head.output_tokens) * ASSUMED_BYTES_PER_TOKEN;
-        let total = self.request.body.len() as u64 + answer;
+    fn estimated_transfer_bytes(&self) -> u32 {
+        let response_bytes = u64::from(self.head.output_tokens) * ASSUMED_BYTES_PER_TOKEN;
+        let total = self.request.body.len() as u64 + response_bytes;
         u32::try_from(total).unwrap_or(u32::MAX)
     }
 
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -8,7 +8,7 @@
 use crate::forwarding::is_event_stream;
 use crate::lease::Lease;
 use crate::sending::ResumePoint;
-use crate::stream::{Source, StreamRelay};
+use crate::stream::{StreamRelay, StreamSource};
 use crate::upstream::Connection;
 use crate::{events, metrics};
 use eiderferry_dispatch::{Outcome, StreamPacing};
@@ -18,45 +18,49 @@
 
 /// Longest pause of a stream before it goes on elsewhere, in its targets for pauses; and the
 /// longest wait for the holder of a replica.
-const PAUSE_TARGETS: u64 = 3;
+const EVENT_GAP_TARGETS: u64 = 3;
 /// Shortest pause that makes a stream go on elsewhere. Callers give a stream up after 2 s
 /// without an event, or more.
-const MINIMUM_PAUSE: Span = Span::from_milliseconds(1_500);
+const MINIMUM_EVENT_GAP: Span = Span::from_milliseconds(1_500);
 
 /// Age from which on a run is held to have a replica. An engine that holds none refuses the run,
 /// but where its answer is lost too the run may have begun there once more. On two loaded days
 /// with crashes and lost answers 112 runs were continued, none younger than 200 ms and none
 /// before its first event; of 93 that were asked for within 50 ms none was, and 22 began twice.
-const REPLICA_AGE: Span = Span::from_milliseconds(200);
+const MINIMUM_REPLICA_AGE: Span = Span::from_milliseconds(200);
 
 /// A back end's answer: its place, its head with its body, and its connection.
-type Answering = (Lease, Response<Incoming>, Connection);
+type OpenResponse = (Lease, Response<Incoming>, Connection);
 
 impl Exchange {
     /// Longest pause between two events before a stream goes on elsewhere.
     pub(crate) fn event_gap_timeout(&self) -> Span {
-        let pause = self.head.route.event_gap_target.unwrap_or(MINIMUM_PAUSE);
-        Span(pause.0 * PAUSE_TARGETS).max(MINIMUM_PAUSE)
+        let target = self
+            .head
+            .route
+            .event_gap_target
+            .unwrap_or(MINIMUM_EVENT_GAP);
+        Span(target.0 * EVENT_GAP_TARGETS).max(MINIMUM_EVENT_GAP)
     }
 
     /// Continues a lost run at the engine that holds its replica, if there is one.
-    async fn take_over(&mut self, last_id: u64) -> Option<Answering> {
+    async fn continue_from_replica(&mut self, last_id: u64) -> Option<OpenResponse> {
         let RunReplica { holder, sent_at } = self.replica.take()?;
-        let begun = self.traffic.clock.now();
-        if begun >= self.deadline || begun.since(sent_at) < REPLICA_AGE {
+        let started = self.traffic.clock.now();
+        if started >= self.deadline || started.since(sent_at) < MINIMUM_REPLICA_AGE {
             return None;
         }
-        let result = match self.ask_at(Some(holder.instance.clone())).await {
-            Ok(lease) => self.continue_at(lease, last_id).await,
+        let result = match self.request_lease_on(Some(holder.instance.clone())).await {
+            Ok(lease) => self.request_continuation(lease, last_id).await,
             Err(_) => Err("holder_not_eligible"),
         };
-        let waited = self.traffic.clock.now().since(begun);
+        let waited = self.traffic.clock.now().since(started);
         let (id, engine) = (&self.head.id, holder.instance.as_str());
         match result {
-            Ok(answering) => {
+            Ok(response) => {
                 metrics::takeover("taken_over", waited);
                 events::taken_over(id, engine, last_id, waited);
-                Some(answering)
+                Some(response)
             }
             Err(reason) => {
                 metrics::takeover(reason, waited);
@@ -67,21 +71,25 @@
     }
 
     /// Gives the place of an attempt back that got no answer.
-    async fn end_failed(&self, lease: Lease, outcome: Outcome) {
+    async fn release_failed(&self, lease: Lease, outcome: Outcome) {
         let (back_end, address) = (lease.grant.instance.clone(), lease.grant.address);
         lease.release(outcome);
         self.record_failed_attempt(&back_end, address, outcome)
             .await;
     }
 
-    async fn continue_at(&mut self, lease: Lease, last_id: u64) -> Result<Answering, &'static str> {
+    async fn request_continuation(
+        &mut self,
+        lease: Lease,
+        last_id: u64,
+    ) -> Result<OpenResponse, &'static str> {
         let replica = format!("{}/{}", lease.grant.address, self.head.id);
-        let after = ResumePoint {
+        let resume_point = ResumePoint {
             last_event_id: Some(last_id),
             resume_from: Some(replica),
             response_timeout: self.event_gap_timeout(),
         };
-        match self.send_after(&lease, after).await {
+        match self.send_resuming(&lease, resume_point).await {
             Ok((response, connection))
                 if response.status() == StatusCode::OK && is_event_stream(&response) =>
             {
@@ -97,7 +105,7 @@
                 Err("no_replica")
             }
             Err(outcome) => {
-                self.end_failed(lease, outcome).await;
+                self.release_failed(lease, outcome).await;
                 Err(outcome.as_str())
             }
         }
@@ -107,17 +115,17 @@
 impl StreamRelay {
     /// Goes on after its source was lost; whether it does.
     pub(crate) async fn fail_over(&mut self) -> bool {
-        self.take_over().await || self.resume().await
+        self.continue_from_replica().await || self.resume().await
     }
 
     /// Continues from the replica of its run; whether it does.
-    async fn take_over(&mut self) -> bool {
+    async fn continue_from_replica(&mut self) -> bool {
         let Some(last_id) = self.splitter.last_id() else {
             return false;
         };
-        match self.exchange.take_over(last_id).await {
+        match self.exchange.continue_from_replica(last_id).await {
             Some((lease, response, connection)) => {
-                self.take_source(lease, response, connection);
+                self.set_source(lease, response, connection);
                 true
             }
             None => false,
@@ -131,29 +139,29 @@
                 return false;
             };
             let last_id = self.splitter.last_id();
-            let after = ResumePoint {
+            let resume_point = ResumePoint {
                 last_event_id: last_id,
                 ..ResumePoint::default()
             };
-            let sent = self.exchange.send_after(&lease, after).await;
+            let sent = self.exchange.send_resuming(&lease, resume_point).await;
             match sent {
                 Ok((response, connection)) if response.status() == StatusCode::OK => {
                     let back_end = lease.grant.instance.as_str();
                     events::resumed(&self.exchange.head.id, back_end, last_id.unwrap_or(0));
-                    self.take_source(lease, response, connection);
+                    self.set_source(lease, response, connection);
                     return true;
                 }
                 Ok(_) => lease.release(Outcome::Failed),
-                Err(outcome) => self.exchange.end_failed(lease, outcome).await,
+                Err(outcome) => self.exchange.release_failed(lease, outcome).await,
             }
         }
         false
     }
 
-    fn take_source(&mut self, lease: Lease, response: Response<Incoming>, connection: Connection) {
+    fn set_source(&mut self, lease: Lease, response: Response<Incoming>, connection: Connection) {
         let (parts, body) = response.into_parts();
         self.splitter = EventSplitter::resuming_after(self.splitter.last_id());
-        self.source = Some(Source {
+        self.source = Some(StreamSource {
             lease,
             connection,
             headers: parts.headers,
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -28,8 +28,8 @@
     header::EXPECT,
 ];
 /// Longest answer that is no stream; a longer one counts as broken.
-const MAXIMUM_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-const EVENT_STREAM: &[u8] = b"text/event-stream";
+const MAXIMUM_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
 /// A caller's request as every attempt passes it on.
 pub(crate) struct ForwardedRequest {
@@ -52,10 +52,10 @@
 
 impl ForwardedRequest {
     /// The request for one attempt.
-    pub fn attempt(
+    pub fn for_attempt(
         &self,
         header_names: &HeaderNames,
-        told: &AttemptContext<'_>,
+        context: &AttemptContext<'_>,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let mut set = |name: &HeaderName, value: &str| {
@@ -65,26 +65,26 @@
         };
         set(
             &header_names.remaining_ms,
-            &told.remaining.milliseconds().max(1).to_string(),
+            &context.remaining.milliseconds().max(1).to_string(),
         );
         set(
             &header_names.expected_instance,
-            told.grant.instance.as_str(),
+            context.grant.instance.as_str(),
         );
-        set(&header_names.priority, &told.priority.to_string());
-        if let Some(tenant) = told.tenant {
+        set(&header_names.priority, &context.priority.to_string());
+        if let Some(tenant) = context.tenant {
             set(&header_names.tenant, tenant);
         }
-        if let Some(address) = told.grant.copy_from {
+        if let Some(address) = context.grant.copy_from {
             set(&header_names.copy_from, &address.to_string());
         }
-        if let Some(replica) = &told.grant.replica {
+        if let Some(replica) = &context.grant.replica {
             set(&header_names.replica_at, &replica.address.to_string());
         }
-        if let Some(replica) = &told.resume_from {
+        if let Some(replica) = &context.resume_from {
             set(&header_names.resume_from, replica);
         }
-        if let Some(id) = told.last_event_id {
+        if let Some(id) = context.last_event_id {
             set(&header_names.last_event_id, &id.to_string());
         }
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -115,37 +115,39 @@
     limit: u64,
     memory: &RequestMemory,
 ) -> Result<Bytes, LocalReply> {
-    let announced = body.size_hint().lower();
-    if announced > limit {
+    let declared = body.size_hint().lower();
+    if declared > limit {
         return Err(LocalReply::BodyTooLarge);
     }
-    let mut held = memory.empty(MemoryKind::Body);
-    let refused = |bytes: u64| {
+    let mut reservation = memory.empty(MemoryKind::Body);
+    let memory_full = |bytes: u64| {
         let retry_after = memory.shared.budget.retry_after(bytes);
         move |MemoryFull| LocalReply::NoMemory(retry_after)
     };
     // Counted before it is read, so that what does not fit is not read.
-    held.grow(announced).map_err(refused(announced))?;
-    let mut collected = BytesMut::with_capacity(announced as usize);
+    reservation.grow(declared).map_err(memory_full(declared))?;
+    let mut collected = BytesMut::with_capacity(declared as usize);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| LocalReply::BodyBroken)?;
+        let frame = frame.map_err(|_| LocalReply::IncompleteBody)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() as u64 > limit {
             return Err(LocalReply::BodyTooLarge);
         }
-        let uncounted = (collected.len() as u64).saturating_sub(held.bytes());
-        held.grow(uncounted).map_err(refused(uncounted))?;
+        let unreserved = (collected.len() as u64).saturating_sub(reservation.bytes());
+        reservation
+            .grow(unreserved)
+            .map_err(memory_full(unreserved))?;
     }
-    Ok(held.into_bytes(collected))
+    Ok(reservation.into_bytes(collected))
 }
 
 /// Headers passed on to back ends: without those that belong to the connection, and
 /// without those that this node alone sets.
 pub(crate) fn forwarded_headers(headers: &HeaderMap, header_names: &HeaderNames) -> HeaderMap {
-    let keeps = |name: &HeaderName| header_names.describes_request(name);
-    let mut forwarded = without_connection_headers(headers, keeps);
+    let retain = |name: &HeaderName| header_names.describes_request(name);
+    let mut forwarded = without_connection_headers(headers, retain);
     forwarded.remove(header::AUTHORIZATION);
     forwarded.remove(header::CONTENT_LENGTH);
     for name in header_names.set_by_node() {
@@ -158,14 +160,14 @@
 /// tells which stays all the same.
 fn without_connection_headers(
     headers: &HeaderMap,
-    keeps: impl Fn(&HeaderName) -> bool,
+    retain: impl Fn(&HeaderName) -> bool,
 ) -> HeaderMap {
     let mut copy = headers.clone();
     let listed = headers.get_all(header::CONNECTION).iter();
     let listed = listed.filter_map(|value| value.to_str().ok());
     let names = listed.flat_map(|value| value.split(','));
     let names = names.filter_map(|name| name.trim().parse::<HeaderName>().ok());
-    for name in names.filter(|name| !keeps(name)) {
+    for name in names.filter(|name| !retain(name)) {
         copy.remove(name);
     }
     for name in &CONNECTION_HEADERS {
@@ -176,12 +178,15 @@
 
 /// Whether an answer is a stream of events.
 pub(crate) fn is_event_stream(response: &Response<Incoming>) -> bool {
-    let kind = response.headers().get(header::CONTENT_TYPE);
-    kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM))
+    let content_type = response.headers().get(header::CONTENT_TYPE);
+    content_type.is_some_and(|content_type| content_type.as_bytes().starts_with(EVENT_STREAM_TYPE))
 }
 
 /// An answer with a back end's head.
-pub(crate) fn answer(parts: &http::response::Parts, body: RelayBody) -> Response<RelayBody> {
+pub(crate) fn response_for_caller(
+    parts: &http::response::Parts,
+    body: RelayBody,
+) -> Response<RelayBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = without_connection_headers(&parts.headers, |_| false);
@@ -194,21 +199,21 @@
     mut body: Incoming,
     memory: &RequestMemory,
 ) -> Result<Bytes, Outcome> {
-    let mut held = memory.empty(MemoryKind::Response);
+    let mut reservation = memory.empty(MemoryKind::Response);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
-        if collected.len() > MAXIMUM_ANSWER_BYTES {
+        if collected.len() > MAXIMUM_RESPONSE_BYTES {
             return Err(Outcome::IncompleteResponse);
         }
-        let uncounted = collected.len() as u64 - held.bytes();
-        if memory.grow_answer(&mut held, uncounted).is_err() {
-            memory.record_ended(held.bytes(), "answer");
+        let unreserved = collected.len() as u64 - reservation.bytes();
+        if memory.grow_response(&mut reservation, unreserved).is_err() {
+            memory.record_ended(reservation.bytes(), "answer");
             return Err(Outcome::IncompleteResponse);
         }
     }
-    Ok(held.into_bytes(collected))
+    Ok(reservation.into_bytes(collected))
 }
--- a/crates/transport/relay/src/gossip.rs
+++ b/crates/transport/relay/src/gossip.rs
@@ -9,7 +9,7 @@
 /// First byte of each datagram: the version of the format.
 const FORMAT_VERSION: u8 = 7;
 /// Largest datagram that UDP carries.
-const RECEIVE_BYTES: usize = 65_536;
+const RECEIVE_BUFFER_BYTES: usize = 65_536;
 
 /// The socket for messages of other nodes.
 pub(crate) struct PeerSocket {
@@ -21,7 +21,7 @@
     pub fn new(socket: Async<UdpSocket>) -> Self {
         Self {
             socket,
-            buffer: RefCell::new(vec![0; RECEIVE_BYTES]),
+            buffer: RefCell::new(vec![0; RECEIVE_BUFFER_BYTES]),
         }
     }
 
@@ -47,7 +47,7 @@
     /// The next message that can be read.
     pub async fn receive(&self) -> Option<(SocketAddr, Gossip)> {
         let mut buffer = self.buffer.take();
-        buffer.resize(RECEIVE_BYTES, 0);
+        buffer.resize(RECEIVE_BUFFER_BYTES, 0);
         let received = self.socket.recv_from(&mut buffer).await;
         let message = match received {
             Ok((length, from)) => decode(&buffer[..length]).map(|message| (from, message)),
--- a/crates/transport/relay/src/header_names.rs
+++ b/crates/transport/relay/src/header_names.rs
@@ -47,7 +47,7 @@
 impl HeaderNames {
     /// Headers that this node alone sets on a request to a back end.
     pub(crate) fn set_by_node(&self) -> impl Iterator<Item = &HeaderName> {
-        let told = [
+        let names = [
             &self.tenant,
             &self.remaining_ms,
             &self.expected_instance,
@@ -56,13 +56,13 @@
             &self.replica_at,
             &self.resume_from,
         ];
-        told.into_iter().chain(&self.commands)
+        names.into_iter().chain(&self.commands)
     }
 
     /// Whether a header describes the request itself: a caller that lists it in
     /// `Connection` does not keep it from the back end.
     pub(crate) fn describes_request(&self, name: &HeaderName) -> bool {
-        let own = [
+        let names = [
             &self.request_id,
             &self.model,
             &self.token_usage,
@@ -70,6 +70,6 @@
             &self.length_hint,
             &self.last_event_id,
         ];
-        own.contains(&name)
+        names.contains(&name)
     }
 }
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -11,8 +11,8 @@
 pub(crate) struct Lease {
     pub grant: Grant,
     control: ControlHandle,
-    granted: Timestamp,
-    is_over: bool,
+    granted_at: Timestamp,
+    is_released: bool,
 }
 
 impl Lease {
@@ -20,42 +20,42 @@
         Self {
             grant,
             control,
-            granted: now,
-            is_over: false,
+            granted_at: now,
+            is_released: false,
         }
     }
 
     /// The first event of a stream came.
-    pub fn first_event_of_stream(&self, now: Timestamp) {
-        metrics::first_event_error(self.grant.candidate.first_event, now.since(self.granted));
-        self.first_event();
+    pub fn record_first_stream_event(&self, now: Timestamp) {
+        metrics::first_event_error(self.grant.candidate.first_event, now.since(self.granted_at));
+        self.record_first_event();
     }
 
     /// Its back end says something of itself.
-    pub fn record(&self, notice: Notice) {
+    pub fn record_notice(&self, notice: Notice) {
         self.control.record_notice(self.grant.lease, notice);
     }
 
     /// The whole answer came.
-    pub fn first_event(&self) {
+    pub fn record_first_event(&self) {
         self.control.record_first_event(self.grant.lease);
     }
 
     /// Gives the place back.
     pub fn release(self, outcome: Outcome) {
-        self.end_stream(outcome, StreamPacing::default());
+        self.release_stream(outcome, StreamPacing::default());
     }
 
     /// Gives the place of a stream back, with how its events came.
-    pub fn end_stream(mut self, outcome: Outcome, pacing: StreamPacing) {
-        self.is_over = true;
+    pub fn release_stream(mut self, outcome: Outcome, pacing: StreamPacing) {
+        self.is_released = true;
         self.control.release(self.grant.lease, outcome, pacing);
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_released {
             let (lease, pacing) = (self.grant.lease, StreamPacing::default());
             self.control.release(lease, Outcome::Abandoned, pacing);
         }
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -9,6 +9,7 @@
 
 mod answer;
 mod attempts;
+mod buffered_body;
 mod cache_follower;
 mod caller_socket;
 mod cancellation;
@@ -39,7 +40,6 @@
 mod settings;
 mod stream;
 mod upstream;
-mod whole_body;
 
 pub use cache_follower::{CacheProtocol, MalformedResponse};
 pub use control::DocumentFeed;
--- a/crates/transport/relay/src/local_reply.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -17,7 +17,7 @@
     /// The body is longer than allowed.
     BodyTooLarge,
     /// The body did not come.
-    BodyBroken,
+    IncompleteBody,
     /// The request has not run and will not.
     NotRun(Reason, Span),
     /// What the request needs does not fit in memory; nothing of it has run.
@@ -45,7 +45,7 @@
         match self {
             LocalReply::NoRoute => StatusCode::NOT_FOUND,
             LocalReply::UnknownKey => StatusCode::UNAUTHORIZED,
-            LocalReply::BadHeader(_) | LocalReply::BodyBroken => StatusCode::BAD_REQUEST,
+            LocalReply::BadHeader(_) | LocalReply::IncompleteBody => StatusCode::BAD_REQUEST,
             LocalReply::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             LocalReply::NotRun(..) | LocalReply::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
             LocalReply::ResponseLost => StatusCode::BAD_GATEWAY,
@@ -62,7 +62,7 @@
             LocalReply::UnknownKey => "unknown_key",
             LocalReply::BadHeader(name) => name,
             LocalReply::BodyTooLarge => "body_too_large",
-            LocalReply::BodyBroken => "body_broken",
+            LocalReply::IncompleteBody => "body_broken",
             LocalReply::NotRun(reason, _) => reason.as_str(),
             LocalReply::NoMemory(_) => "memory",
             LocalReply::ResponseLost => "answer_lost",
@@ -74,7 +74,7 @@
     pub fn verdict(&self) -> Verdict {
         match self {
             LocalReply::ResponseLost | LocalReply::TimedOut => Verdict::MayHaveRun,
-            LocalReply::CrashesBackEnds(crashes) => crashes.verdict,
+            LocalReply::CrashesBackEnds(refusal) => refusal.verdict,
             _ => Verdict::NotRun,
         }
     }
@@ -82,39 +82,39 @@
     fn closes_connection(&self) -> bool {
         matches!(
             self,
-            LocalReply::BodyTooLarge | LocalReply::BodyBroken | LocalReply::NoMemory(_)
+            LocalReply::BodyTooLarge | LocalReply::IncompleteBody | LocalReply::NoMemory(_)
         )
     }
 
     /// What the request asks, where the answer is about that.
     pub fn digest(&self) -> Option<RequestDigest> {
         match self {
-            LocalReply::CrashesBackEnds(crashes) => Some(crashes.digest),
+            LocalReply::CrashesBackEnds(refusal) => Some(refusal.digest),
             _ => None,
         }
     }
 
-    fn text(&self) -> String {
+    fn body_text(&self) -> String {
         match self {
-            LocalReply::CrashesBackEnds(crashes) => format!(
+            LocalReply::CrashesBackEnds(refusal) => format!(
                 "{}: back ends crashed each time that this request ran; it is refused for {:.0} s \
                  (digest {})\n",
                 self.reason(),
-                crashes.duration.seconds(),
-                crashes.digest
+                refusal.duration.seconds(),
+                refusal.digest
             ),
             _ => format!("{}\n", self.reason()),
         }
     }
 
     pub fn response(&self) -> Response<RelayBody> {
-        let text = self.text();
+        let text = self.body_text();
         let mut response = Response::new(RelayBody::from(text));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let LocalReply::NotRun(_, span) | LocalReply::NoMemory(span) = self
-            && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", span.seconds()))
+        if let LocalReply::NotRun(_, retry_after) | LocalReply::NoMemory(retry_after) = self
+            && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", retry_after.seconds()))
         {
             headers.insert(RETRY_AFTER, value);
         }
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -21,7 +21,7 @@
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Beginning of the targets whose records are written; libraries' are not.
-const OWN_TARGET: &str = "eiderferry";
+const OWN_TARGET_PREFIX: &str = "eiderferry";
 
 /// Lines allowed in a second.
 #[derive(Clone, Copy, Debug)]
@@ -43,9 +43,9 @@
 
 #[derive(Debug)]
 struct Window {
-    since: Instant,
-    information: u32,
-    warnings: u32,
+    started: Instant,
+    info_lines: u32,
+    warning_lines: u32,
 }
 
 /// A queue of lines with a budget.
@@ -54,7 +54,7 @@
     lines: SyncSender<Vec<u8>>,
     budget: LogBudget,
     window: Mutex<Window>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl LogQueue {
@@ -65,18 +65,18 @@
             lines: sender,
             budget,
             window: Mutex::new(Window {
-                since: Instant::now(),
-                information: 0,
-                warnings: 0,
+                started: Instant::now(),
+                info_lines: 0,
+                warning_lines: 0,
             }),
-            left_out: Arc::default(),
+            dropped_lines: Arc::default(),
         };
         (queue, receiver)
     }
 
     /// Lines left out since the last time this was asked.
     pub fn drain_dropped_count(&self) -> u64 {
-        self.left_out.swap(0, Ordering::Relaxed)
+        self.dropped_lines.swap(0, Ordering::Relaxed)
     }
 
     /// Whether the budget has room for a line.
@@ -84,20 +84,20 @@
         let Ok(mut window) = self.window.lock() else {
             return false;
         };
-        if window.since.elapsed() >= Duration::from_secs(1) {
-            window.since = Instant::now();
-            window.information = 0;
-            window.warnings = 0;
+        if window.started.elapsed() >= Duration::from_secs(1) {
+            window.started = Instant::now();
+            window.info_lines = 0;
+            window.warning_lines = 0;
         }
-        let (used, most) = if is_warning {
-            (&mut window.warnings, self.budget.warnings_per_second)
+        let (used, limit) = if is_warning {
+            (&mut window.warning_lines, self.budget.warnings_per_second)
         } else {
-            (&mut window.information, self.budget.info_per_second)
+            (&mut window.info_lines, self.budget.info_per_second)
         };
-        let admits = *used < most;
+        let admits = *used < limit;
         *used += u32::from(admits);
         if !admits {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
         admits
     }
@@ -105,7 +105,7 @@
     /// Queues a line unless the queue is full; never waits.
     pub fn push(&self, line: Vec<u8>) {
         if self.lines.try_send(line).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -118,7 +118,7 @@
 
 impl Append for QueueAppend {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if !record.target().starts_with(OWN_TARGET) {
+        if !record.target().starts_with(OWN_TARGET_PREFIX) {
             return Ok(());
         }
         let is_warning = record.level() >= Level::Warn;
@@ -138,7 +138,7 @@
 /// Starts logging to standard output.
 pub fn start(budget: LogBudget) {
     let (queue, lines) = LogQueue::new(QUEUE_LINES, budget);
-    let left_out = Arc::clone(&queue.left_out);
+    let dropped_lines = Arc::clone(&queue.dropped_lines);
     let append = QueueAppend {
         queue,
         layout: JsonLayout::default(),
@@ -149,19 +149,19 @@
     log::set_max_level(LevelFilter::Info);
     let writer = std::thread::Builder::new().name("log".to_owned());
     // Without the thread the queue fills, and lines are left out.
-    let _ = writer.spawn(move || write_lines(&lines, &left_out));
+    let _ = writer.spawn(move || write_lines(&lines, &dropped_lines));
 }
 
-fn write_lines(lines: &Receiver<Vec<u8>>, left_out: &AtomicU64) {
+fn write_lines(lines: &Receiver<Vec<u8>>, dropped_lines: &AtomicU64) {
     let mut output = std::io::stdout();
     while let Ok(mut batch) = lines.recv() {
         std::thread::sleep(WRITE_INTERVAL);
         for line in lines.try_iter() {
             batch.extend_from_slice(&line);
         }
-        let count = left_out.swap(0, Ordering::Relaxed);
+        let count = dropped_lines.swap(0, Ordering::Relaxed);
         if count > 0 {
-            batch.extend_from_slice(left_out_line(count).as_bytes());
+            batch.extend_from_slice(dropped_lines_record(count).as_bytes());
         }
         // Where standard output is gone, there is nobody to tell.
         let _ = output.write_all(&batch);
@@ -169,6 +169,6 @@
     }
 }
 
-fn left_out_line(count: u64) -> String {
+fn dropped_lines_record(count: u64) -> String {
     format!("{{\"level\":\"WARN\",\"kvs\":{{\"event\":\"lines_left_out\",\"count\":{count}}}}}\n")
 }
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -9,21 +9,21 @@
 
 /// Part of the bound up to which new requests are taken: the rest is for the answers of
 /// those that have been taken.
-const NEW_WORK_PART: f64 = 0.75;
-/// Part of the bound that events read ahead may fill. Below [`NEW_WORK_PART`], so that slow
+const NEW_REQUESTS_FRACTION: f64 = 0.75;
+/// Part of the bound that events read ahead may fill. Below [`NEW_REQUESTS_FRACTION`], so that slow
 /// callers alone never make this node refuse work.
-const READ_AHEAD_PART: f64 = 0.5;
+const READ_AHEAD_FRACTION: f64 = 0.5;
 /// Part of the bound that one request's events may fill: 5 MiB of the 40 MiB of the smallest
 /// machines, more than the longest whole answer that is accepted.
-const REQUEST_PART: f64 = 0.125;
+const REQUEST_FRACTION: f64 = 0.125;
 /// Part of the bound that the bodies at one back end may fill.
-const BACK_END_PART: f64 = 0.25;
+const BACK_END_FRACTION: f64 = 0.25;
 /// Time over which the pace of giving back is measured.
-const PACE_WINDOW: Span = Span::from_milliseconds(1_000);
+const RELEASE_RATE_WINDOW: Span = Span::from_milliseconds(1_000);
 /// Bounds of the time after which a refused request is asked to come back. The lower one is
 /// that of other refusals here; a longer one than the upper one no caller waits for.
-const MINIMUM_RETRY: Span = Span::from_milliseconds(300);
-const MAXIMUM_RETRY: Span = Span::from_milliseconds(5_000);
+const MINIMUM_RETRY_AFTER: Span = Span::from_milliseconds(300);
+const MAXIMUM_RETRY_AFTER: Span = Span::from_milliseconds(5_000);
 
 /// What is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,59 +64,59 @@
 pub(crate) struct MemoryFull;
 
 #[derive(Debug, Default)]
-struct Figures {
-    all: AtomicU64,
+struct Usage {
+    total: AtomicU64,
     peak: AtomicU64,
-    kinds: [AtomicU64; 3],
-    cells: [[AtomicU64; ROUTE_LABELS.len()]; 3],
+    by_kind: [AtomicU64; 3],
+    by_route: [[AtomicU64; ROUTE_LABELS.len()]; 3],
 }
 
 /// How fast bytes were given back lately.
 #[derive(Debug, Default)]
-struct Pace {
-    begun: Timestamp,
+struct ReleaseRate {
+    window_start: Timestamp,
     released: u64,
     /// Bytes in the last full window.
-    last: u64,
+    last_window: u64,
 }
 
 /// The bound of a process and what is held under it.
 #[derive(Debug, Default)]
 pub struct MemoryBudget {
-    bound: u64,
-    figures: Figures,
+    limit: u64,
+    usage: Usage,
     /// Bytes given back since the pace was last looked at.
     released: AtomicU64,
-    pace: Mutex<Pace>,
+    release_rate: Mutex<ReleaseRate>,
 }
 
 impl MemoryBudget {
     /// A budget of this many bytes; 0: no bound.
-    pub fn new(bound: u64) -> Arc<Self> {
+    pub fn new(limit: u64) -> Arc<Self> {
         Arc::new(Self {
-            bound,
+            limit,
             ..Self::default()
         })
     }
 
     /// Whether there is a bound.
     pub fn is_bounded(&self) -> bool {
-        self.bound > 0
+        self.limit > 0
     }
 
     /// Bytes held now.
     pub fn held(&self) -> u64 {
-        self.figures.all.load(Relaxed)
+        self.usage.total.load(Relaxed)
     }
 
     /// Bytes of one kind held now.
     pub fn held_by_kind(&self, kind: MemoryKind) -> u64 {
-        self.figures.kinds[kind as usize].load(Relaxed)
+        self.usage.by_kind[kind as usize].load(Relaxed)
     }
 
     /// Most bytes that were ever held at once.
     pub fn peak(&self) -> u64 {
-        self.figures.peak.load(Relaxed)
+        self.usage.peak.load(Relaxed)
     }
 
     /// Bytes by kind and kind of route.
@@ -124,8 +124,8 @@
         &self,
     ) -> impl Iterator<Item = (MemoryKind, &'static str, u64)> {
         MemoryKind::ALL.into_iter().flat_map(move |kind| {
-            let cells = self.figures.cells[kind as usize].iter();
-            cells
+            let by_route = self.usage.by_route[kind as usize].iter();
+            by_route
                 .zip(ROUTE_LABELS)
                 .map(move |(bytes, route)| (kind, route, bytes.load(Relaxed)))
         })
@@ -133,76 +133,77 @@
 
     /// Most bytes of events that one request may have read ahead.
     pub(crate) fn request_limit(&self) -> u64 {
-        self.part(REQUEST_PART)
+        self.fraction_of_limit(REQUEST_FRACTION)
     }
 
     /// Most bytes of bodies at one back end; none if there is no bound.
     pub(crate) fn back_end_limit(&self) -> Option<u64> {
-        self.is_bounded().then(|| self.part(BACK_END_PART))
+        self.is_bounded()
+            .then(|| self.fraction_of_limit(BACK_END_FRACTION))
     }
 
-    fn part(&self, part: f64) -> u64 {
-        (self.bound as f64 * part) as u64
+    fn fraction_of_limit(&self, fraction: f64) -> u64 {
+        (self.limit as f64 * fraction) as u64
     }
 
     /// Whether this much more of a kind may be held.
     fn allows(&self, kind: MemoryKind, bytes: u64) -> bool {
-        let all = self.held() + bytes;
+        let total = self.held() + bytes;
         match kind {
             _ if !self.is_bounded() => true,
-            MemoryKind::Body => all <= self.part(NEW_WORK_PART),
-            MemoryKind::Response => all <= self.bound,
+            MemoryKind::Body => total <= self.fraction_of_limit(NEW_REQUESTS_FRACTION),
+            MemoryKind::Response => total <= self.limit,
             MemoryKind::Events => {
                 let events = self.held_by_kind(kind) + bytes;
-                events <= self.part(READ_AHEAD_PART) && all <= self.bound
+                events <= self.fraction_of_limit(READ_AHEAD_FRACTION) && total <= self.limit
             }
         }
     }
 
-    fn take(&self, kind: MemoryKind, route: usize, bytes: u64) -> Result<(), MemoryFull> {
+    fn reserve(&self, kind: MemoryKind, route: usize, bytes: u64) -> Result<(), MemoryFull> {
         if !self.allows(kind, bytes) {
             return Err(MemoryFull);
         }
-        let figures = &self.figures;
-        let all = figures.all.fetch_add(bytes, Relaxed) + bytes;
-        figures.peak.fetch_max(all, Relaxed);
-        figures.kinds[kind as usize].fetch_add(bytes, Relaxed);
-        figures.cells[kind as usize][route].fetch_add(bytes, Relaxed);
+        let usage = &self.usage;
+        let total = usage.total.fetch_add(bytes, Relaxed) + bytes;
+        usage.peak.fetch_max(total, Relaxed);
+        usage.by_kind[kind as usize].fetch_add(bytes, Relaxed);
+        usage.by_route[kind as usize][route].fetch_add(bytes, Relaxed);
         Ok(())
     }
 
     fn release(&self, kind: MemoryKind, route: usize, bytes: u64) {
-        let figures = &self.figures;
-        figures.all.fetch_sub(bytes, Relaxed);
-        figures.kinds[kind as usize].fetch_sub(bytes, Relaxed);
-        figures.cells[kind as usize][route].fetch_sub(bytes, Relaxed);
+        let usage = &self.usage;
+        usage.total.fetch_sub(bytes, Relaxed);
+        usage.by_kind[kind as usize].fetch_sub(bytes, Relaxed);
+        usage.by_route[kind as usize][route].fetch_sub(bytes, Relaxed);
         self.released.fetch_add(bytes, Relaxed);
     }
 
     /// Notes how much was given back; called now and then.
-    pub(crate) fn record_pace(&self, now: Timestamp) {
-        let Ok(mut pace) = self.pace.lock() else {
+    pub(crate) fn update_release_rate(&self, now: Timestamp) {
+        let Ok(mut release_rate) = self.release_rate.lock() else {
             return;
         };
-        pace.released += self.released.swap(0, Relaxed);
-        if now.since(pace.begun) >= PACE_WINDOW {
-            pace.last = std::mem::take(&mut pace.released);
-            pace.begun = now;
+        release_rate.released += self.released.swap(0, Relaxed);
+        if now.since(release_rate.window_start) >= RELEASE_RATE_WINDOW {
+            release_rate.last_window = std::mem::take(&mut release_rate.released);
+            release_rate.window_start = now;
         }
     }
 
     /// When a body of this many bytes will fit, at the pace of the last second.
     pub(crate) fn retry_after(&self, bytes: u64) -> Span {
-        let over = (self.held() + bytes).saturating_sub(self.part(NEW_WORK_PART));
-        let pace = self
-            .pace
-            .lock()
-            .map_or(0, |pace| pace.last.max(pace.released));
-        if pace == 0 {
-            return MAXIMUM_RETRY;
+        let excess =
+            (self.held() + bytes).saturating_sub(self.fraction_of_limit(NEW_REQUESTS_FRACTION));
+        let release_rate = self.release_rate.lock().map_or(0, |release_rate| {
+            release_rate.last_window.max(release_rate.released)
+        });
+        if release_rate == 0 {
+            return MAXIMUM_RETRY_AFTER;
         }
-        let seconds = over as f64 / pace as f64 * PACE_WINDOW.seconds();
-        Span::from_seconds(seconds).clamp(MINIMUM_RETRY, MAXIMUM_RETRY)
+        let seconds = excess as f64 / release_rate as f64 * RELEASE_RATE_WINDOW.seconds();
+        Span::from_seconds(seconds).clamp(MINIMUM_RETRY_AFTER, MAXIMUM_RETRY_AFTER)
     }
 }
 
@@ -229,7 +230,7 @@
 
     /// Holds this much more, if the budget allows it.
     pub fn grow(&mut self, bytes: u64) -> Result<(), MemoryFull> {
-        self.budget.take(self.kind, self.route, bytes)?;
+        self.budget.reserve(self.kind, self.route, bytes)?;
         self.bytes += bytes;
         Ok(())
     }
@@ -250,9 +251,9 @@
         if content.is_empty() {
             return bytes::Bytes::new();
         }
-        bytes::Bytes::from_owner(HeldContent {
+        bytes::Bytes::from_owner(ReservedContent {
             content,
-            _held: self,
+            _reservation: self,
         })
     }
 }
@@ -263,12 +264,12 @@
     }
 }
 
-struct HeldContent {
+struct ReservedContent {
     content: bytes::BytesMut,
-    _held: MemoryReservation,
+    _reservation: MemoryReservation,
 }
 
-impl AsRef<[u8]> for HeldContent {
+impl AsRef<[u8]> for ReservedContent {
     fn as_ref(&self) -> &[u8] {
         &self.content
     }
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -10,13 +10,15 @@
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
 /// Bounds of the histograms in seconds.
-const SECONDS: [f64; 12] = [
+const BUCKETS_SECONDS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 12.0,
 ];
 
 /// Installs the recorder of the process.
 pub(crate) fn install() -> Option<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&SECONDS).ok()?;
+    let builder = PrometheusBuilder::new()
+        .set_buckets(&BUCKETS_SECONDS)
+        .ok()?;
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
     metrics::set_global_recorder(recorder).ok()?;
@@ -60,11 +62,11 @@
 
 /// By how much the first event of a stream differed from what was expected of its back
 /// end: the error of the model that placement rests on.
-pub(crate) fn first_event_error(expected: Span, seen: Span) {
-    let (direction, error) = if seen > expected {
-        ("later", Span(seen.0 - expected.0))
+pub(crate) fn first_event_error(expected: Span, actual: Span) {
+    let (direction, error) = if actual > expected {
+        ("later", Span(actual.0 - expected.0))
     } else {
-        ("earlier", Span(expected.0 - seen.0))
+        ("earlier", Span(expected.0 - actual.0))
     };
     metrics::histogram!("eiderferry_first_event_error_seconds", "direction" => direction)
         .record(error.seconds());
@@ -91,8 +93,8 @@
 }
 
 /// An answer says something of its back end.
-pub(crate) fn notice(what: &'static str) {
-    metrics::counter!("eiderferry_back_end_notices_total", "what" => what).increment(1);
+pub(crate) fn notice(statement: &'static str) {
+    metrics::counter!("eiderferry_back_end_notices_total", "what" => statement).increment(1);
 }
 
 /// What an answer says of its back end can't be read.
@@ -165,15 +167,15 @@
 }
 
 /// Prompt tokens found kept, and still to be read.
-pub(crate) fn prompt(kept: u32, uncached: u32) {
+pub(crate) fn prompt_tokens(cached: u32, uncached: u32) {
     metrics::counter!("eiderferry_prompt_tokens_total", "found" => "kept")
-        .increment(u64::from(kept));
+        .increment(u64::from(cached));
     metrics::counter!("eiderferry_prompt_tokens_total", "found" => "uncached")
         .increment(u64::from(uncached));
 }
 
 /// What is held for callers and back ends.
-pub(crate) fn held(budget: &MemoryBudget) {
+pub(crate) fn set_memory_gauges(budget: &MemoryBudget) {
     for (kind, route, bytes) in budget.by_kind_and_route() {
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
             .set(bytes as f64);
@@ -182,8 +184,8 @@
 }
 
 /// A request was ended for want of memory.
-pub(crate) fn ended_for_memory(why: &'static str, route: &'static str) {
-    metrics::counter!("eiderferry_ended_for_memory_total", "why" => why, "route" => route)
+pub(crate) fn ended_for_memory(reason: &'static str, route: &'static str) {
+    metrics::counter!("eiderferry_ended_for_memory_total", "why" => reason, "route" => route)
         .increment(1);
 }
 
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -31,17 +31,17 @@
 
 /// Age that the clock has at the start, so that moments before it can be named: how long ago
 /// a peer heard of something.
-const HEAD_START: Span = Span::from_milliseconds(3_600_000);
+const CLOCK_START_OFFSET: Span = Span::from_milliseconds(3_600_000);
 /// Time between two looks for rested connections.
-const CLEANING_INTERVAL: Duration = Duration::from_millis(1_000);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Bytes that the kernel holds for one caller (it takes twice this, for its own records
 /// too); left alone it takes 4 MiB of a caller that does not read. 10 Mbit/s over 70 ms there
 /// and back need 88 kB.
-const CALLER_SEND_BUFFER: usize = 128 * 1024;
+const CALLER_SEND_BUFFER_BYTES: usize = 128 * 1024;
 /// Time between two looks at whether all requests have ended.
-const END_CHECK: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for log lines to be written before the process ends.
-const LAST_LINES: Duration = Duration::from_millis(250);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(250);
 
 quick_error! {
     /// Why a relay can't start.
@@ -76,10 +76,10 @@
 impl Relay {
     /// Starts the control thread.
     pub fn start(settings: RelaySettings, source: Source) -> Result<Self, StartError> {
-        let clock = Clock::start(HEAD_START);
+        let clock = Clock::start(CLOCK_START_OFFSET);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
         let (sender, commands) = async_channel::unbounded();
-        let socket = bind_datagrams(settings.peer_address)?;
+        let socket = bind_peer_socket(settings.peer_address)?;
         let listener = std::net::TcpListener::bind(settings.peer_address)
             .map_err(|cause| StartError::Bind("documents", settings.peer_address, cause))?;
         let dispatcher = Dispatcher::new(DispatcherSettings {
@@ -95,10 +95,10 @@
             features: settings.features,
             link_mbps: settings.link_mbps,
         });
-        let shared = Arc::clone(&table);
+        let control_table = Arc::clone(&table);
         let cancellations = Cancellations::default();
-        let told = cancellations.clone();
-        let peer = settings.peer_address;
+        let control_cancellations = cancellations.clone();
+        let peer_address = settings.peer_address;
         let (cache_protocol, header_names) = (
             settings.cache_protocol.clone(),
             settings.header_names.clone(),
@@ -106,7 +106,14 @@
         let thread = std::thread::Builder::new().name("control".to_owned());
         thread
             .spawn(move || {
-                let control = Control::new(dispatcher, clock, shared, socket, told, peer);
+                let control = Control::new(
+                    dispatcher,
+                    clock,
+                    control_table,
+                    socket,
+                    control_cancellations,
+                    peer_address,
+                );
                 let follower =
                     |executor| CacheFollower::new(cache_protocol, header_names, executor);
                 run_control(Rc::new(control), commands, listener, follower, source);
@@ -133,8 +140,8 @@
     /// follows it is done.
     pub fn serve(self, stop: impl Future<Output = ()>) -> Result<(), StartError> {
         let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-        let (close, closing) = async_channel::bounded::<Infallible>(1);
-        let (end, ending) = async_channel::bounded::<Infallible>(1);
+        let (close_connections, connections_closing) = async_channel::bounded::<Infallible>(1);
+        let (force_stop, force_stop_signal) = async_channel::bounded::<Infallible>(1);
         let traffic = Rc::new(Traffic {
             upstream: Upstream::new(
                 Rc::clone(&executor),
@@ -153,10 +160,13 @@
             executor: Rc::clone(&executor),
             phase: Cell::new(Phase::Serving),
             open_requests: Cell::new(0),
-            closing,
-            force_stop: ending,
+            close_connections: connections_closing,
+            force_stop: force_stop_signal,
         });
-        let signals = StopSignals { close, end };
+        let signals = StopSignals {
+            close_connections,
+            force_stop,
+        };
         smol::block_on(executor.run(self.serve_until(server, stop, signals)))
     }
 
@@ -166,38 +176,40 @@
         stop: impl Future<Output = ()>,
         signals: StopSignals,
     ) -> Result<(), StartError> {
-        self.open(&server).await?;
+        self.open_listeners(&server).await?;
         let settings = &self.settings;
         let (node, zone) = (settings.node.as_str(), settings.zone.as_str());
         events::started(node, zone, settings.listen_address);
         stop.await;
         self.control.stop();
-        stop_server(&server, settings.shutdown, signals, self.clock).await;
+        shut_down(&server, settings.shutdown, signals, self.clock).await;
         events::stopped(server.open_requests.get());
-        Timer::after(LAST_LINES).await;
+        Timer::after(LOG_FLUSH_TIME).await;
         Ok(())
     }
 
-    async fn open(&self, server: &Rc<Server>) -> Result<(), StartError> {
+    async fn open_listeners(&self, server: &Rc<Server>) -> Result<(), StartError> {
         let settings = &self.settings;
         let executor = &server.executor;
-        let ready = bind("readiness", settings.readiness_address).await?;
+        let readiness = bind("readiness", settings.readiness_address).await?;
         let path = settings.readiness_path.clone();
         executor
-            .spawn(Rc::clone(server).accept_readiness(ready, path))
+            .spawn(Rc::clone(server).serve_readiness(readiness, path))
             .detach();
         if let (Some(address), Some(handle)) = (settings.metrics_address, self.metrics.clone()) {
             let listener = bind("metrics", address).await?;
             executor
-                .spawn(Rc::clone(server).accept_metrics(listener, handle))
+                .spawn(Rc::clone(server).serve_metrics(listener, handle))
                 .detach();
         }
         let callers = bind("callers", settings.listen_address).await?;
         if self.memory.is_bounded() {
-            bound_send_buffers(&callers);
+            limit_send_buffers(&callers);
         }
-        executor.spawn(Rc::clone(server).accept(callers)).detach();
-        executor.spawn(clean(Rc::clone(server))).detach();
+        executor
+            .spawn(Rc::clone(server).accept_callers(callers))
+            .detach();
+        executor.spawn(run_housekeeping(Rc::clone(server))).detach();
         Ok(())
     }
 }
@@ -209,54 +221,54 @@
 }
 
 /// Bounds what the kernel holds for a caller that does not read; connections inherit it.
-fn bound_send_buffers(callers: &TcpListener) {
+fn limit_send_buffers(callers: &TcpListener) {
     let socket = socket2::SockRef::from(callers);
-    if let Err(error) = socket.set_send_buffer_size(CALLER_SEND_BUFFER) {
+    if let Err(error) = socket.set_send_buffer_size(CALLER_SEND_BUFFER_BYTES) {
         log::warn!("send buffers of callers are not bounded: {error}");
     }
 }
 
-fn bind_datagrams(address: SocketAddr) -> Result<PeerSocket, StartError> {
+fn bind_peer_socket(address: SocketAddr) -> Result<PeerSocket, StartError> {
     let error = |cause| StartError::Bind("messages", address, cause);
     let socket = std::net::UdpSocket::bind(address).map_err(error)?;
     let socket = smol::Async::new(socket).map_err(error)?;
     Ok(PeerSocket::new(socket))
 }
 
-async fn clean(server: Rc<Server>) {
+async fn run_housekeeping(server: Rc<Server>) {
     loop {
-        Timer::after(CLEANING_INTERVAL).await;
+        Timer::after(HOUSEKEEPING_INTERVAL).await;
         let traffic = &server.traffic;
         traffic.upstream.close_idle();
         let budget = &traffic.memory.budget;
-        budget.record_pace(traffic.clock.now());
-        metrics::held(budget);
+        budget.update_release_rate(traffic.clock.now());
+        metrics::set_memory_gauges(budget);
     }
 }
 
 /// Channels whose closing tells connections and requests how far a stop has come.
 struct StopSignals {
-    close: async_channel::Sender<Infallible>,
-    end: async_channel::Sender<Infallible>,
+    close_connections: async_channel::Sender<Infallible>,
+    force_stop: async_channel::Sender<Infallible>,
 }
 
-async fn stop_server(
+async fn shut_down(
     server: &Server,
     settings: ShutdownSettings,
     signals: StopSignals,
     clock: Clock,
 ) {
-    let begun = clock.now();
+    let started = clock.now();
     server.phase.set(Phase::NotReady);
     events::stopping("leaving", server.open_requests.get());
     Timer::after(duration(settings.refuse_after)).await;
     server.phase.set(Phase::Refusing);
-    signals.close.close();
+    signals.close_connections.close();
     events::stopping("refusing", server.open_requests.get());
-    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.terminate_after {
-        Timer::after(END_CHECK).await;
+    while server.open_requests.get() > 0 && clock.now().since(started) < settings.terminate_after {
+        Timer::after(DRAIN_CHECK_INTERVAL).await;
     }
-    signals.end.close();
+    signals.force_stop.close();
 }
 
 fn run_control(
@@ -267,22 +279,22 @@
     source: Source,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-    let (requests, package_requests) = async_channel::unbounded();
+    let (request_sender, requests) = async_channel::unbounded();
     let follower = Rc::new(follower(Rc::clone(&executor)));
-    let ticking = Rc::clone(&control);
+    let tick_control = Rc::clone(&control);
     executor
-        .spawn(async move { ticking.run_ticks(&follower).await })
+        .spawn(async move { tick_control.run_ticks(&follower).await })
         .detach();
     let clock = control.clock;
     executor
-        .spawn(documents::answer(
+        .spawn(documents::answer_requests(
             Rc::clone(&control),
             clock,
-            package_requests,
+            requests,
         ))
         .detach();
     executor
-        .spawn(documents::serve(listener, requests))
+        .spawn(documents::serve(listener, request_sender))
         .detach();
     executor
         .spawn(source(DocumentFeed::new(Rc::clone(&control))))
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -53,14 +53,14 @@
     pub fn read<B>(response: &Response<B>, header_names: &HeaderNames) -> Self {
         let headers = response.headers();
         let leaving = headers.get(&header_names.leaving);
-        let turns_away = matches!(
+        let is_refusal = matches!(
             response.status(),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
         );
-        let rest = headers.get(RETRY_AFTER).filter(|_| turns_away);
+        let retry_after = headers.get(RETRY_AFTER).filter(|_| is_refusal);
         Self {
             is_leaving: leaving.is_some_and(|value| value.as_bytes() == b"1"),
-            backoff: rest.and_then(read_backoff),
+            backoff: retry_after.and_then(read_backoff),
             limit: headers
                 .get(&header_names.rate_limit)
                 .map_or(StatedLimit::NotStated, read_limit),
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -10,26 +10,26 @@
 
 /// A decision that is under way. Dropped before it was taken, it gives a granted place back.
 pub(crate) struct PendingDecision {
-    answer: Receiver<Decision>,
+    receiver: Receiver<Decision>,
     control: ControlHandle,
 }
 
 impl PendingDecision {
-    pub fn new(answer: Receiver<Decision>, control: ControlHandle) -> Self {
-        Self { answer, control }
+    pub fn new(receiver: Receiver<Decision>, control: ControlHandle) -> Self {
+        Self { receiver, control }
     }
 
     /// The decision; `None` if the control thread is gone.
-    pub async fn decision(self) -> Option<Decision> {
-        self.answer.recv().await.ok()
+    pub async fn receive(self) -> Option<Decision> {
+        self.receiver.recv().await.ok()
     }
 }
 
 impl Drop for PendingDecision {
     fn drop(&mut self) {
         // Once closed, a decision is either here or returns to the control thread.
-        self.answer.close();
-        let Ok(unclaimed) = self.answer.try_recv() else {
+        self.receiver.close();
+        let Ok(unclaimed) = self.receiver.try_recv() else {
             return;
         };
         release_unclaimed(unclaimed, |lease| {
@@ -42,10 +42,10 @@
 /// Gives the place of a decision back that nobody waits for any more. With one that stays
 /// taken for each caller that left at this moment, a pool of three back ends with 6 slots
 /// refused a third of its requests for as long as the nodes lived.
-pub(crate) fn release_unclaimed(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
+pub(crate) fn release_unclaimed(unclaimed: Decision, release: impl FnOnce(LeaseId)) {
     let Decision::Grant(grant) = unclaimed else {
         return;
     };
     events::lease_unclaimed(&grant.instance);
-    end(grant.lease);
+    release(grant.lease);
 }
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// When a caller whose request has not run is asked to come back, elsewhere.
-const STOPPING_RETRY: Span = Span::from_milliseconds(50);
+const SHUTDOWN_RETRY_AFTER: Span = Span::from_milliseconds(50);
 
 /// Whether a request has been sent to a back end, and what it holds.
 #[derive(Clone)]
@@ -35,7 +35,7 @@
         if self.was_sent.get() {
             LocalReply::ResponseLost
         } else {
-            LocalReply::NotRun(Reason::Draining, STOPPING_RETRY)
+            LocalReply::NotRun(Reason::Draining, SHUTDOWN_RETRY_AFTER)
         }
     }
 }
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -5,7 +5,7 @@
 //! no other way than before, a caller that leaves drops source and events at once, and no
 //! stream has a task of its own.
 
-use crate::answer::{BrokenResponse, Pieces};
+use crate::answer::{BrokenResponse, ChunkStream};
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
 use crate::request_memory::{EvictionPriority, RequestMemory};
 use bytes::Bytes;
@@ -21,28 +21,28 @@
 
 /// Longest time that a back end's answer sits unread because the request's bound is reached:
 /// back ends cut such an answer off after some seconds.
-const UNREAD_PATIENCE: Duration = Duration::from_millis(1_000);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A stream with what was read of it ahead of its caller.
 pub(crate) struct ReadAhead {
-    source: Option<Pieces>,
-    ready: VecDeque<Bytes>,
-    held: MemoryReservation,
+    source: Option<ChunkStream>,
+    buffered: VecDeque<Bytes>,
+    reservation: MemoryReservation,
     /// How the source ended, until it is told.
     end: Option<Result<(), BrokenResponse>>,
     /// The caller's connection has taken a piece and not asked for another one.
     is_lagging: bool,
     is_registered: bool,
     /// Runs while the request's bound keeps the source from being read.
-    unread: Option<Timer>,
-    connection: Option<Waker>,
+    stall_timer: Option<Timer>,
+    connection_waker: Option<Waker>,
     memory: Rc<RequestMemory>,
 }
 
 /// The side of a stream that its caller's connection polls.
-pub(crate) struct SentStream(pub Rc<RefCell<ReadAhead>>);
+pub(crate) struct CallerStream(pub Rc<RefCell<ReadAhead>>);
 
-impl Stream for SentStream {
+impl Stream for CallerStream {
     type Item = Result<Bytes, BrokenResponse>;
 
     fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -54,17 +54,17 @@
 pub(crate) type CurrentStream = RefCell<Weak<RefCell<ReadAhead>>>;
 
 impl ReadAhead {
-    pub fn new(source: Pieces, memory: Rc<RequestMemory>) -> Rc<RefCell<Self>> {
-        let held = memory.empty(MemoryKind::Events);
+    pub fn new(source: ChunkStream, memory: Rc<RequestMemory>) -> Rc<RefCell<Self>> {
+        let reservation = memory.empty(MemoryKind::Events);
         Rc::new(RefCell::new(Self {
             source: Some(source),
-            ready: VecDeque::new(),
-            held,
+            buffered: VecDeque::new(),
+            reservation,
             end: None,
             is_lagging: false,
             is_registered: false,
-            unread: None,
-            connection: None,
+            stall_timer: None,
+            connection_waker: None,
             memory,
         }))
     }
@@ -75,10 +75,10 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, BrokenResponse>>> {
         self.is_lagging = false;
-        if let Some(piece) = self.ready.pop_front() {
-            self.held.shrink(piece.len() as u64);
+        if let Some(chunk) = self.buffered.pop_front() {
+            self.reservation.shrink(chunk.len() as u64);
             self.is_lagging = true;
-            return Poll::Ready(Some(Ok(piece)));
+            return Poll::Ready(Some(Ok(chunk)));
         }
         if let Some(end) = self.end.take() {
             return Poll::Ready(end.err().map(Err));
@@ -93,40 +93,42 @@
 
     /// How little it is worth to keep; `None` if it holds nothing.
     pub fn eviction_priority(&self) -> Option<EvictionPriority> {
-        let bytes = self.held.bytes();
+        let bytes = self.reservation.bytes();
         (bytes > 0).then(|| self.memory.eviction_priority(bytes))
     }
 
     /// Ends it for another's sake. What is returned is dropped once nothing is borrowed.
-    pub fn end_for_memory(&mut self) -> Option<Pieces> {
-        self.give_up("budget")
+    pub fn evict(&mut self) -> Option<ChunkStream> {
+        self.discard("budget")
     }
 
-    fn give_up(&mut self, why: &'static str) -> Option<Pieces> {
-        self.memory.record_ended(self.held.bytes(), why);
-        self.ready.clear();
-        self.held.shrink(self.held.bytes());
+    fn discard(&mut self, reason: &'static str) -> Option<ChunkStream> {
+        self.memory.record_ended(self.reservation.bytes(), reason);
+        self.buffered.clear();
+        self.reservation.shrink(self.reservation.bytes());
         self.end = Some(Err(BrokenResponse::Memory));
-        if let Some(connection) = self.connection.take() {
-            connection.wake();
+        if let Some(connection_waker) = self.connection_waker.take() {
+            connection_waker.wake();
         }
         self.source.take()
     }
 
-    fn is_given_up(&self) -> bool {
+    fn is_discarded(&self) -> bool {
         matches!(self.end, Some(Err(BrokenResponse::Memory)))
     }
 
     /// Keeps one more piece.
-    fn keep(&mut self, piece: Bytes) -> Result<(), MemoryFull> {
-        let bytes = piece.len() as u64;
-        while self.held.grow(bytes).is_err() {
-            let own = self.memory.eviction_priority(self.held.bytes() + bytes);
-            if !self.memory.shared.evict_stream(Some(own)) {
+    fn buffer_chunk(&mut self, chunk: Bytes) -> Result<(), MemoryFull> {
+        let bytes = chunk.len() as u64;
+        while self.reservation.grow(bytes).is_err() {
+            let own_priority = self
+                .memory
+                .eviction_priority(self.reservation.bytes() + bytes);
+            if !self.memory.shared.evict_stream(Some(own_priority)) {
                 return Err(MemoryFull);
             }
         }
-        self.ready.push_back(piece);
+        self.buffered.push_back(chunk);
         Ok(())
     }
 
@@ -134,26 +136,26 @@
     /// be closed, for the caller may never take the bytes that would tell it so.
     fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.is_lagging && self.end.is_none() {
-            if self.held.bytes() >= self.memory.shared.budget.request_limit() {
+            if self.reservation.bytes() >= self.memory.shared.budget.request_limit() {
                 return self.poll_stall_timeout(context);
             }
-            self.unread = None;
+            self.stall_timer = None;
             let Some(source) = &mut self.source else {
                 break;
             };
             match source.as_mut().poll_next(context) {
                 Poll::Pending => break,
-                Poll::Ready(Some(Ok(piece))) => {
-                    if self.keep(piece).is_err() {
-                        drop(self.give_up("budget"));
+                Poll::Ready(Some(Ok(chunk))) => {
+                    if self.buffer_chunk(chunk).is_err() {
+                        drop(self.discard("budget"));
                     }
                 }
                 Poll::Ready(Some(Err(error))) => self.end_source(Err(error)),
                 Poll::Ready(None) => self.end_source(Ok(())),
             }
         }
-        self.connection = Some(context.waker().clone());
-        if self.is_given_up() {
+        self.connection_waker = Some(context.waker().clone());
+        if self.is_discarded() {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -168,19 +170,19 @@
     /// Waits for the caller with as much as the request may hold.
     fn poll_stall_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let timer = self
-            .unread
-            .get_or_insert_with(|| Timer::after(UNREAD_PATIENCE));
+            .stall_timer
+            .get_or_insert_with(|| Timer::after(STALL_TIMEOUT));
         if Pin::new(timer).poll(context).is_pending() {
-            self.connection = Some(context.waker().clone());
+            self.connection_waker = Some(context.waker().clone());
             return Poll::Pending;
         }
-        drop(self.give_up("request"));
+        drop(self.discard("request"));
         Poll::Ready(())
     }
 }
 
 /// Reads on for the stream that a connection is sending; polled after the connection.
-pub(crate) fn poll_current(current: &CurrentStream, context: &mut Context<'_>) -> Poll<()> {
+pub(crate) fn poll_read_ahead(current: &CurrentStream, context: &mut Context<'_>) -> Poll<()> {
     let Some(stream) = current.borrow().upgrade() else {
         return Poll::Pending;
     };
@@ -188,7 +190,7 @@
     if ahead.is_lagging && !ahead.is_registered {
         ahead.is_registered = true;
         let memory = Rc::clone(&ahead.memory.shared);
-        memory.add_reader(Rc::downgrade(&stream));
+        memory.register(Rc::downgrade(&stream));
     }
     ahead.poll_ahead(context)
 }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -9,7 +9,7 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderName};
 
-const BEARER: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 /// Tokens assumed to come out where nothing is said.
 const ASSUMED_OUTPUT_TOKENS: u32 = 100;
 /// Parts of a prompt that are looked at.
@@ -41,13 +41,14 @@
         let headers = &parts.headers;
         let route = find_route(parts, table)?;
         let tenant = find_tenant(headers, table, route)?;
-        let id = text(headers, &header_names.request_id)
+        let id = header_text(headers, &header_names.request_id)
             .filter(|id| !id.is_empty())
             .ok_or(LocalReply::BadHeader("request_id_missing"))?;
-        let remaining = remaining(headers, header_names, route)?;
-        let usage = text(headers, &header_names.token_usage).unwrap_or_default();
-        let (prompt_tokens, most_output) = token_usage(usage);
-        let hint = text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
+        let remaining = remaining_time(headers, header_names, route)?;
+        let usage = header_text(headers, &header_names.token_usage).unwrap_or_default();
+        let (prompt_tokens, maximum_output) = token_usage(usage);
+        let length_hint =
+            header_text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
         let rank = tenant.and_then(|tenant| tenant.rank).unwrap_or(route.rank);
         Ok(Self {
             id: id.to_owned(),
@@ -57,9 +58,13 @@
             priority: table.priority(route, tenant),
             remaining,
             allowed_regions: route.regions_for(tenant),
-            parts: prompt_parts(text(headers, &header_names.prompt_parts).unwrap_or_default()),
+            parts: prompt_parts(
+                header_text(headers, &header_names.prompt_parts).unwrap_or_default(),
+            ),
             prompt_tokens,
-            output_tokens: hint.or(most_output).unwrap_or(ASSUMED_OUTPUT_TOKENS),
+            output_tokens: length_hint
+                .or(maximum_output)
+                .unwrap_or(ASSUMED_OUTPUT_TOKENS),
         })
     }
 }
@@ -83,12 +88,12 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
 fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, LocalReply> {
-    let host = text(&parts.headers, &HOST).unwrap_or_default();
+    let host = header_text(&parts.headers, &HOST).unwrap_or_default();
     match table.route(host, parts.uri.path()) {
         RouteMatch::Found(route) => Ok(route),
         RouteMatch::NoRoute => Err(LocalReply::NoRoute),
@@ -100,7 +105,8 @@
     table: &'a RoutingTable,
     route: &Route,
 ) -> Result<Option<&'a Tenant>, LocalReply> {
-    let key = text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER));
+    let key =
+        header_text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER_PREFIX));
     let tenant = key.and_then(|key| table.tenant(key.trim()));
     let needs_key = !route.is_public && !table.document().tenants.is_empty();
     if needs_key && tenant.is_none() {
@@ -109,12 +115,12 @@
     Ok(tenant)
 }
 
-fn remaining(
+fn remaining_time(
     headers: &HeaderMap,
     header_names: &HeaderNames,
     route: &Route,
 ) -> Result<Span, LocalReply> {
-    let Some(value) = text(headers, &header_names.remaining_ms) else {
+    let Some(value) = header_text(headers, &header_names.remaining_ms) else {
         return Ok(route.timeout);
     };
     let milliseconds: f64 = value
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -26,7 +26,7 @@
     }
 
     /// A stream whose caller has begun to lag.
-    pub fn add_reader(&self, reader: Weak<RefCell<ReadAhead>>) {
+    pub fn register(&self, reader: Weak<RefCell<ReadAhead>>) {
         let mut readers = self.readers.borrow_mut();
         readers.retain(|reader| reader.strong_count() > 0);
         readers.push(reader);
@@ -34,23 +34,23 @@
 
     /// Ends the stream least worth keeping, if one is worth less than `own`; whether it did.
     /// Whoever is being read just now is borrowed and passed over.
-    pub fn evict_stream(&self, own: Option<EvictionPriority>) -> bool {
+    pub fn evict_stream(&self, own_priority: Option<EvictionPriority>) -> bool {
         let victim = {
             let readers = self.readers.borrow();
-            let alive = readers.iter().filter_map(Weak::upgrade);
-            let valued = alive.filter_map(|reader| {
+            let live = readers.iter().filter_map(Weak::upgrade);
+            let candidates = live.filter_map(|reader| {
                 let eviction_priority = reader.try_borrow().ok()?.eviction_priority()?;
                 Some((eviction_priority, reader))
             });
-            valued.max_by_key(|(eviction_priority, _)| *eviction_priority)
+            candidates.max_by_key(|(eviction_priority, _)| *eviction_priority)
         };
         let Some((eviction_priority, reader)) = victim else {
             return false;
         };
-        if own.is_some_and(|own| own >= eviction_priority) {
+        if own_priority.is_some_and(|own| own >= eviction_priority) {
             return false;
         }
-        let source = reader.borrow_mut().end_for_memory();
+        let source = reader.borrow_mut().evict();
         drop(source);
         true
     }
@@ -96,9 +96,13 @@
     }
 
     /// Holds more of an answer that has run: streams of slower callers give way.
-    pub fn grow_answer(&self, held: &mut MemoryReservation, bytes: u64) -> Result<(), MemoryFull> {
+    pub fn grow_response(
+        &self,
+        reservation: &mut MemoryReservation,
+        bytes: u64,
+    ) -> Result<(), MemoryFull> {
         loop {
-            match held.grow(bytes) {
+            match reservation.grow(bytes) {
                 Err(MemoryFull) if self.shared.evict_stream(None) => {}
                 result => return result,
             }
@@ -113,9 +117,9 @@
     }
 
     /// The request is ended for want of memory.
-    pub fn record_ended(&self, held: u64, why: &'static str) {
+    pub fn record_ended(&self, held: u64, reason: &'static str) {
         self.was_ended.set(true);
-        events::ended_for_memory(&self.id.borrow(), self.route.get(), held, why);
+        events::ended_for_memory(&self.id.borrow(), self.route.get(), held, reason);
     }
 
     /// How a request ended whose exchange was dropped before its end.
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -15,13 +15,13 @@
 use hyper::body::Incoming;
 
 /// Attempt's time for an answer that may be asked for again, in targets.
-const ATTEMPT_TARGETS: u64 = 2;
+const ATTEMPT_TIMEOUT_TARGETS: u64 = 2;
 /// Patience for the first event of a stream, in targets. With one target 88 attempts were
 /// given up as silent in a loaded day of 57 s; what that cost is within the noise of
 /// measurements (docs/design/placement.md).
-const FIRST_EVENT_TARGETS: u64 = 2;
+const FIRST_EVENT_TIMEOUT_TARGETS: u64 = 2;
 /// The same besides, in expected times to the first event.
-const EXPECTED_TIMES: u64 = 2;
+const FIRST_EVENT_TIMEOUT_EXPECTED: u64 = 2;
 
 /// How far a run had come elsewhere.
 pub(crate) struct ResumePoint {
@@ -50,7 +50,7 @@
     Cancelled(Timestamp),
 }
 
-type Answered = Result<(Response<Incoming>, Connection), SendError>;
+type SendResult = Result<(Response<Incoming>, Connection), SendError>;
 
 impl Exchange {
     /// Sends the request to a back end and waits for the head of its answer.
@@ -58,47 +58,55 @@
         &mut self,
         lease: &Lease,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        self.send_after(lease, ResumePoint::default()).await
+        self.send_resuming(lease, ResumePoint::default()).await
     }
 
     /// The same for a run that has begun elsewhere.
-    pub async fn send_after(
+    pub async fn send_resuming(
         &mut self,
         lease: &Lease,
-        after: ResumePoint,
+        resume_point: ResumePoint,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        let told = AttemptContext {
+        let context = AttemptContext {
             grant: &lease.grant,
             remaining: self.traffic.clock.now().until(self.deadline),
             priority: self.head.priority,
             tenant: self.head.tenant.as_deref(),
-            last_event_id: after.last_event_id,
-            resume_from: after.resume_from,
+            last_event_id: resume_point.last_event_id,
+            resume_from: resume_point.resume_from,
         };
-        let request = self.request.attempt(&self.traffic.header_names, &told);
+        let request = self
+            .request
+            .for_attempt(&self.traffic.header_names, &context);
         self.progress.record_sent();
         let may_retry = self.head.route.may_retry();
-        let limit = self.head_deadline(lease).min(after.response_timeout);
+        let response_timeout = self
+            .response_head_timeout(lease)
+            .min(resume_point.response_timeout);
         let timeout = async {
-            self.traffic.clock.sleep(limit).await;
+            self.traffic.clock.sleep(response_timeout).await;
             Err(Interruption::TimedOut)
         };
         let cancellation = async {
-            let until = self.traffic.cancellations.of(self.digest).await;
+            let until = self
+                .traffic
+                .cancellations
+                .wait_for_quarantine(self.digest)
+                .await;
             Err(Interruption::Cancelled(until))
         };
         let send = self.traffic.upstream.send(&lease.grant, request, may_retry);
-        let answer = async { Ok(send.await) };
-        let waited = answer.or(timeout).or(cancellation).await;
-        self.record_outcome(lease, waited)
+        let response = async { Ok(send.await) };
+        let result = response.or(timeout).or(cancellation).await;
+        self.record_outcome(lease, result)
     }
 
     fn record_outcome(
         &mut self,
         lease: &Lease,
-        waited: Result<Answered, Interruption>,
+        result: Result<SendResult, Interruption>,
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
-        match waited {
+        match result {
             Ok(Err(error)) if error.is_unsent() => {
                 self.unreachable += 1;
                 Err(error.outcome())
@@ -121,12 +129,12 @@
             }
             Ok(Ok((response, connection))) => {
                 self.attempts += 1;
-                self.judge_head(lease, response, connection)
+                self.check_response_head(lease, response, connection)
             }
         }
     }
 
-    fn judge_head(
+    fn check_response_head(
         &mut self,
         lease: &Lease,
         response: Response<Incoming>,
@@ -134,27 +142,27 @@
     ) -> Result<(Response<Incoming>, Connection), Outcome> {
         let header_names = &self.traffic.header_names;
         let id = response.headers().get(&header_names.request_id);
-        let is_ours = id.is_some_and(|id| id.as_bytes() == self.head.id.as_bytes());
+        let id_matches = id.is_some_and(|id| id.as_bytes() == self.head.id.as_bytes());
         if response.status() == StatusCode::MISDIRECTED_REQUEST {
             return Err(Outcome::InstanceReplaced);
         }
-        let may_be_ours = id.is_none_or(|_| is_ours);
-        let notice = if may_be_ours {
+        let id_may_match = id.is_none_or(|_| id_matches);
+        let notice = if id_may_match {
             Notice::read(&response, header_names)
         } else {
             Notice::default()
         };
         self.apply_notice(lease, notice);
-        if response.headers().contains_key(&header_names.not_run) && may_be_ours {
+        if response.headers().contains_key(&header_names.not_run) && id_may_match {
             return Err(Outcome::Shed);
         }
         self.may_have_run = true;
-        if !is_ours || response.headers().contains_key(header::CONTENT_ENCODING) {
+        if !id_matches || response.headers().contains_key(header::CONTENT_ENCODING) {
             return Err(Outcome::IncompleteResponse);
         }
         if lease.grant.has_limit && notice.limit == StatedLimit::NotStated {
             // Unlike a refusal, the answer of a run that names no limit shows that it is over.
-            lease.record(Notice {
+            lease.record_notice(Notice {
                 limit: StatedLimit::Lifted,
                 ..Notice::default()
             });
@@ -177,29 +185,32 @@
         if matches!(notice.limit, StatedLimit::Stated(_)) {
             metrics::notice("limit");
         }
-        lease.record(notice);
+        lease.record_notice(notice);
     }
 
     /// Longest wait for the head: until the request's time is over, or shorter where
     /// another back end may be asked.
-    pub fn head_deadline(&self, lease: &Lease) -> Span {
+    pub fn response_head_timeout(&self, lease: &Lease) -> Span {
         let now = self.traffic.clock.now();
-        let left = now.until(self.deadline);
+        let remaining = now.until(self.deadline);
         let route = &self.head.route;
         let is_last = self.attempts + 1 >= route.maximum_attempts;
         if !route.may_retry() || is_last {
-            return left;
+            return remaining;
         }
         let response_timeout = match route.kind {
             RouteKind::Streaming => self.first_event_timeout(lease.grant.candidate.first_event),
-            _ => Span(route.target.0 * ATTEMPT_TARGETS),
+            _ => Span(route.target.0 * ATTEMPT_TIMEOUT_TARGETS),
         };
-        left.min(response_timeout)
+        remaining.min(response_timeout)
     }
 
     /// Longest wait for the first event of a stream that may be asked for elsewhere. Where
     /// many are late the cause is load: asked for again, each prompt would be read twice.
     pub fn first_event_timeout(&self, expected: Span) -> Span {
-        Span(self.head.route.target.0 * FIRST_EVENT_TARGETS + expected.0 * EXPECTED_TIMES)
+        Span(
+            self.head.route.target.0 * FIRST_EVENT_TIMEOUT_TARGETS
+                + expected.0 * FIRST_EVENT_TIMEOUT_EXPECTED,
+        )
     }
 }
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -2,11 +2,11 @@
 
 use crate::answer::RelayBody;
 use crate::attempts;
-use crate::caller_socket::{CallerSocket, Sending, SentBody};
+use crate::caller_socket::{CallerSocket, SendState, TrackedBody};
 use crate::exchange::Traffic;
 use crate::local_reply::LocalReply;
 use crate::progress::Progress;
-use crate::read_ahead::{CurrentStream, ReadAhead, SentStream, poll_current};
+use crate::read_ahead::{CallerStream, CurrentStream, ReadAhead, poll_read_ahead};
 use crate::request_memory::RequestMemory;
 use eiderferry_types::{Reason, Span};
 use futures_lite::FutureExt;
@@ -28,15 +28,15 @@
 use std::time::Duration;
 
 /// Longest rest of a connection before anything is known of the limits.
-const ASSUMED_IDLE: Duration = Duration::from_secs(30);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Times the idle limit that a connection may rest: the limit may grow meanwhile.
-const IDLE_FACTOR: u32 = 2;
+const IDLE_TIMEOUT_FACTOR: u32 = 2;
 /// Smallest buffer for heads that the library takes.
-const MINIMUM_HEAD_BYTES: usize = 8_192;
+const MINIMUM_HEAD_BUFFER_BYTES: usize = 8_192;
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// When a caller refused for a planned stop is asked to come back: at once, elsewhere.
-const STOPPING_RETRY: Span = Span::from_milliseconds(50);
+const SHUTDOWN_RETRY_AFTER: Span = Span::from_milliseconds(50);
 
 /// How far a planned stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub phase: Cell<Phase>,
     pub open_requests: Cell<u32>,
     /// Closed when kept connections are to be closed.
-    pub closing: async_channel::Receiver<Infallible>,
+    pub close_connections: async_channel::Receiver<Infallible>,
     /// Closed when requests without an answer get one from here.
     pub force_stop: async_channel::Receiver<Infallible>,
 }
@@ -81,7 +81,7 @@
 
 impl Server {
     /// Accepts callers for ever.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+    pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -92,7 +92,7 @@
                 }
                 Err(error) => {
                     log::warn!("a connection could not be accepted: {error}");
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -102,47 +102,50 @@
         let _ = stream.set_nodelay(true);
         let limits = self.traffic.table.load_full();
         let limits = limits.as_ref().map(|table| table.limits());
-        let idle = limits.map_or(ASSUMED_IDLE, |limits| {
-            eiderferry_clock::duration(limits.idle_timeout.max(limits.header_timeout)) * IDLE_FACTOR
+        let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| {
+            eiderferry_clock::duration(limits.idle_timeout.max(limits.header_timeout))
+                * IDLE_TIMEOUT_FACTOR
+        });
+        let head_bytes = limits.map_or(MINIMUM_HEAD_BUFFER_BYTES, |limits| {
+            limits.maximum_header_bytes
         });
-        let head_bytes = limits.map_or(MINIMUM_HEAD_BYTES, |limits| limits.maximum_header_bytes);
         let server = Rc::clone(&self);
         let current: Rc<CurrentStream> = Rc::default();
-        let sent = Rc::clone(&current);
-        let sending = Rc::<Sending>::default();
-        let socket = CallerSocket::new(stream, Rc::clone(&sending));
-        let bodies = Rc::clone(&sending);
+        let service_stream = Rc::clone(&current);
+        let send_state = Rc::<SendState>::default();
+        let socket = CallerSocket::new(stream, Rc::clone(&send_state));
+        let service_state = Rc::clone(&send_state);
         let service = service_fn(move |request| {
-            let (server, sent) = (Rc::clone(&server), Rc::clone(&sent));
-            let bodies = Rc::clone(&bodies);
+            let (server, stream) = (Rc::clone(&server), Rc::clone(&service_stream));
+            let state = Rc::clone(&service_state);
             async move {
-                let response = server.serve_request(request, &sent).await;
-                Ok::<_, Infallible>(response.map(|body| SentBody::new(body, bodies)))
+                let response = server.serve_request(request, &stream).await;
+                Ok::<_, Infallible>(response.map(|body| TrackedBody::new(body, state)))
             }
         });
         let connection = http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(idle)
-            .max_buf_size(head_bytes.max(MINIMUM_HEAD_BYTES))
+            .header_read_timeout(idle_timeout)
+            .max_buf_size(head_bytes.max(MINIMUM_HEAD_BUFFER_BYTES))
             .auto_date_header(false)
             .serve_connection(socket, service);
         let mut connection = std::pin::pin!(connection);
-        let is_late = self.phase.get() == Phase::Refusing;
+        let is_refusing = self.phase.get() == Phase::Refusing;
         let closing = async {
-            if is_late || self.closing.recv().await.is_ok() {
+            if is_refusing || self.close_connections.recv().await.is_ok() {
                 // A connection opened this late is closed with its first answer.
                 std::future::pending::<()>().await;
             }
             false
         };
-        let serving = send_reading_ahead(connection.as_mut(), &current, &sending);
-        let ended = async {
+        let serving = drive_connection(connection.as_mut(), &current, &send_state);
+        let served = async {
             serving.await;
             true
         };
-        if !ended.or(closing).await {
+        if !served.or(closing).await {
             connection.as_mut().graceful_shutdown();
-            send_reading_ahead(connection, &current, &sending).await;
+            drive_connection(connection, &current, &send_state).await;
         }
     }
 
@@ -152,50 +155,50 @@
         current: &CurrentStream,
     ) -> Response<RelayBody> {
         if self.phase.get() == Phase::Refusing {
-            let answer = LocalReply::NotRun(Reason::Draining, STOPPING_RETRY);
-            return closing(answer.response());
+            let reply = LocalReply::NotRun(Reason::Draining, SHUTDOWN_RETRY_AFTER);
+            return with_connection_close(reply.response());
         }
         let open = OpenRequest::new(Rc::clone(&self));
         let memory = RequestMemory::new(Rc::clone(&self.traffic.memory));
         let progress = Progress::new(Rc::clone(&memory));
-        let ending = async {
+        let shutdown = async {
             let _ = self.force_stop.recv().await;
             progress.shutdown_reply().response()
         };
         let traffic = Rc::clone(&self.traffic);
         let response = attempts::serve(traffic, request, progress.clone())
-            .or(ending)
+            .or(shutdown)
             .await;
         let response = response.map(|body| match body {
-            RelayBody::Pieces(pieces) if memory.shared.budget.is_bounded() => {
-                let stream = ReadAhead::new(pieces, memory);
+            RelayBody::Stream(chunks) if memory.shared.budget.is_bounded() => {
+                let stream = ReadAhead::new(chunks, memory);
                 current.replace(Rc::downgrade(&stream));
-                hold_open(RelayBody::Pieces(Box::pin(SentStream(stream))), open)
+                hold_until_sent(RelayBody::Stream(Box::pin(CallerStream(stream))), open)
             }
-            body => hold_open(body, open),
+            body => hold_until_sent(body, open),
         });
         if self.phase.get() == Phase::Serving {
             response
         } else {
-            closing(response)
+            with_connection_close(response)
         }
     }
 
     /// Answers whether this node wants callers, for ever.
-    pub async fn accept_readiness(self: Rc<Self>, listener: TcpListener, path: String) {
+    pub async fn serve_readiness(self: Rc<Self>, listener: TcpListener, path: String) {
         let path: Rc<str> = Rc::from(path);
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let server = Rc::clone(&self);
             let path = Rc::clone(&path);
             let service = service_fn(move |request: Request<Incoming>| {
                 let status = server.readiness(request.uri().path() == &*path);
-                async move { Ok::<_, Infallible>(empty(status)) }
+                async move { Ok::<_, Infallible>(empty_response(status)) }
             });
-            self.spawn_plain(stream, service);
+            self.spawn_http_service(stream, service);
         }
     }
 
@@ -209,10 +212,10 @@
     }
 
     /// Tells metrics for ever.
-    pub async fn accept_metrics(self: Rc<Self>, listener: TcpListener, handle: PrometheusHandle) {
+    pub async fn serve_metrics(self: Rc<Self>, listener: TcpListener, handle: PrometheusHandle) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let handle = handle.clone();
@@ -220,11 +223,11 @@
                 let text = handle.render();
                 async move { Ok::<_, Infallible>(Response::new(RelayBody::from(text))) }
             });
-            self.spawn_plain(stream, service);
+            self.spawn_http_service(stream, service);
         }
     }
 
-    fn spawn_plain<S>(&self, stream: TcpStream, service: S)
+    fn spawn_http_service<S>(&self, stream: TcpStream, service: S)
     where
         S: hyper::service::Service<
                 Request<Incoming>,
@@ -234,7 +237,7 @@
     {
         let connection = http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(ASSUMED_IDLE)
+            .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
             .serve_connection(FuturesIo::new(stream), service);
         self.executor
             .spawn(async move {
@@ -244,13 +247,13 @@
     }
 }
 
-fn empty(status: StatusCode) -> Response<RelayBody> {
+fn empty_response(status: StatusCode) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::from(String::new()));
     *response.status_mut() = status;
     response
 }
 
-fn closing(mut response: Response<RelayBody>) -> Response<RelayBody> {
+fn with_connection_close(mut response: Response<RelayBody>) -> Response<RelayBody> {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
     response
@@ -258,33 +261,34 @@
 
 /// Serves a connection to its end. Polled in this order, what is read ahead is what the
 /// connection did not take.
-async fn send_reading_ahead(
+async fn drive_connection(
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
     current: &CurrentStream,
-    sending: &Sending,
+    send_state: &SendState,
 ) {
     poll_fn(|context| match connection.as_mut().poll(context) {
         Poll::Ready(_) => Poll::Ready(()),
         Poll::Pending => {
-            if sending.needs_wakeup() {
+            if send_state.needs_wakeup() {
                 context.waker().wake_by_ref();
             }
-            poll_current(current, context)
+            poll_read_ahead(current, context)
         }
     })
     .await;
 }
 
 /// Counts a request as open until its answer has been sent.
-fn hold_open(body: RelayBody, open: OpenRequest) -> RelayBody {
+fn hold_until_sent(body: RelayBody, open: OpenRequest) -> RelayBody {
     match body {
-        RelayBody::Whole(bytes) => RelayBody::Whole(bytes),
-        RelayBody::Pieces(pieces) => {
-            let held = futures_lite::stream::unfold((pieces, open), |(mut pieces, open)| async {
-                let piece = futures_lite::StreamExt::next(&mut pieces).await?;
-                Some((piece, (pieces, open)))
-            });
-            RelayBody::Pieces(Box::pin(held))
+        RelayBody::Buffered(bytes) => RelayBody::Buffered(bytes),
+        RelayBody::Stream(chunks) => {
+            let counted =
+                futures_lite::stream::unfold((chunks, open), |(mut chunks, open)| async {
+                    let chunk = futures_lite::StreamExt::next(&mut chunks).await?;
+                    Some((chunk, (chunks, open)))
+                });
+            RelayBody::Stream(Box::pin(counted))
         }
     }
 }
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -3,7 +3,7 @@
 use crate::answer::{BrokenResponse, RelayBody};
 use crate::event_stream::EventSplitter;
 use crate::exchange::{AttemptEnd, Exchange};
-use crate::forwarding::answer;
+use crate::forwarding::response_for_caller;
 use crate::lease::Lease;
 use crate::upstream::Connection;
 use crate::{events, metrics};
@@ -18,7 +18,7 @@
 use hyper::body::Incoming;
 
 /// What came next of a stream.
-enum Piece {
+enum StreamItem {
     Events(Bytes),
     End,
     Broken(Outcome),
@@ -26,7 +26,7 @@
 }
 
 /// The source of a stream: one back end's answer.
-pub(crate) struct Source {
+pub(crate) struct StreamSource {
     pub lease: Lease,
     pub connection: Connection,
     pub headers: HeaderMap,
@@ -37,9 +37,9 @@
 /// A stream on its way to the caller.
 pub(crate) struct StreamRelay {
     pub exchange: Exchange,
-    pub source: Option<Source>,
+    pub source: Option<StreamSource>,
     pub splitter: EventSplitter,
-    pub ready: Option<Bytes>,
+    pub first_events: Option<Bytes>,
 }
 
 impl StreamRelay {
@@ -53,7 +53,7 @@
         let (parts, body) = response.into_parts();
         let mut relay = Self {
             exchange,
-            source: Some(Source {
+            source: Some(StreamSource {
                 lease,
                 connection,
                 headers: parts.headers.clone(),
@@ -61,14 +61,14 @@
                 pacing: StreamPacing::default(),
             }),
             splitter: EventSplitter::default(),
-            ready: None,
+            first_events: None,
         };
         let cancellations = relay.exchange.traffic.cancellations.clone();
         let digest = relay.exchange.digest;
-        let cancellation = async { Err(cancellations.of(digest).await) };
-        let first = async { Ok(relay.next_piece(true).await) };
-        let first = match first.or(cancellation).await {
-            Ok(piece) => piece,
+        let cancellation = async { Err(cancellations.wait_for_quarantine(digest).await) };
+        let first_item = async { Ok(relay.next_item(true).await) };
+        let first_item = match first_item.or(cancellation).await {
+            Ok(item) => item,
             Err(until) => {
                 relay.finish_source(Outcome::Cancelled);
                 relay.exchange.cancelled_until = Some(until);
@@ -78,22 +78,22 @@
                 );
             }
         };
-        match first {
-            Piece::Events(events) => {
+        match first_item {
+            StreamItem::Events(events) => {
                 relay.record_first_event();
-                relay.ready = Some(events);
+                relay.first_events = Some(events);
                 (None, AttemptEnd::Response(relay.into_response(&parts)))
             }
-            Piece::End => {
+            StreamItem::End => {
                 relay.finish_source(Outcome::Completed);
-                let response = answer(&parts, RelayBody::from(Bytes::new()));
+                let response = response_for_caller(&parts, RelayBody::from(Bytes::new()));
                 (Some(relay.exchange), AttemptEnd::Response(response))
             }
-            Piece::Broken(outcome) => {
+            StreamItem::Broken(outcome) => {
                 relay.finish_source(outcome);
                 (Some(relay.exchange), AttemptEnd::NoResponse(outcome))
             }
-            Piece::TimedOut => {
+            StreamItem::TimedOut => {
                 relay.finish_source(Outcome::TimedOut);
                 (
                     Some(relay.exchange),
@@ -109,34 +109,34 @@
         let elapsed = now.since(exchange.started);
         metrics::first_event(&exchange.head.route, exchange.head.rank, elapsed);
         if let Some(source) = &self.source {
-            source.lease.first_event_of_stream(now);
+            source.lease.record_first_stream_event(now);
         }
     }
 
     fn into_response(mut self, parts: &Parts) -> Response<RelayBody> {
         self.exchange.status = parts.status.as_u16();
-        let pieces = unfold(self, |relay| relay.next());
-        answer(parts, RelayBody::Pieces(Box::pin(pieces)))
+        let chunks = unfold(self, |relay| relay.next());
+        response_for_caller(parts, RelayBody::Stream(Box::pin(chunks)))
     }
 
     async fn next(mut self) -> Option<(Result<Bytes, BrokenResponse>, Self)> {
-        if let Some(events) = self.ready.take() {
+        if let Some(events) = self.first_events.take() {
             return Some((Ok(events), self));
         }
         loop {
-            match self.next_piece(false).await {
-                Piece::Events(events) => return Some((Ok(events), self)),
-                Piece::End => {
+            match self.next_item(false).await {
+                StreamItem::Events(events) => return Some((Ok(events), self)),
+                StreamItem::End => {
                     self.finish_source(Outcome::Completed);
                     self.exchange.finish("whole");
                     return None;
                 }
-                Piece::TimedOut => {
+                StreamItem::TimedOut => {
                     self.finish_source(Outcome::Abandoned);
                     self.exchange.finish("timed_out");
                     return Some((Err(BrokenResponse::TimedOut), self));
                 }
-                Piece::Broken(outcome) => {
+                StreamItem::Broken(outcome) => {
                     self.record_break(outcome).await;
                     self.finish_source(outcome);
                     if !self.fail_over().await {
@@ -149,31 +149,31 @@
     }
 
     /// The next whole events.
-    async fn next_piece(&mut self, is_first: bool) -> Piece {
+    async fn next_item(&mut self, is_first: bool) -> StreamItem {
         loop {
-            let limit = self.response_timeout(is_first);
-            let left = self.left();
+            let event_timeout = self.response_timeout(is_first);
+            let remaining = self.remaining();
             let Some(source) = &mut self.source else {
-                return Piece::Broken(Outcome::IncompleteResponse);
+                return StreamItem::Broken(Outcome::IncompleteResponse);
             };
             let clock = self.exchange.traffic.clock;
             let timeout = async {
-                clock.sleep(limit.min(left)).await;
+                clock.sleep(event_timeout.min(remaining)).await;
                 None
             };
             let frame = async { Some(source.body.frame().await) }.or(timeout).await;
             match frame {
-                None if limit < left => {
-                    if self.is_given_up().await {
-                        return Piece::Broken(Outcome::TimedOut);
+                None if event_timeout < remaining => {
+                    if self.should_abandon_source().await {
+                        return StreamItem::Broken(Outcome::TimedOut);
                     }
                 }
-                None => return Piece::TimedOut,
-                Some(Some(Err(_))) => return Piece::Broken(Outcome::IncompleteResponse),
+                None => return StreamItem::TimedOut,
+                Some(Some(Err(_))) => return StreamItem::Broken(Outcome::IncompleteResponse),
                 Some(None) if self.splitter.has_partial_event() => {
-                    return Piece::Broken(Outcome::IncompleteResponse);
+                    return StreamItem::Broken(Outcome::IncompleteResponse);
                 }
-                Some(None) => return Piece::End,
+                Some(None) => return StreamItem::End,
                 Some(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
@@ -185,14 +185,14 @@
                         source
                             .pacing
                             .record(count, self.exchange.traffic.clock.now());
-                        return Piece::Events(events);
+                        return StreamItem::Events(events);
                     }
                 }
             }
         }
     }
 
-    fn left(&self) -> Span {
+    fn remaining(&self) -> Span {
         let now = self.exchange.traffic.clock.now();
         now.until(self.exchange.deadline)
     }
@@ -215,7 +215,7 @@
     /// Whether a silent source is left. One whose run has a replica, and can't be asked for
     /// again otherwise, is left only if nothing else shows that it works: a slow engine is
     /// no faster for being changed.
-    async fn is_given_up(&self) -> bool {
+    async fn should_abandon_source(&self) -> bool {
         if self.exchange.may_retry_elsewhere() {
             return true;
         }
@@ -236,10 +236,10 @@
         };
         let grant = &source.lease.grant;
         let (back_end, address) = (&grant.instance, grant.address);
-        let noted = self
+        let recorded = self
             .exchange
             .record_failed_attempt(back_end, address, outcome);
-        noted.await;
+        recorded.await;
     }
 
     fn finish_source(&mut self, outcome: Outcome) {
@@ -253,6 +253,6 @@
         }
         let exchange = &self.exchange;
         events::stream_paced(&exchange.head.id, &source.pacing, exchange.started);
-        source.lease.end_stream(outcome, source.pacing);
+        source.lease.release_stream(outcome, source.pacing);
     }
 }
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -28,14 +28,14 @@
 /// Longest time for a connection to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest rest of a kept connection.
-const MAXIMUM_REST: Duration = Duration::from_secs(10);
+const MAXIMUM_IDLE: Duration = Duration::from_secs(10);
 /// Longest rest of a kept connection for a request that may not be repeated: one that
 /// a back end closes meanwhile loses the request's answer.
-const MAXIMUM_REST_UNREPEATABLE: Duration = Duration::from_millis(700);
+const MAXIMUM_IDLE_NOT_RETRYABLE: Duration = Duration::from_millis(700);
 /// Part of the rest that a back end allows which is used.
-const REST_PART: f64 = 0.7;
+const IDLE_FRACTION: f64 = 0.7;
 /// Unanswered bytes older than this break a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 quick_error! {
     /// Why a request got no head of an answer.
@@ -46,15 +46,15 @@
             display("no connection: {cause}")
         }
         /// This node holds all the connections that it may; nothing was sent.
-        NoConnection {
+        ConnectionLimit {
             display("all connections are in use")
         }
         /// The back end has not yet taken what it was sent before; nothing was sent.
-        Backlog {
+        BodyLimit {
             display("the bodies at the back end fill their part of the memory")
         }
         /// The request may have arrived.
-        Broken(cause: hyper::Error) {
+        Incomplete(cause: hyper::Error) {
             display("no whole answer: {cause}")
         }
     }
@@ -63,7 +63,7 @@
 impl SendError {
     /// Whether certainly nothing was sent.
     pub fn is_unsent(&self) -> bool {
-        !matches!(self, SendError::Broken(_))
+        !matches!(self, SendError::Incomplete(_))
     }
 
     /// What it says of the back end.
@@ -73,32 +73,32 @@
                 Outcome::ConnectionRefused
             }
             SendError::Unreachable(_) => Outcome::Unreachable,
-            SendError::NoConnection | SendError::Backlog => Outcome::NotSent,
-            SendError::Broken(_) => Outcome::IncompleteResponse,
+            SendError::ConnectionLimit | SendError::BodyLimit => Outcome::NotSent,
+            SendError::Incomplete(_) => Outcome::IncompleteResponse,
         }
     }
 }
 
-type Key = (SocketAddr, InstanceId);
+type PoolKey = (SocketAddr, InstanceId);
 
 #[derive(Default)]
 struct Pool {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     open: u32,
     /// Bytes of the bodies whose exchanges with the back end are not over.
     outstanding: u64,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     /// Time of the machine, suspensions included: back ends close what rests meanwhile.
-    since: Duration,
-    limit: Duration,
+    idle_since: Duration,
+    idle_limit: Duration,
 }
 
-impl Idle {
+impl IdleConnection {
     fn age(&self) -> Duration {
-        boot_time().saturating_sub(self.since)
+        boot_time().saturating_sub(self.idle_since)
     }
 }
 
@@ -108,15 +108,15 @@
     /// The same socket as the driver's.
     socket: Arc<Async<std::net::TcpStream>>,
     _driver: Task<()>,
-    _count: OpenCount,
+    _guard: ConnectionGuard,
     body: Option<OutstandingBody>,
-    key: Key,
+    key: PoolKey,
 }
 
 /// A body at a back end, until its answer has been read or given up.
 struct OutstandingBody {
     pools: Pools,
-    key: Key,
+    key: PoolKey,
     bytes: u64,
 }
 
@@ -130,12 +130,12 @@
     }
 }
 
-struct OpenCount {
+struct ConnectionGuard {
     pools: Pools,
-    key: Key,
+    key: PoolKey,
 }
 
-impl Drop for OpenCount {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if let Ok(mut pools) = self.pools.try_borrow_mut()
             && let Some(pool) = pools.get_mut(&self.key)
@@ -145,7 +145,7 @@
     }
 }
 
-type Pools = Rc<RefCell<HashMap<Key, Pool>>>;
+type Pools = Rc<RefCell<HashMap<PoolKey, Pool>>>;
 
 /// All connections of a traffic thread.
 pub(crate) struct Upstream {
@@ -154,19 +154,19 @@
     /// Is told how long connections take to come up.
     control: ControlHandle,
     /// Most bytes of bodies at one back end, if bounded.
-    most_outstanding: Option<u64>,
+    outstanding_limit: Option<u64>,
 }
 
 impl Upstream {
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         control: ControlHandle,
-        most_outstanding: Option<u64>,
+        outstanding_limit: Option<u64>,
     ) -> Self {
         Self {
             executor,
             control,
-            most_outstanding,
+            outstanding_limit,
             pools: Rc::default(),
         }
     }
@@ -184,7 +184,7 @@
         may_retry: bool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let key = (grant.address, grant.instance.clone());
-        let body = self.reserve(&key, request.body().size_hint().lower())?;
+        let body = self.reserve_body(&key, request.body().size_hint().lower())?;
         while let Some(mut connection) = self.take_idle(&key, may_retry).await {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
@@ -193,7 +193,7 @@
                 }
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(SendError::Broken(error.into_error())),
+                    None => return Err(SendError::Incomplete(error.into_error())),
                 },
             }
         }
@@ -203,20 +203,20 @@
                 connection.body = Some(body);
                 Ok((response, connection))
             }
-            Err(error) => Err(SendError::Broken(error.into_error())),
+            Err(error) => Err(SendError::Incomplete(error.into_error())),
         }
     }
 
     /// Counts a body as being at a back end. One alone is always let through.
-    fn reserve(&self, key: &Key, bytes: u64) -> Result<OutstandingBody, SendError> {
+    fn reserve_body(&self, key: &PoolKey, bytes: u64) -> Result<OutstandingBody, SendError> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(key.clone()).or_default();
-        let after = pool.outstanding + bytes;
-        let is_over = self.most_outstanding.is_some_and(|most| after > most);
-        if is_over && bytes > 0 && pool.outstanding > 0 {
-            return Err(SendError::Backlog);
+        let total = pool.outstanding + bytes;
+        let exceeds_limit = self.outstanding_limit.is_some_and(|limit| total > limit);
+        if exceeds_limit && bytes > 0 && pool.outstanding > 0 {
+            return Err(SendError::BodyLimit);
         }
-        pool.outstanding = after;
+        pool.outstanding = total;
         Ok(OutstandingBody {
             pools: Rc::clone(&self.pools),
             key: key.clone(),
@@ -224,34 +224,34 @@
         })
     }
 
-    async fn take_idle(&self, key: &Key, may_retry: bool) -> Option<Connection> {
-        let most = if may_retry {
-            MAXIMUM_REST
+    async fn take_idle(&self, key: &PoolKey, may_retry: bool) -> Option<Connection> {
+        let maximum_idle = if may_retry {
+            MAXIMUM_IDLE
         } else {
-            MAXIMUM_REST_UNREPEATABLE
+            MAXIMUM_IDLE_NOT_RETRYABLE
         };
         loop {
             let idle = self.pools.borrow_mut().get_mut(key)?.idle.pop()?;
-            let is_fresh = idle.age() < idle.limit.min(most);
+            let is_fresh = idle.age() < idle.idle_limit.min(maximum_idle);
             if is_fresh && is_ready(&idle.connection).await && is_open(&idle.connection) {
                 return Some(idle.connection);
             }
         }
     }
 
-    async fn connect(&self, key: Key, most: u32) -> Result<Connection, SendError> {
-        let count = self.count(&key, most)?;
-        let begun = Instant::now();
+    async fn connect(&self, key: PoolKey, limit: u32) -> Result<Connection, SendError> {
+        let guard = self.reserve_connection(&key, limit)?;
+        let started = Instant::now();
         let stream = connect_stream(key.0)
             .await
             .map_err(SendError::Unreachable)?;
-        let round_trip = Span::from_seconds(begun.elapsed().as_secs_f64());
+        let round_trip = Span::from_seconds(started.elapsed().as_secs_f64());
         self.control.record_round_trip(key.1.clone(), round_trip);
         let socket = stream.clone().into();
         let handshake = http1::Builder::new()
             .handshake(FuturesIo::new(stream))
             .await;
-        let (sender, connection) = handshake.map_err(SendError::Broken)?;
+        let (sender, connection) = handshake.map_err(SendError::Incomplete)?;
         let driver = self.executor.spawn(async move {
             if let Err(error) = connection.await {
                 log::trace!("a connection to a back end ended: {error}");
@@ -261,20 +261,20 @@
             sender,
             socket,
             _driver: driver,
-            _count: count,
+            _guard: guard,
             body: None,
             key,
         })
     }
 
-    fn count(&self, key: &Key, most: u32) -> Result<OpenCount, SendError> {
+    fn reserve_connection(&self, key: &PoolKey, limit: u32) -> Result<ConnectionGuard, SendError> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(key.clone()).or_default();
-        if pool.open >= most {
-            return Err(SendError::NoConnection);
+        if pool.open >= limit {
+            return Err(SendError::ConnectionLimit);
         }
         pool.open += 1;
-        Ok(OpenCount {
+        Ok(ConnectionGuard {
             pools: Rc::clone(&self.pools),
             key: key.clone(),
         })
@@ -283,12 +283,12 @@
     /// Keeps a connection whose answer was read whole.
     pub fn return_connection(&self, mut connection: Connection, headers: &HeaderMap) {
         connection.body = None;
-        let Some(limit) = allowed_rest(headers) else {
+        let Some(idle_limit) = allowed_idle(headers) else {
             return;
         };
-        let idle = Idle {
-            since: boot_time(),
-            limit,
+        let idle = IdleConnection {
+            idle_since: boot_time(),
+            idle_limit,
             connection,
         };
         let key = idle.connection.key.clone();
@@ -305,11 +305,14 @@
         let mut closed = Vec::new();
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
-            let (rested, kept): (Vec<Idle>, Vec<Idle>) = std::mem::take(&mut pool.idle)
-                .into_iter()
-                .partition(|idle| idle.age() >= idle.limit || !idle.connection.sender.is_ready());
+            let (expired, kept): (Vec<IdleConnection>, Vec<IdleConnection>) =
+                std::mem::take(&mut pool.idle)
+                    .into_iter()
+                    .partition(|idle| {
+                        idle.age() >= idle.idle_limit || !idle.connection.sender.is_ready()
+                    });
             pool.idle = kept;
-            closed.extend(rested);
+            closed.extend(expired);
         }
         drop(pools);
         drop(closed);
@@ -338,23 +341,23 @@
 }
 
 /// How long a connection may rest; `None` if it may not be kept.
-fn allowed_rest(headers: &HeaderMap) -> Option<Duration> {
+fn allowed_idle(headers: &HeaderMap) -> Option<Duration> {
     let mut connection = headers.get_all(http::header::CONNECTION).iter();
     let closes = connection.any(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     if closes {
         return None;
     }
-    let told = headers
+    let keep_alive = headers
         .get("keep-alive")
         .and_then(|value| value.to_str().ok());
-    let seconds = told.and_then(|value| {
+    let seconds = keep_alive.and_then(|value| {
         let mut fields = value.split(',').map(str::trim);
         fields.find_map(|field| field.strip_prefix("timeout=")?.parse::<f64>().ok())
     });
-    let limit = seconds.map_or(MAXIMUM_REST, |seconds| {
-        Duration::from_secs_f64(seconds.max(0.0) * REST_PART)
+    let limit = seconds.map_or(MAXIMUM_IDLE, |seconds| {
+        Duration::from_secs_f64(seconds.max(0.0) * IDLE_FRACTION)
     });
-    Some(limit.min(MAXIMUM_REST))
+    Some(limit.min(MAXIMUM_IDLE))
 }
 
 /// What a new connection to a back end met.
@@ -398,6 +401,6 @@
         .await?;
     let socket = socket2::SockRef::from(stream.get_ref());
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(TcpStream::from(stream))
 }
