--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: the one place that touches the dispatcher.
+//! The control thread: the only thread that accesses the dispatcher.
 
 use crate::cache_follower::CacheFollower;
 use crate::cancellation::Cancellations;
@@ -23,51 +23,51 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A tick this much later than planned shows that the process stood still.
+/// A tick later than planned by more than this shows that the process was paused.
 const PAUSE_THRESHOLD: Span = Span::from_milliseconds(700);
 /// Ticks between two updates of the gauges.
 const GAUGE_INTERVAL_TICKS: u64 = 10;
-/// Pause after nodes that were busy with others, at the least; up to as much is added, so that
-/// nodes which started together don't ask together.
+/// Minimum delay after a fetch that found its sources busy. Up to the same again is added at
+/// random, so that nodes that started together don't retry together.
 const BUSY_RETRY_DELAY: Span = Span::from_milliseconds(100);
-/// Time between two looks at whether documents are to be fetched now.
+/// Time between two checks whether documents have to be fetched.
 const FETCH_CHECK_INTERVAL: Span = Span::from_milliseconds(50);
-/// Time between two looks at whether this node has to read documents.
+/// Time between two checks whether this node has to read documents from the source.
 const ROLE_CHECK_INTERVAL: Span = Span::from_milliseconds(150);
-/// The same while nothing is known yet.
+/// Time between these checks while no document is known yet.
 const START_CHECK_INTERVAL: Span = Span::from_milliseconds(20);
 
-/// A table that every thread may read.
+/// The routing table in force, readable from every thread.
 pub(crate) type SharedTable = Arc<ArcSwapOption<RoutingTable>>;
 
-/// What the control thread is told by others.
+/// Commands to the control thread.
 pub(crate) enum Command {
-    /// A request wants a back end.
+    /// Chooses a back end for a request.
     Dispatch {
         demand: Box<Demand>,
         is_first: bool,
         reply: async_channel::Sender<Decision>,
     },
-    /// The first event of a request came.
+    /// The first event of a request arrived.
     FirstEvent(LeaseId),
-    /// The back end of a place says something of itself.
+    /// The back end of a lease stated something about itself in a response.
     Notice(LeaseId, Notice),
-    /// A place is given back.
+    /// Ends a lease.
     Release(LeaseId, Outcome, StreamPacing),
-    /// A back end crashed under a request.
+    /// A back end crashed while running a request.
     Crash(RequestDigest, InstanceId),
-    /// A connection to a back end came up within so long.
+    /// A connection to a back end was established in this time.
     RoundTrip(InstanceId, Span),
-    /// Whether nothing shows that a back end still works.
+    /// Asks whether a back end is presumed down: nothing shows that it still works.
     IsPresumedDown {
         instance: InstanceId,
         reply: async_channel::Sender<bool>,
     },
-    /// A planned stop has begun.
+    /// A planned shutdown has begun.
     Stop,
 }
 
-/// The way to the control thread.
+/// Sends commands to the control thread.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlHandle {
     commands: async_channel::Sender<Command>,
@@ -78,7 +78,7 @@
         Self { commands }
     }
 
-    /// Asks for a back end; `None` if the control thread is gone.
+    /// Requests a back end; `None` if the control thread has ended.
     pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
         let (reply, receiver) = async_channel::bounded(1);
         let decision = PendingDecision::new(receiver, self.clone());
@@ -91,7 +91,7 @@
         decision.receive().await
     }
 
-    /// Whether nothing shows that a back end still works.
+    /// Whether a back end is presumed down: nothing shows that it still works.
     pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
         let (reply, receiver) = async_channel::bounded(1);
         let sent = self
@@ -125,7 +125,7 @@
     }
 
     fn enqueue(&self, command: Command) {
-        // The channel is unbounded; it only fails when the control thread is gone.
+        // The channel is unbounded, so sending fails only if the control thread has ended.
         let _ = self.commands.try_send(command);
     }
 }
@@ -137,12 +137,12 @@
     table: SharedTable,
     socket: PeerSocket,
     cancellations: Cancellations,
-    /// Where this node answers other nodes.
+    /// Address at which other nodes reach this one.
     address: SocketAddr,
     is_fetching: Cell<bool>,
 }
 
-/// What of a dispatcher's standing is logged when it changes.
+/// The dispatcher state whose changes are logged.
 struct LoggedState {
     is_aggregator: bool,
     silent_zones: BTreeSet<ZoneName>,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Takes in what an answer says of its back end.
+/// Applies what a response states about its back end.
 fn apply_notice(
     dispatcher: &mut Dispatcher,
     source: NoticeSource<'_>,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Carries commands out until all their senders are gone.
+    /// Runs commands until all their senders are dropped.
     pub async fn run_commands(&self, commands: async_channel::Receiver<Command>) {
         while let Ok(command) = commands.recv().await {
             self.run_command(command);
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Ticks the dispatcher for ever.
+    /// Ticks the dispatcher; never returns.
     pub async fn run_ticks(self: &Rc<Self>, follower: &Rc<CacheFollower>) {
         let mut previous = self.clock.now();
         let mut count: u64 = 0;
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Takes in what the answer to a call says of its engine.
+    /// Applies what the response to a cache call states about its engine.
     pub fn apply_call_notice(&self, call: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
         apply_notice(&mut dispatcher, call.into(), notice, now);
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Receives messages of other nodes for ever.
+    /// Receives messages from other nodes; never returns.
     pub async fn run_messages(self: &Rc<Self>, executor: &smol::LocalExecutor<'static>) {
         loop {
             let Some((from, message)) = self.socket.receive().await else {
@@ -369,7 +369,8 @@
         }
     }
 
-    /// Looks for ever whether documents are to be fetched that were left to others at first.
+    /// Starts fetches that were delayed at first, because an announcement or a nearer node may have
+    /// supplied the documents meanwhile; never returns.
     pub async fn run_fetches(self: &Rc<Self>, executor: &smol::LocalExecutor<'static>) {
         loop {
             smol::Timer::after(eiderferry_clock::duration(FETCH_CHECK_INTERVAL)).await;
@@ -435,13 +436,14 @@
         }
     }
 
-    /// Whether the way to a node crosses no border that the way to another doesn't.
+    /// Whether an address is no farther than another: the path to it crosses no zone or region
+    /// boundary that the path to the other doesn't.
     fn is_no_farther(&self, address: SocketAddr, other: SocketAddr) -> bool {
         let dispatcher = self.dispatcher.borrow();
         dispatcher.distance_to(address) <= dispatcher.distance_to(other)
     }
 
-    /// Takes changes over; tells the other nodes when anything was new.
+    /// Applies changes, and publishes the new routing table if any of them was new.
     fn apply_changes(&self, changes: Vec<Change>, source: &'static str) {
         let mut has_changes = false;
         for change in changes {
@@ -457,7 +459,7 @@
         self.table.store(table);
     }
 
-    /// The changes that this node knows.
+    /// Version vector of the changes that this node knows.
     fn known_changes(&self) -> VersionVector {
         self.dispatcher
             .borrow()
@@ -474,7 +476,7 @@
         }
     }
 
-    /// Notes changes that came with a message, and passes them on.
+    /// Logs changes that came with a message, and announces them if any was applied.
     fn handle_received_changes(&self, changes: &[ReceivedChange]) {
         for change in changes {
             events::document_received(change, "peer");
@@ -494,7 +496,7 @@
     }
 }
 
-/// How a source of documents hands over what it reads.
+/// Through this, a document source hands over what it reads.
 #[derive(Clone)]
 pub struct DocumentFeed {
     control: Rc<Control>,
@@ -505,7 +507,7 @@
         Self { control }
     }
 
-    /// Waits until this node has to read.
+    /// Waits until this node has to read from the source.
     pub async fn wait_for_reader_role(&self) {
         loop {
             let now = self.control.clock.now();
@@ -528,7 +530,8 @@
         dispatcher.document_store().version_vector().newest()
     }
 
-    /// Whether no node heard a confirmation for so long that the platform was probably away.
+    /// Whether the last confirmation known to any node is so old that the platform was probably
+    /// unavailable.
     pub fn was_confirmation_overdue(&self) -> bool {
         let now = self.control.clock.now();
         self.control
@@ -537,7 +540,7 @@
             .is_confirmation_overdue(now)
     }
 
-    /// Hands changes over; `revision` is the one up to which all is then known.
+    /// Applies changes; afterwards everything up to `revision` is known.
     pub fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
         self.control.apply_changes(changes, "store");
         let now = self.control.clock.now();
@@ -545,8 +548,8 @@
             .record_confirmation(&revision.into(), now, true);
     }
 
-    /// Hands a whole listing over that began at `revision`. Items that it lacks after a restore
-    /// are gone unless they are written again within the grace period.
+    /// Applies a complete listing that began at `revision`. Items that it lacks after a restore are
+    /// removed unless they are written again within the grace period.
     pub fn apply_listing(
         &self,
         changes: Vec<Change>,
@@ -564,7 +567,7 @@
         self.apply_changes(missing, revision);
     }
 
-    /// Takes over new addresses of other nodes.
+    /// Replaces the seed addresses of other nodes.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.control.dispatcher.borrow_mut().set_seeds(seeds);
     }
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! What goes on to a back end, and what comes back, stripped of what belongs to one
-//! connection.
+//! Requests as forwarded to back ends and responses as returned to callers, without hop-by-hop
+//! headers.
 
 use crate::answer::RelayBody;
 use crate::header_names::HeaderNames;
@@ -16,7 +16,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-/// Headers that belong to one connection.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -27,11 +27,11 @@
     header::UPGRADE,
     header::EXPECT,
 ];
-/// Longest answer that is no stream; a longer one counts as broken.
+/// Maximum body of a response that is not a stream; a longer one counts as incomplete.
 const MAXIMUM_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
-/// A caller's request as every attempt passes it on.
+/// A caller's request as every attempt forwards it.
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
@@ -39,7 +39,7 @@
     pub body: Bytes,
 }
 
-/// What one attempt tells its back end besides.
+/// What one attempt adds to the forwarded request.
 pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
     pub remaining: Span,
@@ -51,7 +51,7 @@
 }
 
 impl ForwardedRequest {
-    /// The request for one attempt.
+    /// Builds the request of one attempt.
     pub fn for_attempt(
         &self,
         header_names: &HeaderNames,
@@ -95,21 +95,21 @@
     }
 }
 
-/// The request's identity, or nothing.
+/// The request's id, or an empty string.
 pub(crate) fn request_id(parts: &Parts, header_names: &HeaderNames) -> String {
     let value = parts.headers.get(&header_names.request_id);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
 
-/// The part of an address that back ends see.
+/// The part of a URI that back ends see.
 pub(crate) fn path_and_query(uri: Uri) -> Uri {
     uri.into_parts()
         .path_and_query
         .map_or_else(Uri::default, Uri::from)
 }
 
-/// The whole body of a request, if it is no longer than allowed.
+/// Reads the whole body of a request, up to `limit` bytes.
 pub(crate) async fn read_body(
     mut body: Incoming,
     limit: u64,
@@ -124,7 +124,7 @@
         let retry_after = memory.shared.budget.retry_after(bytes);
         move |MemoryFull| LocalReply::NoMemory(retry_after)
     };
-    // Counted before it is read, so that what does not fit is not read.
+    // Reserved before reading, so that a body that does not fit is not read.
     reservation.grow(declared).map_err(memory_full(declared))?;
     let mut collected = BytesMut::with_capacity(declared as usize);
     while let Some(frame) = body.frame().await {
@@ -143,8 +143,8 @@
     Ok(reservation.into_bytes(collected))
 }
 
-/// Headers passed on to back ends: without those that belong to the connection, and
-/// without those that this node alone sets.
+/// Headers forwarded to back ends: without hop-by-hop headers and without those that only this node
+/// sets.
 pub(crate) fn forwarded_headers(headers: &HeaderMap, header_names: &HeaderNames) -> HeaderMap {
     let retain = |name: &HeaderName| header_names.describes_request(name);
     let mut forwarded = without_connection_headers(headers, retain);
@@ -156,8 +156,8 @@
     forwarded
 }
 
-/// A copy without what belongs to the connection; of what `Connection` lists, `keeps`
-/// tells which stays all the same.
+/// Copies headers without the hop-by-hop ones. Of the headers that `Connection` lists, those for
+/// which `retain` returns true are kept.
 fn without_connection_headers(
     headers: &HeaderMap,
     retain: impl Fn(&HeaderName) -> bool,
@@ -176,13 +176,13 @@
     copy
 }
 
-/// Whether an answer is a stream of events.
+/// Whether a response is an event stream.
 pub(crate) fn is_event_stream(response: &Response<Incoming>) -> bool {
     let content_type = response.headers().get(header::CONTENT_TYPE);
     content_type.is_some_and(|content_type| content_type.as_bytes().starts_with(EVENT_STREAM_TYPE))
 }
 
-/// An answer with a back end's head.
+/// A response to the caller with the status and headers of the back end's response.
 pub(crate) fn response_for_caller(
     parts: &http::response::Parts,
     body: RelayBody,
@@ -194,7 +194,7 @@
     response
 }
 
-/// The whole body of an answer.
+/// Reads the whole body of a response.
 pub(crate) async fn read_response(
     mut body: Incoming,
     memory: &RequestMemory,
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -1,9 +1,9 @@
-//! A relay: takes requests of any method from callers and passes them, byte for
-//! byte, to back ends that the dispatcher chooses.
+//! A relay: accepts HTTP requests from callers and forwards them to back ends that the dispatcher
+//! chooses, bodies byte for byte.
 //!
-//! One control thread holds the dispatcher, talks to the other nodes and runs the
-//! source of documents; the traffic thread serves callers. What header names mean
-//! is told by a [`HeaderNames`], so that no platform's names stand here.
+//! One control thread owns the dispatcher, exchanges messages with the other nodes and runs the
+//! document source; the traffic thread serves callers. Header names are supplied as a
+//! [`HeaderNames`], so that this crate contains none of a platform's names.
 
 #![forbid(unsafe_code)]
 
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -29,40 +29,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Age that the clock has at the start, so that moments before it can be named: how long ago
-/// a peer heard of something.
+/// Reading of the clock at start, so that it can express times before the start, such as when a
+/// peer learned of something.
 const CLOCK_START_OFFSET: Span = Span::from_milliseconds(3_600_000);
-/// Time between two looks for rested connections.
+/// Time between two runs of the housekeeping, which closes expired idle connections.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Bytes that the kernel holds for one caller (it takes twice this, for its own records
-/// too); left alone it takes 4 MiB of a caller that does not read. 10 Mbit/s over 70 ms there
-/// and back need 88 kB.
+/// Send buffer of one caller's connection. The kernel allocates twice this, for its own bookkeeping
+/// too; without a limit it buffers 4 MiB for a caller that does not read. 10 Mbit/s at a round trip
+/// of 70 ms need 88 kB.
 const CALLER_SEND_BUFFER_BYTES: usize = 128 * 1024;
-/// Time between two looks at whether all requests have ended.
+/// Time between two checks whether all requests have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for log lines to be written before the process ends.
+/// Time for queued log lines to be written before the process ends.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(250);
 
 quick_error! {
     /// Why a relay can't start.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be used.
+        /// An address can't be bound.
         Bind(what: &'static str, address: SocketAddr, cause: std::io::Error) {
             display("{what}: can't listen on {address}: {cause}; name a free address of this machine")
         }
-        /// A thread can't be started.
+        /// The control thread can't be started.
         Thread(cause: std::io::Error) {
             display("can't start the control thread: {cause}")
         }
     }
 }
 
-/// A source of documents: runs on the control thread for as long as the process.
+/// A document source: runs on the control thread for the lifetime of the process.
 pub type Source =
     Box<dyn FnOnce(DocumentFeed) -> Pin<Box<dyn Future<Output = ()>>> + Send + 'static>;
 
-/// A relay that is about to serve.
+/// A relay that is ready to serve.
 pub struct Relay {
     settings: RelaySettings,
     clock: Clock,
@@ -74,7 +74,7 @@
 }
 
 impl Relay {
-    /// Starts the control thread.
+    /// Binds the peer sockets and starts the control thread.
     pub fn start(settings: RelaySettings, source: Source) -> Result<Self, StartError> {
         let clock = Clock::start(CLOCK_START_OFFSET);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
@@ -131,13 +131,13 @@
         })
     }
 
-    /// What this relay holds for callers and back ends.
+    /// Memory accounting of this relay.
     pub fn memory(&self) -> Arc<MemoryBudget> {
         Arc::clone(&self.memory)
     }
 
-    /// Serves callers on this thread until `stop` is over and the planned stop that
-    /// follows it is done.
+    /// Serves callers on this thread until `stop` completes and the planned shutdown that follows
+    /// has finished.
     pub fn serve(self, stop: impl Future<Output = ()>) -> Result<(), StartError> {
         let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
         let (close_connections, connections_closing) = async_channel::bounded::<Infallible>(1);
@@ -220,11 +220,11 @@
         .map_err(|cause| StartError::Bind(what, address, cause))
 }
 
-/// Bounds what the kernel holds for a caller that does not read; connections inherit it.
+/// Limits what the kernel buffers for a caller that does not read; accepted connections inherit it.
 fn limit_send_buffers(callers: &TcpListener) {
     let socket = socket2::SockRef::from(callers);
     if let Err(error) = socket.set_send_buffer_size(CALLER_SEND_BUFFER_BYTES) {
-        log::warn!("send buffers of callers are not bounded: {error}");
+        log::warn!("can't limit the send buffers of callers: {error}");
     }
 }
 
@@ -246,7 +246,7 @@
     }
 }
 
-/// Channels whose closing tells connections and requests how far a stop has come.
+/// Channels that are closed to signal the phases of a shutdown to connections and requests.
 struct StopSignals {
     close_connections: async_channel::Sender<Infallible>,
     force_stop: async_channel::Sender<Infallible>,
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -1,5 +1,4 @@
-//! The sending of one attempt: the request on its way to a back end, and the head of its
-//! answer.
+//! Sending of one attempt: the request to a back end and the head of its response.
 
 use crate::exchange::Exchange;
 use crate::forwarding::AttemptContext;
@@ -14,22 +13,23 @@
 use http::{Response, StatusCode, header};
 use hyper::body::Incoming;
 
-/// Attempt's time for an answer that may be asked for again, in targets.
+/// Timeout of an attempt whose request may be retried, as a multiple of the target latency.
 const ATTEMPT_TIMEOUT_TARGETS: u64 = 2;
-/// Patience for the first event of a stream, in targets. With one target 88 attempts were
-/// given up as silent in a loaded day of 57 s; what that cost is within the noise of
-/// measurements (docs/design/placement.md).
+/// Timeout for the first event of a stream: this many target latencies plus
+/// [`FIRST_EVENT_TIMEOUT_EXPECTED`] expected times. With one target latency, 88 attempts timed out
+/// in a loaded day of 57 s; what that cost is within the noise of measurements
+/// (docs/design/placement.md).
 const FIRST_EVENT_TIMEOUT_TARGETS: u64 = 2;
-/// The same besides, in expected times to the first event.
+/// Expected times to the first event that are added to the timeout for it.
 const FIRST_EVENT_TIMEOUT_EXPECTED: u64 = 2;
 
-/// How far a run had come elsewhere.
+/// Where a run is resumed that began at another back end.
 pub(crate) struct ResumePoint {
-    /// Number of the last event that was passed on.
+    /// Number of the last event that was forwarded.
     pub last_event_id: Option<u64>,
-    /// Replica from which it is continued.
+    /// Replica from which the run is continued.
     pub resume_from: Option<String>,
-    /// Longest wait for the head of the answer.
+    /// Longest wait for the head of the response.
     pub response_timeout: Span,
 }
 
@@ -43,17 +43,17 @@
     }
 }
 
-/// Why a wait for the head of an answer was ended.
+/// Why waiting for the head of a response was aborted.
 enum Interruption {
     TimedOut,
-    /// The request was quarantined meanwhile, until then.
+    /// The request was quarantined meanwhile, until this time.
     Cancelled(Timestamp),
 }
 
 type SendResult = Result<(Response<Incoming>, Connection), SendError>;
 
 impl Exchange {
-    /// Sends the request to a back end and waits for the head of its answer.
+    /// Sends the request to a back end and waits for the head of its response.
     pub async fn send(
         &mut self,
         lease: &Lease,
@@ -61,7 +61,7 @@
         self.send_resuming(lease, ResumePoint::default()).await
     }
 
-    /// The same for a run that has begun elsewhere.
+    /// Like [`Self::send`], for a run that began at another back end.
     pub async fn send_resuming(
         &mut self,
         lease: &Lease,
@@ -161,7 +161,8 @@
             return Err(Outcome::IncompleteResponse);
         }
         if lease.grant.has_limit && notice.limit == StatedLimit::NotStated {
-            // Unlike a refusal, the answer of a run that names no limit shows that it is over.
+            // Unlike a refusal, a response to a request that ran shows, when it states no limit,
+            // that the limit no longer applies.
             lease.record_notice(Notice {
                 limit: StatedLimit::Lifted,
                 ..Notice::default()
@@ -170,7 +171,7 @@
         Ok((response, connection))
     }
 
-    /// Takes in what an answer says of its back end.
+    /// Logs and records what a response states about its back end.
     fn apply_notice(&self, lease: &Lease, notice: Notice) {
         if notice.is_empty() {
             return;
@@ -188,8 +189,8 @@
         lease.record_notice(notice);
     }
 
-    /// Longest wait for the head: until the request's time is over, or shorter where
-    /// another back end may be asked.
+    /// Longest wait for the head: the request's remaining time, or less where another back end may
+    /// be tried.
     pub fn response_head_timeout(&self, lease: &Lease) -> Span {
         let now = self.traffic.clock.now();
         let remaining = now.until(self.deadline);
@@ -205,8 +206,9 @@
         remaining.min(response_timeout)
     }
 
-    /// Longest wait for the first event of a stream that may be asked for elsewhere. Where
-    /// many are late the cause is load: asked for again, each prompt would be read twice.
+    /// Longest wait for the first event of a stream that may be retried at another back end. It
+    /// grows with the expected time: where many streams are late the cause is load, and a retry
+    /// would compute the prompt a second time.
     pub fn first_event_timeout(&self, expected: Span) -> Span {
         Span(
             self.head.route.target.0 * FIRST_EVENT_TIMEOUT_TARGETS
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, readiness and metrics.
+//! Callers' connections, and the readiness and metrics endpoints.
 
 use crate::answer::RelayBody;
 use crate::attempts;
@@ -27,37 +27,39 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Longest rest of a connection before anything is known of the limits.
+/// Idle timeout of connections opened before the configured limits are known, and of those to the
+/// readiness and metrics endpoints.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Times the idle limit that a connection may rest: the limit may grow meanwhile.
+/// Factor on the configured idle timeout, because a connection keeps its timeout while the
+/// configured one may grow.
 const IDLE_TIMEOUT_FACTOR: u32 = 2;
-/// Smallest buffer for heads that the library takes.
+/// Smallest read buffer that hyper accepts.
 const MINIMUM_HEAD_BUFFER_BYTES: usize = 8_192;
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// When a caller refused for a planned stop is asked to come back: at once, elsewhere.
+/// Retry-After of a request refused during a planned shutdown: at once, at another node.
 const SHUTDOWN_RETRY_AFTER: Span = Span::from_milliseconds(50);
 
-/// How far a planned stop has come.
+/// Phase of a planned shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// No stop.
+    /// No shutdown in progress.
     Serving,
-    /// Not ready for new callers; all requests are served.
+    /// Reported as not ready; all requests are still served.
     NotReady,
-    /// New requests are refused, kept connections closed.
+    /// New requests are refused and idle connections closed.
     Refusing,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 pub(crate) struct Server {
     pub traffic: Rc<Traffic>,
     pub executor: Rc<LocalExecutor<'static>>,
     pub phase: Cell<Phase>,
     pub open_requests: Cell<u32>,
-    /// Closed when kept connections are to be closed.
+    /// Closed when connections have to shut down gracefully.
     pub close_connections: async_channel::Receiver<Infallible>,
-    /// Closed when requests without an answer get one from here.
+    /// Closed when this node has to reply to requests that have no response yet.
     pub force_stop: async_channel::Receiver<Infallible>,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl Server {
-    /// Accepts callers for ever.
+    /// Accepts callers; never returns.
     pub async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -91,7 +93,7 @@
                         .detach();
                 }
                 Err(error) => {
-                    log::warn!("a connection could not be accepted: {error}");
+                    log::warn!("accepting a caller's connection failed: {error}");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -133,7 +135,7 @@
         let is_refusing = self.phase.get() == Phase::Refusing;
         let closing = async {
             if is_refusing || self.close_connections.recv().await.is_ok() {
-                // A connection opened this late is closed with its first answer.
+                // A connection opened this late is closed with its first response.
                 std::future::pending::<()>().await;
             }
             false
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Answers whether this node wants callers, for ever.
+    /// Serves the readiness endpoint; never returns.
     pub async fn serve_readiness(self: Rc<Self>, listener: TcpListener, path: String) {
         let path: Rc<str> = Rc::from(path);
         loop {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Tells metrics for ever.
+    /// Serves the metrics endpoint; never returns.
     pub async fn serve_metrics(self: Rc<Self>, listener: TcpListener, handle: PrometheusHandle) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -259,8 +261,8 @@
     response
 }
 
-/// Serves a connection to its end. Polled in this order, what is read ahead is what the
-/// connection did not take.
+/// Serves a connection to its end. The connection is polled first, so that only events that it did
+/// not take are read ahead.
 async fn drive_connection(
     mut connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
     current: &CurrentStream,
@@ -278,7 +280,7 @@
     .await;
 }
 
-/// Counts a request as open until its answer has been sent.
+/// Counts a request as open until its response stream has been sent.
 fn hold_until_sent(body: RelayBody, open: OpenRequest) -> RelayBody {
     match body {
         RelayBody::Buffered(bytes) => RelayBody::Buffered(bytes),
--- a/crates/transport/relay/src/settings.rs
+++ b/crates/transport/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a relay is told at its start.
+//! Start-up settings of a relay.
 
 use crate::{CacheProtocol, HeaderNames};
 use eiderferry_dispatch::{ColdRateLimit, Features, RetryBudgetSettings};
@@ -6,12 +6,12 @@
 use eiderferry_types::Span;
 use std::net::SocketAddr;
 
-/// Times of a planned stop, from its beginning.
+/// Times of a planned shutdown, counted from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSettings {
-    /// When kept connections are closed and new requests refused.
+    /// When idle connections are closed and new requests refused.
     pub refuse_after: Span,
-    /// When the process ends whatever still runs.
+    /// When the process terminates, even if requests are still running.
     pub terminate_after: Span,
 }
 
@@ -20,38 +20,39 @@
 pub struct RelaySettings {
     /// Name of this node.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Address for callers.
+    /// Address on which callers are served.
     pub listen_address: SocketAddr,
-    /// Address that answers whether this node wants callers.
+    /// Address of the readiness endpoint.
     pub readiness_address: SocketAddr,
-    /// Path asked there.
+    /// Path of the readiness endpoint.
     pub readiness_path: String,
-    /// Address that tells metrics, if any.
+    /// Address of the metrics endpoint, if there is one.
     pub metrics_address: Option<SocketAddr>,
-    /// Address for messages of other nodes: datagrams, and documents over TCP.
+    /// Address for other nodes: datagrams over UDP, documents over TCP.
     pub peer_address: SocketAddr,
-    /// Other nodes' addresses, perhaps out of date.
+    /// Addresses of other nodes to contact first; some may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Bound of repeats over all nodes.
+    /// Limit of retries over all nodes.
     pub retry_budget: RetryBudgetSettings,
     /// Bandwidth of this node's link in Mbit/s.
     pub link_mbps: u16,
-    /// Time within which a change that the platform has confirmed has to be in force.
+    /// Time within which a change that the platform has confirmed must be in force on this node.
     pub propagation_deadline: Span,
-    /// Bound of requests to a cold back end over all nodes.
+    /// Limit of requests to a cold back end over all nodes.
     pub cold_rate_limit: ColdRateLimit,
     /// Region of each zone.
     pub regions: ZoneRegions,
-    /// Parts of the dispatcher in use.
+    /// Dispatcher features in use.
     pub features: Features,
-    /// Most bytes held for callers and back ends; 0: nothing is bounded or read ahead.
+    /// Maximum bytes of bodies, responses and events held in memory; 0 disables the limit and
+    /// reading ahead.
     pub memory_budget: u64,
-    /// Planned stops.
+    /// Times of a planned shutdown.
     pub shutdown: ShutdownSettings,
-    /// How engines are asked for what they keep of prompts.
+    /// Protocol for asking engines which prompt parts they have cached.
     pub cache_protocol: CacheProtocol,
-    /// Header names.
+    /// Names of the headers that the relay reads and sets.
     pub header_names: HeaderNames,
 }
