--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request at back ends, from its head to its final answer.
+//! The attempts of one request at back ends, from its head to its final response.
 
 use crate::answer::RelayBody;
 use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY_AFTER, RunReplica, Traffic};
@@ -24,10 +24,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Longest wait for the first configuration: other nodes or the store answer a node that
-/// has just started in 0.1 to 0.3 s, and a refusal costs the caller as long.
+/// Longest wait for the first routing table. Other nodes or the store send a starting node its
+/// documents in 0.1 to 0.3 s, and a refusal costs the caller as much time.
 const FIRST_TABLE_TIMEOUT: Span = Span::from_milliseconds(250);
-/// Time between two looks for it.
+/// Time between two checks for it.
 const FIRST_TABLE_CHECK_INTERVAL: Span = Span::from_milliseconds(10);
 /// Serves one request.
 pub(crate) async fn serve(
@@ -98,7 +98,8 @@
     })
 }
 
-/// The table in force. A node that has just started waits a little for its first one.
+/// The routing table in force. On a node that has just started, waits a short time for the first
+/// one.
 async fn wait_for_table(traffic: &Traffic) -> Option<Arc<RoutingTable>> {
     let until = traffic.clock.now() + FIRST_TABLE_TIMEOUT;
     loop {
@@ -153,7 +154,8 @@
         }
     }
 
-    /// One attempt at a back end. The exchange comes back unless a stream holds it.
+    /// Runs one attempt at a back end. Returns the exchange unless a response stream has taken it
+    /// over.
     async fn attempt(mut self, lease: Lease) -> (Option<Self>, AttemptEnd) {
         let sent_at = self.traffic.clock.now();
         let holder = lease.grant.replica.clone();
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -1,5 +1,5 @@
-//! Follows what engines tell of their caches: carries the dispatcher's calls out and hands
-//! it the answers. What the calls look like is told by a [`CacheProtocol`].
+//! Follows the prompt caches of engines: makes the calls that the dispatcher requests and passes
+//! the responses to it. The format of the calls is defined by a [`CacheProtocol`].
 
 use crate::control::Control;
 use crate::events;
@@ -24,16 +24,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for an answer beyond the time that the engine is asked to wait.
+/// Timeout for a response, in addition to the time that the engine may hold the call.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest answer read; an engine's 1,900 parts take some 80 kB.
+/// Maximum body of a response; 1,900 cached parts take about 80 kB.
 const MAXIMUM_RESPONSE_BYTES: usize = 512 * 1024;
 
 quick_error! {
-    /// An answer whose shape is not the known one.
+    /// A response that does not have the expected format.
     #[derive(Debug)]
     pub enum MalformedResponse {
-        /// A field makes no sense.
+        /// A field has an invalid value.
         Field(field: &'static str, found: String) {
             display("{field}: {found}")
         }
@@ -41,7 +41,7 @@
 }
 
 impl MalformedResponse {
-    /// The field and what was found there.
+    /// An error for a field and its value, which is truncated.
     pub fn new(field: &'static str, value: &str) -> Self {
         const MAXIMUM_CHARACTERS: usize = 100;
         Self::Field(field, value.chars().take(MAXIMUM_CHARACTERS).collect())
@@ -49,7 +49,7 @@
 }
 
 quick_error! {
-    /// Why a call gave nothing.
+    /// Why a call failed.
     #[derive(Debug)]
     enum CallError {
         Connect(cause: std::io::Error) {
@@ -66,16 +66,16 @@
         }
         Body(cause: Box<dyn std::error::Error + Send + Sync>) {
             from()
-            display("the answer was not read: {cause}")
+            display("reading the response failed: {cause}")
         }
         TimedOut {
-            display("no answer in time")
+            display("no response in time")
         }
     }
 }
 
 impl CallError {
-    /// An answer that is too large has no known shape.
+    /// A response that is too large counts as malformed.
     fn response(&self) -> CacheResponse {
         match self {
             Self::Body(cause) if cause.is::<LengthLimitError>() => CacheResponse::Malformed,
@@ -84,18 +84,18 @@
     }
 }
 
-/// How engines are asked for what they keep; an adapter supplies it.
+/// How engines are asked for the prompt parts that they have cached; supplied by an adapter.
 #[derive(Clone, Debug)]
 pub struct CacheProtocol {
-    /// Path of the events from a number on.
+    /// Path of the events after a given number.
     pub events_path: fn(u64) -> String,
-    /// Path of all that is kept.
+    /// Path of the listing of all cached parts.
     pub listing_path: &'static str,
-    /// Milliseconds for which an engine may hold a call.
+    /// Header with the time in milliseconds for which the engine may hold the call.
     pub wait: HeaderName,
-    /// Reads an answer with events.
+    /// Parses a response with events.
     pub read_events: fn(&[u8]) -> Result<CacheEvents, MalformedResponse>,
-    /// Reads a listing.
+    /// Parses a listing.
     pub read_listing: fn(&[u8]) -> Result<CacheListing, MalformedResponse>,
 }
 
@@ -104,20 +104,20 @@
     _driver: Task<()>,
 }
 
-/// An engine's answer to a call.
+/// An engine's response to a call.
 struct EngineResponse {
     status: StatusCode,
-    /// What its head says of the engine.
+    /// What its head states about the engine.
     notice: Notice,
     body: Bytes,
 }
 
-/// Carries out the calls of this node.
+/// Makes this node's calls to engines.
 pub(crate) struct CacheFollower {
     protocol: CacheProtocol,
     header_names: HeaderNames,
     executor: Rc<LocalExecutor<'static>>,
-    /// One connection to each engine that is followed.
+    /// An idle connection to each followed engine.
     idle: RefCell<HashMap<InstanceId, Connection>>,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Begins the calls that are due.
+    /// Starts the calls that are due.
     pub fn start_calls(self: &Rc<Self>, control: &Rc<Control>) {
         let now = control.clock.now();
         let due_calls = control.dispatcher.borrow_mut().cache_calls(now);
@@ -253,7 +253,7 @@
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(FuturesIo::new(stream)).await?;
         let driver = self.executor.spawn(async move {
-            // The call that is under way sees the failure as its own.
+            // The call in progress sees the failure itself.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -263,7 +263,7 @@
     }
 }
 
-/// The connection, once it is ready for another call.
+/// The connection once it is ready for another call; `None` if it can't be used.
 async fn ready_connection(connection: Option<Connection>) -> Option<Connection> {
     let mut connection = connection?;
     connection.sender.ready().await.ok()?;
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -1,4 +1,4 @@
-//! Documents passed on between nodes, by `tarpc`.
+//! Exchange of documents between nodes, by `tarpc`.
 
 use crate::control::Control;
 use crate::metrics;
@@ -19,16 +19,16 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Largest package accepted: all documents of a deployment.
+/// Maximum size of a package in bytes; a package may hold all documents of a deployment.
 const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Longest time to fetch a package.
+/// Timeout for fetching a package.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Nodes asked for one package: the sources grow about threefold with each transfer, and the
-/// later ones that are named are the less busy ones.
+/// Maximum nodes asked for one package. The number of nodes that have it grows about threefold with
+/// each transfer, and the last ones that a reply names are the least busy.
 const MAXIMUM_SOURCES: usize = 4;
 
 quick_error! {
-    /// Why documents could not be fetched. They are asked for again later.
+    /// Why documents could not be fetched. The fetch is retried later.
     #[derive(Debug)]
     pub enum FetchError {
         /// The peer can't be reached.
@@ -41,23 +41,23 @@
             from()
             display("the call failed: {cause}")
         }
-        /// The package can't be read.
+        /// The package can't be decoded.
         Malformed(cause: postcard::Error) {
             from()
-            display("the package can't be read: {cause}")
+            display("can't decode the package: {cause}")
         }
-        /// It and those that it named hand out as many packages as they can.
+        /// The peer and those that it named already serve as many transfers as they can.
         Busy(peer: SocketAddr) {
             display("{peer} and those that it named are busy")
         }
-        /// No answer came in time.
+        /// No response arrived in time.
         TimedOut {
-            display("no answer in {} ms", FETCH_TIMEOUT.as_millis())
+            display("no response in {} ms", FETCH_TIMEOUT.as_millis())
         }
     }
 }
 
-/// Changes with what is known of their completeness.
+/// Changes, with the versions up to which they are complete.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Package {
     pub changes: Vec<Change>,
@@ -66,17 +66,18 @@
     pub confirmed_ms: Option<u64>,
 }
 
-/// What a node that is asked for documents answers.
+/// Reply to a request for documents.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 enum Reply {
     /// The documents.
     Package(Package),
-    /// It hands out as many as it can; these have got theirs.
+    /// The node already serves as many transfers as it can; these nodes have received the
+    /// documents.
     SentOn(Vec<SocketAddr>),
 }
 
-/// Fetches all changes beyond `known` from a peer, or from others that it names and that
-/// `may_ask` allows. `own` is where this node answers such calls.
+/// Fetches all changes beyond `known` from a peer, or from others that it names and that `may_ask`
+/// allows. `own_address` is where this node serves such requests.
 pub(crate) async fn fetch(
     peer: SocketAddr,
     known: &VersionVector,
@@ -131,21 +132,21 @@
     Ok(documents.await?)
 }
 
-/// What the control thread is told of a node that wants documents.
+/// Requests of peers for documents, as forwarded to the control thread.
 pub(crate) enum DocumentRequest {
-    /// It asks for the changes that it lacks.
+    /// A peer requests the changes that it lacks.
     Fetch {
         known: VersionVector,
         caller: SocketAddr,
         reply: async_channel::Sender<(Vec<u8>, Option<TransferId>)>,
     },
-    /// Its connection has ended.
+    /// The connection of a transfer has ended.
     TransferEnded(TransferId),
 }
 
 type RequestSender = async_channel::Sender<DocumentRequest>;
 
-/// Tells the control thread, when it is dropped with its connection, that a transfer is over.
+/// Reports the end of a transfer to the control thread when it is dropped with its connection.
 struct OpenTransfer {
     id: TransferId,
     requests: RequestSender,
@@ -153,7 +154,7 @@
 
 impl Drop for OpenTransfer {
     fn drop(&mut self) {
-        // The channel is unbounded; it only fails when the control thread is gone.
+        // The channel is unbounded, so sending fails only if the control thread has ended.
         let _ = self
             .requests
             .try_send(DocumentRequest::TransferEnded(self.id));
@@ -163,7 +164,7 @@
 #[derive(Clone)]
 struct DocumentServer {
     requests: RequestSender,
-    /// Transfers of the connection that this serves.
+    /// Open transfers of the connection that this server handles.
     transfers: Arc<Mutex<Vec<OpenTransfer>>>,
 }
 
@@ -233,7 +234,7 @@
                 let bytes = encode(&response);
                 let distance = control.dispatcher.borrow().distance_to(caller);
                 metrics::control_bytes(MessageKind::Documents, distance, bytes.len());
-                // A caller that has left needs no answer; its connection ends the transfer.
+                // A caller that has disconnected needs no reply; its connection ends the transfer.
                 let _ = reply.try_send((bytes, transfer));
             }
         }
@@ -255,17 +256,17 @@
     match postcard::to_stdvec(reply) {
         Ok(bytes) => bytes,
         Err(error) => {
-            // Empty bytes are no reply: the caller asks another node.
-            log::error!(event = "documents_not_encoded", error:% = error; "documents not encoded");
+            // An empty reply can't be decoded, so the caller asks another node.
+            log::error!(event = "documents_not_encoded", error:% = error; "encoding the documents for a peer failed");
             Vec::new()
         }
     }
 }
 
-/// Accepts peers' calls for ever.
+/// Accepts calls from peers; never returns unless listening fails.
 pub(crate) async fn serve(listener: std::net::TcpListener, requests: RequestSender) {
     if let Err(error) = Compat::new(accept(listener, requests)).await {
-        log::error!("documents can't be passed on: {error}");
+        log::error!("can't serve documents to peers: {error}");
     }
 }
 
@@ -278,7 +279,7 @@
         let transport = match connection {
             Ok(transport) => transport,
             Err(error) => {
-                log::debug!("a peer's connection was not accepted: {error}");
+                log::debug!("accepting a peer's connection failed: {error}");
                 continue;
             }
         };
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its final answer.
+//! State of one request, from its head to its final response.
 
 use crate::answer::RelayBody;
 use crate::cancellation::Cancellations;
@@ -19,15 +19,16 @@
 use http::Response;
 use std::rc::Rc;
 
-/// Time after which a request without a configuration is worth sending again.
+/// Retry-After of a request that is refused because this node has no configuration or found no back
+/// end.
 pub(crate) const NOT_READY_RETRY_AFTER: Span = Span::from_milliseconds(300);
-/// Back ends tried without a connection coming up.
+/// Maximum attempts per request that ended before anything was sent.
 const MAXIMUM_UNREACHABLE: u32 = 3;
-/// Bytes of an answer for each token that may come out: an event of 75 bytes holds 8 or 9
-/// tokens at two deployments.
+/// Response bytes assumed per output token: an event of 75 bytes holds 8 or 9 tokens at two
+/// deployments.
 const ASSUMED_BYTES_PER_TOKEN: u64 = 8;
 
-/// What all requests of a traffic thread share.
+/// State shared by all requests of a traffic thread.
 pub(crate) struct Traffic {
     pub upstream: Upstream,
     pub memory: Rc<Memory>,
@@ -38,7 +39,7 @@
     pub clock: Clock,
 }
 
-/// A replica that an engine keeps of a run.
+/// A replica that another engine keeps of a run.
 pub(crate) struct RunReplica {
     pub holder: Box<ReplicaTarget>,
     /// When the run was sent.
@@ -47,19 +48,19 @@
 
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
-    /// With an answer for the caller.
+    /// With a response for the caller.
     Response(Response<RelayBody>),
-    /// With a back end's failure, which may be passed on or tried again.
+    /// With a server error of the back end, which may be forwarded or retried.
     FailedResponse(Response<RelayBody>),
-    /// Without an answer.
+    /// Without a response.
     NoResponse(Outcome),
 }
 
-/// A request and what has become of it.
+/// A request and the state of its processing.
 pub(crate) struct Exchange {
     pub traffic: Rc<Traffic>,
     pub head: RequestHead,
-    /// What the request asks, alike each time that its caller sends it.
+    /// Digest of the request's content, the same each time that its caller sends it.
     pub digest: RequestDigest,
     pub pool: PoolName,
     pub request: ForwardedRequest,
@@ -69,9 +70,9 @@
     pub unreachable: u32,
     pub excluded_back_ends: Vec<InstanceId>,
     pub may_have_run: bool,
-    /// Until when the request is refused, if it was taken back from a back end.
+    /// Set if the request was cancelled at a back end: until when it is refused.
     pub cancelled_until: Option<Timestamp>,
-    /// The replica of the run, until its holder has been asked for it.
+    /// The replica of the run, until its holder has been asked to continue it.
     pub replica: Option<RunReplica>,
     pub status: u16,
     pub progress: Progress,
@@ -101,7 +102,7 @@
         reply.response()
     }
 
-    /// Notes how the request ended.
+    /// Records how the request ended; only the first call has an effect.
     pub fn finish(&mut self, outcome: &'static str) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
@@ -139,12 +140,12 @@
             && self.traffic.clock.now() < self.deadline
     }
 
-    /// Asks for a place.
+    /// Requests a lease on any back end.
     pub async fn request_lease(&mut self) -> Result<Lease, LocalReply> {
         self.request_lease_on(None).await
     }
 
-    /// Asks for a place at any back end, or at one alone.
+    /// Requests a lease on any back end, or on the required one.
     pub async fn request_lease_on(
         &mut self,
         required_instance: Option<InstanceId>,
@@ -199,7 +200,8 @@
         }
     }
 
-    /// The answer to a request that is refused for so long because back ends crash under it.
+    /// The reply to a request that is refused for the remaining time because back ends crash while
+    /// running it.
     pub fn refuse_crashing(&self, remaining: Span) -> LocalReply {
         LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Bytes of the request, and about as many as its answer takes.
+    /// Bytes of the request's body and an estimate of the response's.
     fn estimated_transfer_bytes(&self) -> u32 {
         let response_bytes = u64::from(self.head.output_tokens) * ASSUMED_BYTES_PER_TOKEN;
         let total = self.request.body.len() as u64 + response_bytes;
--- a/crates/transport/relay/src/failover.rs
+++ b/crates/transport/relay/src/failover.rs
@@ -1,7 +1,8 @@
-//! Streams that break off and go on at another back end: from a replica of their run, or by
-//! a new run where their route may be resumed.
+//! Failover of interrupted streams to another back end: from a replica of their run, or by a new
+//! run where the route is resumable.
 //!
-//! A run is taken over once at most, and only after the connection to its engine was closed.
+//! A run is continued from a replica at most once, and only after the connection to its engine was
+//! closed.
 
 use crate::event_stream::EventSplitter;
 use crate::exchange::{Exchange, RunReplica};
@@ -16,24 +17,25 @@
 use http::{Response, StatusCode};
 use hyper::body::Incoming;
 
-/// Longest pause of a stream before it goes on elsewhere, in its targets for pauses; and the
-/// longest wait for the holder of a replica.
+/// Gap between two events after which a stream fails over, as a multiple of its event-gap target;
+/// also the longest wait for the engine that holds a replica.
 const EVENT_GAP_TARGETS: u64 = 3;
-/// Shortest pause that makes a stream go on elsewhere. Callers give a stream up after 2 s
-/// without an event, or more.
+/// Lower bound of that gap, and the event-gap target of routes without one. Callers give up on a
+/// stream after 2 s or more without an event.
 const MINIMUM_EVENT_GAP: Span = Span::from_milliseconds(1_500);
 
-/// Age from which on a run is held to have a replica. An engine that holds none refuses the run,
-/// but where its answer is lost too the run may have begun there once more. On two loaded days
-/// with crashes and lost answers 112 runs were continued, none younger than 200 ms and none
-/// before its first event; of 93 that were asked for within 50 ms none was, and 22 began twice.
+/// Age from which a run is assumed to have a replica. An engine without one refuses the run, but if
+/// that response is lost too, the run may have started a second time there. On two loaded days with
+/// crashes and lost responses, 112 runs were continued, none younger than 200 ms and none before
+/// its first event; of 93 that were requested within 50 ms none was continued, and 22 started
+/// twice.
 const MINIMUM_REPLICA_AGE: Span = Span::from_milliseconds(200);
 
-/// A back end's answer: its place, its head with its body, and its connection.
+/// An open response of a back end: its lease, its head with the body, and its connection.
 type OpenResponse = (Lease, Response<Incoming>, Connection);
 
 impl Exchange {
-    /// Longest pause between two events before a stream goes on elsewhere.
+    /// Longest gap between two events before a stream fails over.
     pub(crate) fn event_gap_timeout(&self) -> Span {
         let target = self
             .head
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Gives the place of an attempt back that got no answer.
+    /// Releases the lease of an attempt that got no response, and records the failure.
     async fn release_failed(&self, lease: Lease, outcome: Outcome) {
         let (back_end, address) = (lease.grant.instance.clone(), lease.grant.address);
         lease.release(outcome);
@@ -100,7 +102,7 @@
                 Err(Outcome::Failed.as_str())
             }
             Err(Outcome::Shed) => {
-                // It has no replica, which says nothing of its health.
+                // A missing replica does not count against the engine's health.
                 lease.release(Outcome::Abandoned);
                 Err("no_replica")
             }
@@ -113,12 +115,12 @@
 }
 
 impl StreamRelay {
-    /// Goes on after its source was lost; whether it does.
+    /// Replaces a lost source; returns whether the stream continues.
     pub(crate) async fn fail_over(&mut self) -> bool {
         self.continue_from_replica().await || self.resume().await
     }
 
-    /// Continues from the replica of its run; whether it does.
+    /// Continues from the replica of its run; returns whether it does.
     async fn continue_from_replica(&mut self) -> bool {
         let Some(last_id) = self.splitter.last_id() else {
             return false;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Takes the stream up at another back end.
+    /// Resumes the stream at another back end; returns whether it does.
     async fn resume(&mut self) -> bool {
         while self.exchange.may_retry_elsewhere() {
             let Ok(lease) = self.exchange.request_lease().await else {
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events, passed on as they come and taken up elsewhere when they break.
+//! Event streams, forwarded as they arrive and failed over to another back end when they break.
 
 use crate::answer::{BrokenResponse, RelayBody};
 use crate::event_stream::EventSplitter;
@@ -17,7 +17,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// What came next of a stream.
+/// Next item of a stream.
 enum StreamItem {
     Events(Bytes),
     End,
@@ -25,7 +25,7 @@
     TimedOut,
 }
 
-/// The source of a stream: one back end's answer.
+/// The source of a stream: one back end's response.
 pub(crate) struct StreamSource {
     pub lease: Lease,
     pub connection: Connection,
@@ -34,7 +34,7 @@
     pub pacing: StreamPacing,
 }
 
-/// A stream on its way to the caller.
+/// A stream that is being forwarded to the caller.
 pub(crate) struct StreamRelay {
     pub exchange: Exchange,
     pub source: Option<StreamSource>,
@@ -43,7 +43,7 @@
 }
 
 impl StreamRelay {
-    /// Waits for the first event, then answers with the stream.
+    /// Waits for the first event, then responds with the stream.
     pub async fn start(
         exchange: Exchange,
         lease: Lease,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The next whole events.
+    /// The next complete events, or how the stream ended.
     async fn next_item(&mut self, is_first: bool) -> StreamItem {
         loop {
             let event_timeout = self.response_timeout(is_first);
@@ -197,7 +197,7 @@
         now.until(self.exchange.deadline)
     }
 
-    /// Longest silence before the stream goes on elsewhere.
+    /// Longest wait for the next event before the stream fails over.
     fn response_timeout(&self, is_first: bool) -> Span {
         let may_be_taken_over = !is_first && self.exchange.replica.is_some();
         if !self.exchange.may_retry_elsewhere() && !may_be_taken_over {
@@ -212,9 +212,9 @@
         self.exchange.event_gap_timeout()
     }
 
-    /// Whether a silent source is left. One whose run has a replica, and can't be asked for
-    /// again otherwise, is left only if nothing else shows that it works: a slow engine is
-    /// no faster for being changed.
+    /// Whether to abandon a source that sends nothing. If its run has a replica but can't be
+    /// retried otherwise, it is abandoned only when its back end is presumed down: moving a stream
+    /// away from a slow engine does not make it faster.
     async fn should_abandon_source(&self) -> bool {
         if self.exchange.may_retry_elsewhere() {
             return true;
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -25,48 +25,49 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time for a connection to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest rest of a kept connection.
+/// Maximum idle time of a pooled connection.
 const MAXIMUM_IDLE: Duration = Duration::from_secs(10);
-/// Longest rest of a kept connection for a request that may not be repeated: one that
-/// a back end closes meanwhile loses the request's answer.
+/// Maximum idle time of a pooled connection used for a request that may not be retried: if the back
+/// end closes the connection meanwhile, the response is lost.
 const MAXIMUM_IDLE_NOT_RETRYABLE: Duration = Duration::from_millis(700);
-/// Part of the rest that a back end allows which is used.
+/// Fraction used of the idle time that a back end allows.
 const IDLE_FRACTION: f64 = 0.7;
-/// Unanswered bytes older than this break a connection.
+/// Time without acknowledgement of sent bytes after which the kernel closes a connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 quick_error! {
-    /// Why a request got no head of an answer.
+    /// Why a request got no response head.
     #[derive(Debug)]
     pub enum SendError {
-        /// No connection came up; nothing was sent.
+        /// The connection could not be established; nothing was sent.
         Unreachable(cause: std::io::Error) {
             display("no connection: {cause}")
         }
-        /// This node holds all the connections that it may; nothing was sent.
+        /// This node has as many connections to the back end as it may; nothing was sent.
         ConnectionLimit {
-            display("all connections are in use")
+            display("the connection limit of the back end is reached")
         }
-        /// The back end has not yet taken what it was sent before; nothing was sent.
+        /// Bodies sent earlier to the back end are still outstanding and fill its share of the
+        /// memory budget; nothing was sent.
         BodyLimit {
-            display("the bodies at the back end fill their part of the memory")
+            display("the memory limit for bodies at the back end is reached")
         }
-        /// The request may have arrived.
+        /// The response is incomplete; the request may have arrived.
         Incomplete(cause: hyper::Error) {
-            display("no whole answer: {cause}")
+            display("incomplete response: {cause}")
         }
     }
 }
 
 impl SendError {
-    /// Whether certainly nothing was sent.
+    /// Whether it is certain that nothing was sent.
     pub fn is_unsent(&self) -> bool {
         !matches!(self, SendError::Incomplete(_))
     }
 
-    /// What it says of the back end.
+    /// The outcome to record for the back end.
     pub fn outcome(&self) -> Outcome {
         match self {
             SendError::Unreachable(cause) if cause.kind() == ErrorKind::ConnectionRefused => {
@@ -85,13 +86,13 @@
 struct Pool {
     idle: Vec<IdleConnection>,
     open: u32,
-    /// Bytes of the bodies whose exchanges with the back end are not over.
+    /// Bytes of bodies whose exchange with the back end is not over.
     outstanding: u64,
 }
 
 struct IdleConnection {
     connection: Connection,
-    /// Time of the machine, suspensions included: back ends close what rests meanwhile.
+    /// Boot time, which includes suspensions: back ends close idle connections during them.
     idle_since: Duration,
     idle_limit: Duration,
 }
@@ -102,10 +103,10 @@
     }
 }
 
-/// A connection to a back end; dropped, it is closed at once.
+/// A connection to a back end; closed when dropped.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// The same socket as the driver's.
+    /// The socket that the driver task uses.
     socket: Arc<Async<std::net::TcpStream>>,
     _driver: Task<()>,
     _guard: ConnectionGuard,
@@ -113,7 +114,7 @@
     key: PoolKey,
 }
 
-/// A body at a back end, until its answer has been read or given up.
+/// A body sent to a back end, counted until its response has been read or given up.
 struct OutstandingBody {
     pools: Pools,
     key: PoolKey,
@@ -147,13 +148,13 @@
 
 type Pools = Rc<RefCell<HashMap<PoolKey, Pool>>>;
 
-/// All connections of a traffic thread.
+/// The connection pools of a traffic thread.
 pub(crate) struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
     pools: Pools,
-    /// Is told how long connections take to come up.
+    /// Receives the time that each connection took to establish.
     control: ControlHandle,
-    /// Most bytes of bodies at one back end, if bounded.
+    /// Maximum outstanding body bytes per back end, if limited.
     outstanding_limit: Option<u64>,
 }
 
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Runs something beside the requests.
+    /// Runs a task in the background.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         self.executor.spawn(work).detach();
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(
         &self,
         grant: &Grant,
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Counts a body as being at a back end. One alone is always let through.
+    /// Counts a body as outstanding at a back end. A single body is always admitted.
     fn reserve_body(&self, key: &PoolKey, bytes: u64) -> Result<OutstandingBody, SendError> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(key.clone()).or_default();
@@ -280,7 +281,7 @@
         })
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection to its pool after its response was read completely.
     pub fn return_connection(&self, mut connection: Connection, headers: &HeaderMap) {
         connection.body = None;
         let Some(idle_limit) = allowed_idle(headers) else {
@@ -300,7 +301,7 @@
             .push(idle);
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_idle(&self) {
         let mut closed = Vec::new();
         let mut pools = self.pools.borrow_mut();
@@ -322,8 +323,8 @@
     }
 }
 
-/// Whether a connection takes a request: its driver may need a turn to notice that the
-/// last answer is over.
+/// Whether a connection can take a request: its driver may have to be polled once to notice that
+/// the last response is complete.
 async fn is_ready(connection: &Connection) -> bool {
     if !connection.sender.is_ready() && !connection.sender.is_closed() {
         yield_now().await;
@@ -331,16 +332,16 @@
     connection.sender.is_ready()
 }
 
-/// Whether the back end has left a rested connection open and silent. Its closing may have
-/// arrived without the driver having had a turn to notice: a request sent then is lost, and one
-/// that may not be repeated fails. Beside twelve busy processes 7 of 40 runs of
+/// Whether the back end has left an idle connection open and sent nothing on it. The driver may not
+/// have noticed yet that it was closed: a request sent then is lost, and one that may not be
+/// retried fails. Beside twelve busy processes 7 of 40 runs of
 /// `an_answer_before_the_whole_body_was_read_spoils_no_later_request` lost a request that way.
 fn is_open(connection: &Connection) -> bool {
     let peeked = connection.socket.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// How long a connection may rest; `None` if it may not be kept.
+/// How long a connection may stay idle; `None` if it may not be reused.
 fn allowed_idle(headers: &HeaderMap) -> Option<Duration> {
     let mut connection = headers.get_all(http::header::CONNECTION).iter();
     let closes = connection.any(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -360,19 +361,19 @@
     Some(limit.min(MAXIMUM_IDLE))
 }
 
-/// What a new connection to a back end met.
+/// Result of opening a new connection to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionCheck {
-    /// It came up: the back end serves.
+    /// Established: the back end is serving.
     Listening,
-    /// It was refused: the machine is there, its process is not.
+    /// Refused: the machine is up, the process is not.
     Refused,
-    /// Nothing answered.
+    /// No response in time.
     TimedOut,
 }
 
 impl ConnectionCheck {
-    /// The word used in logs and metrics.
+    /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             ConnectionCheck::Listening => "listening",
