--- a/crates/transport/relay/src/caller_socket.rs
+++ b/crates/transport/relay/src/caller_socket.rs
@@ -1,11 +1,10 @@
-//! The socket and the answers of a caller's connection, watched for a missed wake-up.
+//! Socket and response bodies of a caller's connection, observed to detect a missed wake-up.
 //!
-//! A connection that was told its socket is blocked, and in the same turn finds it writable
-//! again, may end that turn with more of a body to send and nothing that wakes it: its answer
-//! stays where it is until the caller gives up. Bodies that are ready at once, as those of whole
-//! answers and of events read ahead are, meet this: 5 of 12 runs of
-//! `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken` and its neighbour
-//! stood still with an empty socket. Such a connection is given another turn.
+//! A connection whose socket blocks and becomes writable again within one poll may end that poll
+//! with more of a body to send and nothing that wakes it: the response then stalls until the caller
+//! gives up. This happens to bodies that are ready at once, such as whole responses and events read
+//! ahead: 5 of 12 runs of `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken`
+//! and its neighbour stalled with an empty socket. Such a connection is polled again.
 
 use crate::answer::{BrokenResponse, RelayBody};
 use bytes::Bytes;
@@ -19,19 +18,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How sending stands on one connection.
+/// State of sending on one connection.
 #[derive(Default)]
 pub(crate) struct SendState {
-    /// The body has more at once than the connection has taken.
+    /// The body has more data ready than the connection has taken.
     has_more: Cell<bool>,
-    /// The socket took bytes in this turn, and was not blocked since.
+    /// The socket accepted bytes in this poll and has not blocked since.
     has_written: Cell<bool>,
-    /// All that the body has given has gone to the socket.
+    /// All data that the body has returned was written to the socket.
     is_flushed: Cell<bool>,
 }
 
 impl SendState {
-    /// Whether the turn that has just ended may have missed its wake-up.
+    /// Whether the poll that has just ended may have missed its wake-up.
     pub fn needs_wakeup(&self) -> bool {
         self.has_written.replace(false) && self.has_more.get()
     }
@@ -74,7 +73,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Called once nothing is left to be written.
+        // Called once there is nothing left to write.
         self.state.is_flushed.set(true);
         Pin::new(&mut self.inner).poll_flush(context)
     }
@@ -84,11 +83,11 @@
     }
 }
 
-/// An answer on its way through a connection.
+/// The body of a response that a connection is sending.
 pub(crate) struct TrackedBody {
     body: RelayBody,
-    /// Why it breaks off: told once all before it was written, for a connection that is
-    /// told so forgets what it has not written.
+    /// Why the body breaks off. Returned only after all earlier data was written, because a
+    /// connection discards unwritten data when its body fails.
     pending_error: Option<BrokenResponse>,
     state: Rc<SendState>,
 }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -1,7 +1,7 @@
-//! The log: one function for each kind of line, so that names stay stable.
+//! Log events: one function per kind of line, so that names stay stable.
 //!
-//! Every line names its `event`; docs/operations/LOGS.md explains each field. Keys,
-//! bodies and prompts never appear.
+//! Every line has an `event` field; docs/operations/LOGS.md explains each field. Keys, bodies and
+//! prompts are never logged.
 
 use crate::cache_follower::MalformedResponse;
 use crate::documents::FetchError;
@@ -19,79 +19,79 @@
 use http::HeaderValue;
 use std::net::SocketAddr;
 
-/// A node serves callers from now on.
+/// This node starts to serve callers.
 pub(crate) fn started(node: &str, zone: &str, address: SocketAddr) {
-    log::info!(event = "started", node = node, zone = zone, listen:% = address; "started");
+    log::info!(event = "started", node = node, zone = zone, listen:% = address; "relay started");
 }
 
-/// A planned stop has begun, or goes on to its next phase.
+/// A planned shutdown has begun or entered its next phase.
 pub(crate) fn stopping(phase: &'static str, open_requests: u32) {
     log::info!(event = "stopping", phase = phase, open = open_requests; "stopping");
 }
 
-/// The process ends.
+/// The process is about to end.
 pub(crate) fn stopped(open_requests: u32) {
     log::info!(event = "stopped", open = open_requests; "stopped");
 }
 
-/// The settings were read again.
+/// The settings were reloaded.
 pub fn reloaded(seeds: usize) {
-    log::info!(event = "reloaded", seeds = seeds; "settings read again");
+    log::info!(event = "reloaded", seeds = seeds; "settings reloaded");
 }
 
-/// The process stood still.
+/// The process was paused.
 pub(crate) fn paused(gap: Span) {
-    log::warn!(event = "paused", gap_ms = gap.milliseconds(); "the process stood still");
+    log::warn!(event = "paused", gap_ms = gap.milliseconds(); "the process was paused");
 }
 
-/// The source of documents gives no answers.
+/// The document source does not respond.
 pub fn source_lost(error: &str) {
-    log::warn!(event = "source_lost", error = error; "the source of documents gives no answers");
+    log::warn!(event = "source_lost", error = error; "the document source does not respond");
 }
 
-/// The source of documents gives answers again.
+/// The document source responds again.
 pub fn source_recovered(silent_ms: u64) {
-    log::info!(event = "source_regained", silent_ms = silent_ms; "the source of documents is back");
+    log::info!(event = "source_regained", silent_ms = silent_ms; "the document source responds again");
 }
 
-/// The source of documents refused a call because it has no history after the given revision.
+/// The document source refused a call because it has compacted its history after the given
+/// revision.
 pub fn history_compacted(after: Revision) {
     log::warn!(
         event = "history_gone", after:% = after;
-        "the source has no history after this revision"
+        "the document source has compacted its history after this revision"
     );
 }
 
-/// The source of documents was restored from an older copy: a listing belongs to a newer epoch.
+/// The document source was restored from a backup: a listing belongs to a newer epoch.
 pub fn source_restored(known_revision: Revision, listed_revision: Revision) {
     log::warn!(
         event = "source_restored", known:% = known_revision, listed:% = listed_revision;
-        "the source was restored from an older copy"
+        "the document source was restored from a backup"
     );
 }
 
-/// A peer was lost or regained.
+/// A peer was discovered, recovered or lost.
 pub(crate) fn peer(change: &PeerChange) {
     match change {
-        // A start of a fleet of 300 would write 300 such lines on each node.
+        // When a fleet of 300 nodes starts, each node would write 300 of these lines.
         PeerChange::Discovered(node) => {
-            log::debug!(event = "peer_found", peer = node.as_str(); "new peer")
+            log::debug!(event = "peer_found", peer = node.as_str(); "peer discovered")
         }
         PeerChange::Recovered(node) => {
-            log::info!(event = "peer_regained", peer = node.as_str(); "peer heard");
+            log::info!(event = "peer_regained", peer = node.as_str(); "peer recovered");
         }
         PeerChange::Lost(node) => {
-            log::warn!(event = "peer_lost", peer = node.as_str(); "peer silent");
+            log::warn!(event = "peer_lost", peer = node.as_str(); "peer lost");
         }
     }
 }
 
-/// A back end's rate limit changed, or this node became, or no longer is, one of those that send
-/// to it.
+/// A back end's rate limit changed, or this node joined or left the nodes that send to it.
 pub(crate) fn rate_limit(change: &LimitChange) {
     let back_end = change.instance.as_str();
     let Some((limit, role)) = change.state else {
-        log::info!(event = "back_end_unlimited", back_end = back_end; "a rate limit is over");
+        log::info!(event = "back_end_unlimited", back_end = back_end; "back-end rate limit lifted");
         return;
     };
     let interval = match role {
@@ -101,12 +101,12 @@
     log::info!(
         event = "back_end_limited", back_end = back_end, limit:% = limit, sender = interval.is_some(),
         each_ms = interval.unwrap_or_default().milliseconds();
-        "a rate limit, or who sends under it, changed"
+        "back-end rate limit, or who sends under it, changed"
     );
 }
 
-/// A back end turned cold or warm, or this node became, or no longer is, one of the few that
-/// send to it.
+/// A back end became cold or warm, or this node joined or left the few nodes that send to a cold
+/// one.
 pub(crate) fn warmup_changed(change: &WarmupChange) {
     let event = match change.role {
         ColdRole::Warm => "back_end_warm",
@@ -116,12 +116,12 @@
     log::info!(
         event = event, back_end = change.instance.as_str(), sender = is_sender,
         warm_in_ms = change.warm_in.milliseconds();
-        "warmth changed"
+        "back-end warm-up state changed"
     );
 }
 
-/// The engines of a pool are split in another way than before. At most one line a pool and
-/// look at it, of two a second, and none while the load stays within a step.
+/// The split of a pool's engines changed. At most one line per pool and evaluation, of which there
+/// are two a second, and none while the load changes by less than a step.
 pub(crate) fn pool_split(change: &SplitChange) {
     let stats = &change.stats;
     log::info!(
@@ -131,37 +131,37 @@
         needed_streams = stats.need.streams, running = stats.load.running,
         exposed = stats.load.exposed_streams, long_requests = stats.load.long_requests,
         placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
-        "engines split between long prompts and streams"
+        "split of engines between long prompts and streams changed"
     );
 }
 
-/// A place was granted to a caller that had left meanwhile, and given back unused. Callers
-/// leave all the time: the count in the metrics tells more than the lines.
+/// A lease was granted to a caller that had disconnected meanwhile, and was released unused.
+/// Callers disconnect all the time, so the count in the metrics is more useful than these lines.
 pub(crate) fn lease_unclaimed(instance: &InstanceId) {
     metrics::lease_unclaimed();
-    log::debug!(event = "place_unclaimed", back_end = instance.as_str(); "place given back unused");
+    log::debug!(event = "place_unclaimed", back_end = instance.as_str(); "unclaimed lease released");
 }
 
-/// A place was not given back within its request's time: its holder lost it.
+/// A lease was not released within its request's time: its holder has lost it.
 pub(crate) fn lease_expired(expired: &ExpiredLease) {
     metrics::lease_expired();
     log::warn!(
         event = "place_expired", back_end = expired.instance.as_str();
-        "a place was not given back by its holder"
+        "lease expired without being released"
     );
 }
 
-/// This node began to aggregate for its zone, or stopped.
+/// This node started or stopped aggregating for its zone.
 pub(crate) fn aggregating(is_aggregator: bool) {
-    log::info!(event = "aggregating", on = is_aggregator; "duty as an aggregator");
+    log::info!(event = "aggregating", on = is_aggregator; "aggregator role changed");
 }
 
-/// Nothing is heard of a zone, or it is heard again.
+/// No messages arrive from a zone, or they arrive again.
 pub(crate) fn zone_reachability(zone: &str, is_silent: bool) {
     if is_silent {
-        log::warn!(event = "zone_silent", zone = zone; "nothing is heard of a zone");
+        log::warn!(event = "zone_silent", zone = zone; "no messages arrive from a zone");
     } else {
-        log::info!(event = "zone_heard", zone = zone; "a zone is heard again");
+        log::info!(event = "zone_heard", zone = zone; "messages from a zone arrive again");
     }
 }
 
@@ -173,26 +173,26 @@
 
 /// Documents could not be fetched from a peer.
 pub(crate) fn fetch_failed(peer: SocketAddr, error: &FetchError) {
-    log::warn!(event = "fetch_failed", peer:% = peer, error:% = error; "documents not fetched");
+    log::warn!(event = "fetch_failed", peer:% = peer, error:% = error; "fetching documents from a peer failed");
 }
 
-/// A document holds a value that makes no sense; the safe reading of it is in force.
+/// A document has an invalid value; a safe fallback is used.
 pub fn document_invalid(key: &str, problem: &str) {
     metrics::document_invalid("value");
-    log::warn!(event = "document_doubtful", item = key, doubt = problem; "document used with doubt");
+    log::warn!(event = "document_doubtful", item = key, doubt = problem; "document has an invalid value; a fallback is used");
 }
 
-/// A document names a zone or region that the settings don't know.
+/// A document names a zone or region that the settings don't contain.
 fn unknown_name(change: &ReceivedChange, unknown: &UnknownName) {
     metrics::document_invalid(unknown.kind());
     log::warn!(
         event = "document_doubtful", item = change.key.kind(), revision:% = change.revision,
         names = unknown.kind(), name = unknown.as_str();
-        "a document names what the settings don't know"
+        "document names a zone or region that is not in the settings"
     );
 }
 
-/// A document was taken, or refused.
+/// A document was applied, withheld or rejected.
 pub(crate) fn document_received(change: &ReceivedChange, source: &'static str) {
     for unknown in &change.unknown_names {
         unknown_name(change, unknown);
@@ -211,17 +211,17 @@
         ),
         ApplyOutcome::Applied => log::info!(
             event = "document_taken", item = item, kind = kind, revision:% = revision, source = source;
-            "document in force"
+            "document applied"
         ),
         ApplyOutcome::Rejected(error) => log::warn!(
             event = "document_refused", item = item, revision:% = revision, source = source,
             error = error.as_str();
-            "document refused; the previous one stays"
+            "document rejected; the previous one stays in force"
         ),
     }
 }
 
-/// A back end's standing changed.
+/// A back end was ejected or restored.
 pub(crate) fn back_end_health(instance: &InstanceId, change: HealthChange, outcome: Outcome) {
     let (event, span) = match change {
         HealthChange::Ejected(span) => ("back_end_ejected", span),
@@ -230,7 +230,7 @@
     log::warn!(
         event = event, back_end = instance.as_str(), for_ms = span.milliseconds(),
         after = outcome.as_str();
-        "standing changed"
+        "back-end health changed"
     );
 }
 
@@ -238,7 +238,7 @@
     (fraction * 100.0) as u64
 }
 
-/// What an engine told of its cache corrected what was believed, or has a gap.
+/// An engine's report on its cache corrected the index or has a gap.
 pub(crate) fn cache_updated(instance: &InstanceId, update: &CacheUpdate) {
     let counts = &update.counts;
     if update.stale + update.missing == 0 && counts.listings > 0 && counts.responses > 0 {
@@ -248,29 +248,29 @@
         event = "cache_told", back_end = instance.as_str(), gone = update.stale, kept = update.missing,
         followed_ms = update.followed_for.milliseconds(), listings = counts.listings,
         answers = counts.responses, gaps = counts.gaps, vain = counts.failed_calls;
-        "an engine told what it keeps"
+        "cache index updated by an engine's report"
     );
 }
 
-/// A call for what an engine keeps gave nothing.
+/// A cache call to an engine failed.
 pub(crate) fn cache_call_failed(instance: &InstanceId, cause: &str) {
     metrics::cache_call_failed("call");
     log::debug!(
         event = "cache_call_failed", back_end = instance.as_str(), cause = cause;
-        "no word of what an engine keeps"
+        "cache call to an engine failed"
     );
 }
 
-/// An engine's word on what it keeps makes no sense; it is not used.
+/// An engine's report on its cache is malformed; it is ignored.
 pub(crate) fn malformed_cache_response(instance: &InstanceId, error: &MalformedResponse) {
     metrics::cache_call_failed("shape");
     log::warn!(
         event = "cache_answer_doubtful", back_end = instance.as_str(), doubt:% = error;
-        "what an engine tells of its cache is not used"
+        "malformed cache response from an engine ignored"
     );
 }
 
-/// A request got a place on a back end.
+/// A request got a lease on a back end.
 pub(crate) fn granted(
     id: &str,
     route: &str,
@@ -296,12 +296,12 @@
     );
 }
 
-/// A request got no place.
+/// A request got no lease.
 pub(crate) fn not_granted(id: &str, reason: Reason, retry_after: Span) {
     log::warn!(
         event = "not_granted", request = id, reason = reason.as_str(),
         retry_after_ms = retry_after.milliseconds();
-        "no place"
+        "lease not granted"
     );
 }
 
@@ -320,41 +320,42 @@
     );
 }
 
-/// An answer says something of its back end.
+/// A response states something about its back end.
 pub(crate) fn back_end_notice(id: &str, back_end: &InstanceId, notice: Notice) {
     log::info!(
         event = "back_end_notice", request = id, back_end = back_end.as_str(),
         leaving = notice.is_leaving, rest_ms = notice.backoff.unwrap_or_default().milliseconds(),
         limit:% = notice.limit;
-        "an answer says something of its back end"
+        "a response states something about its back end"
     );
 }
 
-/// A back end said in an answer that it is leaving; it gets nothing more from this node.
+/// A back end announced in a response that it is leaving; this node sends it no more requests.
 pub(crate) fn back_end_leaving(instance: &InstanceId) {
     log::warn!(
         event = "back_end_leaving", back_end = instance.as_str();
-        "a back end says that it is leaving"
+        "a back end announced that it is leaving"
     );
 }
 
-/// The rate limit that a back end names can't be read; it is not kept.
+/// A back end's rate limit can't be parsed; it is ignored.
 pub(crate) fn invalid_limit(value: &HeaderValue) {
     log::warn!(
         event = "limit_unreadable", found:? = value;
-        "the rate limit that a back end names is not kept"
+        "malformed rate limit from a back end ignored"
     );
 }
 
-/// The rest that a back end asks for can't be read; it is not kept.
+/// A back end's Retry-After can't be parsed; it is ignored.
 pub(crate) fn invalid_backoff(value: &HeaderValue) {
     log::warn!(
         event = "rest_unreadable", found:? = value;
-        "the rest that a back end asks for is not kept"
+        "malformed Retry-After from a back end ignored"
     );
 }
 
-/// A back end crashed under a run: its connection broke and no new one comes up.
+/// A back end crashed while running a request: its connection broke and no new one can be
+/// established.
 pub(crate) fn crashed_run(
     id: &str,
     back_end: &InstanceId,
@@ -364,11 +365,11 @@
     log::warn!(
         event = "crashed_run", request = id, back_end = back_end.as_str(), digest:% = digest,
         connection = check.as_str();
-        "a back end crashed under a run"
+        "a back end crashed while running a request"
     );
 }
 
-/// A request is refused from now on because back ends crash under it, or no longer.
+/// A request is quarantined because back ends crash while running it, or its quarantine ended.
 pub(crate) fn quarantine(change: &QuarantineChange) {
     let details = change.details();
     log::warn!(
@@ -378,15 +379,15 @@
     );
 }
 
-/// A stream goes on at another back end.
+/// A stream was resumed at another back end.
 pub(crate) fn resumed(id: &str, back_end: &str, after_event: u64) {
     log::warn!(
         event = "resumed", request = id, back_end = back_end, after_event = after_event;
-        "stream taken up elsewhere"
+        "stream resumed at another back end"
     );
 }
 
-/// A lost run goes on at the engine that holds its replica.
+/// A lost run continues at the engine that holds its replica.
 pub(crate) fn taken_over(id: &str, back_end: &str, after_event: u64, waited: Span) {
     log::warn!(
         event = "taken_over", request = id, back_end = back_end, after_event = after_event,
@@ -395,16 +396,16 @@
     );
 }
 
-/// A lost run could not go on from its replica.
+/// A lost run could not be continued from its replica.
 pub(crate) fn replica_refused(id: &str, back_end: &str, reason: &str, waited: Span) {
     log::warn!(
         event = "replica_refused", request = id, back_end = back_end, reason = reason,
         waited_ms = waited.milliseconds();
-        "replica not used"
+        "run not continued from its replica"
     );
 }
 
-/// A back end's part of a stream is over.
+/// A back end's part of a stream has ended; this is the pacing of its events.
 pub(crate) fn stream_paced(id: &str, pacing: &StreamPacing, started: Timestamp) {
     let spacing = pacing.spacing().unwrap_or_default();
     let first_at = pacing.first_at().unwrap_or(started);
@@ -412,22 +413,22 @@
         event = "stream_paced", request = id, events = pacing.events(),
         first_event_ms = first_at.since(started).milliseconds(),
         spacing_ms = spacing.milliseconds(), longest_pause_ms = pacing.longest_pause().milliseconds();
-        "events came"
+        "pacing of a stream's events"
     );
 }
 
-/// A request was answered by this node itself.
+/// This node replied to a request itself.
 pub(crate) fn replied_locally(id: &str, reply: &LocalReply, elapsed: Span) {
     log::warn!(
         event = "answered_here", request = id, status = reply.status().as_u16(),
         reason = reply.reason(), verdict = reply.verdict().as_str(),
         digest:% = reply.digest().map(|digest| digest.to_string()).unwrap_or_default(),
         elapsed_ms = elapsed.milliseconds();
-        "answered here"
+        "replied locally"
     );
 }
 
-/// A request ended with a back end's answer, whole or not.
+/// A request ended with a back end's response, complete or not.
 pub(crate) fn ended(id: &str, outcome: &'static str, status: u16, attempts: u32, elapsed: Span) {
     if outcome == "whole" {
         log::info!(
@@ -444,11 +445,11 @@
     );
 }
 
-/// A request was ended because what it held did not fit any longer.
+/// A request was ended because the memory it holds no longer fits the budget.
 pub(crate) fn ended_for_memory(id: &str, route: &'static str, held: u64, reason: &'static str) {
     metrics::ended_for_memory(reason, route);
     log::warn!(
         event = "ended_for_memory", request = id, route = route, held_bytes = held, why = reason;
-        "ended for memory"
+        "request ended for lack of memory"
     );
 }
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines to standard output: bounded, and never waited for.
+//! Logging to standard output, bounded and non-blocking.
 //!
-//! Lines go into a queue that a thread of its own writes out. A full queue, a slow
-//! reader or a spent budget costs lines, which are counted and told; what concerns
-//! failures is kept before what concerns success.
+//! Lines go into a queue that a dedicated thread writes out. A full queue, a slow reader or an
+//! exhausted budget drops lines, which are counted and reported. Lines about failures have a budget
+//! of their own, so that lines about success don't displace them.
 
 use log::LevelFilter;
 use logforth::append::Append;
@@ -15,20 +15,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait to be written.
+/// Maximum lines waiting to be written.
 const QUEUE_LINES: usize = 4_096;
-/// Time between two writes, so that lines are written together.
+/// Time between two writes, so that lines are written in batches.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Beginning of the targets whose records are written; libraries' are not.
+/// Prefix of the log targets that are written; records of libraries are not.
 const OWN_TARGET_PREFIX: &str = "eiderferry";
 
-/// Lines allowed in a second.
+/// Maximum log lines per second.
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
-    /// Lines about success.
+    /// Lines of level info or below, about success.
     pub info_per_second: u32,
-    /// Lines about failures.
+    /// Warnings and errors, about failures.
     pub warnings_per_second: u32,
 }
 
@@ -48,7 +48,7 @@
     warning_lines: u32,
 }
 
-/// A queue of lines with a budget.
+/// A bounded queue of lines with a rate budget.
 #[derive(Debug)]
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
@@ -58,7 +58,7 @@
 }
 
 impl LogQueue {
-    /// A queue of so many lines with its reading end.
+    /// A queue of at most `lines` lines, and its receiving end.
     pub fn new(lines: usize, budget: LogBudget) -> (Self, Receiver<Vec<u8>>) {
         let (sender, receiver) = sync_channel(lines);
         let queue = Self {
@@ -74,12 +74,12 @@
         (queue, receiver)
     }
 
-    /// Lines left out since the last time this was asked.
+    /// Returns the number of lines dropped since the last call.
     pub fn drain_dropped_count(&self) -> u64 {
         self.dropped_lines.swap(0, Ordering::Relaxed)
     }
 
-    /// Whether the budget has room for a line.
+    /// Whether the budget has room for a line; one that it has no room for counts as dropped.
     pub fn admits(&self, is_warning: bool) -> bool {
         let Ok(mut window) = self.window.lock() else {
             return false;
@@ -102,7 +102,7 @@
         admits
     }
 
-    /// Queues a line unless the queue is full; never waits.
+    /// Queues a line, or drops it if the queue is full; never blocks.
     pub fn push(&self, line: Vec<u8>) {
         if self.lines.try_send(line).is_err() {
             self.dropped_lines.fetch_add(1, Ordering::Relaxed);
@@ -148,7 +148,7 @@
         .apply();
     log::set_max_level(LevelFilter::Info);
     let writer = std::thread::Builder::new().name("log".to_owned());
-    // Without the thread the queue fills, and lines are left out.
+    // If the thread can't be started, the queue fills and lines are dropped.
     let _ = writer.spawn(move || write_lines(&lines, &dropped_lines));
 }
 
@@ -163,7 +163,7 @@
         if count > 0 {
             batch.extend_from_slice(dropped_lines_record(count).as_bytes());
         }
-        // Where standard output is gone, there is nobody to tell.
+        // If standard output is closed, there is nowhere to report it.
         let _ = output.write_all(&batch);
         let _ = output.flush();
     }
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -1,46 +1,46 @@
-//! What this process holds for callers and back ends, counted against a bound.
+//! Accounting of the memory that this process holds for callers and back ends, against a limit.
 //!
-//! Every holder has a [`MemoryReservation`] that gives its bytes back when dropped; nothing is counted
-//! by hand. A bound of zero switches the counting's effects off, not the counting.
+//! Each holder has a [`MemoryReservation`] that releases its bytes when dropped; nothing is counted
+//! by hand. A limit of zero disables the limit, not the counting.
 
 use eiderferry_types::{Span, Timestamp};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 
-/// Part of the bound up to which new requests are taken: the rest is for the answers of
-/// those that have been taken.
+/// Fraction of the limit up to which new requests are accepted: the remainder is for the responses
+/// to those already accepted.
 const NEW_REQUESTS_FRACTION: f64 = 0.75;
-/// Part of the bound that events read ahead may fill. Below [`NEW_REQUESTS_FRACTION`], so that slow
-/// callers alone never make this node refuse work.
+/// Fraction of the limit that events read ahead may fill. Below [`NEW_REQUESTS_FRACTION`], so that
+/// slow callers alone never make this node refuse requests.
 const READ_AHEAD_FRACTION: f64 = 0.5;
-/// Part of the bound that one request's events may fill: 5 MiB of the 40 MiB of the smallest
-/// machines, more than the longest whole answer that is accepted.
+/// Fraction of the limit that one request's events may fill: 5 MiB of the 40 MiB of the smallest
+/// machines, more than the largest whole response that is accepted.
 const REQUEST_FRACTION: f64 = 0.125;
-/// Part of the bound that the bodies at one back end may fill.
+/// Fraction of the limit that the outstanding bodies at one back end may fill.
 const BACK_END_FRACTION: f64 = 0.25;
-/// Time over which the pace of giving back is measured.
+/// Window over which the release rate is measured.
 const RELEASE_RATE_WINDOW: Span = Span::from_milliseconds(1_000);
-/// Bounds of the time after which a refused request is asked to come back. The lower one is
-/// that of other refusals here; a longer one than the upper one no caller waits for.
+/// Bounds of the Retry-After of a refused request. The lower bound is that of the other refusals of
+/// this node; callers don't wait longer than the upper bound.
 const MINIMUM_RETRY_AFTER: Span = Span::from_milliseconds(300);
 const MAXIMUM_RETRY_AFTER: Span = Span::from_milliseconds(5_000);
 
-/// What is held.
+/// What memory is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryKind {
     /// A request's body, until its exchange is over and no connection sends it any more.
     Body,
-    /// A whole answer, until the caller's connection has taken it.
+    /// A whole response, until the caller's connection has taken it.
     Response,
     /// Events of a stream that were read ahead of the caller.
     Events,
 }
 
 impl MemoryKind {
-    /// All of them, in the order of their figures.
+    /// All kinds, in the order in which usage is stored.
     pub const ALL: [MemoryKind; 3] = [MemoryKind::Body, MemoryKind::Response, MemoryKind::Events];
 
-    /// The word used in metrics.
+    /// The name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             MemoryKind::Body => "body",
@@ -50,7 +50,7 @@
     }
 }
 
-/// Kinds of route told apart in metrics; the last stands for all others.
+/// Kinds of route distinguished in metrics; the last stands for all others.
 pub(crate) const ROUTE_LABELS: [&str; 5] = [
     "repeatable",
     "not_repeatable",
@@ -59,7 +59,7 @@
     "unknown",
 ];
 
-/// The budget does not allow it.
+/// The budget has no room for the bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MemoryFull;
 
@@ -71,27 +71,27 @@
     by_route: [[AtomicU64; ROUTE_LABELS.len()]; 3],
 }
 
-/// How fast bytes were given back lately.
+/// How fast bytes were released recently.
 #[derive(Debug, Default)]
 struct ReleaseRate {
     window_start: Timestamp,
     released: u64,
-    /// Bytes in the last full window.
+    /// Bytes released in the last full window.
     last_window: u64,
 }
 
-/// The bound of a process and what is held under it.
+/// The memory limit of a process and the usage under it.
 #[derive(Debug, Default)]
 pub struct MemoryBudget {
     limit: u64,
     usage: Usage,
-    /// Bytes given back since the pace was last looked at.
+    /// Bytes released since the release rate was last updated.
     released: AtomicU64,
     release_rate: Mutex<ReleaseRate>,
 }
 
 impl MemoryBudget {
-    /// A budget of this many bytes; 0: no bound.
+    /// A budget with a limit in bytes; 0 means no limit.
     pub fn new(limit: u64) -> Arc<Self> {
         Arc::new(Self {
             limit,
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Whether there is a bound.
+    /// Whether there is a limit.
     pub fn is_bounded(&self) -> bool {
         self.limit > 0
     }
@@ -114,12 +114,12 @@
         self.usage.by_kind[kind as usize].load(Relaxed)
     }
 
-    /// Most bytes that were ever held at once.
+    /// Maximum bytes that were ever held at once.
     pub fn peak(&self) -> u64 {
         self.usage.peak.load(Relaxed)
     }
 
-    /// Bytes by kind and kind of route.
+    /// Bytes held by kind and kind of route.
     pub(crate) fn by_kind_and_route(
         &self,
     ) -> impl Iterator<Item = (MemoryKind, &'static str, u64)> {
@@ -131,12 +131,12 @@
         })
     }
 
-    /// Most bytes of events that one request may have read ahead.
+    /// Maximum bytes of events that one request may have read ahead.
     pub(crate) fn request_limit(&self) -> u64 {
         self.fraction_of_limit(REQUEST_FRACTION)
     }
 
-    /// Most bytes of bodies at one back end; none if there is no bound.
+    /// Maximum outstanding bytes of bodies at one back end; `None` if there is no limit.
     pub(crate) fn back_end_limit(&self) -> Option<u64> {
         self.is_bounded()
             .then(|| self.fraction_of_limit(BACK_END_FRACTION))
@@ -146,7 +146,7 @@
         (self.limit as f64 * fraction) as u64
     }
 
-    /// Whether this much more of a kind may be held.
+    /// Whether this many more bytes of a kind may be held.
     fn allows(&self, kind: MemoryKind, bytes: u64) -> bool {
         let total = self.held() + bytes;
         match kind {
@@ -180,7 +180,7 @@
         self.released.fetch_add(bytes, Relaxed);
     }
 
-    /// Notes how much was given back; called now and then.
+    /// Updates the release rate; called periodically.
     pub(crate) fn update_release_rate(&self, now: Timestamp) {
         let Ok(mut release_rate) = self.release_rate.lock() else {
             return;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// When a body of this many bytes will fit, at the pace of the last second.
+    /// Time until a body of this many bytes will fit, at the recent release rate.
     pub(crate) fn retry_after(&self, bytes: u64) -> Span {
         let excess =
             (self.held() + bytes).saturating_sub(self.fraction_of_limit(NEW_REQUESTS_FRACTION));
@@ -207,7 +207,7 @@
     }
 }
 
-/// Bytes that are held; dropped, they are given back.
+/// Reserved bytes; released when dropped.
 #[derive(Debug)]
 pub(crate) struct MemoryReservation {
     budget: Arc<MemoryBudget>,
@@ -217,7 +217,7 @@
 }
 
 impl MemoryReservation {
-    /// Holds nothing yet, for a route of this kind.
+    /// An empty reservation for a kind of route.
     pub fn empty(budget: &Arc<MemoryBudget>, kind: MemoryKind, route: &'static str) -> Self {
         let label = ROUTE_LABELS.iter().position(|label| *label == route);
         Self {
@@ -228,14 +228,14 @@
         }
     }
 
-    /// Holds this much more, if the budget allows it.
+    /// Reserves more bytes, if the budget allows it.
     pub fn grow(&mut self, bytes: u64) -> Result<(), MemoryFull> {
         self.budget.reserve(self.kind, self.route, bytes)?;
         self.bytes += bytes;
         Ok(())
     }
 
-    /// Gives a part back.
+    /// Releases a part of the bytes.
     pub fn shrink(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
@@ -246,7 +246,8 @@
         self.bytes
     }
 
-    /// The same bytes as a body that gives them back once the last part of it is dropped.
+    /// Attaches the reservation to the bytes: it is released when the last slice of them is
+    /// dropped.
     pub fn into_bytes(self, content: bytes::BytesMut) -> bytes::Bytes {
         if content.is_empty() {
             return bytes::Bytes::new();
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters, gauges and histograms.
 //!
-//! Labels are kinds of route, ranks and outcomes: their number does not grow with
-//! routes, tenants or requests.
+//! Label values are kinds of route, ranks and outcomes, so their number does not grow with routes,
+//! tenants or requests.
 
 use crate::memory_budget::MemoryBudget;
 use eiderferry_dispatch::{Distance, MessageKind, Snapshot, SplitStats};
@@ -9,12 +9,12 @@
 use eiderferry_types::Span;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// Bounds of the histograms in seconds.
+/// Bucket bounds of the histograms in seconds.
 const BUCKETS_SECONDS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 12.0,
 ];
 
-/// Installs the recorder of the process.
+/// Installs the process-wide recorder.
 pub(crate) fn install() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new()
         .set_buckets(&BUCKETS_SECONDS)
@@ -25,7 +25,7 @@
     Some(handle)
 }
 
-/// The kind of a route, as a label.
+/// The kind of a route, as a label value.
 pub(crate) fn kind(route: &Route) -> &'static str {
     match route.kind {
         RouteKind::Repeatable => "repeatable",
@@ -47,7 +47,7 @@
         .record(elapsed.seconds());
 }
 
-/// The first event, or the whole answer, of a request came.
+/// The first event or the whole response of a request arrived.
 pub(crate) fn first_event(route: &Route, rank: u8, elapsed: Span) {
     let in_time = if elapsed <= route.target { "yes" } else { "no" };
     let rank = rank.to_string();
@@ -60,8 +60,8 @@
         .record(elapsed.seconds());
 }
 
-/// By how much the first event of a stream differed from what was expected of its back
-/// end: the error of the model that placement rests on.
+/// Difference between the expected and the actual time to the first event of a stream: the error of
+/// the model that placement uses.
 pub(crate) fn first_event_error(expected: Span, actual: Span) {
     let (direction, error) = if actual > expected {
         ("later", Span(actual.0 - expected.0))
@@ -77,49 +77,50 @@
     metrics::counter!("eiderferry_attempts_total", "outcome" => outcome).increment(1);
 }
 
-/// A place was granted to a caller that had left, and given back unused.
+/// A lease was granted to a caller that had disconnected, and was released unused.
 pub(crate) fn lease_unclaimed() {
     metrics::counter!("eiderferry_places_unclaimed_total").increment(1);
 }
 
-/// A place was not given back within its request's time.
+/// A lease was not released within its request's time.
 pub(crate) fn lease_expired() {
     metrics::counter!("eiderferry_places_expired_total").increment(1);
 }
 
-/// A back end crashed under a run.
+/// A back end crashed while running a request.
 pub(crate) fn crashed_run(connection: &'static str) {
     metrics::counter!("eiderferry_crashed_runs_total", "connection" => connection).increment(1);
 }
 
-/// An answer says something of its back end.
+/// A response states something about its back end.
 pub(crate) fn notice(statement: &'static str) {
     metrics::counter!("eiderferry_back_end_notices_total", "what" => statement).increment(1);
 }
 
-/// What an answer says of its back end can't be read.
+/// A response's statement about its back end can't be parsed.
 pub(crate) fn invalid_notice() {
     metrics::counter!("eiderferry_back_end_notices_doubtful_total").increment(1);
 }
 
-/// A run got a replica.
+/// A run was started with a replica.
 pub(crate) fn replica_started() {
     metrics::counter!("eiderferry_run_replicas_total").increment(1);
 }
 
-/// A lost run was, or was not, continued from its replica; the wait for the holder's word.
+/// Whether a lost run was continued from its replica, and how long the replica's holder took to
+/// respond.
 pub(crate) fn takeover(outcome: &'static str, waited: Span) {
     metrics::counter!("eiderferry_takeovers_total", "outcome" => outcome).increment(1);
     metrics::histogram!("eiderferry_takeover_seconds", "outcome" => outcome)
         .record(waited.seconds());
 }
 
-/// A message between nodes was lost here.
+/// A message between nodes was lost on this node.
 pub(crate) fn message_lost(step: &'static str) {
     metrics::counter!("eiderferry_messages_lost_total", "step" => step).increment(1);
 }
 
-/// Bytes of control traffic were sent to another node, headers of the network not included.
+/// Bytes of control traffic sent to another node, without network headers.
 pub(crate) fn control_bytes(kind: MessageKind, distance: Distance, bytes: usize) {
     metrics::counter!(
         "eiderferry_control_bytes_total", "kind" => kind.label(), "border" => distance.label()
@@ -127,7 +128,7 @@
     .increment(bytes as u64);
 }
 
-/// Kind of call to the source of documents.
+/// Kind of call to the document source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceCall {
     /// Lists all documents.
@@ -136,7 +137,7 @@
     Watch,
 }
 
-/// Counts a finished call to the source of documents. A listing of several pages counts once.
+/// Counts a finished call to the document source. A listing of several pages counts once.
 pub fn source_call(call: SourceCall, outcome: &'static str) {
     let call = match call {
         SourceCall::List => "list",
@@ -146,27 +147,27 @@
         .increment(1);
 }
 
-/// A node that asked for documents was sent on to others.
+/// A peer that requested documents was redirected to other nodes.
 pub(crate) fn documents_redirected() {
     metrics::counter!("eiderferry_documents_sent_on_total").increment(1);
 }
 
-/// A document held something that makes no sense here.
+/// A document has an invalid value or an unknown name.
 pub(crate) fn document_invalid(what: &'static str) {
     metrics::counter!("eiderferry_documents_doubtful_total", "what" => what).increment(1);
 }
 
-/// A call for what an engine keeps gave nothing, or what it told makes no sense.
+/// A cache call to an engine failed, or its response is malformed.
 pub(crate) fn cache_call_failed(step: &'static str) {
     metrics::counter!("eiderferry_cache_calls_failed_total", "step" => step).increment(1);
 }
 
-/// This node answered a request by itself.
+/// This node replied to a request itself.
 pub(crate) fn local_reply(reason: &'static str) {
     metrics::counter!("eiderferry_own_answers_total", "reason" => reason).increment(1);
 }
 
-/// Prompt tokens found kept, and still to be read.
+/// Prompt tokens found in the cache, and those still to be computed.
 pub(crate) fn prompt_tokens(cached: u32, uncached: u32) {
     metrics::counter!("eiderferry_prompt_tokens_total", "found" => "kept")
         .increment(u64::from(cached));
@@ -174,7 +175,7 @@
         .increment(u64::from(uncached));
 }
 
-/// What is held for callers and back ends.
+/// Memory held for callers and back ends.
 pub(crate) fn set_memory_gauges(budget: &MemoryBudget) {
     for (kind, route, bytes) in budget.by_kind_and_route() {
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
@@ -183,13 +184,13 @@
     metrics::gauge!("eiderferry_held_bytes_highest").set(budget.peak() as f64);
 }
 
-/// A request was ended for want of memory.
+/// A request was ended for lack of memory.
 pub(crate) fn ended_for_memory(reason: &'static str, route: &'static str) {
     metrics::counter!("eiderferry_ended_for_memory_total", "why" => reason, "route" => route)
         .increment(1);
 }
 
-/// How the dispatcher stands.
+/// Updates gauges and counters from the dispatcher's state.
 pub(crate) fn set_gauges(snapshot: &Snapshot) {
     metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
@@ -223,7 +224,7 @@
     set_split_gauges(&snapshot.largest_split);
 }
 
-/// How the engines of the largest split pool are split, and what that rests on.
+/// The split of the largest split pool's engines, and the figures that it is based on.
 fn set_split_gauges(split: &SplitStats) {
     let stream_engines = split.ranked_engines.saturating_sub(split.prompt_engines);
     for (side, engines, needed) in [
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -1,9 +1,9 @@
-//! Streams read on while their callers lag.
+//! Reading streams ahead while their callers lag.
 //!
-//! A stream's source is polled by whoever is served: by the caller's connection while it takes
-//! events, and beside it, from the same task, while it can't. So a keen caller's events take
-//! no other way than before, a caller that leaves drops source and events at once, and no
-//! stream has a task of its own.
+//! A stream's source is polled by the caller's connection while it takes events, and otherwise from
+//! the connection's task. So the events of a fast caller take the same path as without reading
+//! ahead, a caller that disconnects drops source and events at once, and no stream needs a task of
+//! its own.
 
 use crate::answer::{BrokenResponse, ChunkStream};
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
@@ -19,27 +19,27 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// Longest time that a back end's answer sits unread because the request's bound is reached:
-/// back ends cut such an answer off after some seconds.
+/// Longest time that a back end's response is left unread because the request's limit is reached:
+/// back ends abort such a response after some seconds.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A stream with what was read of it ahead of its caller.
+/// A stream with the events that were read ahead of its caller.
 pub(crate) struct ReadAhead {
     source: Option<ChunkStream>,
     buffered: VecDeque<Bytes>,
     reservation: MemoryReservation,
-    /// How the source ended, until it is told.
+    /// How the source ended, until the caller's connection has been told.
     end: Option<Result<(), BrokenResponse>>,
-    /// The caller's connection has taken a piece and not asked for another one.
+    /// The caller's connection has taken a chunk and not asked for the next one.
     is_lagging: bool,
     is_registered: bool,
-    /// Runs while the request's bound keeps the source from being read.
+    /// Runs while the request's limit keeps the source from being read.
     stall_timer: Option<Timer>,
     connection_waker: Option<Waker>,
     memory: Rc<RequestMemory>,
 }
 
-/// The side of a stream that its caller's connection polls.
+/// The side of a stream that the caller's connection polls.
 pub(crate) struct CallerStream(pub Rc<RefCell<ReadAhead>>);
 
 impl Stream for CallerStream {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The connection's side: which stream it is sending now.
+/// The stream that a connection is sending.
 pub(crate) type CurrentStream = RefCell<Weak<RefCell<ReadAhead>>>;
 
 impl ReadAhead {
@@ -69,7 +69,7 @@
         }))
     }
 
-    /// The next piece for the caller.
+    /// The next chunk for the caller.
     pub fn poll_next(
         &mut self,
         context: &mut Context<'_>,
@@ -91,13 +91,14 @@
         next
     }
 
-    /// How little it is worth to keep; `None` if it holds nothing.
+    /// Eviction priority of the stream; `None` if it holds nothing.
     pub fn eviction_priority(&self) -> Option<EvictionPriority> {
         let bytes = self.reservation.bytes();
         (bytes > 0).then(|| self.memory.eviction_priority(bytes))
     }
 
-    /// Ends it for another's sake. What is returned is dropped once nothing is borrowed.
+    /// Ends the stream to free memory for another. The caller drops the returned source once
+    /// nothing is borrowed.
     pub fn evict(&mut self) -> Option<ChunkStream> {
         self.discard("budget")
     }
@@ -117,7 +118,7 @@
         matches!(self.end, Some(Err(BrokenResponse::Memory)))
     }
 
-    /// Keeps one more piece.
+    /// Buffers a chunk, evicting streams of higher eviction priority if necessary.
     fn buffer_chunk(&mut self, chunk: Bytes) -> Result<(), MemoryFull> {
         let bytes = chunk.len() as u64;
         while self.reservation.grow(bytes).is_err() {
@@ -132,8 +133,8 @@
         Ok(())
     }
 
-    /// Reads on while the caller lags. Ready once the stream was given up: the connection is to
-    /// be closed, for the caller may never take the bytes that would tell it so.
+    /// Reads ahead while the caller lags. Ready once the stream was discarded: the connection then
+    /// has to be closed, because the caller may never take the bytes that would show it the end.
     fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while self.is_lagging && self.end.is_none() {
             if self.reservation.bytes() >= self.memory.shared.budget.request_limit() {
@@ -167,7 +168,8 @@
         self.end = Some(end);
     }
 
-    /// Waits for the caller with as much as the request may hold.
+    /// Waits for a caller whose request has reached its limit, and discards the stream after
+    /// [`STALL_TIMEOUT`].
     fn poll_stall_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let timer = self
             .stall_timer
@@ -181,7 +183,7 @@
     }
 }
 
-/// Reads on for the stream that a connection is sending; polled after the connection.
+/// Reads ahead for the stream that a connection is sending; polled after the connection.
 pub(crate) fn poll_read_ahead(current: &CurrentStream, context: &mut Context<'_>) -> Poll<()> {
     let Some(stream) = current.borrow().upgrade() else {
         return Poll::Pending;
