--- a/crates/transport/relay/src/answer.rs
+++ b/crates/transport/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use crate::buffered_body::BufferedBody;
 use bytes::Bytes;
@@ -9,32 +9,32 @@
 use std::task::{Context, Poll};
 
 quick_error! {
-    /// Why an answer breaks off after its head was sent. The connection is closed, so
-    /// that the answer does not look complete.
+    /// Why a response breaks off after its head was sent. The connection is closed, so that the
+    /// response does not look complete.
     #[derive(Debug)]
     pub enum BrokenResponse {
-        /// The back end broke off.
+        /// The back end's stream broke off and could not be failed over.
         BackEnd {
-            display("the back end broke off its answer")
+            display("the back end's response broke off")
         }
-        /// The route's time has passed.
+        /// The request's deadline has passed.
         TimedOut {
-            display("the time-out of the route has passed")
+            display("the request's deadline has passed")
         }
-        /// What was read ahead of the caller exceeds the memory for it.
+        /// The events read ahead of the caller exceed their memory limit.
         Memory {
-            display("no memory for what the caller has not taken")
+            display("no memory for events that the caller has not read")
         }
     }
 }
 
 pub(crate) type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenResponse>>>>;
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub enum RelayBody {
-    /// All of it is here.
+    /// Fully buffered.
     Buffered(BufferedBody),
-    /// It comes in pieces.
+    /// Forwarded as it arrives.
     Stream(ChunkStream),
 }
 
--- a/crates/transport/relay/src/buffered_body.rs
+++ b/crates/transport/relay/src/buffered_body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are here in whole, sent in slices.
+//! Fully buffered bodies, sent in slices.
 
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
@@ -6,12 +6,12 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Most bytes handed to a connection at once. The library copies what it is handed into a
-/// buffer of its own: of an answer of 4 MiB handed over at once nothing would stay counted
-/// while its caller does not read.
+/// Maximum bytes handed to a connection at once. hyper copies them into its own buffer: if a
+/// response of 4 MiB were handed over at once, none of it would stay counted while its caller does
+/// not read.
 const SLICE_BYTES: usize = 16 * 1024;
 
-/// A body whose bytes are all here.
+/// A fully buffered body.
 pub(crate) struct BufferedBody(Bytes);
 
 impl From<Bytes> for BufferedBody {
@@ -28,7 +28,7 @@
         }
         let slice = self.0.split_to(length);
         if self.0.is_empty() {
-            // An empty rest would hold the whole as long as this body lives.
+            // An empty remainder would keep the whole buffer allocated as long as this body lives.
             self.0 = Bytes::new();
         }
         Some(slice)
--- a/crates/transport/relay/src/cancellation.rs
+++ b/crates/transport/relay/src/cancellation.rs
@@ -1,5 +1,5 @@
-//! Requests that are taken back from back ends: one that is quarantined while it still waits at
-//! a back end would crash that one too.
+//! Cancellation of quarantined requests that are still running at a back end, which they would
+//! crash too.
 
 use eiderferry_dispatch::QuarantineChange;
 use eiderferry_types::{RequestDigest, Timestamp};
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The quarantined requests, as the control thread tells them to those that wait for answers.
+/// The quarantined requests, published by the control thread to tasks that wait for responses.
 #[derive(Clone, Default)]
 pub(crate) struct Cancellations {
     shared: Arc<QuarantineState>,
@@ -15,13 +15,13 @@
 
 #[derive(Default)]
 struct QuarantineState {
-    /// Until when each is refused.
+    /// Until when each request is refused.
     refused: Mutex<HashMap<RequestDigest, Timestamp>>,
     changed: Event,
 }
 
 impl Cancellations {
-    /// Takes over what changed with a request.
+    /// Records a change of a request's quarantine.
     pub fn record(&self, change: &QuarantineChange, now: Timestamp) {
         let refused = self.shared.refused.lock();
         let mut refused = refused.unwrap_or_else(PoisonError::into_inner);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Waits until a request is quarantined; until when it is.
+    /// Waits until a request is quarantined; returns until when it is.
     pub async fn wait_for_quarantine(&self, request: RequestDigest) -> Timestamp {
         loop {
             let changed = self.shared.changed.listen();
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -431,7 +431,7 @@
                     false,
                 );
             }
-            Err(FetchError::Busy(peer)) => log::debug!("documents: {peer} is busy"),
+            Err(FetchError::Busy(peer)) => log::debug!("documents not fetched: {peer} is busy"),
             Err(error) => events::fetch_failed(from, &error),
         }
     }
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -1,9 +1,9 @@
-//! Whether a back end went down with the run that broke off there.
+//! Detection of back ends that crash while running a request.
 //!
-//! A broken connection alone proves little: connections are reset, answers are cut short by
-//! back ends that go on serving. A back end that has crashed refuses new connections until it
-//! is back, which takes it seconds. One whose connections only fell silent has crashed too if it
-//! refuses new ones: the word of its end was lost.
+//! A broken connection alone proves little: connections are reset, and back ends that keep serving
+//! truncate responses. A crashed back end refuses new connections until it is back, which takes
+//! seconds. A back end whose connection only fell silent has crashed too if it refuses new ones:
+//! the packet that closed the connection was lost.
 
 use crate::control::ControlHandle;
 use crate::exchange::Exchange;
@@ -14,7 +14,7 @@
 use eiderferry_types::RequestDigest;
 use std::net::SocketAddr;
 
-/// A run that got no answer, and the back end that may have crashed under it.
+/// A run that got no response, and the back end that may have crashed while running it.
 struct LostRun {
     request_id: String,
     digest: RequestDigest,
@@ -25,7 +25,7 @@
 }
 
 impl Exchange {
-    /// Notes that an attempt at a back end failed, and whether the back end crashed under it.
+    /// Records that an attempt at a back end failed, and reports the back end if it crashed.
     pub(crate) async fn record_failed_attempt(
         &self,
         back_end: &InstanceId,
@@ -44,8 +44,8 @@
         };
         match outcome {
             Outcome::IncompleteResponse => run.report_if_crashed().await,
-            // Where nothing answers the check takes as long as a connection may: the next
-            // attempt does not wait for it.
+            // If nothing responds, the check takes as long as the connect timeout; the next attempt
+            // does not wait for it.
             Outcome::TimedOut => self.traffic.upstream.spawn(run.report_if_crashed()),
             _ => {}
         }
@@ -53,13 +53,13 @@
 }
 
 impl LostRun {
-    /// Tells the control thread if the back end is gone.
+    /// Reports a crash to the control thread if the back end is down.
     async fn report_if_crashed(self) {
         let check = check_connection(self.address).await;
         let has_crashed = match check {
             ConnectionCheck::Listening => false,
             ConnectionCheck::Refused => true,
-            // A back end that is silent to both may be cut off and at work.
+            // A back end that responds on neither connection may be partitioned but working.
             ConnectionCheck::TimedOut => self.outcome == Outcome::IncompleteResponse,
         };
         if !has_crashed {
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -19,7 +19,7 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Maximum size of a package in bytes; a package may hold all documents of a deployment.
+/// Maximum frame in bytes: a package may hold all documents of a deployment.
 const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 /// Timeout for fetching a package.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -48,7 +48,7 @@
         }
         /// The peer and those that it named already serve as many transfers as they can.
         Busy(peer: SocketAddr) {
-            display("{peer} and those that it named are busy")
+            display("{peer} and the nodes that it named are busy")
         }
         /// No response arrived in time.
         TimedOut {
@@ -257,7 +257,10 @@
         Ok(bytes) => bytes,
         Err(error) => {
             // An empty reply can't be decoded, so the caller asks another node.
-            log::error!(event = "documents_not_encoded", error:% = error; "encoding the documents for a peer failed");
+            log::error!(
+                event = "documents_not_encoded", error:% = error;
+                "encoding the documents for a peer failed"
+            );
             Vec::new()
         }
     }
--- a/crates/transport/relay/src/event_stream.rs
+++ b/crates/transport/relay/src/event_stream.rs
@@ -1,10 +1,10 @@
-//! Cuts a stream of events at the ends of events, leaving every byte as it came.
+//! Splits an event stream into whole events, leaving every byte unchanged.
 
 use bytes::{Bytes, BytesMut};
 
 const ID_FIELD_PREFIX: &[u8] = b"id:";
 
-/// Collects bytes of an event stream and hands out whole events.
+/// Buffers bytes of an event stream and returns whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -13,7 +13,7 @@
 }
 
 impl EventSplitter {
-    /// A splitter of a stream that goes on after an event.
+    /// A splitter for a stream that is resumed after an event.
     pub fn resuming_after(last_id: Option<u64>) -> Self {
         Self {
             pending: BytesMut::new(),
@@ -22,23 +22,23 @@
         }
     }
 
-    /// Number of the last whole event handed out.
+    /// Number of the last whole event returned.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events handed out.
+    /// Number of events returned.
     pub fn emitted(&self) -> u64 {
         self.emitted
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Adds bytes; returns all whole events that have not been handed out, without
-    /// those that are no newer than the last one.
+    /// Adds bytes; returns all whole events not yet returned, without those that are not newer than
+    /// the last one.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let mut events = BytesMut::new();
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -51,7 +51,10 @@
 
 /// The document source responds again.
 pub fn source_recovered(silent_ms: u64) {
-    log::info!(event = "source_regained", silent_ms = silent_ms; "the document source responds again");
+    log::info!(
+        event = "source_regained", silent_ms = silent_ms;
+        "the document source responds again"
+    );
 }
 
 /// The document source refused a call because it has compacted its history after the given
@@ -139,7 +142,10 @@
 /// Callers disconnect all the time, so the count in the metrics is more useful than these lines.
 pub(crate) fn lease_unclaimed(instance: &InstanceId) {
     metrics::lease_unclaimed();
-    log::debug!(event = "place_unclaimed", back_end = instance.as_str(); "unclaimed lease released");
+    log::debug!(
+        event = "place_unclaimed", back_end = instance.as_str();
+        "unclaimed lease released"
+    );
 }
 
 /// A lease was not released within its request's time: its holder has lost it.
@@ -173,13 +179,19 @@
 
 /// Documents could not be fetched from a peer.
 pub(crate) fn fetch_failed(peer: SocketAddr, error: &FetchError) {
-    log::warn!(event = "fetch_failed", peer:% = peer, error:% = error; "fetching documents from a peer failed");
+    log::warn!(
+        event = "fetch_failed", peer:% = peer, error:% = error;
+        "fetching documents from a peer failed"
+    );
 }
 
 /// A document has an invalid value; a safe fallback is used.
 pub fn document_invalid(key: &str, problem: &str) {
     metrics::document_invalid("value");
-    log::warn!(event = "document_doubtful", item = key, doubt = problem; "document has an invalid value; a fallback is used");
+    log::warn!(
+        event = "document_doubtful", item = key, doubt = problem;
+        "document has an invalid value; a fallback is used"
+    );
 }
 
 /// A document names a zone or region that the settings don't contain.
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -80,12 +80,14 @@
 }
 
 impl Exchange {
+    /// Ends the request with a back end's response.
     pub fn forward(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
         self.status = response.status().as_u16();
         self.finish("whole");
         response
     }
 
+    /// Ends the request with `fallback`, a back end's server error, or else with the local reply.
     pub fn conclude(
         mut self,
         fallback: Option<Response<RelayBody>>,
@@ -116,6 +118,7 @@
         self.traffic.clock.now().since(self.started)
     }
 
+    /// The reply after the last attempt, which ended with this outcome and without a response.
     pub fn final_reply(&self, outcome: Outcome) -> LocalReply {
         if self.may_have_run {
             return if self.traffic.clock.now() >= self.deadline {
--- a/crates/transport/relay/src/gossip.rs
+++ b/crates/transport/relay/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes as datagrams.
+//! Messages between nodes, sent as UDP datagrams.
 
 use crate::{events, metrics};
 use eiderferry_dispatch::{Distance, Envelope, Gossip};
@@ -6,9 +6,9 @@
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
 
-/// First byte of each datagram: the version of the format.
+/// First byte of each datagram: the format version.
 const FORMAT_VERSION: u8 = 7;
-/// Largest datagram that UDP carries.
+/// Receive buffer in bytes, enough for the largest UDP datagram.
 const RECEIVE_BUFFER_BYTES: usize = 65_536;
 
 /// The socket for messages of other nodes.
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Sends a message; what can't be sent now is lost, and repeated with the next.
-    /// `distance` says what lies between this node and another.
+    /// Sends a message. If it can't be sent now it is lost; later messages repeat its content.
+    /// `distance` returns the distance from this node to another.
     pub fn send(&self, envelope: &Envelope, distance: impl Fn(SocketAddr) -> Distance) {
         let frame = match postcard::to_extend(&envelope.message, vec![FORMAT_VERSION]) {
             Ok(frame) => frame,
@@ -38,13 +38,13 @@
         for address in &envelope.to {
             metrics::control_bytes(envelope.kind, distance(*address), frame.len());
             if let Err(error) = self.socket.get_ref().send_to(&frame, address) {
-                log::trace!("a message to {address} was not sent: {error}");
+                log::trace!("sending a message to {address} failed: {error}");
                 metrics::message_lost("send");
             }
         }
     }
 
-    /// The next message that can be read.
+    /// Receives a datagram; `None` if it can't be received or decoded.
     pub async fn receive(&self) -> Option<(SocketAddr, Gossip)> {
         let mut buffer = self.buffer.take();
         buffer.resize(RECEIVE_BUFFER_BYTES, 0);
@@ -52,7 +52,7 @@
         let message = match received {
             Ok((length, from)) => decode(&buffer[..length]).map(|message| (from, message)),
             Err(error) => {
-                log::trace!("no message was received: {error}");
+                log::trace!("receiving a message failed: {error}");
                 None
             }
         };
--- a/crates/transport/relay/src/header_names.rs
+++ b/crates/transport/relay/src/header_names.rs
@@ -1,51 +1,50 @@
-//! Names of the headers by which callers, this node and back ends understand each
-//! other. An adapter supplies them.
+//! Names of the headers that callers, this node and back ends exchange. An adapter supplies them.
 
 use http::HeaderName;
 
-/// Header names.
+/// Names of the headers that the relay reads and sets.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identity of a request; echoed by back ends.
+    /// Id of a request; echoed by back ends.
     pub request_id: HeaderName,
-    /// Milliseconds that remain to the caller, or to the back end.
+    /// Remaining time in milliseconds, from a caller or to a back end.
     pub remaining_ms: HeaderName,
-    /// Instance that the request is meant for.
+    /// Back-end instance that the request is meant for.
     pub expected_instance: HeaderName,
-    /// Tenant, as told to back ends.
+    /// Tenant, sent to back ends.
     pub tenant: HeaderName,
-    /// Level of urgency, as told to back ends; 0 is the most urgent.
+    /// Priority level, sent to back ends; 0 is the highest priority.
     pub priority: HeaderName,
-    /// A back end's word that it has not run the request.
+    /// Set by a back end that has not run the request.
     pub not_run: HeaderName,
-    /// A back end's word, in any of its answers, that it is leaving.
+    /// Set by a back end that is leaving, in any of its responses.
     pub leaving: HeaderName,
-    /// Requests a second that a back end takes from all nodes together, in any of its answers for
-    /// as long as it has such a limit.
+    /// Requests per second that a back end accepts from all nodes together; in each of its
+    /// responses while it has such a limit.
     pub rate_limit: HeaderName,
-    /// Prompt tokens and the most tokens out, joined by a comma.
+    /// Prompt tokens and maximum output tokens, separated by a comma.
     pub token_usage: HeaderName,
-    /// Parts of the prompt, `ID:TOKENS` joined by commas, identifiers in hex.
+    /// Parts of the prompt as `ID:TOKENS`, separated by commas, with ids in hex.
     pub prompt_parts: HeaderName,
-    /// The caller's guess of how many tokens come out.
+    /// The caller's estimate of the output tokens.
     pub length_hint: HeaderName,
-    /// Engine from which a back end copies what it lacks of a prompt.
+    /// Engine from which the back end copies the prompt parts that it has not cached.
     pub copy_from: HeaderName,
-    /// Engine at which a replica of the run is to be kept up.
+    /// Engine that is to hold a replica of the run.
     pub replica_at: HeaderName,
     /// Replica from which a run is continued: `ADDRESS/REQUEST`.
     pub resume_from: HeaderName,
-    /// Where a stream is taken up.
+    /// Event after which a stream is resumed.
     pub last_event_id: HeaderName,
     /// Model that a request asks for.
     pub model: HeaderName,
-    /// Further headers by which a router commands back ends. A caller's copy never goes
-    /// on: a back end would take it for this node's word.
+    /// Further headers with which a router controls back ends. A caller's copy is never forwarded:
+    /// a back end would take it for this node's.
     pub commands: Vec<HeaderName>,
 }
 
 impl HeaderNames {
-    /// Headers that this node alone sets on a request to a back end.
+    /// Headers that only this node sets on a request to a back end.
     pub(crate) fn set_by_node(&self) -> impl Iterator<Item = &HeaderName> {
         let names = [
             &self.tenant,
@@ -59,8 +58,8 @@
         names.into_iter().chain(&self.commands)
     }
 
-    /// Whether a header describes the request itself: a caller that lists it in
-    /// `Connection` does not keep it from the back end.
+    /// Whether a header describes the request itself, and is forwarded even if the caller lists it
+    /// in `Connection`.
     pub(crate) fn describes_request(&self, name: &HeaderName) -> bool {
         let names = [
             &self.request_id,
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -1,4 +1,4 @@
-//! A granted place that gives itself back.
+//! Leases that are released when dropped.
 
 use crate::control::ControlHandle;
 use crate::metrics;
@@ -6,7 +6,7 @@
 use eiderferry_dispatch::{Grant, Outcome, StreamPacing};
 use eiderferry_types::Timestamp;
 
-/// A place on a back end. Dropped without a word, it was abandoned.
+/// A lease on a back end. If it is dropped without being released, the request counts as abandoned.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub grant: Grant,
@@ -25,28 +25,28 @@
         }
     }
 
-    /// The first event of a stream came.
+    /// Records the first event of a stream and the error of its expected time.
     pub fn record_first_stream_event(&self, now: Timestamp) {
         metrics::first_event_error(self.grant.candidate.first_event, now.since(self.granted_at));
         self.record_first_event();
     }
 
-    /// Its back end says something of itself.
+    /// Records what its back end stated about itself.
     pub fn record_notice(&self, notice: Notice) {
         self.control.record_notice(self.grant.lease, notice);
     }
 
-    /// The whole answer came.
+    /// Records the first event or the whole response.
     pub fn record_first_event(&self) {
         self.control.record_first_event(self.grant.lease);
     }
 
-    /// Gives the place back.
+    /// Releases the lease.
     pub fn release(self, outcome: Outcome) {
         self.release_stream(outcome, StreamPacing::default());
     }
 
-    /// Gives the place of a stream back, with how its events came.
+    /// Releases the lease of a stream, with the pacing of its events.
     pub fn release_stream(mut self, outcome: Outcome, pacing: StreamPacing) {
         self.is_released = true;
         self.control.release(self.grant.lease, outcome, pacing);
--- a/crates/transport/relay/src/local_reply.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -1,42 +1,42 @@
-//! Answers that this node gives by itself.
+//! Replies that this node generates itself.
 
 use crate::answer::RelayBody;
 use eiderferry_types::{Reason, RequestDigest, Span, Verdict};
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 
-/// Why a request gets no back end's answer.
+/// Why a request gets no back end's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LocalReply {
-    /// No route begins the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// A header is missing or can't be read.
+    /// A header is missing or can't be parsed.
     BadHeader(&'static str),
     /// The body is longer than allowed.
     BodyTooLarge,
-    /// The body did not come.
+    /// The body did not arrive completely.
     IncompleteBody,
-    /// The request has not run and will not.
+    /// The request has not run and will not; Retry-After.
     NotRun(Reason, Span),
-    /// What the request needs does not fit in memory; nothing of it has run.
+    /// The request's body does not fit in the memory budget; the request has not run. Retry-After.
     NoMemory(Span),
-    /// The request may have run; its answer is lost.
+    /// The request may have run, but its response is lost.
     ResponseLost,
-    /// The time of the request's route has passed; it may have run.
+    /// The request's deadline has passed; it may have run.
     TimedOut,
-    /// Back ends crash under the request; it is not sent to any more of them.
+    /// Back ends crash while running the request; it is sent to no more of them.
     CrashesBackEnds(CrashRefusal),
 }
 
-/// What is said of a request that crashes back ends.
+/// Details of the refusal of a request that crashes back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CrashRefusal {
     pub digest: RequestDigest,
-    /// Time for which it is refused.
+    /// Remaining time for which it is refused.
     pub duration: Span,
-    /// Whether this attempt of the caller's had reached a back end before.
+    /// Whether it may have run: whether it had reached a back end before this refusal.
     pub verdict: Verdict,
 }
 
@@ -50,8 +50,8 @@
             LocalReply::NotRun(..) | LocalReply::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
             LocalReply::ResponseLost => StatusCode::BAD_GATEWAY,
             LocalReply::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-            // Neither 503, which asks the caller to come again, nor 4xx, which says that the
-            // request breaks a rule of the interface.
+            // Neither 503, which asks the caller to retry, nor 4xx, which blames the request for
+            // violating the interface.
             LocalReply::CrashesBackEnds(_) => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
@@ -86,7 +86,7 @@
         )
     }
 
-    /// What the request asks, where the answer is about that.
+    /// Digest of the request, for replies that depend on its content.
     pub fn digest(&self) -> Option<RequestDigest> {
         match self {
             LocalReply::CrashesBackEnds(refusal) => Some(refusal.digest),
--- a/crates/transport/relay/src/notice.rs
+++ b/crates/transport/relay/src/notice.rs
@@ -1,4 +1,4 @@
-//! What a back end says of itself in the head of an answer.
+//! Statements of a back end about itself in the head of a response.
 
 use crate::header_names::HeaderNames;
 use crate::{events, metrics};
@@ -8,32 +8,32 @@
 use http::{HeaderValue, Response, StatusCode};
 use std::fmt;
 
-/// Longest rest that a back end is believed to ask for. A longer one would take it out of use
-/// after a slip of its own; one that still wants it then turns the next request away again.
+/// Maximum Retry-After that is honoured. A longer one, sent by mistake, would take the back end out
+/// of use; a back end that really needs longer refuses the next request again.
 const MAX_BACKOFF: Span = Span::from_milliseconds(600_000);
 
-/// What one answer says of its back end, besides answering.
+/// What one response states about its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Notice {
-    /// It is leaving.
+    /// The back end is leaving.
     pub is_leaving: bool,
-    /// Time for which it wants nothing from this node.
+    /// Time for which it wants no requests from this node.
     pub backoff: Option<Span>,
-    /// Requests that it takes from all nodes together.
+    /// Its limit for requests from all nodes together.
     pub limit: StatedLimit,
 }
 
-/// What an answer says of its back end's rate limit.
+/// What a response states about its back end's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum StatedLimit {
-    /// It names none.
+    /// No limit is stated.
     #[default]
     NotStated,
-    /// It names one that can't be read.
+    /// The stated limit can't be parsed.
     Malformed,
-    /// It names this one.
+    /// This limit is stated.
     Stated(RateLimit),
-    /// It names none any more.
+    /// An earlier limit no longer applies.
     Lifted,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Notice {
-    /// Reads the head of an answer.
+    /// Reads the notice from the head of a response.
     pub fn read<B>(response: &Response<B>, header_names: &HeaderNames) -> Self {
         let headers = response.headers();
         let leaving = headers.get(&header_names.leaving);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether it says nothing.
+    /// Whether nothing is stated.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
@@ -78,7 +78,8 @@
     text.trim().parse().ok()
 }
 
-/// A rest in seconds. Dates, the other form of the header, are of no use here: clocks differ.
+/// Parses a Retry-After in seconds. The header's other form, a date, is not supported because the
+/// clocks of node and back end differ.
 fn read_backoff(value: &HeaderValue) -> Option<Span> {
     let seconds = read_number(value);
     let Some(seconds) = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0) else {
@@ -89,7 +90,7 @@
     Some(Span::from_seconds(seconds).min(MAX_BACKOFF))
 }
 
-/// A limit in requests a second.
+/// Parses a rate limit in requests per second.
 fn read_limit(value: &HeaderValue) -> StatedLimit {
     let limit = read_number(value).and_then(RateLimit::from_requests_per_second);
     limit.map_or_else(
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -1,14 +1,15 @@
-//! The answer to a question for a place at a back end, whose asker may be gone when it comes.
+//! A pending decision on a lease, whose requester may be gone when it arrives.
 //!
-//! A caller that leaves drops its request wherever it stands, also between the question to the
-//! control thread and the answer. A place granted then has no holder who would give it back.
+//! When a caller disconnects, its request is dropped at any point, including between the message to
+//! the control thread and the decision. A lease granted then has no holder that would release it.
 
 use crate::control::ControlHandle;
 use crate::events;
 use async_channel::Receiver;
 use eiderferry_dispatch::{Decision, LeaseId, Outcome, StreamPacing};
 
-/// A decision that is under way. Dropped before it was taken, it gives a granted place back.
+/// A decision that is pending. If it is dropped before it was received, a granted lease is
+/// released.
 pub(crate) struct PendingDecision {
     receiver: Receiver<Decision>,
     control: ControlHandle,
@@ -19,7 +20,7 @@
         Self { receiver, control }
     }
 
-    /// The decision; `None` if the control thread is gone.
+    /// Waits for the decision; `None` if the control thread has ended.
     pub async fn receive(self) -> Option<Decision> {
         self.receiver.recv().await.ok()
     }
@@ -27,7 +28,7 @@
 
 impl Drop for PendingDecision {
     fn drop(&mut self) {
-        // Once closed, a decision is either here or returns to the control thread.
+        // After closing, the decision is either in the channel or returned to the control thread.
         self.receiver.close();
         let Ok(unclaimed) = self.receiver.try_recv() else {
             return;
@@ -39,9 +40,9 @@
     }
 }
 
-/// Gives the place of a decision back that nobody waits for any more. With one that stays
-/// taken for each caller that left at this moment, a pool of three back ends with 6 slots
-/// refused a third of its requests for as long as the nodes lived.
+/// Releases the lease of a decision that nobody waits for. When one lease leaked for each caller
+/// that disconnected at this moment, a pool of three back ends with 6 slots refused a third of its
+/// requests for as long as the nodes ran.
 pub(crate) fn release_unclaimed(unclaimed: Decision, release: impl FnOnce(LeaseId)) {
     let Decision::Grant(grant) = unclaimed else {
         return;
--- a/crates/transport/relay/src/progress.rs
+++ b/crates/transport/relay/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far a request has come, for those who have to answer it from outside.
+//! Progress of a request, for the reply to it when the process is shut down.
 
 use crate::local_reply::LocalReply;
 use crate::request_memory::RequestMemory;
@@ -6,14 +6,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// When a caller whose request has not run is asked to come back, elsewhere.
+/// Retry-After of a request that has not run: at once, at another node.
 const SHUTDOWN_RETRY_AFTER: Span = Span::from_milliseconds(50);
 
-/// Whether a request has been sent to a back end, and what it holds.
+/// Whether a request has been sent to a back end, and its memory account.
 #[derive(Clone)]
 pub(crate) struct Progress {
     was_sent: Rc<Cell<bool>>,
-    /// What the request holds.
+    /// The request's memory account.
     pub memory: Rc<RequestMemory>,
 }
 
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The request is being sent.
+    /// Records that the request is being sent.
     pub fn record_sent(&self) {
         self.was_sent.set(true);
     }
 
-    /// The answer to a request that this process can serve no longer.
+    /// The reply to a request that this process can no longer serve.
     pub fn shutdown_reply(&self) -> LocalReply {
         if self.was_sent.get() {
             LocalReply::ResponseLost
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -1,9 +1,9 @@
 //! Reading streams ahead while their callers lag.
 //!
-//! A stream's source is polled by the caller's connection while it takes events, and otherwise from
-//! the connection's task. So the events of a fast caller take the same path as without reading
-//! ahead, a caller that disconnects drops source and events at once, and no stream needs a task of
-//! its own.
+//! A stream's source is polled by the caller's connection while that takes events, and otherwise
+//! after it from the same task. So the events of a fast caller take the same path as without
+//! reading ahead, a caller that disconnects drops source and events at once, and no stream needs a
+//! task of its own.
 
 use crate::answer::{BrokenResponse, ChunkStream};
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
@@ -97,8 +97,8 @@
         (bytes > 0).then(|| self.memory.eviction_priority(bytes))
     }
 
-    /// Ends the stream to free memory for another. The caller drops the returned source once
-    /// nothing is borrowed.
+    /// Ends the stream to free memory for another. The returned source must not be dropped while
+    /// the stream is borrowed.
     pub fn evict(&mut self) -> Option<ChunkStream> {
         self.discard("budget")
     }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -1,4 +1,4 @@
-//! What a request's head tells: route, tenant, time and prompt.
+//! Parsing of a request's head: route, tenant, remaining time and prompt.
 
 use crate::HeaderNames;
 use crate::local_reply::LocalReply;
@@ -10,19 +10,19 @@
 use http::{HeaderMap, HeaderName};
 
 const BEARER_PREFIX: &str = "Bearer ";
-/// Tokens assumed to come out where nothing is said.
+/// Output tokens assumed when the request states neither a hint nor a maximum.
 const ASSUMED_OUTPUT_TOKENS: u32 = 100;
-/// Parts of a prompt that are looked at.
+/// Maximum prompt parts that are parsed.
 const MAXIMUM_PARTS: usize = 64;
 
-/// What is known of a request from its head.
+/// What the head of a request states.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHead {
     pub id: String,
     pub route: Route,
     pub tenant: Option<String>,
     pub rank: u8,
-    /// Level at which engines admit it; 0 is the most urgent.
+    /// Priority level at which engines admit the request; 0 is the highest priority.
     pub priority: u8,
     pub remaining: Span,
     pub allowed_regions: AllowedRegions,
@@ -32,7 +32,7 @@
 }
 
 impl RequestHead {
-    /// Reads a head against the table in force.
+    /// Parses a head against the routing table in force.
     pub fn read(
         parts: &Parts,
         table: &RoutingTable,
@@ -70,8 +70,8 @@
 }
 
 impl RequestHead {
-    /// What the request asks: method, address, caller and body. Neither its id nor how long its
-    /// caller waits belong to it.
+    /// Digest of the request's content: method, host, path and query, caller, and body. Its id and
+    /// the time that its caller waits are not part of it.
     pub fn digest(&self, parts: &Parts, body: &[u8]) -> RequestDigest {
         let target = parts
             .uri
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -1,4 +1,4 @@
-//! What one request holds, and the readers that may be ended to make room.
+//! Memory accounting of one request, and the streams that may be evicted to make room.
 
 use crate::events;
 use crate::memory_budget::{MemoryBudget, MemoryFull, MemoryKind, MemoryReservation};
@@ -7,10 +7,10 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// Kind of route before it is known.
+/// Label of a request whose route is not known yet.
 const UNKNOWN_ROUTE: &str = "unknown";
 
-/// The memory of a traffic thread: its budget and the streams read ahead under it.
+/// The memory budget of a traffic thread and the streams that are read ahead under it.
 #[derive(Default)]
 pub(crate) struct Memory {
     pub budget: Arc<MemoryBudget>,
@@ -25,15 +25,15 @@
         })
     }
 
-    /// A stream whose caller has begun to lag.
+    /// Registers a stream whose caller has begun to lag.
     pub fn register(&self, reader: Weak<RefCell<ReadAhead>>) {
         let mut readers = self.readers.borrow_mut();
         readers.retain(|reader| reader.strong_count() > 0);
         readers.push(reader);
     }
 
-    /// Ends the stream least worth keeping, if one is worth less than `own`; whether it did.
-    /// Whoever is being read just now is borrowed and passed over.
+    /// Evicts the stream with the highest eviction priority, if that is above `own_priority`;
+    /// returns whether it did. A stream that is being polled is borrowed, and is skipped.
     pub fn evict_stream(&self, own_priority: Option<EvictionPriority>) -> bool {
         let victim = {
             let readers = self.readers.borrow();
@@ -56,15 +56,15 @@
     }
 }
 
-/// How little a stream is worth keeping: the less urgent first, then the one that holds
-/// more. The greatest is ended first.
+/// Order in which streams are evicted, greatest first: those of the less urgent rank, and among
+/// these the one that holds more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionPriority {
     pub rank: u8,
     pub bytes: u64,
 }
 
-/// The account of one request.
+/// The memory account of one request.
 pub(crate) struct RequestMemory {
     pub shared: Rc<Memory>,
     route: Cell<&'static str>,
@@ -84,7 +84,7 @@
         })
     }
 
-    /// What is known once the head has been read.
+    /// Sets what is known once the head has been read.
     pub fn set_request(&self, id: &str, route: &'static str, rank: u8) {
         id.clone_into(&mut self.id.borrow_mut());
         self.route.set(route);
@@ -95,7 +95,8 @@
         MemoryReservation::empty(&self.shared.budget, kind, self.route.get())
     }
 
-    /// Holds more of an answer that has run: streams of slower callers give way.
+    /// Reserves more for the response of a request that has run, evicting streams of slower callers
+    /// if necessary.
     pub fn grow_response(
         &self,
         reservation: &mut MemoryReservation,
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The request is ended for want of memory.
+    /// Records that the request was ended for lack of memory.
     pub fn record_ended(&self, held: u64, reason: &'static str) {
         self.was_ended.set(true);
         events::ended_for_memory(&self.id.borrow(), self.route.get(), held, reason);
     }
 
-    /// How a request ended whose exchange was dropped before its end.
+    /// Outcome of a request whose exchange was dropped before its end.
     pub fn dropped_outcome(&self) -> &'static str {
         if self.was_ended.get() {
             "memory"
