--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -21,7 +21,7 @@
 
 /// This node starts to serve callers.
 pub(crate) fn started(node: &str, zone: &str, address: SocketAddr) {
-    log::info!(event = "started", node = node, zone = zone, listen:% = address; "relay started");
+    log::info!(event = "started", node = node, zone = zone, listen:% = address; "started");
 }
 
 /// A planned shutdown has begun or entered its next phase.
