--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -64,7 +64,7 @@
     let body_limit = table.limits().maximum_body_bytes;
     progress
         .memory
-        .set_request(&id, metrics::kind(&head.route), head.rank);
+        .set_request(&id, metrics::route_kind(&head.route), head.rank);
     let body = read_body(body, body_limit, &progress.memory)
         .await
         .map_err(|reply| (id, reply))?;
@@ -117,7 +117,7 @@
         loop {
             let lease = match self.request_lease().await {
                 Ok(lease) => lease,
-                Err(reply) => return self.conclude(fallback, reply),
+                Err(reply) => return self.conclude_with(fallback, reply),
             };
             let instance = lease.grant.instance.clone();
             let address = lease.grant.address;
@@ -145,11 +145,11 @@
             if let Some(until) = self.cancelled_until {
                 let remaining = self.traffic.clock.now().until(until);
                 let reply = self.refuse_crashing(remaining);
-                return self.conclude(fallback, reply);
+                return self.conclude_with(fallback, reply);
             }
             if !self.may_retry_elsewhere() {
                 let reply = self.final_reply(outcome);
-                return self.conclude(fallback, reply);
+                return self.conclude_with(fallback, reply);
             }
         }
     }
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -402,7 +402,7 @@
     }
 
     async fn fetch(&self, from: SocketAddr) {
-        let known = self.known_changes();
+        let known = self.version_vector();
         let result = crate::documents::fetch(from, &known, self.address, |next| {
             self.is_no_farther(next, from)
         })
@@ -460,7 +460,7 @@
     }
 
     /// Version vector of the changes that this node knows.
-    fn known_changes(&self) -> VersionVector {
+    fn version_vector(&self) -> VersionVector {
         self.dispatcher
             .borrow()
             .document_store()
@@ -469,7 +469,7 @@
     }
 
     fn record_confirmation(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
-        let before = self.known_changes();
+        let before = self.version_vector();
         self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(is_first_hand);
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -84,16 +84,16 @@
     own_address: SocketAddr,
     may_ask: impl Fn(SocketAddr) -> bool,
 ) -> Result<Package, FetchError> {
-    let mut asked = vec![peer];
-    while let Some(source) = asked.last().copied() {
+    let mut tried = vec![peer];
+    while let Some(source) = tried.last().copied() {
         match request_documents(source, known, own_address).await? {
             Reply::Package(package) => return Ok(package),
             Reply::SentOn(others) => {
                 let mut others = others
                     .into_iter()
-                    .filter(|other| !asked.contains(other) && may_ask(*other));
-                let next = others.next().filter(|_| asked.len() < MAXIMUM_SOURCES);
-                asked.push(next.ok_or(FetchError::Busy(peer))?);
+                    .filter(|other| !tried.contains(other) && may_ask(*other));
+                let next = others.next().filter(|_| tried.len() < MAXIMUM_SOURCES);
+                tried.push(next.ok_or(FetchError::Busy(peer))?);
             }
         }
     }
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -50,9 +50,9 @@
 }
 
 /// The document source responds again.
-pub fn source_recovered(silent_ms: u64) {
+pub fn source_recovered(outage_ms: u64) {
     log::info!(
-        event = "source_regained", silent_ms = silent_ms;
+        event = "source_regained", silent_ms = outage_ms;
         "the document source responds again"
     );
 }
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -88,7 +88,7 @@
     }
 
     /// Ends the request with `fallback`, a back end's server error, or else with the local reply.
-    pub fn conclude(
+    pub fn conclude_with(
         mut self,
         fallback: Option<Response<RelayBody>>,
         reply: LocalReply,
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -26,7 +26,7 @@
 }
 
 /// The kind of a route, as a label value.
-pub(crate) fn kind(route: &Route) -> &'static str {
+pub(crate) fn route_kind(route: &Route) -> &'static str {
     match route.kind {
         RouteKind::Repeatable => "repeatable",
         RouteKind::NotRepeatable => "not_repeatable",
@@ -40,10 +40,10 @@
     let rank = rank.to_string();
     metrics::counter!(
         "eiderferry_requests_total",
-        "kind" => kind(route), "rank" => rank.clone(), "outcome" => outcome
+        "kind" => route_kind(route), "rank" => rank.clone(), "outcome" => outcome
     )
     .increment(1);
-    metrics::histogram!("eiderferry_request_seconds", "kind" => kind(route), "rank" => rank)
+    metrics::histogram!("eiderferry_request_seconds", "kind" => route_kind(route), "rank" => rank)
         .record(elapsed.seconds());
 }
 
@@ -53,10 +53,10 @@
     let rank = rank.to_string();
     metrics::counter!(
         "eiderferry_first_events_total",
-        "kind" => kind(route), "rank" => rank.clone(), "in_time" => in_time
+        "kind" => route_kind(route), "rank" => rank.clone(), "in_time" => in_time
     )
     .increment(1);
-    metrics::histogram!("eiderferry_first_event_seconds", "kind" => kind(route), "rank" => rank)
+    metrics::histogram!("eiderferry_first_event_seconds", "kind" => route_kind(route), "rank" => rank)
         .record(elapsed.seconds());
 }
 
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -133,7 +133,7 @@
             .serve_connection(socket, service);
         let mut connection = std::pin::pin!(connection);
         let is_refusing = self.phase.get() == Phase::Refusing;
-        let closing = async {
+        let close_requested = async {
             if is_refusing || self.close_connections.recv().await.is_ok() {
                 // A connection opened this late is closed with its first response.
                 std::future::pending::<()>().await;
@@ -145,7 +145,7 @@
             serving.await;
             true
         };
-        if !served.or(closing).await {
+        if !served.or(close_requested).await {
             connection.as_mut().graceful_shutdown();
             drive_connection(connection, &current, &send_state).await;
         }
