--- a/crates/transport/relay/src/caller_socket.rs
+++ b/crates/transport/relay/src/caller_socket.rs
@@ -1,11 +1,10 @@
-//! The socket and the answers of a caller's connection, watched for a missed wake-up.
+//! Socket and response bodies of a caller's connection, observed to detect a missed wake-up.
 //!
-//! A connection that was told its socket is blocked, and in the same turn finds it writable
-//! again, may end that turn with more of a body to send and nothing that wakes it: its answer
-//! stays where it is until the caller gives up. Bodies that are ready at once, as those of whole
-//! answers and of events read ahead are, meet this: 5 of 12 runs of
-//! `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken` and its neighbour
-//! stood still with an empty socket. Such a connection is given another turn.
+//! A connection whose socket blocks and becomes writable again within one poll may end that poll
+//! with more of a body to send and nothing that wakes it: the response then stalls until the caller
+//! gives up. This happens to bodies that are ready at once, such as whole responses and events read
+//! ahead: 5 of 12 runs of `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken`
+//! and its neighbour stalled with an empty socket. Such a connection is polled again.
 
 use crate::answer::{BrokenResponse, RelayBody};
 use bytes::Bytes;
@@ -19,19 +18,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// How sending stands on one connection.
+/// State of sending on one connection.
 #[derive(Default)]
-pub(crate) struct Sending {
-    /// The body has more at once than the connection has taken.
+pub(crate) struct SendState {
+    /// The body has more data ready than the connection has taken.
     has_more: Cell<bool>,
-    /// The socket took bytes in this turn, and was not blocked since.
+    /// The socket accepted bytes in this poll and has not blocked since.
     has_written: Cell<bool>,
-    /// All that the body has given has gone to the socket.
+    /// All data that the body has returned was written to the socket.
     is_flushed: Cell<bool>,
 }
 
-impl Sending {
-    /// Whether the turn that has just ended may have missed its wake-up.
+impl SendState {
+    /// Whether the poll that has just ended may have missed its wake-up.
     pub fn needs_wakeup(&self) -> bool {
         self.has_written.replace(false) && self.has_more.get()
     }
@@ -40,14 +39,14 @@
 /// A caller's socket.
 pub(crate) struct CallerSocket {
     inner: FuturesIo<TcpStream>,
-    sending: Rc<Sending>,
+    state: Rc<SendState>,
 }
 
 impl CallerSocket {
-    pub fn new(stream: TcpStream, sending: Rc<Sending>) -> Self {
+    pub fn new(stream: TcpStream, state: Rc<SendState>) -> Self {
         Self {
             inner: FuturesIo::new(stream),
-            sending,
+            state,
         }
     }
 }
@@ -69,13 +68,13 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.sending.has_written.set(written.is_ready());
+        self.state.has_written.set(written.is_ready());
         written
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Called once nothing is left to be written.
-        self.sending.is_flushed.set(true);
+        // Called once there is nothing left to write.
+        self.state.is_flushed.set(true);
         Pin::new(&mut self.inner).poll_flush(context)
     }
 
@@ -84,34 +83,34 @@
     }
 }
 
-/// An answer on its way through a connection.
-pub(crate) struct SentBody {
+/// The body of a response that a connection is sending.
+pub(crate) struct TrackedBody {
     body: RelayBody,
-    /// Why it breaks off: told once all before it was written, for a connection that is
-    /// told so forgets what it has not written.
-    broken: Option<BrokenResponse>,
-    sending: Rc<Sending>,
+    /// Why the body breaks off. Returned only after all earlier data was written, because a
+    /// connection discards unwritten data when its body fails.
+    pending_error: Option<BrokenResponse>,
+    state: Rc<SendState>,
 }
 
-impl SentBody {
-    pub fn new(body: RelayBody, sending: Rc<Sending>) -> Self {
+impl TrackedBody {
+    pub fn new(body: RelayBody, state: Rc<SendState>) -> Self {
         Self {
             body,
-            broken: None,
-            sending,
+            pending_error: None,
+            state,
         }
     }
 
-    fn poll_broken(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
-        if !self.sending.is_flushed.get() {
-            self.sending.has_more.set(true);
+    fn poll_pending_error(&mut self) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
+        if !self.state.is_flushed.get() {
+            self.state.has_more.set(true);
             return Poll::Pending;
         }
-        Poll::Ready(self.broken.take().map(Err))
+        Poll::Ready(self.pending_error.take().map(Err))
     }
 }
 
-impl Body for SentBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BrokenResponse;
 
@@ -119,19 +118,19 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
-        if self.broken.is_some() {
-            return self.poll_broken();
+        if self.pending_error.is_some() {
+            return self.poll_pending_error();
         }
         let frame = Pin::new(&mut self.body).poll_frame(context);
         if let Poll::Ready(Some(Err(error))) = frame {
-            self.broken = Some(error);
-            return self.poll_broken();
+            self.pending_error = Some(error);
+            return self.poll_pending_error();
         }
-        let came = matches!(frame, Poll::Ready(Some(Ok(_))));
-        if came {
-            self.sending.is_flushed.set(false);
+        let has_data = matches!(frame, Poll::Ready(Some(Ok(_))));
+        if has_data {
+            self.state.is_flushed.set(false);
         }
-        self.sending.has_more.set(came && !self.is_end_stream());
+        self.state.has_more.set(has_data && !self.is_end_stream());
         frame
     }
 
@@ -144,8 +143,8 @@
     }
 }
 
-impl Drop for SentBody {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.sending.has_more.set(false);
+        self.state.has_more.set(false);
     }
 }
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: the one place that touches the dispatcher.
+//! The control thread: the only thread that accesses the dispatcher.
 
 use crate::cache_follower::CacheFollower;
 use crate::cancellation::Cancellations;
@@ -23,51 +23,51 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A tick this much later than planned shows that the process stood still.
-const PAUSE: Span = Span::from_milliseconds(700);
+/// A tick later than planned by more than this shows that the process was paused.
+const PAUSE_THRESHOLD: Span = Span::from_milliseconds(700);
 /// Ticks between two updates of the gauges.
-const GAUGE_TICKS: u64 = 10;
-/// Pause after nodes that were busy with others, at the least; up to as much is added, so that
-/// nodes which started together don't ask together.
-const FETCH_PAUSE: Span = Span::from_milliseconds(100);
-/// Time between two looks at whether documents are to be fetched now.
-const FETCH_CHECK: Span = Span::from_milliseconds(50);
-/// Time between two looks at whether this node has to read documents.
-const DUTY_CHECK: Span = Span::from_milliseconds(150);
-/// The same while nothing is known yet.
-const START_CHECK: Span = Span::from_milliseconds(20);
-
-/// A table that every thread may read.
+const GAUGE_INTERVAL_TICKS: u64 = 10;
+/// Minimum delay after a fetch that found its sources busy. Up to the same again is added at
+/// random, so that nodes that started together don't retry together.
+const BUSY_RETRY_DELAY: Span = Span::from_milliseconds(100);
+/// Time between two checks whether documents have to be fetched.
+const FETCH_CHECK_INTERVAL: Span = Span::from_milliseconds(50);
+/// Time between two checks whether this node has to read documents from the source.
+const ROLE_CHECK_INTERVAL: Span = Span::from_milliseconds(150);
+/// Time between these checks while no document is known yet.
+const START_CHECK_INTERVAL: Span = Span::from_milliseconds(20);
+
+/// The routing table in force, readable from every thread.
 pub(crate) type SharedTable = Arc<ArcSwapOption<RoutingTable>>;
 
-/// What the control thread is told by others.
+/// Commands to the control thread.
 pub(crate) enum Command {
-    /// A request wants a back end.
+    /// Chooses a back end for a request.
     Dispatch {
         demand: Box<Demand>,
         is_first: bool,
         reply: async_channel::Sender<Decision>,
     },
-    /// The first event of a request came.
+    /// The first event of a request arrived.
     FirstEvent(LeaseId),
-    /// The back end of a place says something of itself.
+    /// The back end of a lease stated something about itself in a response.
     Notice(LeaseId, Notice),
-    /// A place is given back.
+    /// Ends a lease.
     Release(LeaseId, Outcome, StreamPacing),
-    /// A back end crashed under a request.
+    /// A back end crashed while running a request.
     Crash(RequestDigest, InstanceId),
-    /// A connection to a back end came up within so long.
+    /// A connection to a back end was established in this time.
     RoundTrip(InstanceId, Span),
-    /// Whether nothing shows that a back end still works.
+    /// Asks whether a back end is presumed down: nothing shows that it still works.
     IsPresumedDown {
         instance: InstanceId,
         reply: async_channel::Sender<bool>,
     },
-    /// A planned stop has begun.
+    /// A planned shutdown has begun.
     Stop,
 }
 
-/// The way to the control thread.
+/// Sends commands to the control thread.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlHandle {
     commands: async_channel::Sender<Command>,
@@ -78,54 +78,54 @@
         Self { commands }
     }
 
-    /// Asks for a back end; `None` if the control thread is gone.
+    /// Requests a back end; `None` if the control thread has ended.
     pub async fn dispatch(&self, demand: Demand, is_first: bool) -> Option<Decision> {
-        let (reply, answer) = async_channel::bounded(1);
-        let answer = PendingDecision::new(answer, self.clone());
+        let (reply, receiver) = async_channel::bounded(1);
+        let decision = PendingDecision::new(receiver, self.clone());
         let command = Command::Dispatch {
             demand: Box::new(demand),
             is_first,
             reply,
         };
         self.commands.send(command).await.ok()?;
-        answer.decision().await
+        decision.receive().await
     }
 
-    /// Whether nothing shows that a back end still works.
+    /// Whether a back end is presumed down: nothing shows that it still works.
     pub async fn is_presumed_down(&self, instance: InstanceId) -> bool {
-        let (reply, answer) = async_channel::bounded(1);
-        let asked = self
+        let (reply, receiver) = async_channel::bounded(1);
+        let sent = self
             .commands
             .send(Command::IsPresumedDown { instance, reply });
-        asked.await.is_ok() && answer.recv().await.unwrap_or(false)
+        sent.await.is_ok() && receiver.recv().await.unwrap_or(false)
     }
 
     pub fn record_first_event(&self, lease: LeaseId) {
-        self.tell(Command::FirstEvent(lease));
+        self.enqueue(Command::FirstEvent(lease));
     }
 
     pub fn record_notice(&self, lease: LeaseId, notice: Notice) {
-        self.tell(Command::Notice(lease, notice));
+        self.enqueue(Command::Notice(lease, notice));
     }
 
     pub fn release(&self, lease: LeaseId, outcome: Outcome, pacing: StreamPacing) {
-        self.tell(Command::Release(lease, outcome, pacing));
+        self.enqueue(Command::Release(lease, outcome, pacing));
     }
 
     pub fn record_crash(&self, request: RequestDigest, instance: InstanceId) {
-        self.tell(Command::Crash(request, instance));
+        self.enqueue(Command::Crash(request, instance));
     }
 
     pub fn record_round_trip(&self, instance: InstanceId, round_trip: Span) {
-        self.tell(Command::RoundTrip(instance, round_trip));
+        self.enqueue(Command::RoundTrip(instance, round_trip));
     }
 
     pub fn stop(&self) {
-        self.tell(Command::Stop);
+        self.enqueue(Command::Stop);
     }
 
-    fn tell(&self, command: Command) {
-        // The channel is unbounded; it only fails when the control thread is gone.
+    fn enqueue(&self, command: Command) {
+        // The channel is unbounded, so sending fails only if the control thread has ended.
         let _ = self.commands.try_send(command);
     }
 }
@@ -137,18 +137,18 @@
     table: SharedTable,
     socket: PeerSocket,
     cancellations: Cancellations,
-    /// Where this node answers other nodes.
+    /// Address at which other nodes reach this one.
     address: SocketAddr,
-    fetching: Cell<bool>,
+    is_fetching: Cell<bool>,
 }
 
-/// What of a dispatcher's standing is logged when it changes.
-struct Standing {
+/// The dispatcher state whose changes are logged.
+struct LoggedState {
     is_aggregator: bool,
     silent_zones: BTreeSet<ZoneName>,
 }
 
-impl Standing {
+impl LoggedState {
     fn log_changes(&self, after: &Self) {
         if self.is_aggregator != after.is_aggregator {
             events::aggregating(after.is_aggregator);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Takes in what an answer says of its back end.
+/// Applies what a response states about its back end.
 fn apply_notice(
     dispatcher: &mut Dispatcher,
     source: NoticeSource<'_>,
@@ -174,8 +174,8 @@
     {
         events::back_end_leaving(&instance);
     }
-    if let Some(rest) = notice.backoff {
-        dispatcher.record_backoff(source, rest, now);
+    if let Some(backoff) = notice.backoff {
+        dispatcher.record_backoff(source, backoff, now);
     }
     match notice.limit {
         StatedLimit::Stated(limit) => dispatcher.record_limit(source, Some(limit), now),
@@ -200,11 +200,11 @@
             socket,
             cancellations,
             address,
-            fetching: Cell::new(false),
+            is_fetching: Cell::new(false),
         }
     }
 
-    /// Carries commands out until all their senders are gone.
+    /// Runs commands until all their senders are dropped.
     pub async fn run_commands(&self, commands: async_channel::Receiver<Command>) {
         while let Ok(command) = commands.recv().await {
             self.run_command(command);
@@ -224,8 +224,8 @@
                     dispatcher.count_request(&demand.pool, now);
                 }
                 let decision = dispatcher.dispatch(&demand, now);
-                if let Err(unheard) = reply.try_send(decision) {
-                    release_unclaimed(unheard.into_inner(), |lease| {
+                if let Err(unsent) = reply.try_send(decision) {
+                    release_unclaimed(unsent.into_inner(), |lease| {
                         dispatcher.release(lease, Outcome::NotSent, now);
                     });
                 }
@@ -236,14 +236,17 @@
             }
             Command::Release(lease, outcome, pacing) => {
                 dispatcher.record_pacing(lease, &pacing);
-                let ended = dispatcher.release(lease, outcome, now);
-                for (instance, change) in &ended.health_changes {
+                let released = dispatcher.release(lease, outcome, now);
+                for (instance, change) in &released.health_changes {
                     events::back_end_health(instance, *change, outcome);
                 }
-                self.note_quarantine(&ended.quarantine_change, now);
+                self.record_quarantine_changes(&released.quarantine_change, now);
             }
             Command::Crash(request, instance) => {
-                self.note_quarantine(&dispatcher.record_crash(request, &instance, now), now);
+                self.record_quarantine_changes(
+                    &dispatcher.record_crash(request, &instance, now),
+                    now,
+                );
                 let announcement = dispatcher.crash_announcement(now);
                 drop(dispatcher);
                 if let Some(announcement) = announcement {
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Ticks the dispatcher for ever.
+    /// Ticks the dispatcher; never returns.
     pub async fn run_ticks(self: &Rc<Self>, follower: &Rc<CacheFollower>) {
         let mut previous = self.clock.now();
         let mut count: u64 = 0;
@@ -270,23 +273,23 @@
             let now = self.clock.now();
             let gap = now.since(previous);
             previous = now;
-            if gap.0 > TICK.0 + PAUSE.0 {
+            if gap.0 > TICK.0 + PAUSE_THRESHOLD.0 {
                 events::paused(gap);
                 self.dispatcher.borrow_mut().resume_after_pause(now);
             }
             self.tick(now);
-            follower.begin_calls(self);
+            follower.start_calls(self);
             count += 1;
-            if count.is_multiple_of(GAUGE_TICKS) {
+            if count.is_multiple_of(GAUGE_INTERVAL_TICKS) {
                 metrics::set_gauges(&self.dispatcher.borrow().snapshot(now));
             }
         }
     }
 
     fn tick(&self, now: Timestamp) {
-        let before = self.standing();
+        let before = self.logged_state();
         let output = self.dispatcher.borrow_mut().tick(now);
-        before.log_changes(&self.standing());
+        before.log_changes(&self.logged_state());
         for change in &output.peer_changes {
             events::peer(change);
         }
@@ -299,7 +302,7 @@
         for change in &output.split_changes {
             events::pool_split(change);
         }
-        self.note_quarantine(&output.quarantine_changes, now);
+        self.record_quarantine_changes(&output.quarantine_changes, now);
         for expired in &output.expired_leases {
             events::lease_expired(expired);
         }
@@ -308,13 +311,13 @@
         }
     }
 
-    /// Takes in what the answer to a call says of its engine.
-    pub fn apply_call_notice(&self, order: &DueCacheCall, notice: Notice, now: Timestamp) {
+    /// Applies what the response to a cache call states about its engine.
+    pub fn apply_call_notice(&self, call: &DueCacheCall, notice: Notice, now: Timestamp) {
         let mut dispatcher = self.dispatcher.borrow_mut();
-        apply_notice(&mut dispatcher, order.into(), notice, now);
+        apply_notice(&mut dispatcher, call.into(), notice, now);
     }
 
-    fn note_quarantine<'a>(
+    fn record_quarantine_changes<'a>(
         &self,
         changes: impl IntoIterator<Item = &'a QuarantineChange>,
         now: Timestamp,
@@ -331,15 +334,15 @@
         self.socket.send(envelope, distance);
     }
 
-    fn standing(&self) -> Standing {
+    fn logged_state(&self) -> LoggedState {
         let dispatcher = self.dispatcher.borrow();
-        Standing {
+        LoggedState {
             is_aggregator: dispatcher.is_aggregator(),
             silent_zones: dispatcher.silent_zones().clone(),
         }
     }
 
-    /// Receives messages of other nodes for ever.
+    /// Receives messages from other nodes; never returns.
     pub async fn run_messages(self: &Rc<Self>, executor: &smol::LocalExecutor<'static>) {
         loop {
             let Some((from, message)) = self.socket.receive().await else {
@@ -350,8 +353,8 @@
             if let Some(change) = &received.change {
                 events::peer(change);
             }
-            self.follow_news(&received.changes);
-            self.note_quarantine(&received.quarantine_changes, now);
+            self.handle_received_changes(&received.changes);
+            self.record_quarantine_changes(&received.quarantine_changes, now);
             if received.wants_reply {
                 let message = self.dispatcher.borrow_mut().reply(from, now);
                 self.send(&Envelope {
@@ -361,32 +364,37 @@
                 });
             }
             if received.has_newer_documents {
-                self.fetch_wanted(Some(from), executor);
+                self.fetch_if_needed(Some(from), executor);
             }
         }
     }
 
-    /// Looks for ever whether documents are to be fetched that were left to others at first.
+    /// Starts fetches that were delayed at first, because an announcement or a nearer node may have
+    /// supplied the documents meanwhile; never returns.
     pub async fn run_fetches(self: &Rc<Self>, executor: &smol::LocalExecutor<'static>) {
         loop {
-            smol::Timer::after(eiderferry_clock::duration(FETCH_CHECK)).await;
-            self.fetch_wanted(None, executor);
+            smol::Timer::after(eiderferry_clock::duration(FETCH_CHECK_INTERVAL)).await;
+            self.fetch_if_needed(None, executor);
         }
     }
 
-    fn fetch_wanted(
+    fn fetch_if_needed(
         self: &Rc<Self>,
-        told_by: Option<SocketAddr>,
+        announced_by: Option<SocketAddr>,
         executor: &smol::LocalExecutor<'static>,
     ) {
-        if self.fetching.get() {
+        if self.is_fetching.get() {
             return;
         }
         let now = self.clock.now();
-        let Some(source) = self.dispatcher.borrow_mut().document_source(told_by, now) else {
+        let Some(source) = self
+            .dispatcher
+            .borrow_mut()
+            .document_source(announced_by, now)
+        else {
             return;
         };
-        self.fetching.set(true);
+        self.is_fetching.set(true);
         let control = Rc::clone(self);
         executor
             .spawn(async move { control.fetch(source).await })
@@ -394,17 +402,17 @@
     }
 
     async fn fetch(&self, from: SocketAddr) {
-        let known = self.known_changes();
+        let known = self.version_vector();
         let result = crate::documents::fetch(from, &known, self.address, |next| {
-            self.is_as_near(next, from)
+            self.is_no_farther(next, from)
         })
         .await;
         if let Err(FetchError::Busy(_)) = &result {
-            let part = rand::random::<f64>();
-            let pause = FETCH_PAUSE + FETCH_PAUSE.scaled(part);
+            let jitter = rand::random::<f64>();
+            let pause = BUSY_RETRY_DELAY + BUSY_RETRY_DELAY.scaled(jitter);
             smol::Timer::after(eiderferry_clock::duration(pause)).await;
         }
-        self.fetching.set(false);
+        self.is_fetching.set(false);
         if let Err(error) = &result {
             let is_busy = matches!(error, FetchError::Busy(_));
             let now = self.clock.now();
@@ -413,41 +421,46 @@
         }
         match result {
             Ok(package) => {
-                let heard = self.clock.now();
+                let received_at = self.clock.now();
                 let age = package.confirmed_ms.map(Span::from_milliseconds);
-                self.take(package.changes, "peer");
-                let at = age.map(|age| heard - age);
-                self.confirm(&package.version_vector, at.unwrap_or_default(), false);
+                self.apply_changes(package.changes, "peer");
+                let confirmed_at = age.map(|age| received_at - age);
+                self.record_confirmation(
+                    &package.version_vector,
+                    confirmed_at.unwrap_or_default(),
+                    false,
+                );
             }
-            Err(FetchError::Busy(peer)) => log::debug!("documents: {peer} is busy"),
+            Err(FetchError::Busy(peer)) => log::debug!("documents not fetched: {peer} is busy"),
             Err(error) => events::fetch_failed(from, &error),
         }
     }
 
-    /// Whether the way to a node crosses no border that the way to another doesn't.
-    fn is_as_near(&self, address: SocketAddr, other: SocketAddr) -> bool {
+    /// Whether an address is no farther than another: the path to it crosses no zone or region
+    /// boundary that the path to the other doesn't.
+    fn is_no_farther(&self, address: SocketAddr, other: SocketAddr) -> bool {
         let dispatcher = self.dispatcher.borrow();
         dispatcher.distance_to(address) <= dispatcher.distance_to(other)
     }
 
-    /// Takes changes over; tells the other nodes when anything was new.
-    fn take(&self, changes: Vec<Change>, source: &'static str) {
-        let mut is_news = false;
+    /// Applies changes, and publishes the new routing table if any of them was new.
+    fn apply_changes(&self, changes: Vec<Change>, source: &'static str) {
+        let mut has_changes = false;
         for change in changes {
             let now = self.clock.now();
-            let taken = self.dispatcher.borrow_mut().apply(change, now);
-            is_news |= taken.outcome == ApplyOutcome::Applied;
-            events::document_received(&taken, source);
+            let received = self.dispatcher.borrow_mut().apply(change, now);
+            has_changes |= received.outcome == ApplyOutcome::Applied;
+            events::document_received(&received, source);
         }
-        if !is_news {
+        if !has_changes {
             return;
         }
         let table = self.dispatcher.borrow().document_store().table().cloned();
         self.table.store(table);
     }
 
-    /// The changes that this node knows.
-    fn known_changes(&self) -> VersionVector {
+    /// Version vector of the changes that this node knows.
+    fn version_vector(&self) -> VersionVector {
         self.dispatcher
             .borrow()
             .document_store()
@@ -455,22 +468,22 @@
             .clone()
     }
 
-    fn confirm(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
-        let before = self.known_changes();
+    fn record_confirmation(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
+        let before = self.version_vector();
         self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
             self.announce(is_first_hand);
         }
     }
 
-    /// Notes changes that came with a message, and passes them on.
-    fn follow_news(&self, taken: &[ReceivedChange]) {
-        for news in taken {
-            events::document_received(news, "peer");
+    /// Logs changes that came with a message, and announces them if any was applied.
+    fn handle_received_changes(&self, changes: &[ReceivedChange]) {
+        for change in changes {
+            events::document_received(change, "peer");
         }
-        if taken
+        if changes
             .iter()
-            .any(|news| news.outcome == ApplyOutcome::Applied)
+            .any(|change| change.outcome == ApplyOutcome::Applied)
         {
             self.announce(false);
         }
@@ -483,7 +496,7 @@
     }
 }
 
-/// How a source of documents hands over what it reads.
+/// Through this, a document source hands over what it reads.
 #[derive(Clone)]
 pub struct DocumentFeed {
     control: Rc<Control>,
@@ -494,18 +507,18 @@
         Self { control }
     }
 
-    /// Waits until this node has to read.
+    /// Waits until this node has to read from the source.
     pub async fn wait_for_reader_role(&self) {
         loop {
             let now = self.control.clock.now();
             if self.control.dispatcher.borrow().reader_role(now) == ReaderRole::Reader {
                 return;
             }
-            let knows_nothing = self.newest_revision().is_none();
-            let pause = if knows_nothing {
-                START_CHECK
+            let has_no_documents = self.newest_revision().is_none();
+            let pause = if has_no_documents {
+                START_CHECK_INTERVAL
             } else {
-                DUTY_CHECK
+                ROLE_CHECK_INTERVAL
             };
             smol::Timer::after(eiderferry_clock::duration(pause)).await;
         }
@@ -517,7 +530,8 @@
         dispatcher.document_store().version_vector().newest()
     }
 
-    /// Whether no node heard a confirmation for so long that the platform was probably away.
+    /// Whether the last confirmation known to any node is so old that the platform was probably
+    /// unavailable.
     pub fn was_confirmation_overdue(&self) -> bool {
         let now = self.control.clock.now();
         self.control
@@ -526,15 +540,16 @@
             .is_confirmation_overdue(now)
     }
 
-    /// Hands changes over; `revision` is the one up to which all is then known.
+    /// Applies changes; afterwards everything up to `revision` is known.
     pub fn apply_changes(&self, changes: Vec<Change>, revision: Revision) {
-        self.control.take(changes, "store");
+        self.control.apply_changes(changes, "store");
         let now = self.control.clock.now();
-        self.control.confirm(&revision.into(), now, true);
+        self.control
+            .record_confirmation(&revision.into(), now, true);
     }
 
-    /// Hands a whole listing over that began at `revision`. Items that it lacks after a restore
-    /// are gone unless they are written again within the grace period.
+    /// Applies a complete listing that began at `revision`. Items that it lacks after a restore are
+    /// removed unless they are written again within the grace period.
     pub fn apply_listing(
         &self,
         changes: Vec<Change>,
@@ -542,7 +557,7 @@
         revision: Revision,
         grace_period: Span,
     ) {
-        self.control.take(changes, "store");
+        self.control.apply_changes(changes, "store");
         let missing = {
             let dispatcher = self.control.dispatcher.borrow();
             dispatcher
@@ -552,7 +567,7 @@
         self.apply_changes(missing, revision);
     }
 
-    /// Takes over new addresses of other nodes.
+    /// Replaces the seed addresses of other nodes.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.control.dispatcher.borrow_mut().set_seeds(seeds);
     }
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -1,4 +1,4 @@
-//! Documents passed on between nodes, by `tarpc`.
+//! Exchange of documents between nodes, by `tarpc`.
 
 use crate::control::Control;
 use crate::metrics;
@@ -19,16 +19,16 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Largest package accepted: all documents of a deployment.
+/// Maximum frame in bytes: a package may hold all documents of a deployment.
 const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Longest time to fetch a package.
+/// Timeout for fetching a package.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Nodes asked for one package: the sources grow about threefold with each transfer, and the
-/// later ones that are named are the less busy ones.
-const MOST_ASKED: usize = 4;
+/// Maximum nodes asked for one package. The number of nodes that have it grows about threefold with
+/// each transfer, and the last ones that a reply names are the least busy.
+const MAXIMUM_SOURCES: usize = 4;
 
 quick_error! {
-    /// Why documents could not be fetched. They are asked for again later.
+    /// Why documents could not be fetched. The fetch is retried later.
     #[derive(Debug)]
     pub enum FetchError {
         /// The peer can't be reached.
@@ -41,23 +41,23 @@
             from()
             display("the call failed: {cause}")
         }
-        /// The package can't be read.
+        /// The package can't be decoded.
         Malformed(cause: postcard::Error) {
             from()
-            display("the package can't be read: {cause}")
+            display("can't decode the package: {cause}")
         }
-        /// It and those that it named hand out as many packages as they can.
+        /// The peer and those that it named already serve as many transfers as they can.
         Busy(peer: SocketAddr) {
-            display("{peer} and those that it named are busy")
+            display("{peer} and the nodes that it named are busy")
         }
-        /// No answer came in time.
+        /// No response arrived in time.
         TimedOut {
-            display("no answer in {} ms", FETCH_TIMEOUT.as_millis())
+            display("no response in {} ms", FETCH_TIMEOUT.as_millis())
         }
     }
 }
 
-/// Changes with what is known of their completeness.
+/// Changes, with the versions up to which they are complete.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(crate) struct Package {
     pub changes: Vec<Change>,
@@ -66,112 +66,119 @@
     pub confirmed_ms: Option<u64>,
 }
 
-/// What a node that is asked for documents answers.
+/// Reply to a request for documents.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 enum Reply {
     /// The documents.
     Package(Package),
-    /// It hands out as many as it can; these have got theirs.
+    /// The node already serves as many transfers as it can; these nodes have received the
+    /// documents.
     SentOn(Vec<SocketAddr>),
 }
 
-/// Fetches all changes beyond `known` from a peer, or from others that it names and that
-/// `may_ask` allows. `own` is where this node answers such calls.
+/// Fetches all changes beyond `known` from a peer, or from others that it names and that `may_ask`
+/// allows. `own_address` is where this node serves such requests.
 pub(crate) async fn fetch(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
     may_ask: impl Fn(SocketAddr) -> bool,
 ) -> Result<Package, FetchError> {
-    let mut asked = vec![peer];
-    while let Some(source) = asked.last().copied() {
-        match ask(source, known, own).await? {
+    let mut tried = vec![peer];
+    while let Some(source) = tried.last().copied() {
+        match request_documents(source, known, own_address).await? {
             Reply::Package(package) => return Ok(package),
             Reply::SentOn(others) => {
                 let mut others = others
                     .into_iter()
-                    .filter(|other| !asked.contains(other) && may_ask(*other));
-                let next = others.next().filter(|_| asked.len() < MOST_ASKED);
-                asked.push(next.ok_or(FetchError::Busy(peer))?);
+                    .filter(|other| !tried.contains(other) && may_ask(*other));
+                let next = others.next().filter(|_| tried.len() < MAXIMUM_SOURCES);
+                tried.push(next.ok_or(FetchError::Busy(peer))?);
             }
         }
     }
     Err(FetchError::Busy(peer))
 }
 
-async fn ask(
+async fn request_documents(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Reply, FetchError> {
     let timeout = async {
         smol::Timer::after(FETCH_TIMEOUT).await;
         Err(FetchError::TimedOut)
     };
-    let bytes = Compat::new(call(peer, known, own)).or(timeout).await?;
+    let bytes = Compat::new(call_peer(peer, known, own_address))
+        .or(timeout)
+        .await?;
     Ok(postcard::from_bytes(&bytes)?)
 }
 
-async fn call(
+async fn call_peer(
     peer: SocketAddr,
     known: &VersionVector,
-    own: SocketAddr,
+    own_address: SocketAddr,
 ) -> Result<Vec<u8>, FetchError> {
     let mut connect = tarpc::serde_transport::tcp::connect(peer, Bincode::default);
     connect.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
     let transport = connect.await?;
     let client = DocumentsClient::new(client::Config::default(), transport).spawn();
     let known = known.revisions().iter();
-    let known = known.map(|last| (last.epoch, last.number)).collect();
-    let documents = client.changes_after(context::current(), known, own);
+    let known = known
+        .map(|revision| (revision.epoch, revision.number))
+        .collect();
+    let documents = client.changes_after(context::current(), known, own_address);
     Ok(documents.await?)
 }
 
-/// What the control thread is told of a node that wants documents.
+/// Requests of peers for documents, as forwarded to the control thread.
 pub(crate) enum DocumentRequest {
-    /// It asks for the changes that it lacks.
-    Ask {
+    /// A peer requests the changes that it lacks.
+    Fetch {
         known: VersionVector,
         caller: SocketAddr,
         reply: async_channel::Sender<(Vec<u8>, Option<TransferId>)>,
     },
-    /// Its connection has ended.
-    Ended(TransferId),
+    /// The connection of a transfer has ended.
+    TransferEnded(TransferId),
 }
 
-type Requests = async_channel::Sender<DocumentRequest>;
+type RequestSender = async_channel::Sender<DocumentRequest>;
 
-/// Tells the control thread, when it is dropped with its connection, that a transfer is over.
+/// Reports the end of a transfer to the control thread when it is dropped with its connection.
 struct OpenTransfer {
     id: TransferId,
-    requests: Requests,
+    requests: RequestSender,
 }
 
 impl Drop for OpenTransfer {
     fn drop(&mut self) {
-        // The channel is unbounded; it only fails when the control thread is gone.
-        let _ = self.requests.try_send(DocumentRequest::Ended(self.id));
+        // The channel is unbounded, so sending fails only if the control thread has ended.
+        let _ = self
+            .requests
+            .try_send(DocumentRequest::TransferEnded(self.id));
     }
 }
 
 #[derive(Clone)]
-struct Server {
-    requests: Requests,
-    /// Transfers of the connection that this serves.
+struct DocumentServer {
+    requests: RequestSender,
+    /// Open transfers of the connection that this server handles.
     transfers: Arc<Mutex<Vec<OpenTransfer>>>,
 }
 
-impl Documents for Server {
+impl Documents for DocumentServer {
     async fn changes_after(
         self,
         _: context::Context,
         known: Vec<(u64, u64)>,
         caller: SocketAddr,
     ) -> Vec<u8> {
-        let (reply, answer) = async_channel::bounded(1);
+        let (reply, receiver) = async_channel::bounded(1);
         let known = known.into_iter();
         let known = known.map(|(epoch, number)| Revision { epoch, number });
-        let request = DocumentRequest::Ask {
+        let request = DocumentRequest::Fetch {
             known: known.collect(),
             caller,
             reply,
@@ -179,7 +186,7 @@
         if self.requests.send(request).await.is_err() {
             return Vec::new();
         }
-        let Ok((bytes, transfer)) = answer.recv().await else {
+        let Ok((bytes, transfer)) = receiver.recv().await else {
             return Vec::new();
         };
         let open = transfer.map(|id| OpenTransfer {
@@ -194,7 +201,7 @@
 }
 
 /// Answers requests on the control thread.
-pub(crate) async fn answer(
+pub(crate) async fn answer_requests(
     control: Rc<Control>,
     clock: Clock,
     requests: async_channel::Receiver<DocumentRequest>,
@@ -203,8 +210,8 @@
     while let Ok(request) = requests.recv().await {
         let now = clock.now();
         match request {
-            DocumentRequest::Ended(transfer) => service.finish(transfer),
-            DocumentRequest::Ask {
+            DocumentRequest::TransferEnded(transfer) => service.finish(transfer),
+            DocumentRequest::Fetch {
                 known,
                 caller,
                 reply,
@@ -214,9 +221,9 @@
                     dispatcher.document_store().peer_lacks_newest_epoch(&known)
                 };
                 let admission = service.admit(caller, wants_whole_epoch, &mut rand::rng(), now);
-                let (answer, transfer) = match admission {
+                let (response, transfer) = match admission {
                     Admission::Admitted(transfer) => {
-                        let package = package(&control, &known, now);
+                        let package = build_package(&control, &known, now);
                         (Reply::Package(package), transfer)
                     }
                     Admission::SentOn(others) => {
@@ -224,17 +231,17 @@
                         (Reply::SentOn(others), None)
                     }
                 };
-                let bytes = encode(&answer);
+                let bytes = encode(&response);
                 let distance = control.dispatcher.borrow().distance_to(caller);
                 metrics::control_bytes(MessageKind::Documents, distance, bytes.len());
-                // A caller that has left needs no answer; its connection ends the transfer.
+                // A caller that has disconnected needs no reply; its connection ends the transfer.
                 let _ = reply.try_send((bytes, transfer));
             }
         }
     }
 }
 
-fn package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
+fn build_package(control: &Control, known: &VersionVector, now: Timestamp) -> Package {
     let dispatcher = control.dispatcher.borrow();
     let document_store = dispatcher.document_store();
     let age = document_store.confirmed_age(now);
@@ -249,21 +256,24 @@
     match postcard::to_stdvec(reply) {
         Ok(bytes) => bytes,
         Err(error) => {
-            // Empty bytes are no reply: the caller asks another node.
-            log::error!(event = "documents_not_encoded", error:% = error; "documents not encoded");
+            // An empty reply can't be decoded, so the caller asks another node.
+            log::error!(
+                event = "documents_not_encoded", error:% = error;
+                "encoding the documents for a peer failed"
+            );
             Vec::new()
         }
     }
 }
 
-/// Accepts peers' calls for ever.
-pub(crate) async fn serve(listener: std::net::TcpListener, requests: Requests) {
+/// Accepts calls from peers; never returns unless listening fails.
+pub(crate) async fn serve(listener: std::net::TcpListener, requests: RequestSender) {
     if let Err(error) = Compat::new(accept(listener, requests)).await {
-        log::error!("documents can't be passed on: {error}");
+        log::error!("can't serve documents to peers: {error}");
     }
 }
 
-async fn accept(listener: std::net::TcpListener, requests: Requests) -> std::io::Result<()> {
+async fn accept(listener: std::net::TcpListener, requests: RequestSender) -> std::io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let mut incoming = tarpc::serde_transport::tcp::listen_on(listener, Bincode::default).await?;
@@ -272,11 +282,11 @@
         let transport = match connection {
             Ok(transport) => transport,
             Err(error) => {
-                log::debug!("a peer's connection was not accepted: {error}");
+                log::debug!("accepting a peer's connection failed: {error}");
                 continue;
             }
         };
-        let server = Server {
+        let server = DocumentServer {
             requests: requests.clone(),
             transfers: Arc::default(),
         };
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its final answer.
+//! State of one request, from its head to its final response.
 
 use crate::answer::RelayBody;
 use crate::cancellation::Cancellations;
@@ -19,15 +19,16 @@
 use http::Response;
 use std::rc::Rc;
 
-/// Time after which a request without a configuration is worth sending again.
-pub(crate) const NOT_READY_RETRY: Span = Span::from_milliseconds(300);
-/// Back ends tried without a connection coming up.
+/// Retry-After of a request that is refused because this node has no configuration or found no back
+/// end.
+pub(crate) const NOT_READY_RETRY_AFTER: Span = Span::from_milliseconds(300);
+/// Maximum attempts per request that ended before anything was sent.
 const MAXIMUM_UNREACHABLE: u32 = 3;
-/// Bytes of an answer for each token that may come out: an event of 75 bytes holds 8 or 9
-/// tokens at two deployments.
+/// Response bytes assumed per output token: an event of 75 bytes holds 8 or 9 tokens at two
+/// deployments.
 const ASSUMED_BYTES_PER_TOKEN: u64 = 8;
 
-/// What all requests of a traffic thread share.
+/// State shared by all requests of a traffic thread.
 pub(crate) struct Traffic {
     pub upstream: Upstream,
     pub memory: Rc<Memory>,
@@ -38,7 +39,7 @@
     pub clock: Clock,
 }
 
-/// A replica that an engine keeps of a run.
+/// A replica that another engine keeps of a run.
 pub(crate) struct RunReplica {
     pub holder: Box<ReplicaTarget>,
     /// When the run was sent.
@@ -47,19 +48,19 @@
 
 /// How an attempt ended.
 pub(crate) enum AttemptEnd {
-    /// With an answer for the caller.
+    /// With a response for the caller.
     Response(Response<RelayBody>),
-    /// With a back end's failure, which may be passed on or tried again.
+    /// With a server error of the back end, which may be forwarded or retried.
     FailedResponse(Response<RelayBody>),
-    /// Without an answer.
+    /// Without a response.
     NoResponse(Outcome),
 }
 
-/// A request and what has become of it.
+/// A request and the state of its processing.
 pub(crate) struct Exchange {
     pub traffic: Rc<Traffic>,
     pub head: RequestHead,
-    /// What the request asks, alike each time that its caller sends it.
+    /// Digest of the request's content, the same each time that its caller sends it.
     pub digest: RequestDigest,
     pub pool: PoolName,
     pub request: ForwardedRequest,
@@ -69,9 +70,9 @@
     pub unreachable: u32,
     pub excluded_back_ends: Vec<InstanceId>,
     pub may_have_run: bool,
-    /// Until when the request is refused, if it was taken back from a back end.
+    /// Set if the request was cancelled at a back end: until when it is refused.
     pub cancelled_until: Option<Timestamp>,
-    /// The replica of the run, until its holder has been asked for it.
+    /// The replica of the run, until its holder has been asked to continue it.
     pub replica: Option<RunReplica>,
     pub status: u16,
     pub progress: Progress,
@@ -79,42 +80,45 @@
 }
 
 impl Exchange {
+    /// Ends the request with a back end's response.
     pub fn forward(mut self, response: Response<RelayBody>) -> Response<RelayBody> {
         self.status = response.status().as_u16();
         self.finish("whole");
         response
     }
 
-    pub fn conclude(
+    /// Ends the request with `fallback`, a back end's server error, or else with the local reply.
+    pub fn conclude_with(
         mut self,
         fallback: Option<Response<RelayBody>>,
-        answer: LocalReply,
+        reply: LocalReply,
     ) -> Response<RelayBody> {
         if let Some(response) = fallback {
             return self.forward(response);
         }
         self.is_finished = true;
         let elapsed = self.elapsed();
-        events::replied_locally(&self.head.id, &answer, elapsed);
-        metrics::local_reply(answer.reason());
-        metrics::request(&self.head.route, self.head.rank, answer.reason(), elapsed);
-        answer.response()
+        events::replied_locally(&self.head.id, &reply, elapsed);
+        metrics::local_reply(reply.reason());
+        metrics::request(&self.head.route, self.head.rank, reply.reason(), elapsed);
+        reply.response()
     }
 
-    /// Notes how the request ended.
-    pub fn finish(&mut self, how: &'static str) {
+    /// Records how the request ended; only the first call has an effect.
+    pub fn finish(&mut self, outcome: &'static str) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
         let elapsed = self.elapsed();
-        events::ended(&self.head.id, how, self.status, self.attempts, elapsed);
-        metrics::request(&self.head.route, self.head.rank, how, elapsed);
+        events::ended(&self.head.id, outcome, self.status, self.attempts, elapsed);
+        metrics::request(&self.head.route, self.head.rank, outcome, elapsed);
     }
 
     pub fn elapsed(&self) -> Span {
         self.traffic.clock.now().since(self.started)
     }
 
+    /// The reply after the last attempt, which ended with this outcome and without a response.
     pub fn final_reply(&self, outcome: Outcome) -> LocalReply {
         if self.may_have_run {
             return if self.traffic.clock.now() >= self.deadline {
@@ -127,7 +131,7 @@
             Outcome::Shed => Reason::QueueFull,
             _ => Reason::NoBackEnd,
         };
-        LocalReply::NotRun(reason, NOT_READY_RETRY)
+        LocalReply::NotRun(reason, NOT_READY_RETRY_AFTER)
     }
 
     /// Whether another back end may be tried.
@@ -139,13 +143,16 @@
             && self.traffic.clock.now() < self.deadline
     }
 
-    /// Asks for a place.
+    /// Requests a lease on any back end.
     pub async fn request_lease(&mut self) -> Result<Lease, LocalReply> {
-        self.ask_at(None).await
+        self.request_lease_on(None).await
     }
 
-    /// Asks for a place at any back end, or at one alone.
-    pub async fn ask_at(&mut self, only: Option<InstanceId>) -> Result<Lease, LocalReply> {
+    /// Requests a lease on any back end, or on the required one.
+    pub async fn request_lease_on(
+        &mut self,
+        required_instance: Option<InstanceId>,
+    ) -> Result<Lease, LocalReply> {
         let now = self.traffic.clock.now();
         let demand = Demand {
             digest: self.digest,
@@ -154,7 +161,7 @@
             parts: self.head.parts.clone(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
-            bytes: self.transferred_bytes(),
+            bytes: self.estimated_transfer_bytes(),
             target: self.head.route.target,
             event_gap_target: self.head.route.event_gap_target,
             remaining: now.until(self.deadline),
@@ -163,7 +170,7 @@
             may_retry: self.head.route.may_retry(),
             is_retry: self.attempts > 0,
             is_stream: self.head.route.kind == RouteKind::Streaming,
-            required_instance: only,
+            required_instance,
         };
         let is_first = self.attempts == 0 && self.unreachable == 0;
         let decision = self.traffic.control.dispatch(demand, is_first).await;
@@ -180,8 +187,8 @@
                     digest,
                     &grant,
                 );
-                let kept = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
-                metrics::prompt(kept, grant.uncached_tokens);
+                let cached_tokens = head.prompt_tokens.saturating_sub(grant.uncached_tokens);
+                metrics::prompt_tokens(cached_tokens, grant.uncached_tokens);
                 if grant.replica.is_some() {
                     metrics::replica_started();
                 }
@@ -192,15 +199,16 @@
                 events::not_granted(&self.head.id, reason, retry_after);
                 Err(self.refusal(reason, retry_after))
             }
-            None => Err(self.refusal(Reason::Draining, NOT_READY_RETRY)),
+            None => Err(self.refusal(Reason::Draining, NOT_READY_RETRY_AFTER)),
         }
     }
 
-    /// The answer to a request that is refused for so long because back ends crash under it.
-    pub fn refuse_crashing(&self, lasts: Span) -> LocalReply {
+    /// The reply to a request that is refused for the remaining time because back ends crash while
+    /// running it.
+    pub fn refuse_crashing(&self, remaining: Span) -> LocalReply {
         LocalReply::CrashesBackEnds(CrashRefusal {
             digest: self.digest,
-            duration: lasts,
+            duration: remaining,
             verdict: self.verdict(),
         })
     }
@@ -213,10 +221,10 @@
         }
     }
 
-    /// Bytes of the request, and about as many as its answer takes.
-    fn transferred_bytes(&self) -> u32 {
-        let answer = u64::from(self.head.output_tokens) * ASSUMED_BYTES_PER_TOKEN;
-        let total = self.request.body.len() as u64 + answer;
+    /// Bytes of the request's body and an estimate of the response's.
+    fn estimated_transfer_bytes(&self) -> u32 {
+        let response_bytes = u64::from(self.head.output_tokens) * ASSUMED_BYTES_PER_TOKEN;
+        let total = self.request.body.len() as u64 + response_bytes;
         u32::try_from(total).unwrap_or(u32::MAX)
     }
 
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! What goes on to a back end, and what comes back, stripped of what belongs to one
-//! connection.
+//! Requests as forwarded to back ends and responses as returned to callers, without hop-by-hop
+//! headers.
 
 use crate::answer::RelayBody;
 use crate::header_names::HeaderNames;
@@ -16,7 +16,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-/// Headers that belong to one connection.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -27,11 +27,11 @@
     header::UPGRADE,
     header::EXPECT,
 ];
-/// Longest answer that is no stream; a longer one counts as broken.
-const MAXIMUM_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-const EVENT_STREAM: &[u8] = b"text/event-stream";
+/// Maximum body of a response that is not a stream; a longer one counts as incomplete.
+const MAXIMUM_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
-/// A caller's request as every attempt passes it on.
+/// A caller's request as every attempt forwards it.
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
@@ -39,7 +39,7 @@
     pub body: Bytes,
 }
 
-/// What one attempt tells its back end besides.
+/// What one attempt adds to the forwarded request.
 pub(crate) struct AttemptContext<'a> {
     pub grant: &'a Grant,
     pub remaining: Span,
@@ -51,11 +51,11 @@
 }
 
 impl ForwardedRequest {
-    /// The request for one attempt.
-    pub fn attempt(
+    /// Builds the request of one attempt.
+    pub fn for_attempt(
         &self,
         header_names: &HeaderNames,
-        told: &AttemptContext<'_>,
+        context: &AttemptContext<'_>,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let mut set = |name: &HeaderName, value: &str| {
@@ -65,26 +65,26 @@
         };
         set(
             &header_names.remaining_ms,
-            &told.remaining.milliseconds().max(1).to_string(),
+            &context.remaining.milliseconds().max(1).to_string(),
         );
         set(
             &header_names.expected_instance,
-            told.grant.instance.as_str(),
+            context.grant.instance.as_str(),
         );
-        set(&header_names.priority, &told.priority.to_string());
-        if let Some(tenant) = told.tenant {
+        set(&header_names.priority, &context.priority.to_string());
+        if let Some(tenant) = context.tenant {
             set(&header_names.tenant, tenant);
         }
-        if let Some(address) = told.grant.copy_from {
+        if let Some(address) = context.grant.copy_from {
             set(&header_names.copy_from, &address.to_string());
         }
-        if let Some(replica) = &told.grant.replica {
+        if let Some(replica) = &context.grant.replica {
             set(&header_names.replica_at, &replica.address.to_string());
         }
-        if let Some(replica) = &told.resume_from {
+        if let Some(replica) = &context.resume_from {
             set(&header_names.resume_from, replica);
         }
-        if let Some(id) = told.last_event_id {
+        if let Some(id) = context.last_event_id {
             set(&header_names.last_event_id, &id.to_string());
         }
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -95,57 +95,59 @@
     }
 }
 
-/// The request's identity, or nothing.
+/// The request's id, or an empty string.
 pub(crate) fn request_id(parts: &Parts, header_names: &HeaderNames) -> String {
     let value = parts.headers.get(&header_names.request_id);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
 
-/// The part of an address that back ends see.
+/// The part of a URI that back ends see.
 pub(crate) fn path_and_query(uri: Uri) -> Uri {
     uri.into_parts()
         .path_and_query
         .map_or_else(Uri::default, Uri::from)
 }
 
-/// The whole body of a request, if it is no longer than allowed.
+/// Reads the whole body of a request, up to `limit` bytes.
 pub(crate) async fn read_body(
     mut body: Incoming,
     limit: u64,
     memory: &RequestMemory,
 ) -> Result<Bytes, LocalReply> {
-    let announced = body.size_hint().lower();
-    if announced > limit {
+    let declared = body.size_hint().lower();
+    if declared > limit {
         return Err(LocalReply::BodyTooLarge);
     }
-    let mut held = memory.empty(MemoryKind::Body);
-    let refused = |bytes: u64| {
+    let mut reservation = memory.empty(MemoryKind::Body);
+    let memory_full = |bytes: u64| {
         let retry_after = memory.shared.budget.retry_after(bytes);
         move |MemoryFull| LocalReply::NoMemory(retry_after)
     };
-    // Counted before it is read, so that what does not fit is not read.
-    held.grow(announced).map_err(refused(announced))?;
-    let mut collected = BytesMut::with_capacity(announced as usize);
+    // Reserved before reading, so that a body that does not fit is not read.
+    reservation.grow(declared).map_err(memory_full(declared))?;
+    let mut collected = BytesMut::with_capacity(declared as usize);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| LocalReply::BodyBroken)?;
+        let frame = frame.map_err(|_| LocalReply::IncompleteBody)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
         if collected.len() as u64 > limit {
             return Err(LocalReply::BodyTooLarge);
         }
-        let uncounted = (collected.len() as u64).saturating_sub(held.bytes());
-        held.grow(uncounted).map_err(refused(uncounted))?;
+        let unreserved = (collected.len() as u64).saturating_sub(reservation.bytes());
+        reservation
+            .grow(unreserved)
+            .map_err(memory_full(unreserved))?;
     }
-    Ok(held.into_bytes(collected))
+    Ok(reservation.into_bytes(collected))
 }
 
-/// Headers passed on to back ends: without those that belong to the connection, and
-/// without those that this node alone sets.
+/// Headers forwarded to back ends: without hop-by-hop headers and without those that only this node
+/// sets.
 pub(crate) fn forwarded_headers(headers: &HeaderMap, header_names: &HeaderNames) -> HeaderMap {
-    let keeps = |name: &HeaderName| header_names.describes_request(name);
-    let mut forwarded = without_connection_headers(headers, keeps);
+    let retain = |name: &HeaderName| header_names.describes_request(name);
+    let mut forwarded = without_connection_headers(headers, retain);
     forwarded.remove(header::AUTHORIZATION);
     forwarded.remove(header::CONTENT_LENGTH);
     for name in header_names.set_by_node() {
@@ -154,18 +156,18 @@
     forwarded
 }
 
-/// A copy without what belongs to the connection; of what `Connection` lists, `keeps`
-/// tells which stays all the same.
+/// Copies headers without the hop-by-hop ones. Of the headers that `Connection` lists, those for
+/// which `retain` returns true are kept.
 fn without_connection_headers(
     headers: &HeaderMap,
-    keeps: impl Fn(&HeaderName) -> bool,
+    retain: impl Fn(&HeaderName) -> bool,
 ) -> HeaderMap {
     let mut copy = headers.clone();
     let listed = headers.get_all(header::CONNECTION).iter();
     let listed = listed.filter_map(|value| value.to_str().ok());
     let names = listed.flat_map(|value| value.split(','));
     let names = names.filter_map(|name| name.trim().parse::<HeaderName>().ok());
-    for name in names.filter(|name| !keeps(name)) {
+    for name in names.filter(|name| !retain(name)) {
         copy.remove(name);
     }
     for name in &CONNECTION_HEADERS {
@@ -174,14 +176,17 @@
     copy
 }
 
-/// Whether an answer is a stream of events.
+/// Whether a response is an event stream.
 pub(crate) fn is_event_stream(response: &Response<Incoming>) -> bool {
-    let kind = response.headers().get(header::CONTENT_TYPE);
-    kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM))
+    let content_type = response.headers().get(header::CONTENT_TYPE);
+    content_type.is_some_and(|content_type| content_type.as_bytes().starts_with(EVENT_STREAM_TYPE))
 }
 
-/// An answer with a back end's head.
-pub(crate) fn answer(parts: &http::response::Parts, body: RelayBody) -> Response<RelayBody> {
+/// A response to the caller with the status and headers of the back end's response.
+pub(crate) fn response_for_caller(
+    parts: &http::response::Parts,
+    body: RelayBody,
+) -> Response<RelayBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = without_connection_headers(&parts.headers, |_| false);
@@ -189,26 +194,26 @@
     response
 }
 
-/// The whole body of an answer.
+/// Reads the whole body of a response.
 pub(crate) async fn read_response(
     mut body: Incoming,
     memory: &RequestMemory,
 ) -> Result<Bytes, Outcome> {
-    let mut held = memory.empty(MemoryKind::Response);
+    let mut reservation = memory.empty(MemoryKind::Response);
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Outcome::IncompleteResponse)?;
         if let Ok(data) = frame.into_data() {
             collected.extend_from_slice(&data);
         }
-        if collected.len() > MAXIMUM_ANSWER_BYTES {
+        if collected.len() > MAXIMUM_RESPONSE_BYTES {
             return Err(Outcome::IncompleteResponse);
         }
-        let uncounted = collected.len() as u64 - held.bytes();
-        if memory.grow_answer(&mut held, uncounted).is_err() {
-            memory.record_ended(held.bytes(), "answer");
+        let unreserved = collected.len() as u64 - reservation.bytes();
+        if memory.grow_response(&mut reservation, unreserved).is_err() {
+            memory.record_ended(reservation.bytes(), "answer");
             return Err(Outcome::IncompleteResponse);
         }
     }
-    Ok(held.into_bytes(collected))
+    Ok(reservation.into_bytes(collected))
 }
--- a/crates/transport/relay/src/local_reply.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -1,42 +1,42 @@
-//! Answers that this node gives by itself.
+//! Replies that this node generates itself.
 
 use crate::answer::RelayBody;
 use eiderferry_types::{Reason, RequestDigest, Span, Verdict};
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 
-/// Why a request gets no back end's answer.
+/// Why a request gets no back end's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LocalReply {
-    /// No route begins the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// A header is missing or can't be read.
+    /// A header is missing or can't be parsed.
     BadHeader(&'static str),
     /// The body is longer than allowed.
     BodyTooLarge,
-    /// The body did not come.
-    BodyBroken,
-    /// The request has not run and will not.
+    /// The body did not arrive completely.
+    IncompleteBody,
+    /// The request has not run and will not; Retry-After.
     NotRun(Reason, Span),
-    /// What the request needs does not fit in memory; nothing of it has run.
+    /// The request's body does not fit in the memory budget; the request has not run. Retry-After.
     NoMemory(Span),
-    /// The request may have run; its answer is lost.
+    /// The request may have run, but its response is lost.
     ResponseLost,
-    /// The time of the request's route has passed; it may have run.
+    /// The request's deadline has passed; it may have run.
     TimedOut,
-    /// Back ends crash under the request; it is not sent to any more of them.
+    /// Back ends crash while running the request; it is sent to no more of them.
     CrashesBackEnds(CrashRefusal),
 }
 
-/// What is said of a request that crashes back ends.
+/// Details of the refusal of a request that crashes back ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CrashRefusal {
     pub digest: RequestDigest,
-    /// Time for which it is refused.
+    /// Remaining time for which it is refused.
     pub duration: Span,
-    /// Whether this attempt of the caller's had reached a back end before.
+    /// Whether it may have run: whether it had reached a back end before this refusal.
     pub verdict: Verdict,
 }
 
@@ -45,13 +45,13 @@
         match self {
             LocalReply::NoRoute => StatusCode::NOT_FOUND,
             LocalReply::UnknownKey => StatusCode::UNAUTHORIZED,
-            LocalReply::BadHeader(_) | LocalReply::BodyBroken => StatusCode::BAD_REQUEST,
+            LocalReply::BadHeader(_) | LocalReply::IncompleteBody => StatusCode::BAD_REQUEST,
             LocalReply::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             LocalReply::NotRun(..) | LocalReply::NoMemory(_) => StatusCode::SERVICE_UNAVAILABLE,
             LocalReply::ResponseLost => StatusCode::BAD_GATEWAY,
             LocalReply::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-            // Neither 503, which asks the caller to come again, nor 4xx, which says that the
-            // request breaks a rule of the interface.
+            // Neither 503, which asks the caller to retry, nor 4xx, which blames the request for
+            // violating the interface.
             LocalReply::CrashesBackEnds(_) => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
@@ -62,7 +62,7 @@
             LocalReply::UnknownKey => "unknown_key",
             LocalReply::BadHeader(name) => name,
             LocalReply::BodyTooLarge => "body_too_large",
-            LocalReply::BodyBroken => "body_broken",
+            LocalReply::IncompleteBody => "body_broken",
             LocalReply::NotRun(reason, _) => reason.as_str(),
             LocalReply::NoMemory(_) => "memory",
             LocalReply::ResponseLost => "answer_lost",
@@ -74,7 +74,7 @@
     pub fn verdict(&self) -> Verdict {
         match self {
             LocalReply::ResponseLost | LocalReply::TimedOut => Verdict::MayHaveRun,
-            LocalReply::CrashesBackEnds(crashes) => crashes.verdict,
+            LocalReply::CrashesBackEnds(refusal) => refusal.verdict,
             _ => Verdict::NotRun,
         }
     }
@@ -82,39 +82,39 @@
     fn closes_connection(&self) -> bool {
         matches!(
             self,
-            LocalReply::BodyTooLarge | LocalReply::BodyBroken | LocalReply::NoMemory(_)
+            LocalReply::BodyTooLarge | LocalReply::IncompleteBody | LocalReply::NoMemory(_)
         )
     }
 
-    /// What the request asks, where the answer is about that.
+    /// Digest of the request, for replies that depend on its content.
     pub fn digest(&self) -> Option<RequestDigest> {
         match self {
-            LocalReply::CrashesBackEnds(crashes) => Some(crashes.digest),
+            LocalReply::CrashesBackEnds(refusal) => Some(refusal.digest),
             _ => None,
         }
     }
 
-    fn text(&self) -> String {
+    fn body_text(&self) -> String {
         match self {
-            LocalReply::CrashesBackEnds(crashes) => format!(
+            LocalReply::CrashesBackEnds(refusal) => format!(
                 "{}: back ends crashed each time that this request ran; it is refused for {:.0} s \
                  (digest {})\n",
                 self.reason(),
-                crashes.duration.seconds(),
-                crashes.digest
+                refusal.duration.seconds(),
+                refusal.digest
             ),
             _ => format!("{}\n", self.reason()),
         }
     }
 
     pub fn response(&self) -> Response<RelayBody> {
-        let text = self.text();
+        let text = self.body_text();
         let mut response = Response::new(RelayBody::from(text));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let LocalReply::NotRun(_, span) | LocalReply::NoMemory(span) = self
-            && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", span.seconds()))
+        if let LocalReply::NotRun(_, retry_after) | LocalReply::NoMemory(retry_after) = self
+            && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", retry_after.seconds()))
         {
             headers.insert(RETRY_AFTER, value);
         }
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines to standard output: bounded, and never waited for.
+//! Logging to standard output, bounded and non-blocking.
 //!
-//! Lines go into a queue that a thread of its own writes out. A full queue, a slow
-//! reader or a spent budget costs lines, which are counted and told; what concerns
-//! failures is kept before what concerns success.
+//! Lines go into a queue that a dedicated thread writes out. A full queue, a slow reader or an
+//! exhausted budget drops lines, which are counted and reported. Lines about failures have a budget
+//! of their own, so that lines about success don't displace them.
 
 use log::LevelFilter;
 use logforth::append::Append;
@@ -15,20 +15,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait to be written.
+/// Maximum lines waiting to be written.
 const QUEUE_LINES: usize = 4_096;
-/// Time between two writes, so that lines are written together.
+/// Time between two writes, so that lines are written in batches.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Beginning of the targets whose records are written; libraries' are not.
-const OWN_TARGET: &str = "eiderferry";
+/// Prefix of the log targets that are written; records of libraries are not.
+const OWN_TARGET_PREFIX: &str = "eiderferry";
 
-/// Lines allowed in a second.
+/// Maximum log lines per second.
 #[derive(Clone, Copy, Debug)]
 pub struct LogBudget {
-    /// Lines about success.
+    /// Lines of level info or below, about success.
     pub info_per_second: u32,
-    /// Lines about failures.
+    /// Warnings and errors, about failures.
     pub warnings_per_second: u32,
 }
 
@@ -43,69 +43,69 @@
 
 #[derive(Debug)]
 struct Window {
-    since: Instant,
-    information: u32,
-    warnings: u32,
+    started: Instant,
+    info_lines: u32,
+    warning_lines: u32,
 }
 
-/// A queue of lines with a budget.
+/// A bounded queue of lines with a rate budget.
 #[derive(Debug)]
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
     budget: LogBudget,
     window: Mutex<Window>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl LogQueue {
-    /// A queue of so many lines with its reading end.
+    /// A queue of at most `lines` lines, and its receiving end.
     pub fn new(lines: usize, budget: LogBudget) -> (Self, Receiver<Vec<u8>>) {
         let (sender, receiver) = sync_channel(lines);
         let queue = Self {
             lines: sender,
             budget,
             window: Mutex::new(Window {
-                since: Instant::now(),
-                information: 0,
-                warnings: 0,
+                started: Instant::now(),
+                info_lines: 0,
+                warning_lines: 0,
             }),
-            left_out: Arc::default(),
+            dropped_lines: Arc::default(),
         };
         (queue, receiver)
     }
 
-    /// Lines left out since the last time this was asked.
+    /// Returns the number of lines dropped since the last call.
     pub fn drain_dropped_count(&self) -> u64 {
-        self.left_out.swap(0, Ordering::Relaxed)
+        self.dropped_lines.swap(0, Ordering::Relaxed)
     }
 
-    /// Whether the budget has room for a line.
+    /// Whether the budget has room for a line; one that it has no room for counts as dropped.
     pub fn admits(&self, is_warning: bool) -> bool {
         let Ok(mut window) = self.window.lock() else {
             return false;
         };
-        if window.since.elapsed() >= Duration::from_secs(1) {
-            window.since = Instant::now();
-            window.information = 0;
-            window.warnings = 0;
+        if window.started.elapsed() >= Duration::from_secs(1) {
+            window.started = Instant::now();
+            window.info_lines = 0;
+            window.warning_lines = 0;
         }
-        let (used, most) = if is_warning {
-            (&mut window.warnings, self.budget.warnings_per_second)
+        let (used, limit) = if is_warning {
+            (&mut window.warning_lines, self.budget.warnings_per_second)
         } else {
-            (&mut window.information, self.budget.info_per_second)
+            (&mut window.info_lines, self.budget.info_per_second)
         };
-        let admits = *used < most;
+        let admits = *used < limit;
         *used += u32::from(admits);
         if !admits {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
         admits
     }
 
-    /// Queues a line unless the queue is full; never waits.
+    /// Queues a line, or drops it if the queue is full; never blocks.
     pub fn push(&self, line: Vec<u8>) {
         if self.lines.try_send(line).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -118,7 +118,7 @@
 
 impl Append for QueueAppend {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if !record.target().starts_with(OWN_TARGET) {
+        if !record.target().starts_with(OWN_TARGET_PREFIX) {
             return Ok(());
         }
         let is_warning = record.level() >= Level::Warn;
@@ -138,7 +138,7 @@
 /// Starts logging to standard output.
 pub fn start(budget: LogBudget) {
     let (queue, lines) = LogQueue::new(QUEUE_LINES, budget);
-    let left_out = Arc::clone(&queue.left_out);
+    let dropped_lines = Arc::clone(&queue.dropped_lines);
     let append = QueueAppend {
         queue,
         layout: JsonLayout::default(),
@@ -148,27 +148,27 @@
         .apply();
     log::set_max_level(LevelFilter::Info);
     let writer = std::thread::Builder::new().name("log".to_owned());
-    // Without the thread the queue fills, and lines are left out.
-    let _ = writer.spawn(move || write_lines(&lines, &left_out));
+    // If the thread can't be started, the queue fills and lines are dropped.
+    let _ = writer.spawn(move || write_lines(&lines, &dropped_lines));
 }
 
-fn write_lines(lines: &Receiver<Vec<u8>>, left_out: &AtomicU64) {
+fn write_lines(lines: &Receiver<Vec<u8>>, dropped_lines: &AtomicU64) {
     let mut output = std::io::stdout();
     while let Ok(mut batch) = lines.recv() {
         std::thread::sleep(WRITE_INTERVAL);
         for line in lines.try_iter() {
             batch.extend_from_slice(&line);
         }
-        let count = left_out.swap(0, Ordering::Relaxed);
+        let count = dropped_lines.swap(0, Ordering::Relaxed);
         if count > 0 {
-            batch.extend_from_slice(left_out_line(count).as_bytes());
+            batch.extend_from_slice(dropped_lines_record(count).as_bytes());
         }
-        // Where standard output is gone, there is nobody to tell.
+        // If standard output is closed, there is nowhere to report it.
         let _ = output.write_all(&batch);
         let _ = output.flush();
     }
 }
 
-fn left_out_line(count: u64) -> String {
+fn dropped_lines_record(count: u64) -> String {
     format!("{{\"level\":\"WARN\",\"kvs\":{{\"event\":\"lines_left_out\",\"count\":{count}}}}}\n")
 }
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -29,40 +29,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Age that the clock has at the start, so that moments before it can be named: how long ago
-/// a peer heard of something.
-const HEAD_START: Span = Span::from_milliseconds(3_600_000);
-/// Time between two looks for rested connections.
-const CLEANING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Bytes that the kernel holds for one caller (it takes twice this, for its own records
-/// too); left alone it takes 4 MiB of a caller that does not read. 10 Mbit/s over 70 ms there
-/// and back need 88 kB.
-const CALLER_SEND_BUFFER: usize = 128 * 1024;
-/// Time between two looks at whether all requests have ended.
-const END_CHECK: Duration = Duration::from_millis(50);
-/// Time for log lines to be written before the process ends.
-const LAST_LINES: Duration = Duration::from_millis(250);
+/// Reading of the clock at start, so that it can express times before the start, such as when a
+/// peer learned of something.
+const CLOCK_START_OFFSET: Span = Span::from_milliseconds(3_600_000);
+/// Time between two runs of the housekeeping, which closes expired idle connections.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Send buffer of one caller's connection. The kernel allocates twice this, for its own bookkeeping
+/// too; without a limit it buffers 4 MiB for a caller that does not read. 10 Mbit/s at a round trip
+/// of 70 ms need 88 kB.
+const CALLER_SEND_BUFFER_BYTES: usize = 128 * 1024;
+/// Time between two checks whether all requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for queued log lines to be written before the process ends.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(250);
 
 quick_error! {
     /// Why a relay can't start.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be used.
+        /// An address can't be bound.
         Bind(what: &'static str, address: SocketAddr, cause: std::io::Error) {
             display("{what}: can't listen on {address}: {cause}; name a free address of this machine")
         }
-        /// A thread can't be started.
+        /// The control thread can't be started.
         Thread(cause: std::io::Error) {
             display("can't start the control thread: {cause}")
         }
     }
 }
 
-/// A source of documents: runs on the control thread for as long as the process.
+/// A document source: runs on the control thread for the lifetime of the process.
 pub type Source =
     Box<dyn FnOnce(DocumentFeed) -> Pin<Box<dyn Future<Output = ()>>> + Send + 'static>;
 
-/// A relay that is about to serve.
+/// A relay that is ready to serve.
 pub struct Relay {
     settings: RelaySettings,
     clock: Clock,
@@ -74,12 +74,12 @@
 }
 
 impl Relay {
-    /// Starts the control thread.
+    /// Binds the peer sockets and starts the control thread.
     pub fn start(settings: RelaySettings, source: Source) -> Result<Self, StartError> {
-        let clock = Clock::start(HEAD_START);
+        let clock = Clock::start(CLOCK_START_OFFSET);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
         let (sender, commands) = async_channel::unbounded();
-        let socket = bind_datagrams(settings.peer_address)?;
+        let socket = bind_peer_socket(settings.peer_address)?;
         let listener = std::net::TcpListener::bind(settings.peer_address)
             .map_err(|cause| StartError::Bind("documents", settings.peer_address, cause))?;
         let dispatcher = Dispatcher::new(DispatcherSettings {
@@ -95,10 +95,10 @@
             features: settings.features,
             link_mbps: settings.link_mbps,
         });
-        let shared = Arc::clone(&table);
+        let control_table = Arc::clone(&table);
         let cancellations = Cancellations::default();
-        let told = cancellations.clone();
-        let peer = settings.peer_address;
+        let control_cancellations = cancellations.clone();
+        let peer_address = settings.peer_address;
         let (cache_protocol, header_names) = (
             settings.cache_protocol.clone(),
             settings.header_names.clone(),
@@ -106,7 +106,14 @@
         let thread = std::thread::Builder::new().name("control".to_owned());
         thread
             .spawn(move || {
-                let control = Control::new(dispatcher, clock, shared, socket, told, peer);
+                let control = Control::new(
+                    dispatcher,
+                    clock,
+                    control_table,
+                    socket,
+                    control_cancellations,
+                    peer_address,
+                );
                 let follower =
                     |executor| CacheFollower::new(cache_protocol, header_names, executor);
                 run_control(Rc::new(control), commands, listener, follower, source);
@@ -124,17 +131,17 @@
         })
     }
 
-    /// What this relay holds for callers and back ends.
+    /// Memory accounting of this relay.
     pub fn memory(&self) -> Arc<MemoryBudget> {
         Arc::clone(&self.memory)
     }
 
-    /// Serves callers on this thread until `stop` is over and the planned stop that
-    /// follows it is done.
+    /// Serves callers on this thread until `stop` completes and the planned shutdown that follows
+    /// has finished.
     pub fn serve(self, stop: impl Future<Output = ()>) -> Result<(), StartError> {
         let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-        let (close, closing) = async_channel::bounded::<Infallible>(1);
-        let (end, ending) = async_channel::bounded::<Infallible>(1);
+        let (close_connections, connections_closing) = async_channel::bounded::<Infallible>(1);
+        let (force_stop, force_stop_signal) = async_channel::bounded::<Infallible>(1);
         let traffic = Rc::new(Traffic {
             upstream: Upstream::new(
                 Rc::clone(&executor),
@@ -153,10 +160,13 @@
             executor: Rc::clone(&executor),
             phase: Cell::new(Phase::Serving),
             open_requests: Cell::new(0),
-            closing,
-            force_stop: ending,
+            close_connections: connections_closing,
+            force_stop: force_stop_signal,
         });
-        let signals = StopSignals { close, end };
+        let signals = StopSignals {
+            close_connections,
+            force_stop,
+        };
         smol::block_on(executor.run(self.serve_until(server, stop, signals)))
     }
 
@@ -166,38 +176,40 @@
         stop: impl Future<Output = ()>,
         signals: StopSignals,
     ) -> Result<(), StartError> {
-        self.open(&server).await?;
+        self.open_listeners(&server).await?;
         let settings = &self.settings;
         let (node, zone) = (settings.node.as_str(), settings.zone.as_str());
         events::started(node, zone, settings.listen_address);
         stop.await;
         self.control.stop();
-        stop_server(&server, settings.shutdown, signals, self.clock).await;
+        shut_down(&server, settings.shutdown, signals, self.clock).await;
         events::stopped(server.open_requests.get());
-        Timer::after(LAST_LINES).await;
+        Timer::after(LOG_FLUSH_TIME).await;
         Ok(())
     }
 
-    async fn open(&self, server: &Rc<Server>) -> Result<(), StartError> {
+    async fn open_listeners(&self, server: &Rc<Server>) -> Result<(), StartError> {
         let settings = &self.settings;
         let executor = &server.executor;
-        let ready = bind("readiness", settings.readiness_address).await?;
+        let readiness = bind("readiness", settings.readiness_address).await?;
         let path = settings.readiness_path.clone();
         executor
-            .spawn(Rc::clone(server).accept_readiness(ready, path))
+            .spawn(Rc::clone(server).serve_readiness(readiness, path))
             .detach();
         if let (Some(address), Some(handle)) = (settings.metrics_address, self.metrics.clone()) {
             let listener = bind("metrics", address).await?;
             executor
-                .spawn(Rc::clone(server).accept_metrics(listener, handle))
+                .spawn(Rc::clone(server).serve_metrics(listener, handle))
                 .detach();
         }
         let callers = bind("callers", settings.listen_address).await?;
         if self.memory.is_bounded() {
-            bound_send_buffers(&callers);
+            limit_send_buffers(&callers);
         }
-        executor.spawn(Rc::clone(server).accept(callers)).detach();
-        executor.spawn(clean(Rc::clone(server))).detach();
+        executor
+            .spawn(Rc::clone(server).accept_callers(callers))
+            .detach();
+        executor.spawn(run_housekeeping(Rc::clone(server))).detach();
         Ok(())
     }
 }
@@ -208,55 +220,55 @@
         .map_err(|cause| StartError::Bind(what, address, cause))
 }
 
-/// Bounds what the kernel holds for a caller that does not read; connections inherit it.
-fn bound_send_buffers(callers: &TcpListener) {
+/// Limits what the kernel buffers for a caller that does not read; accepted connections inherit it.
+fn limit_send_buffers(callers: &TcpListener) {
     let socket = socket2::SockRef::from(callers);
-    if let Err(error) = socket.set_send_buffer_size(CALLER_SEND_BUFFER) {
-        log::warn!("send buffers of callers are not bounded: {error}");
+    if let Err(error) = socket.set_send_buffer_size(CALLER_SEND_BUFFER_BYTES) {
+        log::warn!("can't limit the send buffers of callers: {error}");
     }
 }
 
-fn bind_datagrams(address: SocketAddr) -> Result<PeerSocket, StartError> {
+fn bind_peer_socket(address: SocketAddr) -> Result<PeerSocket, StartError> {
     let error = |cause| StartError::Bind("messages", address, cause);
     let socket = std::net::UdpSocket::bind(address).map_err(error)?;
     let socket = smol::Async::new(socket).map_err(error)?;
     Ok(PeerSocket::new(socket))
 }
 
-async fn clean(server: Rc<Server>) {
+async fn run_housekeeping(server: Rc<Server>) {
     loop {
-        Timer::after(CLEANING_INTERVAL).await;
+        Timer::after(HOUSEKEEPING_INTERVAL).await;
         let traffic = &server.traffic;
         traffic.upstream.close_idle();
         let budget = &traffic.memory.budget;
-        budget.record_pace(traffic.clock.now());
-        metrics::held(budget);
+        budget.update_release_rate(traffic.clock.now());
+        metrics::set_memory_gauges(budget);
     }
 }
 
-/// Channels whose closing tells connections and requests how far a stop has come.
+/// Channels that are closed to signal the phases of a shutdown to connections and requests.
 struct StopSignals {
-    close: async_channel::Sender<Infallible>,
-    end: async_channel::Sender<Infallible>,
+    close_connections: async_channel::Sender<Infallible>,
+    force_stop: async_channel::Sender<Infallible>,
 }
 
-async fn stop_server(
+async fn shut_down(
     server: &Server,
     settings: ShutdownSettings,
     signals: StopSignals,
     clock: Clock,
 ) {
-    let begun = clock.now();
+    let started = clock.now();
     server.phase.set(Phase::NotReady);
     events::stopping("leaving", server.open_requests.get());
     Timer::after(duration(settings.refuse_after)).await;
     server.phase.set(Phase::Refusing);
-    signals.close.close();
+    signals.close_connections.close();
     events::stopping("refusing", server.open_requests.get());
-    while server.open_requests.get() > 0 && clock.now().since(begun) < settings.terminate_after {
-        Timer::after(END_CHECK).await;
+    while server.open_requests.get() > 0 && clock.now().since(started) < settings.terminate_after {
+        Timer::after(DRAIN_CHECK_INTERVAL).await;
     }
-    signals.end.close();
+    signals.force_stop.close();
 }
 
 fn run_control(
@@ -267,22 +279,22 @@
     source: Source,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-    let (requests, package_requests) = async_channel::unbounded();
+    let (request_sender, requests) = async_channel::unbounded();
     let follower = Rc::new(follower(Rc::clone(&executor)));
-    let ticking = Rc::clone(&control);
+    let tick_control = Rc::clone(&control);
     executor
-        .spawn(async move { ticking.run_ticks(&follower).await })
+        .spawn(async move { tick_control.run_ticks(&follower).await })
         .detach();
     let clock = control.clock;
     executor
-        .spawn(documents::answer(
+        .spawn(documents::answer_requests(
             Rc::clone(&control),
             clock,
-            package_requests,
+            requests,
         ))
         .detach();
     executor
-        .spawn(documents::serve(listener, requests))
+        .spawn(documents::serve(listener, request_sender))
         .detach();
     executor
         .spawn(source(DocumentFeed::new(Rc::clone(&control))))
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -1,35 +1,36 @@
-//! The answer to a question for a place at a back end, whose asker may be gone when it comes.
+//! A pending decision on a lease, whose requester may be gone when it arrives.
 //!
-//! A caller that leaves drops its request wherever it stands, also between the question to the
-//! control thread and the answer. A place granted then has no holder who would give it back.
+//! When a caller disconnects, its request is dropped at any point, including between the message to
+//! the control thread and the decision. A lease granted then has no holder that would release it.
 
 use crate::control::ControlHandle;
 use crate::events;
 use async_channel::Receiver;
 use eiderferry_dispatch::{Decision, LeaseId, Outcome, StreamPacing};
 
-/// A decision that is under way. Dropped before it was taken, it gives a granted place back.
+/// A decision that is pending. If it is dropped before it was received, a granted lease is
+/// released.
 pub(crate) struct PendingDecision {
-    answer: Receiver<Decision>,
+    receiver: Receiver<Decision>,
     control: ControlHandle,
 }
 
 impl PendingDecision {
-    pub fn new(answer: Receiver<Decision>, control: ControlHandle) -> Self {
-        Self { answer, control }
+    pub fn new(receiver: Receiver<Decision>, control: ControlHandle) -> Self {
+        Self { receiver, control }
     }
 
-    /// The decision; `None` if the control thread is gone.
-    pub async fn decision(self) -> Option<Decision> {
-        self.answer.recv().await.ok()
+    /// Waits for the decision; `None` if the control thread has ended.
+    pub async fn receive(self) -> Option<Decision> {
+        self.receiver.recv().await.ok()
     }
 }
 
 impl Drop for PendingDecision {
     fn drop(&mut self) {
-        // Once closed, a decision is either here or returns to the control thread.
-        self.answer.close();
-        let Ok(unclaimed) = self.answer.try_recv() else {
+        // After closing, the decision is either in the channel or returned to the control thread.
+        self.receiver.close();
+        let Ok(unclaimed) = self.receiver.try_recv() else {
             return;
         };
         release_unclaimed(unclaimed, |lease| {
@@ -39,13 +40,13 @@
     }
 }
 
-/// Gives the place of a decision back that nobody waits for any more. With one that stays
-/// taken for each caller that left at this moment, a pool of three back ends with 6 slots
-/// refused a third of its requests for as long as the nodes lived.
-pub(crate) fn release_unclaimed(unclaimed: Decision, end: impl FnOnce(LeaseId)) {
+/// Releases the lease of a decision that nobody waits for. When one lease leaked for each caller
+/// that disconnected at this moment, a pool of three back ends with 6 slots refused a third of its
+/// requests for as long as the nodes ran.
+pub(crate) fn release_unclaimed(unclaimed: Decision, release: impl FnOnce(LeaseId)) {
     let Decision::Grant(grant) = unclaimed else {
         return;
     };
     events::lease_unclaimed(&grant.instance);
-    end(grant.lease);
+    release(grant.lease);
 }
--- a/crates/transport/relay/src/request_head.rs
+++ b/crates/transport/relay/src/request_head.rs
@@ -1,4 +1,4 @@
-//! What a request's head tells: route, tenant, time and prompt.
+//! Parsing of a request's head: route, tenant, remaining time and prompt.
 
 use crate::HeaderNames;
 use crate::local_reply::LocalReply;
@@ -9,20 +9,20 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderName};
 
-const BEARER: &str = "Bearer ";
-/// Tokens assumed to come out where nothing is said.
+const BEARER_PREFIX: &str = "Bearer ";
+/// Output tokens assumed when the request states neither a hint nor a maximum.
 const ASSUMED_OUTPUT_TOKENS: u32 = 100;
-/// Parts of a prompt that are looked at.
+/// Maximum prompt parts that are parsed.
 const MAXIMUM_PARTS: usize = 64;
 
-/// What is known of a request from its head.
+/// What the head of a request states.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHead {
     pub id: String,
     pub route: Route,
     pub tenant: Option<String>,
     pub rank: u8,
-    /// Level at which engines admit it; 0 is the most urgent.
+    /// Priority level at which engines admit the request; 0 is the highest priority.
     pub priority: u8,
     pub remaining: Span,
     pub allowed_regions: AllowedRegions,
@@ -32,7 +32,7 @@
 }
 
 impl RequestHead {
-    /// Reads a head against the table in force.
+    /// Parses a head against the routing table in force.
     pub fn read(
         parts: &Parts,
         table: &RoutingTable,
@@ -41,13 +41,14 @@
         let headers = &parts.headers;
         let route = find_route(parts, table)?;
         let tenant = find_tenant(headers, table, route)?;
-        let id = text(headers, &header_names.request_id)
+        let id = header_text(headers, &header_names.request_id)
             .filter(|id| !id.is_empty())
             .ok_or(LocalReply::BadHeader("request_id_missing"))?;
-        let remaining = remaining(headers, header_names, route)?;
-        let usage = text(headers, &header_names.token_usage).unwrap_or_default();
-        let (prompt_tokens, most_output) = token_usage(usage);
-        let hint = text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
+        let remaining = remaining_time(headers, header_names, route)?;
+        let usage = header_text(headers, &header_names.token_usage).unwrap_or_default();
+        let (prompt_tokens, maximum_output) = token_usage(usage);
+        let length_hint =
+            header_text(headers, &header_names.length_hint).and_then(|hint| hint.parse().ok());
         let rank = tenant.and_then(|tenant| tenant.rank).unwrap_or(route.rank);
         Ok(Self {
             id: id.to_owned(),
@@ -57,16 +58,20 @@
             priority: table.priority(route, tenant),
             remaining,
             allowed_regions: route.regions_for(tenant),
-            parts: prompt_parts(text(headers, &header_names.prompt_parts).unwrap_or_default()),
+            parts: prompt_parts(
+                header_text(headers, &header_names.prompt_parts).unwrap_or_default(),
+            ),
             prompt_tokens,
-            output_tokens: hint.or(most_output).unwrap_or(ASSUMED_OUTPUT_TOKENS),
+            output_tokens: length_hint
+                .or(maximum_output)
+                .unwrap_or(ASSUMED_OUTPUT_TOKENS),
         })
     }
 }
 
 impl RequestHead {
-    /// What the request asks: method, address, caller and body. Neither its id nor how long its
-    /// caller waits belong to it.
+    /// Digest of the request's content: method, host, path and query, caller, and body. Its id and
+    /// the time that its caller waits are not part of it.
     pub fn digest(&self, parts: &Parts, body: &[u8]) -> RequestDigest {
         let target = parts
             .uri
@@ -83,12 +88,12 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
 fn find_route<'a>(parts: &Parts, table: &'a RoutingTable) -> Result<&'a Route, LocalReply> {
-    let host = text(&parts.headers, &HOST).unwrap_or_default();
+    let host = header_text(&parts.headers, &HOST).unwrap_or_default();
     match table.route(host, parts.uri.path()) {
         RouteMatch::Found(route) => Ok(route),
         RouteMatch::NoRoute => Err(LocalReply::NoRoute),
@@ -100,7 +105,8 @@
     table: &'a RoutingTable,
     route: &Route,
 ) -> Result<Option<&'a Tenant>, LocalReply> {
-    let key = text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER));
+    let key =
+        header_text(headers, &AUTHORIZATION).and_then(|value| value.strip_prefix(BEARER_PREFIX));
     let tenant = key.and_then(|key| table.tenant(key.trim()));
     let needs_key = !route.is_public && !table.document().tenants.is_empty();
     if needs_key && tenant.is_none() {
@@ -109,12 +115,12 @@
     Ok(tenant)
 }
 
-fn remaining(
+fn remaining_time(
     headers: &HeaderMap,
     header_names: &HeaderNames,
     route: &Route,
 ) -> Result<Span, LocalReply> {
-    let Some(value) = text(headers, &header_names.remaining_ms) else {
+    let Some(value) = header_text(headers, &header_names.remaining_ms) else {
         return Ok(route.timeout);
     };
     let milliseconds: f64 = value
--- a/crates/transport/relay/src/request_memory.rs
+++ b/crates/transport/relay/src/request_memory.rs
@@ -1,4 +1,4 @@
-//! What one request holds, and the readers that may be ended to make room.
+//! Memory accounting of one request, and the streams that may be evicted to make room.
 
 use crate::events;
 use crate::memory_budget::{MemoryBudget, MemoryFull, MemoryKind, MemoryReservation};
@@ -7,10 +7,10 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// Kind of route before it is known.
+/// Label of a request whose route is not known yet.
 const UNKNOWN_ROUTE: &str = "unknown";
 
-/// The memory of a traffic thread: its budget and the streams read ahead under it.
+/// The memory budget of a traffic thread and the streams that are read ahead under it.
 #[derive(Default)]
 pub(crate) struct Memory {
     pub budget: Arc<MemoryBudget>,
@@ -25,46 +25,46 @@
         })
     }
 
-    /// A stream whose caller has begun to lag.
-    pub fn add_reader(&self, reader: Weak<RefCell<ReadAhead>>) {
+    /// Registers a stream whose caller has begun to lag.
+    pub fn register(&self, reader: Weak<RefCell<ReadAhead>>) {
         let mut readers = self.readers.borrow_mut();
         readers.retain(|reader| reader.strong_count() > 0);
         readers.push(reader);
     }
 
-    /// Ends the stream least worth keeping, if one is worth less than `own`; whether it did.
-    /// Whoever is being read just now is borrowed and passed over.
-    pub fn evict_stream(&self, own: Option<EvictionPriority>) -> bool {
+    /// Evicts the stream with the highest eviction priority, if that is above `own_priority`;
+    /// returns whether it did. A stream that is being polled is borrowed, and is skipped.
+    pub fn evict_stream(&self, own_priority: Option<EvictionPriority>) -> bool {
         let victim = {
             let readers = self.readers.borrow();
-            let alive = readers.iter().filter_map(Weak::upgrade);
-            let valued = alive.filter_map(|reader| {
+            let live = readers.iter().filter_map(Weak::upgrade);
+            let candidates = live.filter_map(|reader| {
                 let eviction_priority = reader.try_borrow().ok()?.eviction_priority()?;
                 Some((eviction_priority, reader))
             });
-            valued.max_by_key(|(eviction_priority, _)| *eviction_priority)
+            candidates.max_by_key(|(eviction_priority, _)| *eviction_priority)
         };
         let Some((eviction_priority, reader)) = victim else {
             return false;
         };
-        if own.is_some_and(|own| own >= eviction_priority) {
+        if own_priority.is_some_and(|own| own >= eviction_priority) {
             return false;
         }
-        let source = reader.borrow_mut().end_for_memory();
+        let source = reader.borrow_mut().evict();
         drop(source);
         true
     }
 }
 
-/// How little a stream is worth keeping: the less urgent first, then the one that holds
-/// more. The greatest is ended first.
+/// Order in which streams are evicted, greatest first: those of the less urgent rank, and among
+/// these the one that holds more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionPriority {
     pub rank: u8,
     pub bytes: u64,
 }
 
-/// The account of one request.
+/// The memory account of one request.
 pub(crate) struct RequestMemory {
     pub shared: Rc<Memory>,
     route: Cell<&'static str>,
@@ -84,7 +84,7 @@
         })
     }
 
-    /// What is known once the head has been read.
+    /// Sets what is known once the head has been read.
     pub fn set_request(&self, id: &str, route: &'static str, rank: u8) {
         id.clone_into(&mut self.id.borrow_mut());
         self.route.set(route);
@@ -95,10 +95,15 @@
         MemoryReservation::empty(&self.shared.budget, kind, self.route.get())
     }
 
-    /// Holds more of an answer that has run: streams of slower callers give way.
-    pub fn grow_answer(&self, held: &mut MemoryReservation, bytes: u64) -> Result<(), MemoryFull> {
+    /// Reserves more for the response of a request that has run, evicting streams of slower callers
+    /// if necessary.
+    pub fn grow_response(
+        &self,
+        reservation: &mut MemoryReservation,
+        bytes: u64,
+    ) -> Result<(), MemoryFull> {
         loop {
-            match held.grow(bytes) {
+            match reservation.grow(bytes) {
                 Err(MemoryFull) if self.shared.evict_stream(None) => {}
                 result => return result,
             }
@@ -112,13 +117,13 @@
         }
     }
 
-    /// The request is ended for want of memory.
-    pub fn record_ended(&self, held: u64, why: &'static str) {
+    /// Records that the request was ended for lack of memory.
+    pub fn record_ended(&self, held: u64, reason: &'static str) {
         self.was_ended.set(true);
-        events::ended_for_memory(&self.id.borrow(), self.route.get(), held, why);
+        events::ended_for_memory(&self.id.borrow(), self.route.get(), held, reason);
     }
 
-    /// How a request ended whose exchange was dropped before its end.
+    /// Outcome of a request whose exchange was dropped before its end.
     pub fn dropped_outcome(&self) -> &'static str {
         if self.was_ended.get() {
             "memory"
--- a/crates/transport/relay/src/upstream.rs
+++ b/crates/transport/relay/src/upstream.rs
@@ -25,98 +25,99 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time for a connection to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest rest of a kept connection.
-const MAXIMUM_REST: Duration = Duration::from_secs(10);
-/// Longest rest of a kept connection for a request that may not be repeated: one that
-/// a back end closes meanwhile loses the request's answer.
-const MAXIMUM_REST_UNREPEATABLE: Duration = Duration::from_millis(700);
-/// Part of the rest that a back end allows which is used.
-const REST_PART: f64 = 0.7;
-/// Unanswered bytes older than this break a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Maximum idle time of a pooled connection.
+const MAXIMUM_IDLE: Duration = Duration::from_secs(10);
+/// Maximum idle time of a pooled connection used for a request that may not be retried: if the back
+/// end closes the connection meanwhile, the response is lost.
+const MAXIMUM_IDLE_NOT_RETRYABLE: Duration = Duration::from_millis(700);
+/// Fraction used of the idle time that a back end allows.
+const IDLE_FRACTION: f64 = 0.7;
+/// Time without acknowledgement of sent bytes after which the kernel closes a connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 quick_error! {
-    /// Why a request got no head of an answer.
+    /// Why a request got no response head.
     #[derive(Debug)]
     pub enum SendError {
-        /// No connection came up; nothing was sent.
+        /// The connection could not be established; nothing was sent.
         Unreachable(cause: std::io::Error) {
             display("no connection: {cause}")
         }
-        /// This node holds all the connections that it may; nothing was sent.
-        NoConnection {
-            display("all connections are in use")
+        /// This node has as many connections to the back end as it may; nothing was sent.
+        ConnectionLimit {
+            display("the connection limit of the back end is reached")
         }
-        /// The back end has not yet taken what it was sent before; nothing was sent.
-        Backlog {
-            display("the bodies at the back end fill their part of the memory")
+        /// Bodies sent earlier to the back end are still outstanding and fill its share of the
+        /// memory budget; nothing was sent.
+        BodyLimit {
+            display("the memory limit for bodies at the back end is reached")
         }
-        /// The request may have arrived.
-        Broken(cause: hyper::Error) {
-            display("no whole answer: {cause}")
+        /// The response is incomplete; the request may have arrived.
+        Incomplete(cause: hyper::Error) {
+            display("incomplete response: {cause}")
         }
     }
 }
 
 impl SendError {
-    /// Whether certainly nothing was sent.
+    /// Whether it is certain that nothing was sent.
     pub fn is_unsent(&self) -> bool {
-        !matches!(self, SendError::Broken(_))
+        !matches!(self, SendError::Incomplete(_))
     }
 
-    /// What it says of the back end.
+    /// The outcome to record for the back end.
     pub fn outcome(&self) -> Outcome {
         match self {
             SendError::Unreachable(cause) if cause.kind() == ErrorKind::ConnectionRefused => {
                 Outcome::ConnectionRefused
             }
             SendError::Unreachable(_) => Outcome::Unreachable,
-            SendError::NoConnection | SendError::Backlog => Outcome::NotSent,
-            SendError::Broken(_) => Outcome::IncompleteResponse,
+            SendError::ConnectionLimit | SendError::BodyLimit => Outcome::NotSent,
+            SendError::Incomplete(_) => Outcome::IncompleteResponse,
         }
     }
 }
 
-type Key = (SocketAddr, InstanceId);
+type PoolKey = (SocketAddr, InstanceId);
 
 #[derive(Default)]
 struct Pool {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     open: u32,
-    /// Bytes of the bodies whose exchanges with the back end are not over.
+    /// Bytes of bodies whose exchange with the back end is not over.
     outstanding: u64,
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    /// Time of the machine, suspensions included: back ends close what rests meanwhile.
-    since: Duration,
-    limit: Duration,
+    /// Boot time, which includes suspensions: back ends close idle connections during them.
+    idle_since: Duration,
+    idle_limit: Duration,
 }
 
-impl Idle {
+impl IdleConnection {
     fn age(&self) -> Duration {
-        boot_time().saturating_sub(self.since)
+        boot_time().saturating_sub(self.idle_since)
     }
 }
 
-/// A connection to a back end; dropped, it is closed at once.
+/// A connection to a back end; closed when dropped.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// The same socket as the driver's.
+    /// The socket that the driver task uses.
     socket: Arc<Async<std::net::TcpStream>>,
     _driver: Task<()>,
-    _count: OpenCount,
+    _guard: ConnectionGuard,
     body: Option<OutstandingBody>,
-    key: Key,
+    key: PoolKey,
 }
 
-/// A body at a back end, until its answer has been read or given up.
+/// A body sent to a back end, counted until its response has been read or given up.
 struct OutstandingBody {
     pools: Pools,
-    key: Key,
+    key: PoolKey,
     bytes: u64,
 }
 
@@ -130,12 +131,12 @@
     }
 }
 
-struct OpenCount {
+struct ConnectionGuard {
     pools: Pools,
-    key: Key,
+    key: PoolKey,
 }
 
-impl Drop for OpenCount {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if let Ok(mut pools) = self.pools.try_borrow_mut()
             && let Some(pool) = pools.get_mut(&self.key)
@@ -145,38 +146,38 @@
     }
 }
 
-type Pools = Rc<RefCell<HashMap<Key, Pool>>>;
+type Pools = Rc<RefCell<HashMap<PoolKey, Pool>>>;
 
-/// All connections of a traffic thread.
+/// The connection pools of a traffic thread.
 pub(crate) struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
     pools: Pools,
-    /// Is told how long connections take to come up.
+    /// Receives the time that each connection took to establish.
     control: ControlHandle,
-    /// Most bytes of bodies at one back end, if bounded.
-    most_outstanding: Option<u64>,
+    /// Maximum outstanding body bytes per back end, if limited.
+    outstanding_limit: Option<u64>,
 }
 
 impl Upstream {
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         control: ControlHandle,
-        most_outstanding: Option<u64>,
+        outstanding_limit: Option<u64>,
     ) -> Self {
         Self {
             executor,
             control,
-            most_outstanding,
+            outstanding_limit,
             pools: Rc::default(),
         }
     }
 
-    /// Runs something beside the requests.
+    /// Runs a task in the background.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         self.executor.spawn(work).detach();
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn send(
         &self,
         grant: &Grant,
@@ -184,7 +185,7 @@
         may_retry: bool,
     ) -> Result<(Response<Incoming>, Connection), SendError> {
         let key = (grant.address, grant.instance.clone());
-        let body = self.reserve(&key, request.body().size_hint().lower())?;
+        let body = self.reserve_body(&key, request.body().size_hint().lower())?;
         while let Some(mut connection) = self.take_idle(&key, may_retry).await {
             match connection.sender.try_send_request(request).await {
                 Ok(response) => {
@@ -193,7 +194,7 @@
                 }
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(SendError::Broken(error.into_error())),
+                    None => return Err(SendError::Incomplete(error.into_error())),
                 },
             }
         }
@@ -203,20 +204,20 @@
                 connection.body = Some(body);
                 Ok((response, connection))
             }
-            Err(error) => Err(SendError::Broken(error.into_error())),
+            Err(error) => Err(SendError::Incomplete(error.into_error())),
         }
     }
 
-    /// Counts a body as being at a back end. One alone is always let through.
-    fn reserve(&self, key: &Key, bytes: u64) -> Result<OutstandingBody, SendError> {
+    /// Counts a body as outstanding at a back end. A single body is always admitted.
+    fn reserve_body(&self, key: &PoolKey, bytes: u64) -> Result<OutstandingBody, SendError> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(key.clone()).or_default();
-        let after = pool.outstanding + bytes;
-        let is_over = self.most_outstanding.is_some_and(|most| after > most);
-        if is_over && bytes > 0 && pool.outstanding > 0 {
-            return Err(SendError::Backlog);
+        let total = pool.outstanding + bytes;
+        let exceeds_limit = self.outstanding_limit.is_some_and(|limit| total > limit);
+        if exceeds_limit && bytes > 0 && pool.outstanding > 0 {
+            return Err(SendError::BodyLimit);
         }
-        pool.outstanding = after;
+        pool.outstanding = total;
         Ok(OutstandingBody {
             pools: Rc::clone(&self.pools),
             key: key.clone(),
@@ -224,34 +225,34 @@
         })
     }
 
-    async fn take_idle(&self, key: &Key, may_retry: bool) -> Option<Connection> {
-        let most = if may_retry {
-            MAXIMUM_REST
+    async fn take_idle(&self, key: &PoolKey, may_retry: bool) -> Option<Connection> {
+        let maximum_idle = if may_retry {
+            MAXIMUM_IDLE
         } else {
-            MAXIMUM_REST_UNREPEATABLE
+            MAXIMUM_IDLE_NOT_RETRYABLE
         };
         loop {
             let idle = self.pools.borrow_mut().get_mut(key)?.idle.pop()?;
-            let is_fresh = idle.age() < idle.limit.min(most);
+            let is_fresh = idle.age() < idle.idle_limit.min(maximum_idle);
             if is_fresh && is_ready(&idle.connection).await && is_open(&idle.connection) {
                 return Some(idle.connection);
             }
         }
     }
 
-    async fn connect(&self, key: Key, most: u32) -> Result<Connection, SendError> {
-        let count = self.count(&key, most)?;
-        let begun = Instant::now();
+    async fn connect(&self, key: PoolKey, limit: u32) -> Result<Connection, SendError> {
+        let guard = self.reserve_connection(&key, limit)?;
+        let started = Instant::now();
         let stream = connect_stream(key.0)
             .await
             .map_err(SendError::Unreachable)?;
-        let round_trip = Span::from_seconds(begun.elapsed().as_secs_f64());
+        let round_trip = Span::from_seconds(started.elapsed().as_secs_f64());
         self.control.record_round_trip(key.1.clone(), round_trip);
         let socket = stream.clone().into();
         let handshake = http1::Builder::new()
             .handshake(FuturesIo::new(stream))
             .await;
-        let (sender, connection) = handshake.map_err(SendError::Broken)?;
+        let (sender, connection) = handshake.map_err(SendError::Incomplete)?;
         let driver = self.executor.spawn(async move {
             if let Err(error) = connection.await {
                 log::trace!("a connection to a back end ended: {error}");
@@ -261,34 +262,34 @@
             sender,
             socket,
             _driver: driver,
-            _count: count,
+            _guard: guard,
             body: None,
             key,
         })
     }
 
-    fn count(&self, key: &Key, most: u32) -> Result<OpenCount, SendError> {
+    fn reserve_connection(&self, key: &PoolKey, limit: u32) -> Result<ConnectionGuard, SendError> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(key.clone()).or_default();
-        if pool.open >= most {
-            return Err(SendError::NoConnection);
+        if pool.open >= limit {
+            return Err(SendError::ConnectionLimit);
         }
         pool.open += 1;
-        Ok(OpenCount {
+        Ok(ConnectionGuard {
             pools: Rc::clone(&self.pools),
             key: key.clone(),
         })
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Returns a connection to its pool after its response was read completely.
     pub fn return_connection(&self, mut connection: Connection, headers: &HeaderMap) {
         connection.body = None;
-        let Some(limit) = allowed_rest(headers) else {
+        let Some(idle_limit) = allowed_idle(headers) else {
             return;
         };
-        let idle = Idle {
-            since: boot_time(),
-            limit,
+        let idle = IdleConnection {
+            idle_since: boot_time(),
+            idle_limit,
             connection,
         };
         let key = idle.connection.key.clone();
@@ -300,16 +301,19 @@
             .push(idle);
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_idle(&self) {
         let mut closed = Vec::new();
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
-            let (rested, kept): (Vec<Idle>, Vec<Idle>) = std::mem::take(&mut pool.idle)
-                .into_iter()
-                .partition(|idle| idle.age() >= idle.limit || !idle.connection.sender.is_ready());
+            let (expired, kept): (Vec<IdleConnection>, Vec<IdleConnection>) =
+                std::mem::take(&mut pool.idle)
+                    .into_iter()
+                    .partition(|idle| {
+                        idle.age() >= idle.idle_limit || !idle.connection.sender.is_ready()
+                    });
             pool.idle = kept;
-            closed.extend(rested);
+            closed.extend(expired);
         }
         drop(pools);
         drop(closed);
@@ -319,8 +323,8 @@
     }
 }
 
-/// Whether a connection takes a request: its driver may need a turn to notice that the
-/// last answer is over.
+/// Whether a connection can take a request: its driver may have to be polled once to notice that
+/// the last response is complete.
 async fn is_ready(connection: &Connection) -> bool {
     if !connection.sender.is_ready() && !connection.sender.is_closed() {
         yield_now().await;
@@ -328,48 +332,48 @@
     connection.sender.is_ready()
 }
 
-/// Whether the back end has left a rested connection open and silent. Its closing may have
-/// arrived without the driver having had a turn to notice: a request sent then is lost, and one
-/// that may not be repeated fails. Beside twelve busy processes 7 of 40 runs of
+/// Whether the back end has left an idle connection open and sent nothing on it. The driver may not
+/// have noticed yet that it was closed: a request sent then is lost, and one that may not be
+/// retried fails. Beside twelve busy processes 7 of 40 runs of
 /// `an_answer_before_the_whole_body_was_read_spoils_no_later_request` lost a request that way.
 fn is_open(connection: &Connection) -> bool {
     let peeked = connection.socket.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// How long a connection may rest; `None` if it may not be kept.
-fn allowed_rest(headers: &HeaderMap) -> Option<Duration> {
+/// How long a connection may stay idle; `None` if it may not be reused.
+fn allowed_idle(headers: &HeaderMap) -> Option<Duration> {
     let mut connection = headers.get_all(http::header::CONNECTION).iter();
     let closes = connection.any(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     if closes {
         return None;
     }
-    let told = headers
+    let keep_alive = headers
         .get("keep-alive")
         .and_then(|value| value.to_str().ok());
-    let seconds = told.and_then(|value| {
+    let seconds = keep_alive.and_then(|value| {
         let mut fields = value.split(',').map(str::trim);
         fields.find_map(|field| field.strip_prefix("timeout=")?.parse::<f64>().ok())
     });
-    let limit = seconds.map_or(MAXIMUM_REST, |seconds| {
-        Duration::from_secs_f64(seconds.max(0.0) * REST_PART)
+    let limit = seconds.map_or(MAXIMUM_IDLE, |seconds| {
+        Duration::from_secs_f64(seconds.max(0.0) * IDLE_FRACTION)
     });
-    Some(limit.min(MAXIMUM_REST))
+    Some(limit.min(MAXIMUM_IDLE))
 }
 
-/// What a new connection to a back end met.
+/// Result of opening a new connection to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionCheck {
-    /// It came up: the back end serves.
+    /// Established: the back end is serving.
     Listening,
-    /// It was refused: the machine is there, its process is not.
+    /// Refused: the machine is up, the process is not.
     Refused,
-    /// Nothing answered.
+    /// No response in time.
     TimedOut,
 }
 
 impl ConnectionCheck {
-    /// The word used in logs and metrics.
+    /// The name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             ConnectionCheck::Listening => "listening",
@@ -398,6 +402,6 @@
         .await?;
     let socket = socket2::SockRef::from(stream.get_ref());
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(TcpStream::from(stream))
 }
