--- a/crates/coordination/dispatch/tests/knowledge.rs
+++ b/crates/coordination/dispatch/tests/document_store.rs
@@ -9,7 +9,7 @@
 
 const GRACE_PERIOD: Span = Span::from_milliseconds(2_000);
 
-fn known(number: u64) -> VersionVector {
+fn version_vector(number: u64) -> VersionVector {
     Revision::from(number).into()
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-fn gone(name: &str, revision: u64) -> Change {
+fn removal_change(name: &str, revision: u64) -> Change {
     Change {
         key: DocumentKey::BackEnd(InstanceId::from(name)),
         revision: revision.into(),
@@ -62,7 +62,7 @@
     }
 }
 
-fn version(document_store: &DocumentStore) -> Option<u64> {
+fn table_version(document_store: &DocumentStore) -> Option<u64> {
     document_store.table().map(|table| table.version())
 }
 
@@ -77,15 +77,15 @@
         document_store.apply(table_change(7, 3)),
         ApplyOutcome::AlreadyKnown
     );
-    assert_eq!(version(&document_store), Some(4));
+    assert_eq!(table_version(&document_store), Some(4));
 }
 
 #[test]
-fn a_table_that_is_refused_leaves_the_previous_one_in_force() {
+fn a_rejected_table_leaves_the_previous_one_in_force() {
     let mut document_store = DocumentStore::default();
     document_store.apply(table_change(9, 4));
-    let mut broken = table(5);
-    broken.tenants = vec![
+    let mut invalid = table(5);
+    invalid.tenants = vec![
         eiderferry_routing::Tenant {
             name: "one".to_owned(),
             keys: vec!["same".to_owned()],
@@ -102,13 +102,13 @@
     let change = Change {
         key: DocumentKey::Table,
         revision: 12.into(),
-        content: DocumentContent::Table(broken),
+        content: DocumentContent::Table(invalid),
     };
     assert!(matches!(
         document_store.apply(change.clone()),
         ApplyOutcome::Rejected(_)
     ));
-    assert_eq!(version(&document_store), Some(4));
+    assert_eq!(table_version(&document_store), Some(4));
     assert_eq!(
         document_store.apply(change),
         ApplyOutcome::AlreadyKnown,
@@ -121,10 +121,13 @@
 }
 
 #[test]
-fn a_back_end_that_is_gone_is_not_brought_back_by_an_older_list() {
+fn a_removed_back_end_is_not_restored_by_an_older_change() {
     let mut document_store = DocumentStore::default();
     document_store.apply(back_end_change("i-1", 5, false));
-    assert_eq!(document_store.apply(gone("i-1", 8)), ApplyOutcome::Applied);
+    assert_eq!(
+        document_store.apply(removal_change("i-1", 8)),
+        ApplyOutcome::Applied
+    );
     assert_eq!(
         document_store.apply(back_end_change("i-1", 6, true)),
         ApplyOutcome::AlreadyKnown
@@ -133,9 +136,9 @@
 }
 
 #[test]
-fn a_removal_heard_before_the_entry_still_counts() {
+fn a_removal_received_before_an_older_entry_still_applies() {
     let mut document_store = DocumentStore::default();
-    document_store.apply(gone("i-1", 8));
+    document_store.apply(removal_change("i-1", 8));
     assert_eq!(
         document_store.apply(back_end_change("i-1", 6, false)),
         ApplyOutcome::AlreadyKnown
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn what_a_listing_lacks_is_gone_unless_it_is_newer_than_the_listing() {
+fn documents_missing_from_a_listing_are_removed_unless_newer_than_the_listing() {
     let mut document_store = DocumentStore::default();
     document_store.apply(back_end_change("listed", 3, false));
     document_store.apply(back_end_change("left", 4, false));
@@ -161,21 +164,21 @@
         DocumentKey::Evacuation(ZoneName::from("listed")),
     ]);
     let missing = document_store.missing_from_listing(&listed, 10.into(), GRACE_PERIOD);
-    let over = evacuation("over", 10, DocumentContent::Removed);
-    assert_eq!(missing, vec![gone("left", 10), over]);
+    let ended_evacuation = evacuation("over", 10, DocumentContent::Removed);
+    assert_eq!(missing, vec![removal_change("left", 10), ended_evacuation]);
 }
 
 #[test]
-fn a_peer_gets_exactly_what_it_lacks() {
+fn a_peer_receives_exactly_the_changes_it_lacks() {
     let mut document_store = DocumentStore::default();
     document_store.apply(table_change(2, 1));
     document_store.apply(back_end_change("i-1", 5, false));
     document_store.apply(back_end_change("i-2", 6, false));
-    document_store.apply(gone("i-1", 8));
+    document_store.apply(removal_change("i-1", 8));
     let mut peer = DocumentStore::default();
     peer.apply(table_change(2, 1));
     peer.apply(back_end_change("i-1", 5, false));
-    for change in document_store.changes_after(&known(5)) {
+    for change in document_store.changes_after(&version_vector(5)) {
         assert_eq!(peer.apply(change), ApplyOutcome::Applied);
     }
     let names: Vec<&str> = peer
@@ -186,13 +189,13 @@
 }
 
 #[test]
-fn a_confirmation_of_an_older_revision_says_nothing() {
+fn a_confirmation_of_an_older_revision_is_ignored() {
     let mut document_store = DocumentStore::default();
     let now = Timestamp(50_000_000);
-    document_store.record_confirmation(&known(10), now);
+    document_store.record_confirmation(&version_vector(10), now);
     let later = now + Span::from_milliseconds(900);
-    document_store.record_confirmation(&known(9), later);
-    assert_eq!(document_store.version_vector(), &known(10));
+    document_store.record_confirmation(&version_vector(9), later);
+    assert_eq!(document_store.version_vector(), &version_vector(10));
     assert_eq!(
         document_store.confirmed_age(later),
         Some(Span::from_milliseconds(900))
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -15,7 +15,7 @@
 const FIRST_START: u64 = 1_760_000_000_000;
 const LEAVING: &str = "engine-0";
 
-fn after(milliseconds: u64) -> Timestamp {
+fn after_start(milliseconds: u64) -> Timestamp {
     START + Span::from_milliseconds(milliseconds)
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// A node before so many engines, each of which tells when it started.
-fn before(count: usize) -> Dispatcher {
+fn dispatcher_with_engines(count: usize) -> Dispatcher {
     let mut subject = with_engines(0);
     subject.apply(table_change(1), START);
     for number in 0..count {
@@ -36,59 +36,62 @@
     subject
 }
 
-fn leaving() -> InstanceId {
+fn leaving_instance() -> InstanceId {
     InstanceId::from(LEAVING)
 }
 
 /// Sends requests until one is at the engine that leaves, and notes its word.
-fn hear(subject: &mut Dispatcher, now: Timestamp) {
-    for thing in 0..200 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
-        let is_told = grant.instance == leaving();
-        if is_told {
-            assert_eq!(subject.record_leaving(grant.lease), Some(leaving()));
+fn receive_leaving_notice(subject: &mut Dispatcher, now: Timestamp) {
+    for prompt in 0..200 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
+        let is_leaving = grant.instance == leaving_instance();
+        if is_leaving {
+            assert_eq!(
+                subject.record_leaving(grant.lease),
+                Some(leaving_instance())
+            );
             assert_eq!(subject.record_leaving(grant.lease), None, "told once more");
         }
         subject.release(grant.lease, Outcome::Completed, now);
-        if is_told {
+        if is_leaving {
             return;
         }
     }
     panic!("no request was sent to {LEAVING}");
 }
 
-fn is_asked(subject: &mut Dispatcher, now: Timestamp) -> bool {
-    (0..60).any(|thing| {
-        let Decision::Grant(grant) = subject.dispatch(&demand(thing, 1_000, 100), now) else {
+fn gets_requests(subject: &mut Dispatcher, now: Timestamp) -> bool {
+    (0..60).any(|prompt| {
+        let Decision::Grant(grant) = subject.dispatch(&demand(prompt, 1_000, 100), now) else {
             return false;
         };
         subject.release(grant.lease, Outcome::Completed, now);
-        grant.instance == leaving()
+        grant.instance == leaving_instance()
     })
 }
 
 #[rstest]
 #[case::one_of_a_few(4)]
 #[case::one_of_many(600)]
-fn it_gets_nothing_more_and_the_others_do(#[case] engines: usize) {
-    let mut subject = before(engines);
-    let mut told = Vec::new();
-    for thing in 0..4_000 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
-        if grant.instance == leaving() {
+fn a_leaving_back_end_gets_no_further_requests_and_others_do(#[case] engines: usize) {
+    let mut subject = dispatcher_with_engines(engines);
+    let mut noticed = Vec::new();
+    for prompt in 0..4_000 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), START));
+        if grant.instance == leaving_instance() {
             subject.record_leaving(grant.lease);
-            told.push(thing);
+            noticed.push(prompt);
         }
         subject.release(grant.lease, Outcome::Completed, START);
     }
-    assert_eq!(told.len(), 1, "requests that got its word");
+    assert_eq!(noticed.len(), 1, "requests that got its word");
 }
 
 #[test]
-fn where_all_have_said_so_requests_are_refused_with_a_time() {
-    let mut subject = before(1);
-    hear(&mut subject, START);
-    match subject.dispatch(&demand(1, 1_000, 100), after(1)) {
+fn requests_are_refused_with_a_retry_time_when_all_back_ends_leave() {
+    let mut subject = dispatcher_with_engines(1);
+    receive_leaving_notice(&mut subject, START);
+    match subject.dispatch(&demand(1, 1_000, 100), after_start(1)) {
         Decision::Refuse(reason, retry_after) => {
             assert_eq!(reason, Reason::NoBackEnd);
             assert!(retry_after > Span::ZERO);
@@ -97,9 +100,9 @@
     }
 }
 
-fn gone_change(revision: u64) -> Change {
+fn removal_change(revision: u64) -> Change {
     Change {
-        key: DocumentKey::BackEnd(leaving()),
+        key: DocumentKey::BackEnd(leaving_instance()),
         revision: revision.into(),
         content: DocumentContent::Removed,
     }
@@ -109,39 +112,39 @@
 #[rstest]
 #[case::written_again(vec![])]
 #[case::lapsed_and_back(vec![lapsed_change(LEAVING, 20)])]
-#[case::removed_and_back(vec![gone_change(20)])]
-fn an_entry_that_does_not_say_so_changes_nothing(#[case] between: Vec<Change>) {
-    let mut subject = before(2);
-    hear(&mut subject, START);
+#[case::removed_and_back(vec![removal_change(20)])]
+fn an_entry_that_is_not_draining_does_not_revoke_leaving(#[case] between: Vec<Change>) {
+    let mut subject = dispatcher_with_engines(2);
+    receive_leaving_notice(&mut subject, START);
     for change in between {
-        subject.apply(change, after(1_000));
+        subject.apply(change, after_start(1_000));
     }
-    let taken = subject.apply(back_end_change(engine(LEAVING, 0), 21), after(5_000));
-    assert_eq!(taken.outcome, ApplyOutcome::Applied);
-    assert!(!is_asked(&mut subject, after(6_000)));
-    assert!(!is_asked(&mut subject, after(600_000)));
+    let received = subject.apply(back_end_change(engine(LEAVING, 0), 21), after_start(5_000));
+    assert_eq!(received.outcome, ApplyOutcome::Applied);
+    assert!(!gets_requests(&mut subject, after_start(6_000)));
+    assert!(!gets_requests(&mut subject, after_start(600_000)));
 }
 
 #[test]
-fn another_run_of_the_name_gets_work() {
-    let mut subject = before(2);
-    hear(&mut subject, START);
-    let mut another = engine(LEAVING, 0);
-    another.started_unix_ms = Some(FIRST_START + 9_000);
-    subject.apply(back_end_change(another, 9), after(9_000));
-    assert!(is_asked(&mut subject, after(9_100)));
-    hear(&mut subject, after(9_200));
-    assert!(!is_asked(&mut subject, after(9_300)));
+fn a_new_run_of_the_same_instance_gets_requests() {
+    let mut subject = dispatcher_with_engines(2);
+    receive_leaving_notice(&mut subject, START);
+    let mut next_run = engine(LEAVING, 0);
+    next_run.started_unix_ms = Some(FIRST_START + 9_000);
+    subject.apply(back_end_change(next_run, 9), after_start(9_000));
+    assert!(gets_requests(&mut subject, after_start(9_100)));
+    receive_leaving_notice(&mut subject, after_start(9_200));
+    assert!(!gets_requests(&mut subject, after_start(9_300)));
 }
 
 /// An answer that was long under way may be of a run that is over.
 #[test]
-fn the_word_of_the_run_before_says_nothing_of_the_next() {
-    let mut subject = before(1);
+fn a_leaving_notice_of_the_previous_run_does_not_affect_the_next() {
+    let mut subject = dispatcher_with_engines(1);
     let lease = granted(subject.dispatch(&demand(1, 1_000, 100), START)).lease;
-    let mut another = engine(LEAVING, 0);
-    another.started_unix_ms = Some(FIRST_START + 9_000);
-    subject.apply(back_end_change(another, 9), after(9_000));
+    let mut next_run = engine(LEAVING, 0);
+    next_run.started_unix_ms = Some(FIRST_START + 9_000);
+    subject.apply(back_end_change(next_run, 9), after_start(9_000));
     assert_eq!(subject.record_leaving(lease), None);
-    assert!(is_asked(&mut subject, after(9_100)));
+    assert!(gets_requests(&mut subject, after_start(9_100)));
 }
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -14,30 +14,30 @@
 };
 
 /// Time in which all nodes come to know of a limit, in seconds.
-const KNOWN_WITHIN: u64 = 3;
+const PROPAGATION_SECONDS: u64 = 3;
 
 /// A node that starts is told of limits before it hears which back ends there are.
 #[test]
-fn a_node_that_hears_of_a_limit_before_the_engine_is_listed_keeps_it() {
+fn a_limit_received_before_its_engine_is_listed_is_kept() {
     let (mut reporter, now) = alone(1);
     answer_with(&mut reporter, 0, Some(1.0), now);
-    let answer = reporter.reply(node_address(1), now);
+    let reply = reporter.reply(node_address(1), now);
     let mut starting = dispatcher(1, 0, vec![node_address(0)]);
-    starting.receive(node_address(0), &answer, now);
+    starting.receive(node_address(0), &reply, now);
     starting.apply(table_change(1), now);
     starting.apply(back_end_change(back_end("engine-0", 0, 0), 2), now);
     assert_eq!(sent_at(&mut starting, now, 1_000), []);
 }
 
 /// Engines that name a limit at once, where a whole rack is in need.
-const MANY: usize = 100;
+const LIMITED_ENGINES: usize = 100;
 /// Bytes a second that a node may send for them: a quarter of what control may take in all, and
 /// in the first seconds as much as all of it.
-const MOST_BYTES_A_SECOND: f64 = 500.0;
-const MOST_AT_FIRST: f64 = 2_000.0;
+const MAX_BYTES_PER_SECOND: f64 = 500.0;
+const MAX_INITIAL_BYTES_PER_SECOND: f64 = 2_000.0;
 
 /// Bytes that each node sent in a second, over some seconds.
-fn bytes_a_second(fleet: &mut Fleet, seconds: u64) -> f64 {
+fn bytes_per_second(fleet: &mut Fleet, seconds: u64) -> f64 {
     fleet.bytes = 0;
     fleet.run(seconds * 1_000);
     fleet.bytes as f64 / fleet.nodes.len() as f64 / seconds as f64
@@ -45,9 +45,9 @@
 
 /// A node sends a request to each of many engines, whose answers name a limit or none. Returns
 /// the bytes a second and node in the next three seconds, and later.
-fn bytes_of_answers(nodes: usize, zones: usize, named: Option<RateLimit>) -> [f64; 2] {
+fn bytes_after_limit(nodes: usize, zones: usize, rate_limit: Option<RateLimit>) -> [f64; 2] {
     let mut fleet = Fleet::new(nodes, zones);
-    let engines = (0..MANY).map(|number| {
+    let engines = (0..LIMITED_ENGINES).map(|number| {
         let engine = back_end(&format!("engine-{number}"), number, number % zones);
         back_end_change(engine, 1)
     });
@@ -58,32 +58,36 @@
     fleet.run_with_platform(SETTLING_MS, 1);
     fleet.measure_bytes();
     let now = fleet.now;
-    for number in 0..MANY {
+    for number in 0..LIMITED_ENGINES {
         let mut demand = demand(number as u64, 1_000, 100);
         demand.required_instance = Some(format!("engine-{number}").as_str().into());
         let lease = granted(fleet.nodes[0].dispatch(&demand, now)).lease;
-        fleet.nodes[0].record_limit(lease, named, now);
+        fleet.nodes[0].record_limit(lease, rate_limit, now);
         fleet.nodes[0].release(lease, Outcome::Completed, now);
     }
-    let first = bytes_a_second(&mut fleet, KNOWN_WITHIN);
-    let knowing = fleet.nodes.iter();
-    let knowing = knowing.filter(|node| node.snapshot(fleet.now).limited_back_ends == MANY);
-    let expected = if named.is_some() { nodes } else { 0 };
-    assert_eq!(knowing.count(), expected, "nodes that know all limits");
+    let first = bytes_per_second(&mut fleet, PROPAGATION_SECONDS);
+    let informed = fleet.nodes.iter();
+    let informed =
+        informed.filter(|node| node.snapshot(fleet.now).limited_back_ends == LIMITED_ENGINES);
+    let expected = if rate_limit.is_some() { nodes } else { 0 };
+    assert_eq!(informed.count(), expected, "nodes that know all limits");
     fleet.run(3_000);
-    [first, bytes_a_second(&mut fleet, 5)]
+    [first, bytes_per_second(&mut fleet, 5)]
 }
 
 #[rstest]
 #[case::with_aggregators(72, 3)]
 #[case::large(295, 5)]
 fn limits_of_many_engines_reach_all_nodes_in_few_bytes(#[case] nodes: usize, #[case] zones: usize) {
-    let [first_without, later_without] = bytes_of_answers(nodes, zones, None);
-    let [first, later] = bytes_of_answers(nodes, zones, Some(limit(1.0)));
+    let [first_without, later_without] = bytes_after_limit(nodes, zones, None);
+    let [first, later] = bytes_after_limit(nodes, zones, Some(limit(1.0)));
     let (first, later) = (first - first_without, later - later_without);
     println!("{first} bytes a second and node at first, {later} later");
-    assert!(first < MOST_AT_FIRST, "{first} bytes a second at first");
-    assert!(later < MOST_BYTES_A_SECOND, "{later} bytes a second");
+    assert!(
+        first < MAX_INITIAL_BYTES_PER_SECOND,
+        "{first} bytes a second at first"
+    );
+    assert!(later < MAX_BYTES_PER_SECOND, "{later} bytes a second");
 }
 
 /// What another node of the zone tells of a limit.
@@ -96,7 +100,7 @@
     }
 }
 
-fn hear(subject: &mut Dispatcher, limits: Vec<LimitReport>, now: Timestamp) {
+fn receive_limits(subject: &mut Dispatcher, limits: Vec<LimitReport>, now: Timestamp) {
     let mut reporter = dispatcher(1, 0, vec![node_address(0)]);
     let mut message = reporter.gossip(false, now);
     message.limits = limits;
@@ -107,8 +111,8 @@
 #[rstest]
 #[case::known_here(None, Some(5))]
 #[case::known_there(Some(5), None)]
-fn a_limit_ends_for_nodes_that_know_different_starts(
-    #[case] told: Option<u64>,
+fn a_limit_ends_when_only_one_node_knows_the_start_time(
+    #[case] reported: Option<u64>,
     #[case] listed: Option<u64>,
 ) {
     let (mut subject, now) = alone(1);
@@ -117,9 +121,9 @@
         ..back_end("engine-0", 0, 0)
     };
     subject.apply(back_end_change(engine, 3), now);
-    hear(
+    receive_limits(
         &mut subject,
-        vec![report("engine-0", told, Some(10.0))],
+        vec![report("engine-0", reported, Some(10.0))],
         now,
     );
     // The other node was heard only now: who sends is settled a second later.
@@ -134,29 +138,29 @@
 
 /// Only so many notices are kept; an engine whose notice gave way is not limited for good.
 #[test]
-fn a_flood_of_limits_is_bounded_and_leaves_no_engine_limited_for_good() {
+fn a_flood_of_limits_is_bounded_and_leaves_no_engine_limited_forever() {
     let (mut subject, now) = alone(1);
     answer_with(&mut subject, 0, Some(0.1), now);
     let later = now + Span::from_milliseconds(100);
     let flood = (0..5_000).map(|number| report(&format!("other-{number}"), None, Some(1.0)));
-    hear(&mut subject, flood.collect(), later);
+    receive_limits(&mut subject, flood.collect(), later);
     assert_eq!(subject.snapshot(later).limited_back_ends, 0);
-    let told = subject.reply(node_address(1), later).limits.len();
-    assert!(told <= 64, "{told} limits in one message");
+    let reported = subject.reply(node_address(1), later).limits.len();
+    assert!(reported <= 64, "{reported} limits in one message");
     assert_eq!(sent_at(&mut subject, later, 300), [0, 100, 200]);
 }
 
 /// The back end is gone, and nobody needs to hear of it any more.
 #[test]
-fn the_limit_of_a_back_end_that_is_gone_is_not_told_for_good() {
+fn the_limit_of_a_removed_back_end_stops_being_reported() {
     let (mut subject, now) = alone(1);
     answer_with(&mut subject, 0, Some(1.0), now);
-    let gone = Change {
+    let removal = Change {
         key: DocumentKey::BackEnd(InstanceId::from("engine-0")),
         revision: 3.into(),
         content: DocumentContent::Removed,
     };
-    subject.apply(gone, now);
+    subject.apply(removal, now);
     let later = now + Span::from_milliseconds(70_000);
     subject.tick(later);
     assert_eq!(subject.reply(node_address(1), later).limits, []);
--- a/crates/coordination/dispatch/tests/places.rs
+++ b/crates/coordination/dispatch/tests/locality.rs
@@ -16,9 +16,9 @@
 /// Zones of the fleet: 0 and 1 lie in one region, 2 in another.
 const ZONES: usize = 3;
 /// Prompts that are asked for.
-const THINGS: u64 = 60;
+const PROMPTS: u64 = 60;
 /// Shared tokens of a long prompt.
-const LONG: u32 = 13_000;
+const LONG_PROMPT_TOKENS: u32 = 13_000;
 
 /// A node in zone 0 with engines in all zones.
 fn with_engines(per_zone: usize, features: Features) -> Dispatcher {
@@ -33,9 +33,9 @@
 }
 
 /// Zones in which prompts with such a shared part are placed, one after the other.
-fn zones_used(subject: &mut Dispatcher, things: Range<u64>, shared: u32) -> BTreeSet<usize> {
-    let placed = things.map(|thing| {
-        let grant = granted(subject.dispatch(&demand(thing, shared, 100), START));
+fn zones_used(subject: &mut Dispatcher, prompts: Range<u64>, shared: u32) -> BTreeSet<usize> {
+    let placed = prompts.map(|prompt| {
+        let grant = granted(subject.dispatch(&demand(prompt, shared, 100), START));
         subject.release(grant.lease, Outcome::Completed, START);
         engine_number(&grant) % ZONES
     });
@@ -46,53 +46,57 @@
 #[rstest]
 #[case::near(Features::ALL, &[0])]
 #[case::switched_off(HOMES_ANYWHERE, &[0, 1, 2])]
-fn prompts_stay_in_a_zone_whose_engines_hold_them(
+fn prompts_stay_in_a_zone_whose_engines_can_hold_them(
     #[case] features: Features,
     #[case] expected: &[usize],
 ) {
     let mut subject = with_engines(6, features);
-    let used = zones_used(&mut subject, 0..THINGS, LONG / 10);
+    let used = zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     assert_eq!(used, expected.iter().copied().collect());
 }
 
 #[test]
-fn with_few_engines_in_the_zone_homes_lie_in_the_region() {
+fn with_few_engines_in_the_zone_home_engines_span_the_region() {
     let mut subject = with_engines(3, Features::ALL);
-    let used = zones_used(&mut subject, 0..THINGS, LONG / 10);
+    let used = zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     assert_eq!(used, BTreeSet::from([0, 1]));
 }
 
 /// 6 engines of a zone have room for 2.6 million tokens, of which shared prompts may take a
 /// part; 1,600 prompts of 13,000 tokens are 21 million.
 #[test]
-fn prompts_that_fill_the_engines_of_a_zone_are_spread_farther() {
+fn prompts_that_exceed_the_memory_of_a_zone_are_spread_over_all_zones() {
     let mut subject = with_engines(6, Features::ALL);
     for round in 0..4 {
-        zones_used(&mut subject, round * 400..(round + 1) * 400, LONG);
+        zones_used(
+            &mut subject,
+            round * 400..(round + 1) * 400,
+            LONG_PROMPT_TOKENS,
+        );
         for _ in 0..20 {
             subject.tick(START);
         }
     }
-    let used = zones_used(&mut subject, 2_000..2_060, LONG);
+    let used = zones_used(&mut subject, 2_000..2_060, LONG_PROMPT_TOKENS);
     assert_eq!(used, BTreeSet::from([0, 1, 2]));
 }
 
 #[test]
-fn when_the_zone_loses_its_engines_homes_move_out_at_once() {
+fn home_engines_change_zone_at_once_when_their_zone_loses_its_engines() {
     let mut subject = with_engines(6, Features::ALL);
-    zones_used(&mut subject, 0..THINGS, LONG / 10);
+    zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     for number in (0..18).filter(|number| number % ZONES == 0) {
         subject.apply(lapsed_change(&format!("engine-{number}"), 3), START);
     }
     let later = START + Span::from_milliseconds(2_500);
     subject.tick(later);
-    let grant = granted(subject.dispatch(&demand(1, LONG, 100), later));
+    let grant = granted(subject.dispatch(&demand(1, LONG_PROMPT_TOKENS, 100), later));
     assert!(grant.candidate.is_home);
     assert_eq!(engine_number(&grant) % ZONES, 1);
 }
 
 #[test]
-fn a_full_zone_sends_requests_over_its_border() {
+fn a_full_zone_sends_requests_to_other_zones() {
     let mut subject = with_engines(4, Features::ALL);
     let grants = (0..400).map(|own| granted(subject.dispatch(&demand(1, 1_000, own), START)));
     let used: BTreeSet<usize> = grants.map(|grant| engine_number(&grant) % ZONES).collect();
@@ -100,14 +104,14 @@
 }
 
 #[test]
-fn a_measured_way_is_expected_of_the_first_event() {
+fn a_measured_round_trip_delays_the_expected_first_event() {
     let mut subject = with_engines(4, Features::ALL);
-    let near: Vec<InstanceId> = (0..12)
+    let nearer_engines: Vec<InstanceId> = (0..12)
         .filter(|number| number % ZONES != 2)
         .map(|number| InstanceId::from(format!("engine-{number}")))
         .collect();
     let mut request = demand(1, 1_000, 100);
-    request.excluded_back_ends = near;
+    request.excluded_back_ends = nearer_engines;
     let before = granted(subject.dispatch(&request, START));
     let round_trip = Span::from_milliseconds(250);
     for _ in 0..50 {
@@ -121,7 +125,7 @@
 
 /// Of the region's two zones one is cut off: its engines are homes, and get nothing.
 #[test]
-fn homes_in_a_zone_of_which_nothing_is_heard_are_left_alone() {
+fn home_engines_in_an_unreachable_zone_get_no_requests() {
     let mut fleet = Fleet::new(9, ZONES);
     for node in &mut fleet.nodes {
         for number in 0..9 {
@@ -132,13 +136,13 @@
     fleet.run_with_platform(20_000, 1);
     let now = fleet.now;
     assert_eq!(
-        zones_chosen(&mut fleet.nodes[0], 0..THINGS, now),
+        zones_chosen(&mut fleet.nodes[0], 0..PROMPTS, now),
         BTreeSet::from([0, 1])
     );
     fleet.cut.insert((0, 1));
     fleet.run_with_platform(1_700, 1);
     let now = fleet.now;
-    assert!(!zones_chosen(&mut fleet.nodes[0], 0..THINGS, now).contains(&1));
+    assert!(!zones_chosen(&mut fleet.nodes[0], 0..PROMPTS, now).contains(&1));
     fleet.cut.clear();
     fleet.run_with_platform(2_500, 1);
     let now = fleet.now;
@@ -149,9 +153,9 @@
 }
 
 /// Zones to which requests with different prompts go, without leaving them there.
-fn zones_chosen(node: &mut Dispatcher, things: Range<u64>, now: Timestamp) -> BTreeSet<usize> {
-    let chosen = things.map(|thing| {
-        let grant = granted(node.dispatch(&demand(thing, 600, 100), now));
+fn zones_chosen(node: &mut Dispatcher, prompts: Range<u64>, now: Timestamp) -> BTreeSet<usize> {
+    let chosen = prompts.map(|prompt| {
+        let grant = granted(node.dispatch(&demand(prompt, 600, 100), now));
         node.release(grant.lease, Outcome::Abandoned, now);
         engine_number(&grant) % ZONES
     });
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -15,16 +15,16 @@
 
 const SERVICE: &str = "service";
 const SLOTS: u32 = 6;
-const OTHERS: usize = 6;
+const OTHER_NODES: usize = 6;
 /// Times of a call whose target is 120 ms.
-const SOON: Span = Span::from_milliseconds(30);
-const AT_TARGET: Span = Span::from_milliseconds(120);
-const LATE: Span = Span::from_milliseconds(200);
+const FAST_CALL: Span = Span::from_milliseconds(30);
+const CALL_AT_TARGET: Span = Span::from_milliseconds(120);
+const SLOW_CALL: Span = Span::from_milliseconds(200);
 /// Time between two words of the other nodes.
-const REPORTED_EACH: Span = Span::from_milliseconds(300);
+const REPORT_INTERVAL: Span = Span::from_milliseconds(300);
 /// Calls at once as the others' reports of single moments tell them: five on the average, as of
 /// 220 calls a second that take 20 ms each, and at times more than the back end counts for full.
-const MOMENTS: [usize; 12] = [3, 5, 9, 4, 6, 8, 2, 7, 5, 10, 4, 3];
+const REPORTED_COUNTS: [usize; 12] = [3, 5, 9, 4, 6, 8, 2, 7, 5, 10, 4, 3];
 
 fn table() -> Change {
     let pool = Pool {
@@ -74,10 +74,10 @@
 }
 
 /// Six other nodes report that they have so many calls there together.
-fn hear(subject: &mut Dispatcher, running: usize, now: Timestamp) {
-    for number in 1..=OTHERS {
+fn receive_reports(subject: &mut Dispatcher, running: usize, now: Timestamp) {
+    for number in 1..=OTHER_NODES {
         let mut other = node(number);
-        let share = (running + number - 1) / OTHERS;
+        let share = (running + number - 1) / OTHER_NODES;
         for _ in 0..share {
             granted(other.dispatch(&call(), now));
         }
@@ -88,20 +88,20 @@
 
 /// How many calls are refused, while the others' reports tell these counts in turn, and each call
 /// takes so long.
-fn refused(
+fn count_refused(
     subject: &mut Dispatcher,
     counts: &[usize],
-    took: Span,
+    duration: Span,
     reports: usize,
     from: Timestamp,
 ) -> usize {
     let mut refused = 0;
     for number in 0..reports {
-        let now = Timestamp(from.0 + REPORTED_EACH.0 * number as u64);
-        hear(subject, counts[number % counts.len()], now);
+        let now = Timestamp(from.0 + REPORT_INTERVAL.0 * number as u64);
+        receive_reports(subject, counts[number % counts.len()], now);
         match subject.dispatch(&call(), now) {
             Decision::Grant(grant) => {
-                subject.release(grant.lease, Outcome::Completed, now + took);
+                subject.release(grant.lease, Outcome::Completed, now + duration);
             }
             Decision::Refuse(reason, _) => {
                 assert_eq!(reason, Reason::QueueFull);
@@ -116,11 +116,17 @@
 /// day's calls with ease; yet a tenth of them was refused to its end. Each node judged by the
 /// latest count that it had heard, of a moment long over, and three of these twelve are above 8.
 #[test]
-fn peaks_of_moments_that_are_over_refuse_nobody() {
+fn momentary_peaks_in_outdated_reports_refuse_no_calls() {
     let mut subject = node(0);
-    let reports = 10 * MOMENTS.len();
+    let reports = 10 * REPORTED_COUNTS.len();
     assert_eq!(
-        refused(&mut subject, &MOMENTS, AT_TARGET, reports, START),
+        count_refused(
+            &mut subject,
+            &REPORTED_COUNTS,
+            CALL_AT_TARGET,
+            reports,
+            START
+        ),
         0
     );
 }
@@ -128,27 +134,33 @@
 /// Calls on their way count as running at the back end: where answers come in a quarter of the
 /// target, more of them than its slots are no sign that the next one comes late.
 #[test]
-fn more_calls_than_slots_are_no_overload_while_answers_come_soon() {
+fn more_calls_than_slots_are_accepted_while_responses_are_fast() {
     let mut subject = node(0);
-    assert_eq!(refused(&mut subject, &[10, 13, 11], SOON, 60, START), 0);
+    assert_eq!(
+        count_refused(&mut subject, &[10, 13, 11], FAST_CALL, 60, START),
+        0
+    );
 }
 
 #[rstest]
 #[case::twice_its_slots(2 * SLOTS as usize)]
 #[case::four_times(4 * SLOTS as usize)]
-fn lasting_overload_is_refused_within_seconds_and_ends_by_itself(#[case] running: usize) {
+fn sustained_overload_is_refused_within_seconds_and_clears_by_itself(#[case] running: usize) {
     let mut subject = node(0);
-    refused(&mut subject, &[3], SOON, 10, START);
+    count_refused(&mut subject, &[3], FAST_CALL, 10, START);
     let overloaded = START + Span::from_milliseconds(10_000);
-    let served_first = 40 - refused(&mut subject, &[running], LATE, 40, overloaded);
-    assert!(served_first <= 15, "{served_first} of 40 calls in 12 s");
+    let served = 40 - count_refused(&mut subject, &[running], SLOW_CALL, 40, overloaded);
+    assert!(served <= 15, "{served} of 40 calls in 12 s");
     let calm = START + Span::from_milliseconds(30_000);
-    let late = refused(&mut subject, &[3], SOON, 20, calm);
-    assert!(late <= 10, "{late} of 20 calls are refused after the end");
+    let refused_after = count_refused(&mut subject, &[3], FAST_CALL, 20, calm);
+    assert!(
+        refused_after <= 10,
+        "{refused_after} of 20 calls are refused after the end"
+    );
 }
 
 #[test]
-fn calls_of_this_node_count_as_they_are() {
+fn calls_of_the_own_node_count_without_smoothing() {
     let mut subject = node(0);
     let calls = 2 * SLOTS as usize;
     let decisions: Vec<Decision> = (0..calls)
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -20,7 +20,7 @@
 
 /// Eight engines: two in each of zones 0 to 3, of which 0 and 1 are west, 2 is east, and of 3
 /// no region is known.
-fn subject() -> Dispatcher {
+fn dispatcher_with_two_regions() -> Dispatcher {
     let mut subject = dispatcher_with_features(0, HOMES_ANYWHERE);
     subject.tick(START);
     subject.apply(table_change(1), START);
@@ -35,10 +35,10 @@
 }
 
 fn zones_used(allowed: &AllowedRegions) -> BTreeSet<usize> {
-    let mut subject = subject();
+    let mut subject = dispatcher_with_two_regions();
     let mut zones = BTreeSet::new();
-    for thing in 0..60 {
-        let mut request = demand(thing, 2_000, 100);
+    for prompt in 0..60 {
+        let mut request = demand(prompt, 2_000, 100);
         request.allowed_regions = allowed.clone();
         let grant = granted(subject.dispatch(&request, START));
         subject.release(grant.lease, Outcome::Completed, START);
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_prompt_is_not_copied_from_another_region() {
-    let mut subject = subject();
+    let mut subject = dispatcher_with_two_regions();
     let mut request = demand(3, 13_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(&["east"]), &[]);
     let grant = granted(subject.dispatch(&request, START));
@@ -79,11 +79,11 @@
 #[rstest]
 #[case::nothing_in_common(&["east"], &["west"])]
 #[case::unknown_region(&["north"], &[])]
-fn with_no_region_left_a_request_is_refused_with_that_reason(
+fn a_request_without_an_allowed_region_is_refused_with_that_reason(
     #[case] route: &[&str],
     #[case] tenant: &[&str],
 ) {
-    let mut subject = subject();
+    let mut subject = dispatcher_with_two_regions();
     let mut request = demand(1, 2_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(route), &regions(tenant));
     let decision = subject.dispatch(&request, START);
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_second_attempt_stays_in_the_allowed_regions() {
-    let mut subject = subject();
+    let mut subject = dispatcher_with_two_regions();
     let mut request = demand(1, 2_000, 100);
     request.allowed_regions = AllowedRegions::of(&regions(&["east"]), &[]);
     let first = granted(subject.dispatch(&request, START));
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn names_that_the_settings_do_not_know_are_told() {
-    let mut subject = subject();
+fn unknown_zone_and_region_names_are_reported() {
+    let mut subject = dispatcher_with_two_regions();
     let nowhere = ZoneName::from("nowhere");
     let change = Change {
         key: DocumentKey::Evacuation(nowhere.clone()),
         revision: 8.into(),
         content: DocumentContent::Evacuated,
     };
-    let taken = subject.apply(change, START);
-    assert_eq!(taken.unknown_names, [UnknownName::Zone(nowhere)]);
+    let received = subject.apply(change, START);
+    assert_eq!(received.unknown_names, [UnknownName::Zone(nowhere)]);
     let mut change = table_change(9);
     if let DocumentContent::Table(table) = &mut change.content {
         table.tenants.push(eiderferry_routing::Tenant {
@@ -136,9 +136,9 @@
             allowed_regions: regions(&["north", "west"]),
         });
     }
-    let taken = subject.apply(change, START);
+    let received = subject.apply(change, START);
     assert_eq!(
-        taken.unknown_names,
+        received.unknown_names,
         [UnknownName::Region(RegionName::from("north"))]
     );
 }
--- a/crates/coordination/dispatch/tests/retry_budget.rs
+++ b/crates/coordination/dispatch/tests/retry_budget.rs
@@ -23,7 +23,7 @@
 #[case::a_few_nodes(2)]
 #[case::today(7)]
 #[case::many_nodes(78)]
-fn nodes_that_cannot_hear_each_other_stay_within_the_bound(#[case] nodes: u32) {
+fn nodes_that_cannot_reach_each_other_stay_within_the_fleet_limit(#[case] nodes: u32) {
     let requests_per_node = 40;
     let mut total = 0;
     for _ in 0..nodes {
@@ -33,18 +33,18 @@
         }
         total += spend_all(&mut budget, START, nodes);
     }
-    let bound = SETTINGS.ratio * f64::from(nodes * requests_per_node) + SETTINGS.allowance;
-    assert!(f64::from(total) <= bound, "{total} repeats, bound {bound}");
+    let limit = SETTINGS.ratio * f64::from(nodes * requests_per_node) + SETTINGS.allowance;
+    assert!(f64::from(total) <= limit, "{total} repeats, bound {limit}");
 }
 
 #[test]
-fn a_node_that_has_met_nobody_takes_no_more_than_an_eighth_of_the_allowance() {
+fn a_node_without_peers_spends_at_most_an_eighth_of_the_allowance() {
     let mut budget = RetryBudget::new(SETTINGS);
     assert_eq!(spend_all(&mut budget, START, 1), 5);
 }
 
 #[test]
-fn the_budget_is_whole_again_after_its_window() {
+fn the_budget_is_restored_after_its_window() {
     let mut budget = RetryBudget::new(SETTINGS);
     assert_eq!(spend_all(&mut budget, START, 7), 5);
     let almost = START + Span::from_milliseconds(9_500);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn repeats_of_any_window_stay_within_its_share() {
+fn retries_in_any_window_stay_within_the_share_of_one_node() {
     let mut budget = RetryBudget::new(SETTINGS);
     let mut spent: Vec<u64> = Vec::new();
     for step in 0..600_u64 {
@@ -67,8 +67,8 @@
     let share = SETTINGS.allowance / 8.0;
     for start in 0..500_u64 {
         let window = start..start + 100;
-        let repeats = spent.iter().filter(|step| window.contains(step)).count();
+        let retries = spent.iter().filter(|step| window.contains(step)).count();
         let allowed = SETTINGS.ratio * 100.0 + share;
-        assert!(repeats as f64 <= allowed, "{repeats} from step {start}");
+        assert!(retries as f64 <= allowed, "{retries} from step {start}");
     }
 }
--- a/crates/coordination/dispatch/tests/limits_at_one_node.rs
+++ b/crates/coordination/dispatch/tests/single_node_limits.rs
@@ -11,7 +11,7 @@
 use support::{back_end, back_end_change, demand, engine_number, granted, lapsed_change};
 
 #[test]
-fn a_sender_sends_at_the_pace_of_the_limit_and_saves_nothing_up() {
+fn a_sender_keeps_the_limit_rate_without_accumulating_unused_requests() {
     let (mut subject, now) = alone(1);
     answer_with(&mut subject, 0, Some(0.5), now);
     assert_eq!(sent_at(&mut subject, now, 6_000), [2_000, 4_000]);
@@ -21,18 +21,18 @@
 
 /// It would be lost to its pool for good: nobody would hear that it takes requests again.
 #[test]
-fn one_that_takes_nothing_is_asked_once_a_minute() {
+fn a_limit_of_zero_allows_one_request_per_minute() {
     let (mut subject, now) = alone(1);
     answer_with(&mut subject, 0, Some(0.0), now);
     assert_eq!(sent_at(&mut subject, now, 130_000), [60_000, 120_000]);
 }
 
 #[test]
-fn what_a_limited_engine_does_not_take_goes_to_others() {
+fn requests_above_the_limit_go_to_other_engines() {
     let (mut subject, now) = alone(2);
     answer_with(&mut subject, 1, Some(1.0), now);
-    for thing in 0..40 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
+    for prompt in 0..40 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
         assert_eq!(engine_number(&grant), 0);
         subject.release(grant.lease, Outcome::Completed, now);
     }
@@ -43,7 +43,7 @@
 #[case::one_low([0.1, 0.1], 5_000)]
 #[case::together([0.5, 0.25], 1_333)]
 #[case::high([20.0, 20.0], 500)]
-fn where_all_are_limited_callers_hear_when_one_takes_a_request(
+fn when_all_are_limited_refusals_state_when_one_accepts_a_request(
     #[case] rates: [f64; 2],
     #[case] milliseconds: u64,
 ) {
@@ -64,9 +64,9 @@
 /// Answers overtake each other: one to a request sent before the limit was named says nothing of
 /// its end.
 #[test]
-fn an_older_answer_without_a_limit_does_not_end_it() {
+fn an_older_response_without_a_limit_does_not_end_it() {
     let (mut subject, now) = alone(1);
-    let older = lease_at(&mut subject, 0, now);
+    let older_lease = lease_at(&mut subject, 0, now);
     answer_with(
         &mut subject,
         0,
@@ -74,7 +74,7 @@
         now + Span::from_milliseconds(10),
     );
     let later = now + Span::from_milliseconds(500);
-    subject.record_limit(older, None, later);
+    subject.record_limit(older_lease, None, later);
     assert_eq!(sent_at(&mut subject, later, 400), []);
     let next = now + Span::from_milliseconds(1_100);
     answer_with(&mut subject, 0, None, next);
@@ -82,28 +82,28 @@
 }
 
 #[test]
-fn it_holds_for_an_entry_that_lapses_and_returns_and_not_for_the_next_run() {
+fn a_limit_survives_an_expired_entry_but_not_a_restart() {
     let (mut subject, now) = alone(1);
-    let started = |at: u64| BackEnd {
+    let engine_started_at = |at: u64| BackEnd {
         started_unix_ms: Some(at),
         ..back_end("engine-0", 0, 0)
     };
-    subject.apply(back_end_change(started(1), 3), now);
+    subject.apply(back_end_change(engine_started_at(1), 3), now);
     answer_with(&mut subject, 0, Some(0.01), now);
     subject.apply(lapsed_change("engine-0", 4), now);
     subject.tick(now + Span::from_milliseconds(2_500));
-    let back = now + Span::from_milliseconds(3_000);
-    subject.apply(back_end_change(started(1), 5), back);
-    assert_eq!(sent_at(&mut subject, back, 1_000), []);
-    let again = now + Span::from_milliseconds(5_000);
-    subject.apply(back_end_change(started(2), 6), again);
-    assert_eq!(sent_at(&mut subject, again, 300), [0, 100, 200]);
+    let relisted = now + Span::from_milliseconds(3_000);
+    subject.apply(back_end_change(engine_started_at(1), 5), relisted);
+    assert_eq!(sent_at(&mut subject, relisted, 1_000), []);
+    let restarted = now + Span::from_milliseconds(5_000);
+    subject.apply(back_end_change(engine_started_at(2), 6), restarted);
+    assert_eq!(sent_at(&mut subject, restarted, 300), [0, 100, 200]);
 }
 
 #[rstest]
 #[case::negative(-1.0)]
 #[case::endless(f64::INFINITY)]
 #[case::not_a_number(f64::NAN)]
-fn some_numbers_are_no_limits(#[case] rate: f64) {
+fn invalid_rates_are_not_accepted_as_limits(#[case] rate: f64) {
     assert_eq!(RateLimit::from_requests_per_second(rate), None);
 }
--- a/crates/coordination/dispatch/tests/streams_apart.rs
+++ b/crates/coordination/dispatch/tests/stream_isolation.rs
@@ -10,29 +10,30 @@
 const LARGE_POOL: usize = 320;
 const SMALL_POOL: usize = 30;
 /// The split by load is switched off: a fixed part is kept.
-const FIXED_PART: Features = Features {
+const FIXED_SHARE: Features = Features {
     pool_split: false,
     ..Features::ALL
 };
 
 /// A short prompt whose stream must not pause.
-fn sensitive(thing: u64) -> Demand {
+fn sensitive_stream(prompt: u64) -> Demand {
     Demand {
         event_gap_target: Some(Span::from_milliseconds(200)),
         target: Span::from_milliseconds(1_500),
-        ..demand(thing, 300, 900)
+        ..demand(prompt, 300, 900)
     }
 }
 
 /// Places so many streams.
 fn place_streams(subject: &mut Dispatcher, streams: u64, now: Timestamp) -> Vec<Grant> {
-    let placed = (0..streams).map(|thing| granted(subject.dispatch(&sensitive(thing), now)));
+    let placed =
+        (0..streams).map(|prompt| granted(subject.dispatch(&sensitive_stream(prompt), now)));
     placed.collect()
 }
 
 /// A dispatcher at which such streams ran for a while, and have just ended.
-fn with_streams(engines: usize) -> Dispatcher {
-    let mut subject = with_engines_and(engines, FIXED_PART);
+fn dispatcher_after_streams(engines: usize) -> Dispatcher {
+    let mut subject = with_engines_and(engines, FIXED_SHARE);
     let placed = place_streams(&mut subject, 600, START);
     for tick in 1..=20 {
         subject.tick(START + TICK * tick);
@@ -53,34 +54,40 @@
 /// Engines to which one node sends streams and another long prompts.
 fn shared_engines(one: &mut Dispatcher, two: &mut Dispatcher) -> usize {
     let now = START + TICK * 20;
-    let streaming = place_streams(one, 60, now);
-    let streaming: BTreeSet<String> = streaming
+    let stream_engines = place_streams(one, 60, now);
+    let stream_engines: BTreeSet<String> = stream_engines
         .iter()
         .map(|grant| grant.instance.as_str().to_owned())
         .collect();
-    let long: BTreeSet<String> = (10_000..10_300)
-        .map(|thing| engine_of(two, &demand(thing, 13_000, 900), now))
+    let long_prompt_engines: BTreeSet<String> = (10_000..10_300)
+        .map(|prompt| engine_of(two, &demand(prompt, 13_000, 900), now))
         .collect();
-    long.intersection(&streaming).count()
+    long_prompt_engines.intersection(&stream_engines).count()
 }
 
 #[test]
-fn all_nodes_keep_the_same_engines_of_a_large_pool_for_streams() {
-    let (mut one, mut two) = (with_streams(LARGE_POOL), with_streams(LARGE_POOL));
+fn all_nodes_reserve_the_same_engines_of_a_large_pool_for_streams() {
+    let (mut one, mut two) = (
+        dispatcher_after_streams(LARGE_POOL),
+        dispatcher_after_streams(LARGE_POOL),
+    );
     assert_eq!(shared_engines(&mut one, &mut two), 0);
 }
 
 #[test]
 fn a_small_pool_is_not_split() {
-    let (mut one, mut two) = (with_streams(SMALL_POOL), with_streams(SMALL_POOL));
+    let (mut one, mut two) = (
+        dispatcher_after_streams(SMALL_POOL),
+        dispatcher_after_streams(SMALL_POOL),
+    );
     assert!(shared_engines(&mut one, &mut two) > 0);
 }
 
 #[test]
-fn without_sensitive_streams_every_engine_is_a_home() {
+fn without_sensitive_streams_no_engine_is_reserved() {
     let mut subject = with_engines(LARGE_POOL);
     let engines: BTreeSet<String> = (0..3_000)
-        .map(|thing| engine_of(&mut subject, &demand(thing, 2_000, 100), START))
+        .map(|prompt| engine_of(&mut subject, &demand(prompt, 2_000, 100), START))
         .collect();
     assert!(engines.len() > LARGE_POOL * 95 / 100, "{}", engines.len());
 }
