--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -14,16 +14,16 @@
 /// Span over which requests are counted, and the bound in it over all nodes: half as many again
 /// as the limit allows, and some that were on their way.
 const WINDOW: Span = Span::from_milliseconds(4_000);
-const OVERAGE: f64 = 1.5;
-const SLACK: f64 = 5.0;
+const ALLOWED_RATIO: f64 = 1.5;
+const ALLOWED_EXTRA: f64 = 5.0;
 /// Time after the first word in which all nodes come to know of it.
-const KNOWN_WITHIN: Span = Span::from_milliseconds(3_000);
+const PROPAGATION_TIME: Span = Span::from_milliseconds(3_000);
 /// Time after a node was told in which requests of it may still arrive.
-const ON_THEIR_WAY: Span = Span::from_milliseconds(500);
+const IN_FLIGHT_TIME: Span = Span::from_milliseconds(500);
 /// Time after a start in which a node hears of limits from others.
-const TOLD_AFTER_START: Span = Span::from_milliseconds(1_000);
+const CATCH_UP_TIME: Span = Span::from_milliseconds(1_000);
 /// Requests to each node between two ticks.
-const ASKED_PER_TICK: u64 = 3;
+const REQUESTS_PER_TICK: u64 = 3;
 
 /// A request that reached the limited engine.
 #[derive(Clone, Copy, Debug)]
@@ -31,26 +31,26 @@
     node: usize,
     at: Timestamp,
     /// Whether its node had been told of the limit.
-    counts: bool,
+    was_informed: bool,
 }
 
 /// A fleet before an engine that names a limit in each answer while it is in need.
-struct Day {
+struct Simulation {
     fleet: Fleet,
     /// Its limit now, and since when it names one.
     limit: Option<f64>,
-    named_at: Timestamp,
+    limit_set_at: Timestamp,
     /// When each node came to know of a limit, at the latest.
-    told: BTreeMap<usize, Timestamp>,
+    informed_at: BTreeMap<usize, Timestamp>,
     arrivals: Vec<Arrival>,
     /// Nodes that callers don't ask.
-    idle: BTreeSet<usize>,
-    asked: u64,
+    idle_nodes: BTreeSet<usize>,
+    request_count: u64,
 }
 
-impl Day {
+impl Simulation {
     /// A settled fleet; the engine stands in zone 1.
-    fn begin(nodes: usize, zones: usize) -> Self {
+    fn new(nodes: usize, zones: usize) -> Self {
         let mut fleet = Fleet::new(nodes, zones);
         fleet.first_documents = vec![back_end_change(back_end(LIMITED, 1, 1), 1)];
         for number in 0..nodes {
@@ -60,35 +60,35 @@
         Self {
             fleet,
             limit: None,
-            named_at: START,
-            told: BTreeMap::new(),
+            limit_set_at: START,
+            informed_at: BTreeMap::new(),
             arrivals: Vec::new(),
-            idle: BTreeSet::new(),
-            asked: 0,
+            idle_nodes: BTreeSet::new(),
+            request_count: 0,
         }
     }
 
     /// All nodes are pressed for so long; answers come within a tick.
-    fn press(&mut self, milliseconds: u64) {
+    fn run(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 100 {
-            let sent = self.ask_all();
+            let sent = self.send_requests();
             self.fleet.step();
             for (node, lease) in sent {
-                self.answer(node, lease);
+                self.respond(node, lease);
             }
         }
     }
 
-    fn ask_all(&mut self) -> Vec<(usize, LeaseId)> {
+    fn send_requests(&mut self) -> Vec<(usize, LeaseId)> {
         let nodes = 0..self.fleet.nodes.len();
-        let pressed = nodes
-            .filter(|node| !self.fleet.dark.contains(node) && !self.idle.contains(node))
+        let active_nodes = nodes
+            .filter(|node| !self.fleet.dark.contains(node) && !self.idle_nodes.contains(node))
             .collect::<Vec<usize>>();
         let mut sent = Vec::new();
-        for node in pressed {
-            for _ in 0..ASKED_PER_TICK {
-                self.asked += 1;
-                let demand = demand(self.asked, 1_000, 100);
+        for node in active_nodes {
+            for _ in 0..REQUESTS_PER_TICK {
+                self.request_count += 1;
+                let demand = demand(self.request_count, 1_000, 100);
                 let now = self.fleet.now;
                 if let Decision::Grant(grant) = self.fleet.nodes[node].dispatch(&demand, now) {
                     sent.push((node, grant.lease));
@@ -99,7 +99,7 @@
     }
 
     /// What a node sent reaches the engine, unless the way there is cut.
-    fn answer(&mut self, node: usize, lease: LeaseId) {
+    fn respond(&mut self, node: usize, lease: LeaseId) {
         let now = self.fleet.now;
         let zone = self.fleet.zones[node];
         let is_cut = self.fleet.cut.contains(&(zone, 1)) || self.fleet.cut.contains(&(1, zone));
@@ -107,51 +107,53 @@
             self.fleet.nodes[node].release(lease, Outcome::Unreachable, now);
             return;
         }
-        let told = self.told.get(&node);
-        let counts = told.is_some_and(|told| now.since(*told) >= ON_THEIR_WAY);
+        let informed_at = self.informed_at.get(&node);
+        let was_informed =
+            informed_at.is_some_and(|informed_at| now.since(*informed_at) >= IN_FLIGHT_TIME);
         self.arrivals.push(Arrival {
             node,
             at: now,
-            counts,
+            was_informed,
         });
         if self.limit.is_some() {
-            self.told.entry(node).or_insert(now);
+            self.informed_at.entry(node).or_insert(now);
         }
         self.fleet.nodes[node].record_limit(lease, self.limit.map(limit), now);
         self.fleet.nodes[node].release(lease, Outcome::Completed, now);
     }
 
     /// The engine falls into need, or its need changes.
-    fn name(&mut self, rate: f64) {
+    fn set_limit(&mut self, rate: f64) {
         self.limit = Some(rate);
-        self.named_at = self.fleet.now;
+        self.limit_set_at = self.fleet.now;
         self.arrivals.clear();
     }
 
     fn restart(&mut self, node: usize) {
         self.fleet.restart(node);
         give_documents(&mut self.fleet, node);
-        self.told.insert(node, self.fleet.now + TOLD_AFTER_START);
+        self.informed_at
+            .insert(node, self.fleet.now + CATCH_UP_TIME);
     }
 
     /// Most requests in any window, from when all nodes had time to know of the limit.
-    fn most_in_window(&self) -> usize {
-        let counted = self.arrivals.iter().filter(|arrival| arrival.counts);
+    fn max_in_window(&self) -> usize {
+        let counted = self.arrivals.iter().filter(|arrival| arrival.was_informed);
         let times: Vec<Timestamp> = counted.map(|arrival| arrival.at).collect();
-        most_within(&times, WINDOW, self.named_at + KNOWN_WITHIN)
+        most_within(&times, WINDOW, self.limit_set_at + PROPAGATION_TIME)
     }
 
     fn assert_within(&self, rate: f64) {
-        let most = self.most_in_window();
-        let allowed = OVERAGE * rate * WINDOW.seconds() + SLACK;
+        let max = self.max_in_window();
+        let allowed = ALLOWED_RATIO * rate * WINDOW.seconds() + ALLOWED_EXTRA;
         assert!(
-            most as f64 <= allowed,
-            "{most} requests in 4 s, allowed {allowed}"
+            max as f64 <= allowed,
+            "{max} requests in 4 s, allowed {allowed}"
         );
     }
 
     /// Part of a limit that was used in the last seconds.
-    fn used(&self, rate: f64, seconds: u64) -> f64 {
+    fn used_share(&self, rate: f64, seconds: u64) -> f64 {
         self.arrivals_within(seconds) as f64 / (rate * seconds as f64)
     }
 
@@ -171,21 +173,24 @@
 #[case::with_aggregators_and_low(72, 3, 0.5)]
 #[case::with_aggregators(72, 3, 3.0)]
 #[case::large(295, 5, 1.0)]
-fn all_nodes_together_keep_the_limit_and_use_it(
+fn all_nodes_together_stay_within_the_limit_and_use_it(
     #[case] nodes: usize,
     #[case] zones: usize,
     #[case] rate: f64,
 ) {
-    let mut day = Day::begin(nodes, zones);
-    day.name(rate);
-    day.press(24_000);
-    day.assert_within(rate);
-    let used = day.used(rate, 20);
-    assert!((0.5..1.1).contains(&used), "{used} of the limit was used");
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(rate);
+    simulation.run(24_000);
+    simulation.assert_within(rate);
+    let used_share = simulation.used_share(rate, 20);
+    assert!(
+        (0.5..1.1).contains(&used_share),
+        "{used_share} of the limit was used"
+    );
 }
 
 /// Nodes and zones: as many as a run by hand asks for with `LIMIT_NODES` and `LIMIT_ZONES`.
-fn size_or(nodes: usize, zones: usize) -> (usize, usize) {
+fn fleet_size_or(nodes: usize, zones: usize) -> (usize, usize) {
     let number = |name: &str| std::env::var(name).ok()?.parse::<usize>().ok();
     (
         number("LIMIT_NODES").unwrap_or(nodes),
@@ -197,52 +202,54 @@
 #[rstest]
 #[case::one_a_second(1.0)]
 #[case::less(0.25)]
-fn a_fleet_of_many_zones_keeps_the_limit(#[case] rate: f64) {
-    let (nodes, zones) = size_or(440, 8);
-    let mut day = Day::begin(nodes, zones);
-    day.name(rate);
-    day.press(12_000);
-    day.assert_within(rate);
-    assert!(day.used(rate, 8) > 0.4);
+fn a_fleet_of_many_zones_stays_within_the_limit(#[case] rate: f64) {
+    let (nodes, zones) = fleet_size_or(440, 8);
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(rate);
+    simulation.run(12_000);
+    simulation.assert_within(rate);
+    assert!(simulation.used_share(rate, 8) > 0.4);
 }
 
 /// All of it in one day: the engine's zone starts anew, half of it is lost and comes back, it is
 /// cut off, one of its nodes is, and then the limit changes and ends.
 #[test]
-fn a_fleet_keeps_the_limit_while_nodes_and_the_limit_change() {
-    let (nodes, zones) = size_or(72, 3);
-    let mut day = Day::begin(nodes, zones);
-    day.name(1.0);
-    day.press(6_000);
-    let in_zone: Vec<usize> = (0..nodes).filter(|it| day.fleet.zones[*it] == 1).collect();
+fn a_fleet_stays_within_the_limit_while_nodes_and_the_limit_change() {
+    let (nodes, zones) = fleet_size_or(72, 3);
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(1.0);
+    simulation.run(6_000);
+    let in_zone: Vec<usize> = (0..nodes)
+        .filter(|node| simulation.fleet.zones[*node] == 1)
+        .collect();
     for node in &in_zone {
-        day.restart(*node);
+        simulation.restart(*node);
     }
-    day.press(5_000);
-    let lost: Vec<usize> = in_zone.iter().copied().step_by(2).collect();
-    day.fleet.dark.extend(lost.iter().copied());
-    day.press(3_000);
-    day.fleet.dark.clear();
-    for node in lost {
-        day.restart(node);
+    simulation.run(5_000);
+    let stopped: Vec<usize> = in_zone.iter().copied().step_by(2).collect();
+    simulation.fleet.dark.extend(stopped.iter().copied());
+    simulation.run(3_000);
+    simulation.fleet.dark.clear();
+    for node in stopped {
+        simulation.restart(node);
     }
-    day.press(4_000);
+    simulation.run(4_000);
     let others = (0..zones).filter(|zone| *zone != 1);
-    day.fleet.cut = others.map(|zone| (zone, 1)).collect();
-    day.press(4_000);
-    day.fleet.cut.clear();
-    day.fleet.isolated = [in_zone[0]].into();
-    day.press(4_000);
-    day.fleet.isolated.clear();
-    day.press(4_000);
-    day.assert_within(1.0);
-    day.name(0.25);
-    day.press(8_000);
-    day.assert_within(0.25);
-    day.limit = None;
-    day.press(10_000);
-    let now = day.fleet.now;
-    let limited = day.fleet.nodes.iter();
+    simulation.fleet.cut = others.map(|zone| (zone, 1)).collect();
+    simulation.run(4_000);
+    simulation.fleet.cut.clear();
+    simulation.fleet.isolated = [in_zone[0]].into();
+    simulation.run(4_000);
+    simulation.fleet.isolated.clear();
+    simulation.run(4_000);
+    simulation.assert_within(1.0);
+    simulation.set_limit(0.25);
+    simulation.run(8_000);
+    simulation.assert_within(0.25);
+    simulation.limit = None;
+    simulation.run(10_000);
+    let now = simulation.fleet.now;
+    let limited = simulation.fleet.nodes.iter();
     let limited = limited
         .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
@@ -254,48 +261,57 @@
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
 #[case::large(295, 5)]
-fn nodes_that_end_and_start_keep_it(#[case] nodes: usize, #[case] zones: usize) {
-    let mut day = Day::begin(nodes, zones);
-    day.name(1.0);
-    day.press(4_000);
+fn a_fleet_stays_within_the_limit_while_nodes_stop_and_restart(
+    #[case] nodes: usize,
+    #[case] zones: usize,
+) {
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(1.0);
+    simulation.run(4_000);
     for round in 0..6 {
         // Half of the engine's zone at a time, and in two rounds all of it.
-        let in_zone = (0..nodes).filter(|node| day.fleet.zones[*node] == 1);
-        let struck: Vec<usize> = in_zone
+        let in_zone = (0..nodes).filter(|node| simulation.fleet.zones[*node] == 1);
+        let stopped: Vec<usize> = in_zone
             .filter(|node| round % 3 == 2 || node / zones % 2 == round % 2)
             .collect();
-        day.fleet.dark.extend(struck.iter().copied());
-        day.press(1_500);
-        day.fleet.dark.clear();
-        for node in struck {
-            day.restart(node);
+        simulation.fleet.dark.extend(stopped.iter().copied());
+        simulation.run(1_500);
+        simulation.fleet.dark.clear();
+        for node in stopped {
+            simulation.restart(node);
         }
-        day.press(2_500);
+        simulation.run(2_500);
     }
-    day.press(10_000);
-    day.assert_within(1.0);
-    assert!(day.used(1.0, 8) > 0.5, "it is not used again");
+    simulation.run(10_000);
+    simulation.assert_within(1.0);
+    assert!(simulation.used_share(1.0, 8) > 0.5, "it is not used again");
 }
 
 /// Nodes that stop as planned send nothing more under a limit, and others do at once.
 #[test]
-fn nodes_that_stop_leave_their_part_to_others() {
-    let mut day = Day::begin(8, 2);
-    day.name(1.0);
-    day.press(6_000);
+fn stopping_nodes_leave_their_share_of_the_limit_to_others() {
+    let mut simulation = Simulation::new(8, 2);
+    simulation.set_limit(1.0);
+    simulation.run(6_000);
     for node in [1, 3, 5] {
-        day.fleet.nodes[node].stop();
+        simulation.fleet.nodes[node].stop();
     }
-    day.press(2_000);
-    day.press(8_000);
-    day.assert_within(1.0);
-    assert!(day.used(1.0, 8) > 0.5, "{}", day.used(1.0, 8));
-    let late = day
+    simulation.run(2_000);
+    simulation.run(8_000);
+    simulation.assert_within(1.0);
+    assert!(
+        simulation.used_share(1.0, 8) > 0.5,
+        "{}",
+        simulation.used_share(1.0, 8)
+    );
+    let last_arrivals = simulation
         .arrivals
         .iter()
-        .filter(|it| day.fleet.now.since(it.at) < WINDOW);
+        .filter(|arrival| simulation.fleet.now.since(arrival.at) < WINDOW);
     assert!(
-        late.map(|it| it.node).all(|node| node == 7),
+        last_arrivals
+            .map(|arrival| arrival.node)
+            .all(|node| node == 7),
         "a stopping node sends"
     );
 }
@@ -305,57 +321,63 @@
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
-fn nodes_that_are_cut_off_keep_it(#[case] nodes: usize, #[case] zones: usize) {
-    let mut day = Day::begin(nodes, zones);
-    day.name(1.0);
-    day.press(4_000);
+fn isolated_zones_and_nodes_stay_within_the_limit(#[case] nodes: usize, #[case] zones: usize) {
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(1.0);
+    simulation.run(4_000);
     let others = (0..zones).filter(|zone| *zone != 1);
-    day.fleet.cut = others.map(|zone| (zone, 1)).collect();
-    day.press(20_000);
-    assert!(day.used(1.0, 10) > 0.5, "the cut zone doesn't use it");
-    day.fleet.cut.clear();
-    day.press(5_000);
+    simulation.fleet.cut = others.map(|zone| (zone, 1)).collect();
+    simulation.run(20_000);
+    assert!(
+        simulation.used_share(1.0, 10) > 0.5,
+        "the cut zone doesn't use it"
+    );
+    simulation.fleet.cut.clear();
+    simulation.run(5_000);
     for node in [1, 1 + zones] {
-        day.fleet.isolated = [node].into();
-        day.press(8_000);
+        simulation.fleet.isolated = [node].into();
+        simulation.run(8_000);
     }
-    day.fleet.isolated.clear();
-    day.press(5_000);
-    day.assert_within(1.0);
+    simulation.fleet.isolated.clear();
+    simulation.run(5_000);
+    simulation.assert_within(1.0);
 }
 
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
-fn lost_messages_do_not_break_it(#[case] nodes: usize, #[case] zones: usize) {
-    let mut day = Day::begin(nodes, zones);
-    day.fleet.lost_each = Some(5);
-    day.name(1.0);
-    day.press(24_000);
-    day.assert_within(1.0);
-    assert!(day.used(1.0, 16) > 0.5);
+fn a_fleet_stays_within_the_limit_despite_lost_messages(
+    #[case] nodes: usize,
+    #[case] zones: usize,
+) {
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.fleet.lost_each = Some(5);
+    simulation.set_limit(1.0);
+    simulation.run(24_000);
+    simulation.assert_within(1.0);
+    assert!(simulation.used_share(1.0, 16) > 0.5);
 }
 
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
 #[case::large(295, 5)]
-fn a_limit_that_changes_is_kept_and_one_that_ends_is_forgotten(
+fn a_changed_limit_is_enforced_and_an_ended_one_is_forgotten(
     #[case] nodes: usize,
     #[case] zones: usize,
 ) {
-    let mut day = Day::begin(nodes, zones);
+    let mut simulation = Simulation::new(nodes, zones);
     for rate in [1.0, 6.0, 0.5] {
-        day.name(rate);
-        day.press(10_000);
-        day.assert_within(rate);
-        assert!(day.used(rate, 6) > 0.5, "{rate}");
+        simulation.set_limit(rate);
+        simulation.run(10_000);
+        simulation.assert_within(rate);
+        assert!(simulation.used_share(rate, 6) > 0.5, "{rate}");
     }
-    day.limit = None;
+    simulation.limit = None;
     // One request comes in two seconds; its answer has to reach all.
-    day.press(6_000);
-    let now = day.fleet.now;
-    let limited = day.fleet.nodes.iter();
+    simulation.run(6_000);
+    let now = simulation.fleet.now;
+    let limited = simulation.fleet.nodes.iter();
     let limited = limited
         .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
@@ -368,23 +390,23 @@
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
 #[case::large(295, 5)]
-fn a_limit_ends_also_where_its_senders_have_no_requests(
-    #[case] nodes: usize,
-    #[case] zones: usize,
-) {
-    let mut day = Day::begin(nodes, zones);
-    day.name(1.0);
-    day.press(4_000);
-    let zone = (0..nodes).filter(|node| day.fleet.zones[*node] == 1);
-    day.idle = zone.collect();
-    day.press(40_000);
-    day.assert_within(1.0);
+fn a_limit_ends_even_if_its_senders_get_no_requests(#[case] nodes: usize, #[case] zones: usize) {
+    let mut simulation = Simulation::new(nodes, zones);
+    simulation.set_limit(1.0);
+    simulation.run(4_000);
+    let zone = (0..nodes).filter(|node| simulation.fleet.zones[*node] == 1);
+    simulation.idle_nodes = zone.collect();
+    simulation.run(40_000);
+    simulation.assert_within(1.0);
     assert!(
-        day.arrivals_within(35) > 0,
+        simulation.arrivals_within(35) > 0,
         "nobody looks whether it still holds"
     );
-    day.limit = None;
-    day.press(35_000);
-    let free = day.arrivals_within(1);
-    assert!(free > nodes, "{free} requests in a second once it is over");
+    simulation.limit = None;
+    simulation.run(35_000);
+    let unlimited_arrivals = simulation.arrivals_within(1);
+    assert!(
+        unlimited_arrivals > nodes,
+        "{unlimited_arrivals} requests in a second once it is over"
+    );
 }
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -15,34 +15,34 @@
 };
 
 #[test]
-fn requests_with_the_same_beginning_go_to_the_same_engine() {
+fn requests_with_the_same_prefix_go_to_the_same_engine() {
     let mut subject = with_engines(9);
-    for thing in 1..20 {
+    for prompt in 1..20 {
         let mut engines = BTreeSet::new();
         for own in 0..5 {
-            let grant = granted(subject.dispatch(&demand(thing, 13_000, 400 + own), START));
+            let grant = granted(subject.dispatch(&demand(prompt, 13_000, 400 + own), START));
             subject.record_first_event(grant.lease, START);
             subject.release(grant.lease, Outcome::Completed, START);
             engines.insert(grant.instance);
         }
-        assert_eq!(engines.len(), 1, "thing {thing}");
+        assert_eq!(engines.len(), 1, "thing {prompt}");
     }
 }
 
 #[test]
-fn two_nodes_that_never_spoke_choose_the_same_engine() {
-    let (mut one, mut two) = (with_engines(9), with_engines(9));
-    for thing in 1..50 {
-        let first = granted(one.dispatch(&demand(thing, 13_000, 400), START));
-        let second = granted(two.dispatch(&demand(thing, 13_000, 800), START));
-        assert_eq!(first.instance, second.instance, "thing {thing}");
-        one.release(first.lease, Outcome::Completed, START);
-        two.release(second.lease, Outcome::Completed, START);
+fn two_nodes_without_contact_choose_the_same_engine() {
+    let (mut first_node, mut second_node) = (with_engines(9), with_engines(9));
+    for prompt in 1..50 {
+        let first = granted(first_node.dispatch(&demand(prompt, 13_000, 400), START));
+        let second = granted(second_node.dispatch(&demand(prompt, 13_000, 800), START));
+        assert_eq!(first.instance, second.instance, "thing {prompt}");
+        first_node.release(first.lease, Outcome::Completed, START);
+        second_node.release(second.lease, Outcome::Completed, START);
     }
 }
 
 #[test]
-fn a_beginning_is_not_copied_from_an_engine_that_still_reads_it() {
+fn a_prefix_is_not_copied_from_an_engine_that_is_still_computing_it() {
     let mut subject = with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let before = START + Span(first.candidate.first_event.0 - 1);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_beginning_asked_for_too_often_spreads_and_is_copied() {
+fn a_prefix_in_high_demand_spreads_and_is_copied() {
     let mut subject = with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let now = START + first.candidate.first_event;
@@ -73,19 +73,19 @@
 }
 
 #[test]
-fn a_short_beginning_is_copied_too() {
+fn a_short_prefix_is_copied_too() {
     let mut subject = with_engines(2);
     let first = granted(subject.dispatch(&demand(1, 300, 400), START));
-    let mut elsewhere = demand(1, 300, 500);
-    elsewhere.excluded_back_ends = vec![first.instance];
+    let mut excluding_first = demand(1, 300, 500);
+    excluding_first.excluded_back_ends = vec![first.instance];
     let later = START + Span::from_milliseconds(2_000);
-    let second = granted(subject.dispatch(&elsewhere, later));
+    let second = granted(subject.dispatch(&excluding_first, later));
     assert_eq!(second.copy_from, Some(first.address));
     assert_eq!(second.uncached_tokens, 500);
 }
 
 #[test]
-fn a_back_end_whose_entry_lapsed_serves_until_it_is_overdue() {
+fn a_back_end_whose_entry_expired_serves_until_its_grace_period_ends() {
     let mut subject = with_engines(1);
     subject.tick(START);
     subject.apply(lapsed_change("engine-0", 3), START);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_back_end_whose_entry_lapsed_late_is_gone_sooner() {
+fn a_shorter_remaining_grace_period_removes_an_expired_back_end_sooner() {
     let mut subject = with_engines(1);
     subject.tick(START);
     let mut change = lapsed_change("engine-0", 3);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_back_end_that_is_listed_again_keeps_what_is_known_of_its_cache() {
+fn a_relisted_back_end_keeps_its_recorded_cache_contents() {
     let mut subject = with_engines(1);
     subject.tick(START);
     granted(subject.dispatch(&demand(1, 13_000, 400), START));
@@ -125,67 +125,70 @@
 }
 
 #[test]
-fn of_two_runs_at_one_address_only_the_newer_gets_work() {
+fn of_two_runs_at_one_address_only_the_newer_gets_requests() {
     let mut subject = with_engines(1);
     subject.apply(
         back_end_change(back_end("engine-0-restarted", 0, 0), 9),
         START,
     );
-    for thing in 0..30 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
+    for prompt in 0..30 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), START));
         assert_eq!(grant.instance, InstanceId::from("engine-0-restarted"));
     }
 }
 
 #[test]
-fn an_address_that_serves_another_pool_now_gets_no_work_of_the_old_one() {
+fn an_address_reassigned_to_another_pool_gets_no_requests_of_the_old_one() {
     let mut subject = with_engines(2);
     let mut other = back_end("app-1", 0, 0);
     other.pool = eiderferry_routing::PoolName::from("app");
     subject.apply(back_end_change(other, 9), START);
-    for thing in 0..30 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
+    for prompt in 0..30 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), START));
         assert_eq!(grant.address, back_end_address(1));
     }
 }
 
 #[test]
-fn a_run_that_was_replaced_never_gets_work_again() {
+fn a_replaced_run_never_gets_requests_again() {
     let mut subject = with_engines(2);
     let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
-    let gone = grant.instance.clone();
-    let change = subject
+    let replaced = grant.instance.clone();
+    let health_changes = subject
         .release(grant.lease, Outcome::InstanceReplaced, START)
         .health_changes;
-    assert!(matches!(change[..], [(_, HealthChange::Ejected(_))]));
+    assert!(matches!(
+        health_changes[..],
+        [(_, HealthChange::Ejected(_))]
+    ));
     for minute in 0..20 {
         let now = START + Span::from_milliseconds(minute * 60_000);
-        for thing in 0..10 {
-            let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), now));
-            assert_ne!(grant.instance, gone);
+        for prompt in 0..10 {
+            let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
+            assert_ne!(grant.instance, replaced);
             subject.release(grant.lease, Outcome::Completed, now);
         }
     }
 }
 
 #[test]
-fn a_back_end_that_is_leaving_gets_no_new_work() {
+fn a_draining_back_end_gets_no_new_requests() {
     let mut subject = with_engines(2);
-    let mut leaving = back_end("engine-0", 0, 0);
-    leaving.draining = true;
-    subject.apply(back_end_change(leaving, 9), START);
-    for thing in 0..30 {
-        let grant = granted(subject.dispatch(&demand(thing, 1_000, 100), START));
+    let mut draining_engine = back_end("engine-0", 0, 0);
+    draining_engine.draining = true;
+    subject.apply(back_end_change(draining_engine, 9), START);
+    for prompt in 0..30 {
+        let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), START));
         assert_eq!(grant.instance, InstanceId::from("engine-1"));
     }
 }
 
 #[test]
-fn where_all_back_ends_are_leaving_the_request_is_refused_with_a_time() {
+fn requests_are_refused_with_a_retry_time_when_all_back_ends_drain() {
     let mut subject = with_engines(1);
-    let mut leaving = back_end("engine-0", 0, 0);
-    leaving.draining = true;
-    subject.apply(back_end_change(leaving, 9), START);
+    let mut draining_engine = back_end("engine-0", 0, 0);
+    draining_engine.draining = true;
+    subject.apply(back_end_change(draining_engine, 9), START);
     match subject.dispatch(&demand(1, 1_000, 100), START) {
         Decision::Refuse(reason, retry_after) => {
             assert_eq!(reason, Reason::NoBackEnd);
@@ -196,49 +199,50 @@
 }
 
 #[test]
-fn a_repeat_beyond_the_budget_is_refused_and_a_first_request_is_not() {
+fn a_retry_beyond_the_budget_is_refused_and_a_first_attempt_is_not() {
     let mut subject = with_engines(4);
-    let mut repeat = demand(1, 1_000, 100);
-    repeat.is_retry = true;
-    let mut granted_repeats = 0;
+    let mut retry = demand(1, 1_000, 100);
+    retry.is_retry = true;
+    let mut granted_retries = 0;
     for _ in 0..40 {
-        if let Decision::Grant(grant) = subject.dispatch(&repeat, START) {
+        if let Decision::Grant(grant) = subject.dispatch(&retry, START) {
             subject.release(grant.lease, Outcome::Completed, START);
-            granted_repeats += 1;
+            granted_retries += 1;
         }
     }
-    assert_eq!(granted_repeats, 5);
+    assert_eq!(granted_retries, 5);
     granted(subject.dispatch(&demand(1, 1_000, 100), START));
 }
 
 #[test]
-fn load_that_peers_report_is_avoided_and_forgotten_when_they_fall_silent() {
+fn load_reported_by_peers_is_avoided_until_the_report_is_stale() {
     let mut subject = with_engines(2);
     let home = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     subject.release(home.lease, Outcome::Completed, START);
     let mut peer = with_engines(2);
     for _ in 0..60 {
-        let mut same = demand(1, 1_000, 20_000);
-        same.excluded_back_ends = vec![InstanceId::from(if home.instance.as_str() == "engine-0" {
-            "engine-1"
-        } else {
-            "engine-0"
-        })];
-        granted(peer.dispatch(&same, START));
+        let mut excluding_other = demand(1, 1_000, 20_000);
+        excluding_other.excluded_back_ends =
+            vec![InstanceId::from(if home.instance.as_str() == "engine-0" {
+                "engine-1"
+            } else {
+                "engine-0"
+            })];
+        granted(peer.dispatch(&excluding_other, START));
     }
     let message = peer.gossip(false, START);
-    let mut later = with_engines(2);
-    later.receive(support::node_address(5), &message, START);
+    let mut later_subject = with_engines(2);
+    later_subject.receive(support::node_address(5), &message, START);
     subject.receive(support::node_address(5), &message, START);
     let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     assert_ne!(grant.instance, home.instance);
     let after = START + Span::from_milliseconds(3_000);
-    let grant = granted(later.dispatch(&demand(1, 1_000, 100), after));
+    let grant = granted(later_subject.dispatch(&demand(1, 1_000, 100), after));
     assert_eq!(grant.instance, home.instance);
 }
 
 #[test]
-fn a_table_without_the_pool_gives_no_back_end() {
+fn a_pool_without_back_ends_refuses_requests() {
     let mut subject = support::dispatcher(0, 0, Vec::new());
     subject.apply(table_change(1), START);
     let decision = subject.dispatch(&demand(1, 1_000, 100), START);
@@ -246,70 +250,65 @@
 }
 
 /// Lets a node see streams at its engines whose longest pauses are so long.
-fn see_pauses(subject: &mut Dispatcher, longest: Span) {
-    for thing in 0..200 {
-        let grant = granted(subject.dispatch(&demand(1_000 + thing, 300, 100), START));
-        subject.record_pacing(grant.lease, &stream_with_pause(longest));
+fn observe_event_gaps(subject: &mut Dispatcher, longest_gap: Span) {
+    for prompt in 0..200 {
+        let grant = granted(subject.dispatch(&demand(1_000 + prompt, 300, 100), START));
+        subject.record_pacing(grant.lease, &stream_with_gap(longest_gap));
         subject.release(grant.lease, Outcome::Completed, START);
     }
 }
 
 /// A stream of 20 events, 25 ms apart but for one pause.
-fn stream_with_pause(longest: Span) -> StreamPacing {
+fn stream_with_gap(longest_gap: Span) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = START;
     for number in 0..20 {
         pacing.record(1, now);
-        let pause = if number == 10 {
-            longest
+        let gap = if number == 10 {
+            longest_gap
         } else {
             Span::from_milliseconds(25)
         };
-        now = now + pause;
+        now = now + gap;
     }
     pacing
 }
 
 #[test]
-fn streams_with_short_pauses_and_long_prompts_are_kept_apart() {
+fn streams_with_a_tight_gap_target_are_separated_from_long_prompts() {
     let mut subject = with_engines(4);
-    see_pauses(&mut subject, Span::from_milliseconds(330));
-    let mut engines_of_streams = BTreeSet::new();
-    let mut engines_of_prompts = BTreeSet::new();
+    observe_event_gaps(&mut subject, Span::from_milliseconds(330));
+    let mut stream_engines = BTreeSet::new();
+    let mut prompt_engines = BTreeSet::new();
     for number in 0..12 {
         let mut stream = demand(100 + number, 300, 1_000);
         stream.event_gap_target = Some(Span::from_milliseconds(300));
         let grant = granted(subject.dispatch(&stream, START));
         subject.record_first_event(grant.lease, START);
-        engines_of_streams.insert(grant.instance);
+        stream_engines.insert(grant.instance);
         let grant = granted(subject.dispatch(&demand(200 + number % 3, 13_000, 4_000), START));
         subject.record_first_event(grant.lease, START);
-        engines_of_prompts.insert(grant.instance);
+        prompt_engines.insert(grant.instance);
     }
-    let both: Vec<_> = engines_of_streams
-        .intersection(&engines_of_prompts)
-        .collect();
-    assert!(
-        both.len() <= 1,
-        "{engines_of_streams:?} {engines_of_prompts:?}"
-    );
+    let both: Vec<_> = stream_engines.intersection(&prompt_engines).collect();
+    assert!(both.len() <= 1, "{stream_engines:?} {prompt_engines:?}");
 }
 
 #[test]
-fn streams_that_no_prompt_makes_late_stay_beside_long_prompts() {
+fn streams_that_long_prompts_do_not_delay_are_not_counted_as_exposed() {
     let mut subject = with_engines(1);
-    see_pauses(&mut subject, Span::from_milliseconds(120));
+    observe_event_gaps(&mut subject, Span::from_milliseconds(120));
     let mut stream = demand(1, 300, 1_000);
     stream.event_gap_target = Some(Span::from_milliseconds(300));
     granted(subject.dispatch(&stream, START));
-    let told = subject.gossip(false, START);
-    let loads = told.loads.expect("loads");
+    let gossip = subject.gossip(false, START);
+    let loads = gossip.loads.expect("loads");
     assert_eq!(loads[0].running, 1);
     assert_eq!(loads[0].exposed_hundredths, 0);
 }
 
 #[test]
-fn an_engine_whose_memory_is_taken_gets_no_more_although_it_has_slots() {
+fn an_engine_with_full_memory_gets_no_requests_despite_free_slots() {
     let mut subject = with_engines(2);
     let large = demand(1, 100, 55_000);
     let mut counts: BTreeMap<InstanceId, u32> = BTreeMap::new();
@@ -318,12 +317,12 @@
         subject.record_first_event(grant.lease, START);
         *counts.entry(grant.instance).or_default() += 1;
     }
-    let most = counts.values().max().expect("granted");
-    assert!(*most <= 9, "55,100 of 520,000 tokens each: {counts:?}");
+    let max = counts.values().max().expect("granted");
+    assert!(*max <= 9, "55,100 of 520,000 tokens each: {counts:?}");
 }
 
 #[test]
-fn what_other_nodes_place_at_an_engine_pushes_shared_parts_out_of_the_believed_cache() {
+fn placements_by_other_nodes_evict_prefixes_from_the_estimated_cache() {
     let (mut subject, mut peer) = (with_engines(1), with_engines(1));
     let shared = demand(1, 13_000, 400);
     let first = granted(subject.dispatch(&shared, START));
@@ -332,8 +331,8 @@
     assert_eq!(again.uncached_tokens, 0);
     subject.release(again.lease, Outcome::Completed, START);
     for round in 0..2 {
-        for thing in 0..30 {
-            let grant = granted(peer.dispatch(&demand(100 + thing, 500, 20_000 + round), START));
+        for prompt in 0..30 {
+            let grant = granted(peer.dispatch(&demand(100 + prompt, 500, 20_000 + round), START));
             peer.release(grant.lease, Outcome::Completed, START);
         }
         let mut message = peer.gossip(false, START);
@@ -348,7 +347,7 @@
 }
 
 /// A table whose engines serve a tier of rank 0 and one of rank 1.
-fn table_of_two_tiers() -> Change {
+fn table_with_two_ranks() -> Change {
     let mut change = table_change(2);
     let DocumentContent::Table(table) = &mut change.content else {
         panic!("a table");
@@ -379,17 +378,17 @@
 }
 
 #[test]
-fn while_a_tier_is_refused_no_less_urgent_one_begins() {
+fn while_a_rank_is_refused_no_less_urgent_one_is_granted() {
     let mut subject = with_engines(2);
-    subject.apply(table_of_two_tiers(), START);
-    let of_rank = |rank| Demand {
+    subject.apply(table_with_two_ranks(), START);
+    let request_of_rank = |rank| Demand {
         rank,
         ..demand(1, 100, 50)
     };
     let mut refused = [0, 0];
     for number in 0..400 {
         let rank = number % 2;
-        let decision = subject.dispatch(&of_rank(rank as u8), START);
+        let decision = subject.dispatch(&request_of_rank(rank as u8), START);
         match decision {
             Decision::Grant(_) => assert_eq!(refused[0], 0, "rank {rank} was granted"),
             Decision::Refuse(reason, retry_after) => {
@@ -403,7 +402,7 @@
 }
 
 #[test]
-fn a_table_that_comes_after_the_back_ends_gives_them_their_memory() {
+fn back_ends_listed_before_the_table_get_their_memory_size_from_it() {
     let mut subject = support::dispatcher(0, 0, Vec::new());
     for number in 0..3 {
         let name = format!("engine-{number}");
@@ -418,22 +417,22 @@
 }
 
 #[test]
-fn in_a_large_pool_a_prompt_still_goes_where_its_beginning_is_kept() {
+fn in_a_large_pool_a_prompt_goes_to_the_engine_that_caches_its_prefix() {
     let mut subject = with_engines(400);
-    for thing in 1..30 {
-        let first = granted(subject.dispatch(&demand(thing, 13_000, 400), START));
+    for prompt in 1..30 {
+        let first = granted(subject.dispatch(&demand(prompt, 13_000, 400), START));
         subject.record_first_event(first.lease, START);
         subject.release(first.lease, Outcome::Completed, START);
-        let second = granted(subject.dispatch(&demand(thing, 13_000, 500), START));
+        let second = granted(subject.dispatch(&demand(prompt, 13_000, 500), START));
         subject.record_first_event(second.lease, START);
         subject.release(second.lease, Outcome::Completed, START);
-        assert_eq!(second.instance, first.instance, "thing {thing}");
+        assert_eq!(second.instance, first.instance, "thing {prompt}");
     }
 }
 
 /// A node that has seen requests fail at the home engine of thing 1, and others end
 /// well at both.
-fn witness_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
+fn gossip_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
     let mut peer = with_engines(2);
     let home = granted(peer.dispatch(&demand(1, 1_000, 100), START));
     peer.release(home.lease, Outcome::IncompleteResponse, START);
@@ -452,25 +451,25 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_avoids_a_back_end_that_fails_others_requests() {
+fn requests_that_may_not_be_retried_avoid_a_back_end_that_fails_for_peers() {
     let mut subject = with_engines(2);
-    let (message, failing) = witness_of_failures(3);
+    let (message, failing) = gossip_of_failures(3);
     subject.receive(support::node_address(5), &message, START);
-    let mut unrepeatable = demand(1, 1_000, 100);
-    unrepeatable.may_retry = false;
-    let grant = granted(subject.dispatch(&unrepeatable, START));
+    let mut not_retryable = demand(1, 1_000, 100);
+    not_retryable.may_retry = false;
+    let grant = granted(subject.dispatch(&not_retryable, START));
     assert_ne!(grant.instance, failing);
 }
 
 #[test]
-fn failures_that_peers_saw_are_forgotten_after_a_while() {
+fn failures_reported_by_peers_expire() {
     let mut subject = with_engines(2);
-    let (message, failing) = witness_of_failures(3);
+    let (message, failing) = gossip_of_failures(3);
     subject.receive(support::node_address(5), &message, START);
     let later = START + Span::from_milliseconds(10_000);
-    let mut unrepeatable = demand(1, 1_000, 100);
-    unrepeatable.may_retry = false;
-    let grant = granted(subject.dispatch(&unrepeatable, later));
+    let mut not_retryable = demand(1, 1_000, 100);
+    not_retryable.may_retry = false;
+    let grant = granted(subject.dispatch(&not_retryable, later));
     assert_eq!(grant.instance, failing);
 }
 
@@ -486,19 +485,19 @@
 }
 
 /// Three engines in each of three zones, of which two of the second end requests like this.
-fn with_two_missed(outcome: Outcome) -> Dispatcher {
+fn with_two_failing_engines(outcome: Outcome) -> Dispatcher {
     let mut subject = with_engines_in_three_zones(9, Features::ALL);
-    let mut lost = BTreeSet::new();
-    let mut thing = 0;
-    while lost.len() < 2 {
-        thing += 1;
-        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
-        let is_missed = support::engine_number(&grant) % 3 == 1;
-        if is_missed {
-            lost.insert(grant.instance.clone());
+    let mut failing = BTreeSet::new();
+    let mut prompt = 0;
+    while failing.len() < 2 {
+        prompt += 1;
+        let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
+        let is_failing = support::engine_number(&grant) % 3 == 1;
+        if is_failing {
+            failing.insert(grant.instance.clone());
         }
         subject.record_first_event(grant.lease, START);
-        let outcome = if is_missed {
+        let outcome = if is_failing {
             outcome
         } else {
             Outcome::Completed
@@ -511,8 +510,8 @@
 /// Which of these engines get any of 60 requests.
 fn engines_used(subject: &mut Dispatcher) -> BTreeSet<usize> {
     let mut used = BTreeSet::new();
-    for thing in 0..60 {
-        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
+    for prompt in 0..60 {
+        let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
         used.insert(support::engine_number(&grant));
         subject.release(grant.lease, Outcome::Completed, START);
     }
@@ -521,15 +520,15 @@
 
 #[test]
 fn two_unreachable_back_ends_make_their_whole_zone_suspect() {
-    let mut subject = with_two_missed(Outcome::Unreachable);
+    let mut subject = with_two_failing_engines(Outcome::Unreachable);
     let used = engines_used(&mut subject);
     assert!(used.iter().all(|number| number % 3 != 1), "{used:?}");
 }
 
 /// Some cuts refuse connections.
 #[test]
-fn a_zone_most_of_whose_back_ends_refuse_connections_is_suspect() {
-    let mut subject = with_two_missed(Outcome::ConnectionRefused);
+fn a_zone_where_most_back_ends_refuse_connections_is_suspect() {
+    let mut subject = with_two_failing_engines(Outcome::ConnectionRefused);
     let used = engines_used(&mut subject);
     assert!(used.iter().all(|number| number % 3 != 1), "{used:?}");
 }
@@ -537,11 +536,11 @@
 /// Two engines that crashed are no reason to leave a third one alone that serves: it gets part
 /// of the load that the two had.
 #[test]
-fn crashed_back_ends_make_the_rest_of_a_larger_zone_not_suspect() {
+fn crashed_back_ends_do_not_make_the_rest_of_a_larger_zone_suspect() {
     let mut subject = with_engines_in_three_zones(12, support::HOMES_ANYWHERE);
     let mut crashed = BTreeSet::new();
-    for thing in 0..200 {
-        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
+    for prompt in 0..200 {
+        let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
         let number = support::engine_number(&grant);
         let crashes = number % 3 == 1 && (crashed.len() < 2 || crashed.contains(&number));
         if crashes {
@@ -562,21 +561,21 @@
 }
 
 #[test]
-fn unreachable_back_ends_of_the_own_zone_make_nobody_else_suspect() {
+fn unreachable_back_ends_of_the_own_zone_do_not_make_others_suspect() {
     let mut subject = with_engines(6);
-    let mut lost = BTreeSet::new();
-    for thing in 0..40 {
-        let grant = granted(subject.dispatch(&demand(thing, 5_000, 400), START));
-        let is_lost = lost.len() < 2 || lost.contains(&grant.instance);
-        if is_lost {
-            lost.insert(grant.instance.clone());
+    let mut failing = BTreeSet::new();
+    for prompt in 0..40 {
+        let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
+        let is_unreachable = failing.len() < 2 || failing.contains(&grant.instance);
+        if is_unreachable {
+            failing.insert(grant.instance.clone());
         }
-        let outcome = if is_lost {
+        let outcome = if is_unreachable {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
         subject.release(grant.lease, outcome, START);
     }
-    assert_eq!(lost.len(), 2);
+    assert_eq!(failing.len(), 2);
 }
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -14,107 +14,107 @@
 };
 
 /// The split by load is switched off.
-const FIXED_PART: Features = Features {
+const FIXED_SHARE: Features = Features {
     pool_split: false,
     ..Features::ALL
 };
 /// Prompt tokens that an engine reads in a millisecond.
-const READS_PER_MS: f64 = 55.0;
+const PREFILL_TOKENS_PER_MS: f64 = 55.0;
 /// Reading without a break from which on a stream beside it is late, in milliseconds.
-const LATE_FROM_MS: u64 = 260;
-const PAUSE_TARGET: Span = Span::from_milliseconds(280);
+const DELAYING_PREFILL_MS: u64 = 260;
+const EVENT_GAP_TARGET: Span = Span::from_milliseconds(280);
 /// Length of a played step.
 const STEP_MS: u64 = 10;
 
 /// Requests a second of each kind.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    questions: f64,
-    verdicts: f64,
-    reviews: f64,
+    chats: f64,
+    classifications: f64,
+    long_prompts: f64,
 }
 
-const USUAL: Load = Load {
-    questions: 204.0,
-    verdicts: 67.0,
-    reviews: 40.0,
+const BASE_LOAD: Load = Load {
+    chats: 204.0,
+    classifications: 67.0,
+    long_prompts: 40.0,
 };
 
-fn usual_with(questions: f64, reviews: f64) -> Load {
+fn base_load_with(chats: f64, long_prompts: f64) -> Load {
     Load {
-        questions,
-        reviews,
-        ..USUAL
+        chats,
+        long_prompts,
+        ..BASE_LOAD
     }
 }
 
 impl Load {
-    fn times(self, factor: f64) -> Self {
+    fn scaled(self, factor: f64) -> Self {
         Self {
-            questions: self.questions * factor,
-            verdicts: self.verdicts * factor,
-            reviews: self.reviews * factor,
+            chats: self.chats * factor,
+            classifications: self.classifications * factor,
+            long_prompts: self.long_prompts * factor,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    Question,
-    Verdict,
-    Review,
+    Chat,
+    Classification,
+    LongPrompt,
 }
 
-struct Running {
+struct RunningRequest {
     node: usize,
     kind: Kind,
     grant: Grant,
     first_event_at: u64,
     ends_at: u64,
-    has_begun: bool,
-    is_late: bool,
+    has_first_event: bool,
+    is_delayed: bool,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Engine {
-    busy_since: u64,
-    read_until: u64,
+struct EngineState {
+    prefill_since: u64,
+    prefill_until: u64,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
-    questions: u64,
-    late: u64,
+struct RunStats {
+    chats: u64,
+    delayed: u64,
     refused: u64,
-    review_wait_ms: u64,
-    reviews: u64,
+    long_prompt_wait_ms: u64,
+    long_prompts: u64,
 }
 
-impl Tally {
-    fn late_part(&self) -> f64 {
-        self.late as f64 / self.questions.max(1) as f64
+impl RunStats {
+    fn delayed_share(&self) -> f64 {
+        self.delayed as f64 / self.chats.max(1) as f64
     }
 
-    fn review_wait(&self) -> u64 {
-        self.review_wait_ms / self.reviews.max(1)
+    fn mean_long_prompt_wait_ms(&self) -> u64 {
+        self.long_prompt_wait_ms / self.long_prompts.max(1)
     }
 }
 
 /// Engines that a step of the border of sixty moves.
-const A_STEP: u32 = 3;
+const MAX_ENGINES_PER_STEP: u32 = 3;
 /// Engines that the border passes at most between two looks.
-const MOST_AT_A_LOOK: u32 = 3 * A_STEP;
+const MAX_ENGINES_PER_EVALUATION: u32 = 3 * MAX_ENGINES_PER_STEP;
 
 /// A fleet, its engines, and what runs there.
-struct Play {
+struct Simulation {
     fleet: Fleet,
-    engines: HashMap<String, Engine>,
-    running: Vec<Running>,
+    engines: HashMap<String, EngineState>,
+    running: Vec<RunningRequest>,
     random: ChaCha8Rng,
-    tally: Tally,
+    stats: RunStats,
 }
 
-impl Play {
+impl Simulation {
     fn new(engines: usize, features: Features) -> Self {
         let mut fleet = Fleet::new(12, 3);
         fleet.switch(features);
@@ -135,36 +135,36 @@
             engines: HashMap::new(),
             running: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(7),
-            tally: Tally::default(),
+            stats: RunStats::default(),
         }
     }
 
     /// Plays a load for so long; returns what came of it.
-    fn run(&mut self, load: Load, milliseconds: u64) -> Tally {
-        self.tally = Tally::default();
+    fn run(&mut self, load: Load, milliseconds: u64) -> RunStats {
+        self.stats = RunStats::default();
         for _ in 0..milliseconds / 100 {
-            let begin = self.fleet.now.since(START).milliseconds();
+            let batch_start = self.fleet.now.since(START).milliseconds();
             for step in 0..100 / STEP_MS {
-                self.arrive(load, begin + step * STEP_MS);
-                self.pass(begin + step * STEP_MS);
+                self.dispatch_arrivals(load, batch_start + step * STEP_MS);
+                self.advance(batch_start + step * STEP_MS);
             }
             self.fleet.step();
         }
-        std::mem::take(&mut self.tally)
+        std::mem::take(&mut self.stats)
     }
 
-    fn arrive(&mut self, load: Load, now: u64) {
-        let (questions, verdicts) = (load.questions, load.verdicts);
-        let rates = [questions, verdicts, load.reviews];
-        let kinds = [Kind::Question, Kind::Verdict, Kind::Review];
+    fn dispatch_arrivals(&mut self, load: Load, now: u64) {
+        let (chats, classifications) = (load.chats, load.classifications);
+        let rates = [chats, classifications, load.long_prompts];
+        let kinds = [Kind::Chat, Kind::Classification, Kind::LongPrompt];
         for (kind, rate) in kinds.into_iter().zip(rates) {
             if self
                 .random
                 .random_bool((rate * STEP_MS as f64 / 2_000.0).min(1.0))
             {
                 // Requests come in pairs: one might be all that an engine bears.
-                self.place(kind, now);
-                self.place(kind, now);
+                self.dispatch_request(kind, now);
+                self.dispatch_request(kind, now);
             }
         }
     }
@@ -172,34 +172,34 @@
     fn demand(&mut self, kind: Kind) -> Demand {
         // Lengths are spread widely, as those of real prompts are.
         let spread = (-self.random.random::<f64>().max(1e-3).ln()).min(6.0);
-        let thing = |random: &mut ChaCha8Rng, count: u64| random.random_range(0..count);
+        let random_prompt = |random: &mut ChaCha8Rng, count: u64| random.random_range(0..count);
         match kind {
-            Kind::Question => Demand {
+            Kind::Chat => Demand {
                 rank: 0,
                 target: Span::from_milliseconds(300),
-                event_gap_target: Some(PAUSE_TARGET),
+                event_gap_target: Some(EVENT_GAP_TARGET),
                 may_retry: false,
                 ..demand(
-                    thing(&mut self.random, 80),
+                    random_prompt(&mut self.random, 80),
                     200,
                     (628.0 * spread) as u32 + 10,
                 )
             },
-            Kind::Verdict => Demand {
+            Kind::Classification => Demand {
                 rank: 1,
                 target: Span::from_milliseconds(500),
                 event_gap_target: Some(Span::from_milliseconds(500)),
                 ..demand(
-                    1_000 + thing(&mut self.random, 80),
+                    1_000 + random_prompt(&mut self.random, 80),
                     560,
                     (1_800.0 * spread) as u32 + 10,
                 )
             },
-            Kind::Review => Demand {
+            Kind::LongPrompt => Demand {
                 target: Span::from_milliseconds(2_000),
                 event_gap_target: Some(Span::from_milliseconds(1_200)),
                 ..demand(
-                    2_000 + thing(&mut self.random, 300),
+                    2_000 + random_prompt(&mut self.random, 300),
                     5_400,
                     (6_600.0 * spread) as u32 + 10,
                 )
@@ -207,85 +207,85 @@
         }
     }
 
-    fn place(&mut self, kind: Kind, now: u64) {
+    fn dispatch_request(&mut self, kind: Kind, now: u64) {
         let demand = self.demand(kind);
-        let living: Vec<usize> = (0..self.fleet.nodes.len())
+        let live_nodes: Vec<usize> = (0..self.fleet.nodes.len())
             .filter(|node| !self.fleet.dark.contains(node))
             .collect();
-        let node = living[self.random.random_range(0..living.len())];
+        let node = live_nodes[self.random.random_range(0..live_nodes.len())];
         let decision = self.fleet.nodes[node].dispatch(&demand, at(now));
-        if kind == Kind::Question {
-            self.tally.questions += 1;
+        if kind == Kind::Chat {
+            self.stats.chats += 1;
         }
         match decision {
-            Decision::Grant(grant) => self.begin(node, kind, grant, now),
-            Decision::Refuse(..) => self.tally.refused += 1,
+            Decision::Grant(grant) => self.start_request(node, kind, grant, now),
+            Decision::Refuse(..) => self.stats.refused += 1,
         }
     }
 
-    fn begin(&mut self, node: usize, kind: Kind, grant: Grant, now: u64) {
+    fn start_request(&mut self, node: usize, kind: Kind, grant: Grant, now: u64) {
         let name = grant.instance.as_str().to_owned();
         let engine = self.engines.entry(name).or_default();
-        if engine.read_until <= now {
-            *engine = Engine {
-                busy_since: now,
-                read_until: now,
+        if engine.prefill_until <= now {
+            *engine = EngineState {
+                prefill_since: now,
+                prefill_until: now,
             };
         }
-        engine.read_until += (f64::from(grant.uncached_tokens) / READS_PER_MS) as u64;
+        engine.prefill_until += (f64::from(grant.uncached_tokens) / PREFILL_TOKENS_PER_MS) as u64;
         let engine = *engine;
-        let events = if kind == Kind::Verdict { 3 } else { 33 };
-        let first_event_at = engine.read_until;
-        if kind == Kind::Review {
-            self.tally.reviews += 1;
-            self.tally.review_wait_ms += first_event_at - now;
+        let events = if kind == Kind::Classification { 3 } else { 33 };
+        let first_event_at = engine.prefill_until;
+        if kind == Kind::LongPrompt {
+            self.stats.long_prompts += 1;
+            self.stats.long_prompt_wait_ms += first_event_at - now;
         }
         let instance = grant.instance.clone();
-        self.running.push(Running {
+        self.running.push(RunningRequest {
             node,
             kind,
             grant,
             first_event_at,
             ends_at: first_event_at + events * 35,
-            has_begun: false,
-            is_late: false,
+            has_first_event: false,
+            is_delayed: false,
         });
-        if engine.read_until - engine.busy_since < LATE_FROM_MS {
+        if engine.prefill_until - engine.prefill_since < DELAYING_PREFILL_MS {
             return;
         }
-        let beside = self
+        let on_same_engine = self
             .running
             .iter_mut()
             .filter(|running| running.grant.instance == instance);
-        for running in beside {
-            running.is_late = true;
+        for running in on_same_engine {
+            running.is_delayed = true;
         }
     }
 
     /// Requests begin to answer, and end.
-    fn pass(&mut self, now: u64) {
+    fn advance(&mut self, now: u64) {
         for running in &mut self.running {
-            if !running.has_begun && running.first_event_at <= now {
-                running.has_begun = true;
+            if !running.has_first_event && running.first_event_at <= now {
+                running.has_first_event = true;
                 let node = &mut self.fleet.nodes[running.node];
                 node.record_first_event(running.grant.lease, at(now));
             }
         }
-        let ended = self
+        let finished = self
             .running
             .extract_if(.., |running| running.ends_at <= now);
-        for running in ended {
-            let is_question = running.kind == Kind::Question;
-            self.tally.late += u64::from(running.is_late && is_question);
+        for running in finished {
+            let is_chat = running.kind == Kind::Chat;
+            self.stats.delayed += u64::from(running.is_delayed && is_chat);
             let node = &mut self.fleet.nodes[running.node];
             node.record_pacing(running.grant.lease, &pacing(&running));
             node.release(running.grant.lease, Outcome::Completed, at(now));
         }
     }
 
-    fn splits(&self) -> Vec<SplitStats> {
-        let living = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
-        living
+    fn split_stats(&self) -> Vec<SplitStats> {
+        let live_nodes = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
+        live_nodes
             .map(|node| {
                 self.fleet.nodes[node]
                     .snapshot(self.fleet.now)
@@ -295,24 +295,24 @@
     }
 
     /// Homes of long prompts that nobody has read yet, of those that go there.
-    fn homes(&mut self) -> BTreeMap<u64, String> {
+    fn home_engines(&mut self) -> BTreeMap<u64, String> {
         let now = self.fleet.now;
         let node = &mut self.fleet.nodes[0];
-        let mut homes = BTreeMap::new();
-        for thing in 1_000_000..1_000_400 {
-            let Decision::Grant(grant) = node.dispatch(&demand(thing, 13_000, 900), now) else {
+        let mut home_engines = BTreeMap::new();
+        for prompt in 1_000_000..1_000_400 {
+            let Decision::Grant(grant) = node.dispatch(&demand(prompt, 13_000, 900), now) else {
                 continue;
             };
             if grant.candidate.is_home {
-                homes.insert(thing, grant.instance.as_str().to_owned());
+                home_engines.insert(prompt, grant.instance.as_str().to_owned());
             }
             node.release(grant.lease, Outcome::Abandoned, now);
         }
-        homes
+        home_engines
     }
 
     fn prompt_engines(&self) -> Vec<u32> {
-        self.splits()
+        self.split_stats()
             .iter()
             .map(|split| split.prompt_engines)
             .collect()
@@ -325,11 +325,11 @@
 }
 
 /// Events 35 ms apart, but for one long pause where the stream was late.
-fn pacing(running: &Running) -> StreamPacing {
+fn pacing(running: &RunningRequest) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = running.first_event_at;
     for event in 0..(running.ends_at - now) / 35 {
-        now += if running.is_late && event == 3 {
+        now += if running.is_delayed && event == 3 {
             300
         } else {
             35
@@ -340,30 +340,31 @@
 }
 
 /// What comes of a load with the split by load and without it, after a while.
-fn played(engines: usize, load: Load) -> (Tally, Tally) {
-    let play = |features| {
-        let mut play = Play::new(engines, features);
-        play.run(load, 6_000);
-        play.run(load, 10_000)
+fn simulate_both_splits(engines: usize, load: Load) -> (RunStats, RunStats) {
+    let simulate = |features| {
+        let mut simulation = Simulation::new(engines, features);
+        simulation.run(load, 6_000);
+        simulation.run(load, 10_000)
     };
-    (play(Features::ALL), play(FIXED_PART))
+    (simulate(Features::ALL), simulate(FIXED_SHARE))
 }
 
 #[test]
-fn fewer_streams_come_late_than_beside_a_fixed_part() {
-    let (by_load, fixed) = played(60, USUAL);
+fn a_split_by_load_delays_fewer_streams_than_a_fixed_share() {
+    let (by_load, fixed) = simulate_both_splits(60, BASE_LOAD);
     // 1 and 66 of 2,000; long prompts wait 181 ms in place of 173.
-    assert!(by_load.late_part() < 0.01, "{by_load:?}");
-    assert!(by_load.late * 4 < fixed.late, "{by_load:?} {fixed:?}");
-    assert!(by_load.review_wait() < fixed.review_wait() + 100);
+    assert!(by_load.delayed_share() < 0.01, "{by_load:?}");
+    assert!(by_load.delayed * 4 < fixed.delayed, "{by_load:?} {fixed:?}");
+    assert!(by_load.mean_long_prompt_wait_ms() < fixed.mean_long_prompt_wait_ms() + 100);
 }
 
 #[test]
-fn pools_of_any_size_gain() {
+fn pools_of_any_size_benefit_from_a_split_by_load() {
     for engines in [9, 12, 20, 32, 33, 90] {
-        let (by_load, fixed) = played(engines, USUAL.times(engines as f64 / 60.0));
+        let (by_load, fixed) =
+            simulate_both_splits(engines, BASE_LOAD.scaled(engines as f64 / 60.0));
         assert!(
-            by_load.late * 2 <= fixed.late,
+            by_load.delayed * 2 <= fixed.delayed,
             "{engines}: {by_load:?} {fixed:?}"
         );
         assert_eq!(by_load.refused, 0);
@@ -372,27 +373,32 @@
 
 #[test]
 fn a_pool_too_small_is_not_split() {
-    let mut play = Play::new(6, Features::ALL);
-    play.run(USUAL.times(0.1), 4_000);
-    assert!(play.prompt_engines().iter().all(|engines| *engines == 0));
+    let mut simulation = Simulation::new(6, Features::ALL);
+    simulation.run(BASE_LOAD.scaled(0.1), 4_000);
+    assert!(
+        simulation
+            .prompt_engines()
+            .iter()
+            .all(|engines| *engines == 0)
+    );
 }
 
 #[test]
-fn nodes_split_alike_and_step_by_step() {
-    let mut play = Play::new(60, Features::ALL);
-    play.run(USUAL, 4_000);
-    for load in [USUAL.times(2.0), USUAL, USUAL.times(0.3)] {
-        let mut before = play.prompt_engines();
+fn nodes_choose_similar_splits_and_change_them_in_small_steps() {
+    let mut simulation = Simulation::new(60, Features::ALL);
+    simulation.run(BASE_LOAD, 4_000);
+    for load in [BASE_LOAD.scaled(2.0), BASE_LOAD, BASE_LOAD.scaled(0.3)] {
+        let mut before = simulation.prompt_engines();
         for _ in 0..8 {
-            play.run(load, 500);
-            let sizes = play.prompt_engines();
-            let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
-            assert!(most - least <= A_STEP, "{sizes:?}");
+            simulation.run(load, 500);
+            let sizes = simulation.prompt_engines();
+            let (min, max) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
+            assert!(max - min <= MAX_ENGINES_PER_STEP, "{sizes:?}");
             let moves = before.iter().zip(&sizes);
             assert!(
                 moves
                     .clone()
-                    .all(|(one, two)| one.abs_diff(*two) <= MOST_AT_A_LOOK)
+                    .all(|(one, two)| one.abs_diff(*two) <= MAX_ENGINES_PER_EVALUATION)
             );
             before = sizes;
         }
@@ -401,105 +407,116 @@
 
 #[test]
 fn a_burst_of_long_prompts_gets_more_engines() {
-    let mut play = begun();
-    let before = play.prompt_engines()[0];
-    let burst = usual_with(204.0, 80.0);
-    let tally = play.run(burst, 4_000);
-    let during = play.prompt_engines()[0];
+    let mut simulation = warmed_up_simulation();
+    let before = simulation.prompt_engines()[0];
+    let burst = base_load_with(204.0, 80.0);
+    let stats = simulation.run(burst, 4_000);
+    let during = simulation.prompt_engines()[0];
     assert!(during > before, "{before} {during}");
-    assert!(tally.late_part() < 0.03, "{tally:?}");
-    play.run(USUAL, 8_000);
-    let after = play.prompt_engines()[0];
+    assert!(stats.delayed_share() < 0.03, "{stats:?}");
+    simulation.run(BASE_LOAD, 8_000);
+    let after = simulation.prompt_engines()[0];
     assert!(after < during, "{during} {after}");
 }
 
 #[test]
-fn a_burst_of_streams_stays_in_time() {
-    let mut play = begun();
-    let burst = usual_with(400.0, 40.0);
-    let tally = play.run(burst, 4_000);
-    assert!(tally.late_part() < 0.02, "{tally:?}");
+fn a_burst_of_streams_is_rarely_delayed() {
+    let mut simulation = warmed_up_simulation();
+    let burst = base_load_with(400.0, 40.0);
+    let stats = simulation.run(burst, 4_000);
+    assert!(stats.delayed_share() < 0.02, "{stats:?}");
 }
 
 #[test]
-fn one_kind_alone_is_served_by_all_engines() {
-    let reviews = Load {
-        questions: 0.0,
-        verdicts: 0.0,
-        reviews: 40.0,
+fn a_pool_with_one_kind_of_requests_is_not_split() {
+    let long_prompts = Load {
+        chats: 0.0,
+        classifications: 0.0,
+        long_prompts: 40.0,
     };
-    let mut play = Play::new(60, Features::ALL);
-    play.run(reviews, 5_000);
-    assert!(play.prompt_engines().iter().all(|engines| *engines == 0));
-    let mut play = Play::new(60, Features::ALL);
-    let tally = play.run(usual_with(204.0, 0.0), 5_000);
-    assert_eq!(tally.late, 0);
+    let mut simulation = Simulation::new(60, Features::ALL);
+    simulation.run(long_prompts, 5_000);
+    assert!(
+        simulation
+            .prompt_engines()
+            .iter()
+            .all(|engines| *engines == 0)
+    );
+    let mut simulation = Simulation::new(60, Features::ALL);
+    let stats = simulation.run(base_load_with(204.0, 0.0), 5_000);
+    assert_eq!(stats.delayed, 0);
 }
 
 #[test]
-fn half_of_the_engines_gone_leaves_both_kinds_a_part() {
-    let mut play = begun();
-    let before = play.prompt_engines()[0];
+fn after_losing_half_of_the_engines_both_kinds_keep_a_share() {
+    let mut simulation = warmed_up_simulation();
+    let before = simulation.prompt_engines()[0];
     for number in 0..30 {
-        let gone = lapsed_change(&format!("engine-{number}"), 3);
-        for node in &mut play.fleet.nodes {
-            node.apply(gone.clone(), play.fleet.now);
-            node.record_confirmation(&known(3), play.fleet.now);
+        let expiry = lapsed_change(&format!("engine-{number}"), 3);
+        for node in &mut simulation.fleet.nodes {
+            node.apply(expiry.clone(), simulation.fleet.now);
+            node.record_confirmation(&known(3), simulation.fleet.now);
         }
     }
-    play.run(USUAL, 3_000);
-    let tally = play.run(USUAL, 5_000);
-    let split = play.splits()[0];
+    simulation.run(BASE_LOAD, 3_000);
+    let stats = simulation.run(BASE_LOAD, 5_000);
+    let split = simulation.split_stats()[0];
     assert_eq!(split.ranked_engines, 30);
     assert!(
         split.prompt_engines * 60 > before * 30,
         "{before} {split:?}"
     );
     assert!(split.prompt_engines < 27, "{split:?}");
-    assert!(tally.late_part() < 0.08, "{tally:?}");
+    assert!(stats.delayed_share() < 0.08, "{stats:?}");
 }
 
 #[test]
-fn zones_that_are_cut_off_split_their_own_engines() {
-    let mut play = begun();
-    play.fleet.cut.extend([(0, 1), (0, 2)]);
-    play.run(USUAL, 2_000);
-    let usable = |play: &Play| play.splits().iter().map(|split| split.load.engines).min();
-    assert_eq!(usable(&play), Some(60), "silence for a moment");
-    play.run(USUAL, 5_000);
-    assert_eq!(usable(&play), Some(20), "a cut");
-    for split in play.splits() {
-        let part = f64::from(split.prompt_engines) / f64::from(split.ranked_engines);
-        assert!((0.2..0.9).contains(&part), "{split:?}");
+fn isolated_zones_split_their_own_engines() {
+    let mut simulation = warmed_up_simulation();
+    simulation.fleet.cut.extend([(0, 1), (0, 2)]);
+    simulation.run(BASE_LOAD, 2_000);
+    let min_engines = |simulation: &Simulation| {
+        simulation
+            .split_stats()
+            .iter()
+            .map(|split| split.load.engines)
+            .min()
+    };
+    assert_eq!(min_engines(&simulation), Some(60), "silence for a moment");
+    simulation.run(BASE_LOAD, 5_000);
+    assert_eq!(min_engines(&simulation), Some(20), "a cut");
+    for split in simulation.split_stats() {
+        let share = f64::from(split.prompt_engines) / f64::from(split.ranked_engines);
+        assert!((0.2..0.9).contains(&share), "{split:?}");
     }
 }
 
 /// A play that has run for a while.
-fn begun() -> Play {
-    let mut play = Play::new(60, Features::ALL);
-    play.run(USUAL, 6_000);
-    play
+fn warmed_up_simulation() -> Simulation {
+    let mut simulation = Simulation::new(60, Features::ALL);
+    simulation.run(BASE_LOAD, 6_000);
+    simulation
 }
 
 #[test]
-fn a_step_of_the_border_moves_few_homes() {
-    let (mut one, mut two) = (begun(), begun());
+fn a_step_of_the_split_moves_few_home_engines() {
+    let (mut one, mut two) = (warmed_up_simulation(), warmed_up_simulation());
     let before = one.prompt_engines()[0];
-    let burst = usual_with(204.0, 70.0);
+    let burst = base_load_with(204.0, 70.0);
     while two.prompt_engines()[0] == before {
         two.run(burst, 100);
     }
-    let after = two.homes();
-    let both = one.homes().into_iter();
-    let both = both.filter_map(|(thing, home)| Some((home, after.get(&thing)?)));
+    let after = two.home_engines();
+    let both = one.home_engines().into_iter();
+    let both = both.filter_map(|(prompt, home)| Some((home, after.get(&prompt)?)));
     let (moved, stayed): (Vec<_>, Vec<_>) = both.partition(|(one, two)| one != *two);
-    let part = moved.len() as f64 / (moved.len() + stayed.len()) as f64;
+    let share = moved.len() as f64 / (moved.len() + stayed.len()) as f64;
     assert!(stayed.len() > 200, "{}", stayed.len());
-    assert!(part < 0.2, "{part}");
+    assert!(share < 0.2, "{share}");
 }
 
 #[test]
-fn a_pool_that_is_too_full_is_not_split() {
-    let (by_load, fixed) = played(20, USUAL);
-    assert!(by_load.late <= fixed.late, "{by_load:?} {fixed:?}");
+fn in_an_overloaded_pool_no_more_streams_are_delayed_than_with_a_fixed_share() {
+    let (by_load, fixed) = simulate_both_splits(20, BASE_LOAD);
+    assert!(by_load.delayed <= fixed.delayed, "{by_load:?} {fixed:?}");
 }
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -31,13 +31,13 @@
 }
 
 /// Whether a node knows that a back end is draining or removed.
-fn has_left(fleet: &Fleet, node: usize, name: &str) -> bool {
-    let known = fleet.nodes[node].document_store();
-    let changes = known.changes_after(&VersionVector::default());
-    let of_it = changes
+fn is_known_leaving(fleet: &Fleet, node: usize, name: &str) -> bool {
+    let document_store = fleet.nodes[node].document_store();
+    let changes = document_store.changes_after(&VersionVector::default());
+    let matching = changes
         .iter()
         .filter(|change| change.key == instance_key(name));
-    let mut contents = of_it.map(|change| &change.content);
+    let mut contents = matching.map(|change| &change.content);
     contents.any(|content| match content {
         DocumentContent::BackEnd(entry) => entry.draining,
         _ => true,
@@ -61,7 +61,7 @@
 }
 
 /// A fleet with three back ends that has run for 15 s, at revision 4.
-fn settled(count: usize, zones: usize) -> (Fleet, Source) {
+fn settled_fleet(count: usize, zones: usize) -> (Fleet, Source) {
     let mut source = Source::default();
     source.write_table(1);
     for number in 0..3 {
@@ -80,7 +80,7 @@
     #[case] count: usize,
     #[case] zones: usize,
 ) {
-    let (mut fleet, mut source) = settled(count, zones);
+    let (mut fleet, mut source) = settled_fleet(count, zones);
     let mut newest = 1;
     for _ in 0..2 {
         let backup_number = source.number();
@@ -111,7 +111,7 @@
 fn a_node_that_starts_before_the_rewrite_learns_confirmed_changes_from_peers(
     #[case] restarted: &[usize],
 ) {
-    let (mut fleet, mut source) = settled(9, 3);
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     source.write_table(5);
     source.write_back_end("i-1", 1, true);
     source.remove_back_end("i-2");
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn changes_known_only_to_a_zone_that_was_cut_off_reach_all_nodes_when_it_reconnects() {
-    let (mut fleet, mut source) = settled(9, 3);
+fn changes_known_only_to_an_isolated_zone_reach_all_nodes_when_it_reconnects() {
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     fleet.cut.extend([(0, 1), (0, 2)]);
     source.unreachable.extend([1, 2, 4, 5, 7, 8]);
     source.write_table(5);
@@ -148,8 +148,8 @@
 }
 
 #[test]
-fn a_fleet_that_starts_before_the_rewrite_takes_the_copy_and_then_the_rewritten_changes() {
-    let (mut fleet, mut source) = settled(9, 3);
+fn a_fleet_that_starts_before_the_rewrite_applies_the_backup_and_then_the_rewritten_changes() {
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     source.write_table(5);
     source.run(&mut fleet, APPLIED_WITHIN_MS);
     let lost = source.restore(4);
@@ -166,8 +166,8 @@
 }
 
 #[test]
-fn a_removed_back_end_that_the_copy_lists_is_released_unless_it_is_removed_again() {
-    let (mut fleet, mut source) = settled(9, 3);
+fn a_removed_back_end_listed_in_the_backup_becomes_usable_unless_removed_again() {
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     source.remove_back_end("i-1");
     source.remove_back_end("i-2");
     source.run(&mut fleet, APPLIED_WITHIN_MS);
@@ -182,8 +182,8 @@
 }
 
 #[test]
-fn an_evacuation_that_the_copy_lacks_ends_unless_it_is_written_again_in_time() {
-    let (mut fleet, mut source) = settled(9, 3);
+fn an_evacuation_missing_from_the_backup_ends_unless_rewritten_in_time() {
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     let key = DocumentKey::Evacuation(support::zone(0));
     source.write(key.clone(), DocumentContent::Evacuated);
     source.run(&mut fleet, APPLIED_WITHIN_MS);
@@ -206,13 +206,13 @@
 struct Expectations {
     table: (u64, Timestamp),
     /// When each draining or removed back end was first written as such.
-    left: BTreeMap<String, Timestamp>,
+    leaving_since: BTreeMap<String, Timestamp>,
     /// Since when each node has been connected to the source and its peers.
     connected_since: Vec<Timestamp>,
     /// Time of the last restore of the source.
-    restored: Timestamp,
+    last_restore: Timestamp,
     /// Highest table version of each node since its start.
-    highest: Vec<u64>,
+    highest_version: Vec<u64>,
     /// Back ends that each node has known as draining or removed since its start.
     known_leaving: Vec<BTreeSet<String>>,
 }
@@ -223,12 +223,12 @@
         for node in 0..fleet.nodes.len() {
             let found = version(fleet, node);
             assert!(
-                found >= self.highest[node],
+                found >= self.highest_version[node],
                 "seed {seed}, node {node}: reverted to {found}"
             );
-            self.highest[node] = found;
+            self.highest_version[node] = found;
             let is_caught_up = now.since(self.connected_since[node]).milliseconds() > CATCH_UP_MS;
-            let is_stable = now.since(self.restored).milliseconds() > STABLE_AFTER_MS;
+            let is_stable = now.since(self.last_restore).milliseconds() > STABLE_AFTER_MS;
             let is_due = |at: Timestamp| {
                 let is_old = now.since(at).milliseconds() > APPLIED_WITHIN_MS;
                 is_caught_up && is_stable && is_old
@@ -236,7 +236,7 @@
             if is_due(self.table.1) {
                 assert_eq!(found, self.table.0, "seed {seed}, node {node}");
             }
-            for (name, at) in &self.left {
+            for (name, at) in &self.leaving_since {
                 let is_usable = is_usable(fleet, node, name);
                 let known_leaving = &mut self.known_leaving[node];
                 let must_be_known = is_due(*at) || known_leaving.contains(name);
@@ -244,7 +244,7 @@
                     !is_usable || !must_be_known,
                     "seed {seed}, node {node}: {name} left at {at:?}, now {now:?}"
                 );
-                if !is_usable && has_left(fleet, node, name) {
+                if !is_usable && is_known_leaving(fleet, node, name) {
                     known_leaving.insert(name.clone());
                 }
             }
@@ -266,13 +266,13 @@
 
 fn run_scenario(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (mut fleet, mut source) = settled(9, 3);
+    let (mut fleet, mut source) = settled_fleet(9, 3);
     let mut expected = Expectations {
         table: (1, fleet.now),
-        left: BTreeMap::new(),
+        leaving_since: BTreeMap::new(),
         connected_since: vec![fleet.now; 9],
-        restored: fleet.now,
-        highest: vec![1; 9],
+        last_restore: fleet.now,
+        highest_version: vec![1; 9],
         known_leaving: vec![BTreeSet::new(); 9],
     };
     let mut names: Vec<String> = (0..3).map(|number| format!("i-{number}")).collect();
@@ -302,8 +302,8 @@
                 rewrites.retain(|(_, key, _)| *key != instance_key(&name));
                 let number = names.iter().position(|other| *other == name);
                 let number = number.expect("a known name");
-                let is_new = !expected.left.contains_key(&name);
-                expected.left.entry(name.clone()).or_insert(now);
+                let is_new = !expected.leaving_since.contains_key(&name);
+                expected.leaving_since.entry(name.clone()).or_insert(now);
                 if is_new && random.random_bool(0.5) {
                     source.write_back_end(&name, number, true);
                 } else {
@@ -313,7 +313,7 @@
             7 if step > 20 => {
                 let number = source.number();
                 let backup_number = random.random_range(number.saturating_sub(12).max(4)..=number);
-                expected.restored = now;
+                expected.last_restore = now;
                 for (key, content) in source.restore(backup_number) {
                     rewrites.retain(|(_, other, _)| *other != key);
                     let wait = Span::from_milliseconds(random.random_range(200..2_000));
@@ -323,7 +323,7 @@
             8 if now.since(last_restart).milliseconds() > 4_000 => {
                 let node = random.random_range(0..9);
                 fleet.restart(node);
-                expected.highest[node] = 0;
+                expected.highest_version[node] = 0;
                 expected.known_leaving[node].clear();
                 expected.connected_since[node] = now;
                 last_restart = now;
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -13,7 +13,7 @@
 };
 
 /// A table whose engines keep replicas for each other.
-fn offering(revision: u64) -> Change {
+fn table_with_replicas(revision: u64) -> Change {
     let mut change = table_change(revision);
     if let DocumentContent::Table(table) = &mut change.content {
         let pool = table.pools.get_mut(&PoolName::from(ENGINES));
@@ -42,25 +42,25 @@
     subject
 }
 
-fn with_zones(count: usize) -> Dispatcher {
-    with_table(count, offering(1), Features::ALL)
+fn with_replicas(count: usize) -> Dispatcher {
+    with_table(count, table_with_replicas(1), Features::ALL)
 }
 
 /// A stream whose loss no other attempt mends, so short that it is always replicated.
-fn stream(thing: u64) -> Demand {
+fn stream(prompt: u64) -> Demand {
     Demand {
         may_retry: false,
         output_tokens: 150,
-        ..demand(thing, 100, 100)
+        ..demand(prompt, 100, 100)
     }
 }
 
 /// The same with a prompt whose replica only pays where streams are lost.
-fn longer_stream(thing: u64) -> Demand {
+fn longer_stream(prompt: u64) -> Demand {
     Demand {
         may_retry: false,
         output_tokens: 290,
-        ..demand(thing, 400, 1_400)
+        ..demand(prompt, 400, 1_400)
     }
 }
 
@@ -77,33 +77,36 @@
 }
 
 #[test]
-fn a_stream_that_no_other_attempt_mends_is_replicated_in_another_zone_of_its_region() {
-    let mut subject = with_zones(30);
-    for thing in 0..40 {
-        let grant = granted(subject.dispatch(&stream(thing), START));
+fn a_stream_that_may_not_be_retried_is_replicated_in_another_zone_of_its_region() {
+    let mut subject = with_replicas(30);
+    for prompt in 0..40 {
+        let grant = granted(subject.dispatch(&stream(prompt), START));
         let holder = holder(&grant).expect("a replica");
-        let (source, held) = (zone_of(&grant.instance), zone_of(&holder));
-        let far = zone(2);
-        if source == far {
-            assert_eq!(held, far, "the only zone of its region");
+        let (source_zone, holder_zone) = (zone_of(&grant.instance), zone_of(&holder));
+        let remote_zone = zone(2);
+        if source_zone == remote_zone {
+            assert_eq!(holder_zone, remote_zone, "the only zone of its region");
         } else {
-            assert!(held != source && held != far, "{source:?} {held:?}");
+            assert!(
+                holder_zone != source_zone && holder_zone != remote_zone,
+                "{source_zone:?} {holder_zone:?}"
+            );
         }
     }
 }
 
 #[test]
-fn nothing_is_replicated_where_it_is_switched_off_or_not_offered() {
-    let off = Features {
+fn nothing_is_replicated_when_disabled_or_not_configured() {
+    let without_replicas = Features {
         run_replicas: false,
         ..Features::ALL
     };
-    let mut switched_off = with_table(30, offering(1), off);
+    let mut switched_off = with_table(30, table_with_replicas(1), without_replicas);
     let mut not_offered = with_table(30, table_change(1), Features::ALL);
-    for thing in 0..20 {
+    for prompt in 0..20 {
         for subject in [&mut switched_off, &mut not_offered] {
             assert_eq!(
-                granted(subject.dispatch(&stream(thing), START)).replica,
+                granted(subject.dispatch(&stream(prompt), START)).replica,
                 None
             );
         }
@@ -111,10 +114,10 @@
 }
 
 #[test]
-fn what_another_attempt_mends_or_ends_at_once_is_not_replicated() {
-    let mut subject = with_zones(30);
-    let may_retry = demand(1, 100, 100);
-    let no_stream = Demand {
+fn retryable_short_and_non_streaming_requests_are_not_replicated() {
+    let mut subject = with_replicas(30);
+    let retryable = demand(1, 100, 100);
+    let not_streaming = Demand {
         is_stream: false,
         ..stream(2)
     };
@@ -122,21 +125,21 @@
         output_tokens: 20,
         ..stream(3)
     };
-    for demand in [may_retry, no_stream, short] {
+    for demand in [retryable, not_streaming, short] {
         assert_eq!(granted(subject.dispatch(&demand, START)).replica, None);
     }
 }
 
 #[test]
-fn a_longer_stream_is_replicated_while_streams_are_lost_and_some_seconds_longer() {
-    let mut subject = with_zones(12);
+fn a_longer_stream_is_replicated_while_streams_are_lost_and_for_some_seconds_after() {
+    let mut subject = with_replicas(12);
     assert_eq!(
         granted(subject.dispatch(&longer_stream(0), START)).replica,
         None
     );
-    for thing in 1..=60 {
-        let grant = granted(subject.dispatch(&longer_stream(thing), START));
-        let outcome = if thing % 5 == 0 {
+    for prompt in 1..=60 {
+        let grant = granted(subject.dispatch(&longer_stream(prompt), START));
+        let outcome = if prompt % 5 == 0 {
             Outcome::IncompleteResponse
         } else {
             Outcome::Completed
@@ -159,19 +162,19 @@
 }
 
 #[test]
-fn leaving_and_evacuated_engines_and_forbidden_regions_hold_nothing() {
-    let mut subject = with_zones(4);
-    let mut leaving = back_end("engine-1", 1, 1);
-    leaving.draining = true;
-    subject.apply(back_end_change(leaving, 3), START);
+fn draining_engines_and_disallowed_regions_hold_no_replicas() {
+    let mut subject = with_replicas(4);
+    let mut draining_engine = back_end("engine-1", 1, 1);
+    draining_engine.draining = true;
+    subject.apply(back_end_change(draining_engine, 3), START);
     // Engines 0 and 3 in zone 0 are left in the region.
-    for thing in 0..20 {
+    for prompt in 0..20 {
         let demand = Demand {
             allowed_regions: eiderferry_routing::AllowedRegions::of(
                 &[RegionName::from("west")],
                 &[],
             ),
-            ..stream(thing)
+            ..stream(prompt)
         };
         let grant = granted(subject.dispatch(&demand, START));
         let holder = holder(&grant).expect("a replica");
@@ -184,24 +187,24 @@
 }
 
 #[test]
-fn replicas_fill_no_engine_beyond_its_part() {
-    let mut subject = with_zones(2);
+fn replicas_fill_no_engine_beyond_their_memory_share() {
+    let mut subject = with_replicas(2);
     // Of 520,000 tokens 0.6 may be taken with a replica.
-    let large = |thing| Demand {
+    let large = |prompt| Demand {
         output_tokens: 100_000,
-        ..stream(thing)
+        ..stream(prompt)
     };
     // A loss is certain enough that bytes don't matter.
-    for thing in 0..30 {
-        let grant = granted(subject.dispatch(&stream(thing), START));
+    for prompt in 0..30 {
+        let grant = granted(subject.dispatch(&stream(prompt), START));
         subject.release(grant.lease, Outcome::IncompleteResponse, START);
     }
     let now = START + Span::from_milliseconds(500);
     for _ in 0..5 {
         subject.tick(now);
     }
-    let replicas = (100..110).filter(|thing| {
-        let decision = subject.dispatch(&large(*thing), now);
+    let replicas = (100..110).filter(|prompt| {
+        let decision = subject.dispatch(&large(*prompt), now);
         matches!(decision, Decision::Grant(grant) if grant.replica.is_some())
     });
     let count = replicas.count();
@@ -210,10 +213,10 @@
 
 #[test]
 fn a_replica_is_released_with_its_run() {
-    let mut subject = with_zones(2);
-    for thing in 0..3_000 {
-        let grant = granted(subject.dispatch(&stream(thing), START));
-        assert!(grant.replica.is_some(), "{thing}");
+    let mut subject = with_replicas(2);
+    for prompt in 0..3_000 {
+        let grant = granted(subject.dispatch(&stream(prompt), START));
+        assert!(grant.replica.is_some(), "{prompt}");
         subject.release(grant.lease, Outcome::Completed, START);
     }
 }
@@ -226,51 +229,51 @@
     }
 }
 
-fn lost(subject: &mut Dispatcher, now: Timestamp) -> InstanceId {
+fn lose_run(subject: &mut Dispatcher, now: Timestamp) -> InstanceId {
     let grant = granted(subject.dispatch(&stream(1), now));
     subject.release(grant.lease, Outcome::IncompleteResponse, now);
     holder(&grant).expect("a replica")
 }
 
 #[test]
-fn the_holder_takes_a_lost_run_over_and_is_not_replicated_again() {
-    let mut subject = with_zones(30);
-    let holder = lost(&mut subject, START);
+fn the_holder_takes_over_a_lost_run_without_a_new_replica() {
+    let mut subject = with_replicas(30);
+    let holder = lose_run(&mut subject, START);
     let grant = granted(subject.dispatch(&takeover(&holder), START));
     assert_eq!((grant.instance, grant.replica), (holder, None));
 }
 
 #[test]
-fn a_holder_that_is_gone_leaving_or_ejected_takes_nothing_over() {
-    let refused = |subject: &mut Dispatcher, holder: &InstanceId| {
+fn a_removed_draining_or_ejected_holder_takes_over_nothing() {
+    let is_refused = |subject: &mut Dispatcher, holder: &InstanceId| {
         matches!(
             subject.dispatch(&takeover(holder), START),
             Decision::Refuse(..)
         )
     };
-    let mut subject = with_zones(30);
-    let holder = lost(&mut subject, START);
+    let mut subject = with_replicas(30);
+    let holder = lose_run(&mut subject, START);
     let number: usize = holder.as_str()["engine-".len()..]
         .parse()
         .expect("a number");
-    let mut leaving = back_end(holder.as_str(), number, number % 3);
-    leaving.draining = true;
-    subject.apply(back_end_change(leaving, 9), START);
-    assert!(refused(&mut subject, &holder));
+    let mut draining_engine = back_end(holder.as_str(), number, number % 3);
+    draining_engine.draining = true;
+    subject.apply(back_end_change(draining_engine, 9), START);
+    assert!(is_refused(&mut subject, &holder));
 
-    let mut subject = with_zones(30);
-    let holder = lost(&mut subject, START);
+    let mut subject = with_replicas(30);
+    let holder = lose_run(&mut subject, START);
     let grant = granted(subject.dispatch(&takeover(&holder), START));
     subject.release(grant.lease, Outcome::Unreachable, START);
-    assert!(refused(&mut subject, &holder), "ejected");
+    assert!(is_refused(&mut subject, &holder), "ejected");
 
-    let mut subject = with_zones(30);
-    assert!(refused(&mut subject, &InstanceId::from("engine-99")));
+    let mut subject = with_replicas(30);
+    assert!(is_refused(&mut subject, &InstanceId::from("engine-99")));
 }
 
 #[test]
-fn an_engine_is_unheard_once_it_is_ejected_or_not_listed() {
-    let mut subject = with_zones(30);
+fn an_engine_is_presumed_down_once_ejected_or_not_listed() {
+    let mut subject = with_replicas(30);
     let grant = granted(subject.dispatch(&stream(1), START));
     let instance = grant.instance.clone();
     assert!(!subject.is_presumed_down(&instance, START));
@@ -280,19 +283,19 @@
 }
 
 #[test]
-fn an_engine_at_which_nothing_ends_well_holds_no_replica_while_others_do() {
-    let mut subject = with_zones(6);
-    let dead = InstanceId::from("engine-4");
+fn an_engine_whose_requests_all_fail_holds_no_replica_while_others_do() {
+    let mut subject = with_replicas(6);
+    let failing = InstanceId::from("engine-4");
     for number in 0..60 {
         let engine = InstanceId::from(format!("engine-{}", number % 6));
-        let only = Demand {
+        let required = Demand {
             required_instance: Some(engine.clone()),
             ..stream(number)
         };
-        let Decision::Grant(grant) = subject.dispatch(&only, START) else {
+        let Decision::Grant(grant) = subject.dispatch(&required, START) else {
             continue;
         };
-        let outcome = if engine == dead {
+        let outcome = if engine == failing {
             Outcome::IncompleteResponse
         } else {
             Outcome::Completed
@@ -301,33 +304,33 @@
     }
     // Its ejection is over, and it looks empty.
     let later = START + Span::from_milliseconds(1_500);
-    let holders = (400..440).filter_map(|thing| {
-        let grant = granted(subject.dispatch(&stream(thing), later));
-        let found = holder(&grant);
+    let holders = (400..440).filter_map(|prompt| {
+        let grant = granted(subject.dispatch(&stream(prompt), later));
+        let replica_holder = holder(&grant);
         subject.release(grant.lease, Outcome::Completed, later);
-        found
+        replica_holder
     });
     let holders: Vec<InstanceId> = holders.collect();
     assert!(
-        !holders.is_empty() && !holders.contains(&dead),
+        !holders.is_empty() && !holders.contains(&failing),
         "{holders:?}"
     );
 }
 
 #[test]
-fn an_engine_that_failed_lately_holds_no_replica_though_it_did_well_before() {
-    let mut subject = with_zones(6);
-    let dead = InstanceId::from("engine-4");
+fn a_recently_failing_engine_holds_no_replica_despite_earlier_successes() {
+    let mut subject = with_replicas(6);
+    let failing = InstanceId::from("engine-4");
     for number in 0..120 {
         let engine = InstanceId::from(format!("engine-{}", number % 6));
-        let only = Demand {
+        let required = Demand {
             required_instance: Some(engine.clone()),
             ..stream(number)
         };
-        let Decision::Grant(grant) = subject.dispatch(&only, START) else {
+        let Decision::Grant(grant) = subject.dispatch(&required, START) else {
             continue;
         };
-        let outcome = if engine == dead && number >= 60 {
+        let outcome = if engine == failing && number >= 60 {
             Outcome::IncompleteResponse
         } else {
             Outcome::Completed
@@ -336,9 +339,9 @@
     }
     // Its ejection is over, the others have work, and it looks empty.
     let later = START + Span::from_milliseconds(1_500);
-    let holders = (400..440).map(|thing| {
-        let grant = granted(subject.dispatch(&stream(thing), later));
+    let holders = (400..440).map(|prompt| {
+        let grant = granted(subject.dispatch(&stream(prompt), later));
         holder(&grant).expect("a replica")
     });
-    assert!(!holders.collect::<Vec<_>>().contains(&dead));
+    assert!(!holders.collect::<Vec<_>>().contains(&failing));
 }
