--- a/crates/coordination/dispatch/tests/backing_off_back_ends.rs
+++ b/crates/coordination/dispatch/tests/backing_off_back_ends.rs
@@ -1,4 +1,5 @@
-//! Back ends that ask this node for a rest: when they get work again, and what callers hear.
+//! Back ends that ask this node to back off: when they get requests again, and what refused
+//! callers are told.
 
 mod support;
 
@@ -16,7 +17,7 @@
     START + Span::from_milliseconds(milliseconds)
 }
 
-/// Whether the resting engine gets one of some requests.
+/// Whether the engine that asked for a backoff gets any of 60 requests.
 fn gets_requests(subject: &mut Dispatcher, now: Timestamp) -> bool {
     (0..60).any(|prompt| {
         let Decision::Grant(grant) = subject.dispatch(&demand(prompt, 1_000, 100), now) else {
@@ -27,7 +28,7 @@
     })
 }
 
-/// Sends requests until one is at the engine; it turns that one away and asks for a rest.
+/// Sends requests until one is granted to the engine, which sheds it and asks for a backoff.
 fn shed_with_backoff(subject: &mut Dispatcher, backoff_ms: u64, now: Timestamp) {
     for prompt in 0..200 {
         let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
@@ -58,7 +59,7 @@
     assert!(later_times.any(|at| gets_requests(&mut subject, after_start(at))));
 }
 
-/// Two requests were on their way, and the second asks for less.
+/// Two requests are in flight, and the response to the second asks for a shorter backoff.
 #[test]
 fn the_longer_of_two_backoffs_applies() {
     let mut subject = with_engines(1);
@@ -77,7 +78,7 @@
     }
 }
 
-/// It rests from this node alone: a caller is best off at another one, soon.
+/// The back end backs off from this node alone, so the caller should soon retry at another node.
 #[test]
 fn refusals_state_the_shortest_remaining_backoff_up_to_a_maximum() {
     let mut subject = with_engines(1);
--- a/crates/coordination/dispatch/tests/document_store.rs
+++ b/crates/coordination/dispatch/tests/document_store.rs
@@ -1,4 +1,4 @@
-//! Documents never go back, whatever order their changes come in.
+//! Documents never revert to an older revision, in whatever order their changes arrive.
 
 use eiderferry_dispatch::{
     ApplyOutcome, Change, DocumentContent, DocumentKey, DocumentStore, Revision, VersionVector,
@@ -112,7 +112,7 @@
     assert_eq!(
         document_store.apply(change),
         ApplyOutcome::AlreadyKnown,
-        "told once only"
+        "a rejected change is reported once only"
     );
     assert_eq!(
         document_store.apply(table_change(13, 6)),
--- a/crates/coordination/dispatch/tests/leases.rs
+++ b/crates/coordination/dispatch/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Places whose holders never give them back.
+//! Leases that are never released.
 
 mod support;
 
@@ -6,10 +6,10 @@
 use eiderferry_types::{Reason, Span, Timestamp};
 use support::{START, demand, granted, with_engines};
 
-/// Requests beyond which an engine of 64 slots gets no more.
+/// Concurrent requests at which an engine with 64 slots counts as full.
 const MAX_REQUESTS_PER_ENGINE: usize = 84;
 
-/// One engine all of whose places were granted, each to another prompt.
+/// A dispatcher with one engine that is full of requests, each with a different prompt.
 fn dispatcher_with_full_engine() -> Dispatcher {
     let mut subject = with_engines(1);
     for number in 0..MAX_REQUESTS_PER_ENGINE {
@@ -18,7 +18,8 @@
     subject
 }
 
-/// Ticks until so long after the start.
+/// Ticks until `duration` after the start. Returns how many leases expired in each tick in which
+/// any did.
 fn expired_counts_until(subject: &mut Dispatcher, duration: Span) -> Vec<usize> {
     let ticks = duration.0 / TICK.0;
     let at = |tick| Timestamp(START.0 + TICK.0 * tick);
@@ -26,8 +27,8 @@
     expired.filter(|count| *count > 0).collect()
 }
 
-/// A place that its holder lost is no reason to refuse others for longer than its request
-/// could run: it is given back by itself, and told once.
+/// A lost lease must not cause refusals for longer than its request could have run: it expires
+/// by itself and is reported once.
 #[test]
 fn unreleased_leases_expire_once_their_requests_must_have_ended() {
     let mut subject = dispatcher_with_full_engine();
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -1,4 +1,4 @@
-//! Back ends that say in their answers that they leave: what one node makes of it.
+//! Back ends that announce in a response that they are leaving, as handled by a single node.
 
 mod support;
 
@@ -25,7 +25,7 @@
     engine
 }
 
-/// A node before so many engines, each of which tells when it started.
+/// A node that knows `count` engines, each of which states its start time.
 fn dispatcher_with_engines(count: usize) -> Dispatcher {
     let mut subject = with_engines(0);
     subject.apply(table_change(1), START);
@@ -40,7 +40,7 @@
     InstanceId::from(LEAVING)
 }
 
-/// Sends requests until one is at the engine that leaves, and notes its word.
+/// Sends requests until one is granted to the leaving engine, and records its leaving notice.
 fn receive_leaving_notice(subject: &mut Dispatcher, now: Timestamp) {
     for prompt in 0..200 {
         let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
@@ -50,7 +50,7 @@
                 subject.record_leaving(grant.lease),
                 Some(leaving_instance())
             );
-            assert_eq!(subject.record_leaving(grant.lease), None, "told once more");
+            assert_eq!(subject.record_leaving(grant.lease), None, "reported twice");
         }
         subject.release(grant.lease, Outcome::Completed, now);
         if is_leaving {
@@ -84,7 +84,7 @@
         }
         subject.release(grant.lease, Outcome::Completed, START);
     }
-    assert_eq!(noticed.len(), 1, "requests that got its word");
+    assert_eq!(noticed.len(), 1, "requests granted to the leaving engine");
 }
 
 #[test]
@@ -108,7 +108,7 @@
     }
 }
 
-/// While the platform is away entries lapse, and come back as they were written before.
+/// During an outage of the platform entries expire, and return as they were before.
 #[rstest]
 #[case::written_again(vec![])]
 #[case::lapsed_and_back(vec![lapsed_change(LEAVING, 20)])]
@@ -137,7 +137,7 @@
     assert!(!gets_requests(&mut subject, after_start(9_300)));
 }
 
-/// An answer that was long under way may be of a run that is over.
+/// A delayed response may belong to a run that has ended.
 #[test]
 fn a_leaving_notice_of_the_previous_run_does_not_affect_the_next() {
     let mut subject = dispatcher_with_engines(1);
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of the rate limits that back ends name.
+//! How nodes report to each other the rate limits that back ends state.
 
 mod support;
 
@@ -13,10 +13,10 @@
     Fleet, back_end, back_end_change, demand, dispatcher, granted, node_address, table_change,
 };
 
-/// Time in which all nodes come to know of a limit, in seconds.
+/// Time in which a limit reaches all nodes, in seconds.
 const PROPAGATION_SECONDS: u64 = 3;
 
-/// A node that starts is told of limits before it hears which back ends there are.
+/// A starting node receives limits from its peers before it knows which back ends exist.
 #[test]
 fn a_limit_received_before_its_engine_is_listed_is_kept() {
     let (mut reporter, now) = alone(1);
@@ -29,22 +29,22 @@
     assert_eq!(sent_at(&mut starting, now, 1_000), []);
 }
 
-/// Engines that name a limit at once, where a whole rack is in need.
+/// Engines that state a limit at the same time, as when a whole rack is overloaded.
 const LIMITED_ENGINES: usize = 100;
-/// Bytes a second that a node may send for them: a quarter of what control may take in all, and
-/// in the first seconds as much as all of it.
+/// Bytes per second that a node may send for them: a quarter of the budget of all control
+/// traffic, and in the first seconds as much as the whole budget.
 const MAX_BYTES_PER_SECOND: f64 = 500.0;
 const MAX_INITIAL_BYTES_PER_SECOND: f64 = 2_000.0;
 
-/// Bytes that each node sent in a second, over some seconds.
+/// Bytes per second and node, averaged over the given number of seconds.
 fn bytes_per_second(fleet: &mut Fleet, seconds: u64) -> f64 {
     fleet.bytes = 0;
     fleet.run(seconds * 1_000);
     fleet.bytes as f64 / fleet.nodes.len() as f64 / seconds as f64
 }
 
-/// A node sends a request to each of many engines, whose answers name a limit or none. Returns
-/// the bytes a second and node in the next three seconds, and later.
+/// One node sends a request to each of many engines, whose responses all state `rate_limit` or
+/// no limit. Returns the bytes per second and node in the next three seconds, and after them.
 fn bytes_after_limit(nodes: usize, zones: usize, rate_limit: Option<RateLimit>) -> [f64; 2] {
     let mut fleet = Fleet::new(nodes, zones);
     let engines = (0..LIMITED_ENGINES).map(|number| {
@@ -82,15 +82,15 @@
     let [first_without, later_without] = bytes_after_limit(nodes, zones, None);
     let [first, later] = bytes_after_limit(nodes, zones, Some(limit(1.0)));
     let (first, later) = (first - first_without, later - later_without);
-    println!("{first} bytes a second and node at first, {later} later");
+    println!("{first} bytes per second and node at first, {later} later");
     assert!(
         first < MAX_INITIAL_BYTES_PER_SECOND,
-        "{first} bytes a second at first"
+        "{first} bytes per second at first"
     );
-    assert!(later < MAX_BYTES_PER_SECOND, "{later} bytes a second");
+    assert!(later < MAX_BYTES_PER_SECOND, "{later} bytes per second");
 }
 
-/// What another node of the zone tells of a limit.
+/// A limit as another node of the zone reports it.
 fn report(back_end: &str, started_unix_ms: Option<u64>, rate: Option<f64>) -> LimitReport {
     LimitReport {
         back_end: InstanceId::from(back_end).digest() as u32,
@@ -107,7 +107,7 @@
     subject.receive(node_address(1), &message, now);
 }
 
-/// Not every node knows when a run started: its entry may tell that only later.
+/// Not every node knows when a run started: the entry may state its start time only later.
 #[rstest]
 #[case::known_here(None, Some(5))]
 #[case::known_there(Some(5), None)]
@@ -126,7 +126,7 @@
         vec![report("engine-0", reported, Some(10.0))],
         now,
     );
-    // The other node was heard only now: who sends is settled a second later.
+    // The other node has only just been discovered: which nodes may send is settled a second later.
     assert_eq!(subject.snapshot(now).limited_back_ends, 1);
     let settled = now + Span::from_milliseconds(1_500);
     subject.tick(settled);
@@ -136,7 +136,8 @@
     assert_eq!(subject.snapshot(later).limited_back_ends, 0);
 }
 
-/// Only so many notices are kept; an engine whose notice gave way is not limited for good.
+/// The number of stored notices is bounded; an engine whose notice was evicted must not stay
+/// limited forever.
 #[test]
 fn a_flood_of_limits_is_bounded_and_leaves_no_engine_limited_forever() {
     let (mut subject, now) = alone(1);
@@ -150,7 +151,7 @@
     assert_eq!(sent_at(&mut subject, later, 300), [0, 100, 200]);
 }
 
-/// The back end is gone, and nobody needs to hear of it any more.
+/// A removed back end gets no requests, so its limit no longer concerns any node.
 #[test]
 fn the_limit_of_a_removed_back_end_stops_being_reported() {
     let (mut subject, now) = alone(1);
--- a/crates/coordination/dispatch/tests/locality.rs
+++ b/crates/coordination/dispatch/tests/locality.rs
@@ -1,4 +1,4 @@
-//! What the way to a back end costs, and where the homes of prompts lie.
+//! Network cost of back ends in other zones, and in which zones the home engines of prompts are.
 
 mod support;
 
@@ -13,11 +13,11 @@
     engine_number, granted, lapsed_change, table_change,
 };
 
-/// Zones of the fleet: 0 and 1 lie in one region, 2 in another.
+/// Number of zones of the fleet: 0 and 1 are in one region, 2 in another.
 const ZONES: usize = 3;
-/// Prompts that are asked for.
+/// Number of different prompts that are requested.
 const PROMPTS: u64 = 60;
-/// Shared tokens of a long prompt.
+/// Shared prefix of a long prompt, in tokens.
 const LONG_PROMPT_TOKENS: u32 = 13_000;
 
 /// A node in zone 0 with engines in all zones.
@@ -32,7 +32,7 @@
     subject
 }
 
-/// Zones in which prompts with such a shared part are placed, one after the other.
+/// Zones to which prompts with a shared prefix of `shared` tokens go, one after the other.
 fn zones_used(subject: &mut Dispatcher, prompts: Range<u64>, shared: u32) -> BTreeSet<usize> {
     let placed = prompts.map(|prompt| {
         let grant = granted(subject.dispatch(&demand(prompt, shared, 100), START));
@@ -42,7 +42,7 @@
     placed.collect()
 }
 
-/// With homes over all zones two thirds of the bytes cross a border.
+/// With home engines in all three zones, two thirds of the bytes would cross a zone border.
 #[rstest]
 #[case::near(Features::ALL, &[0])]
 #[case::switched_off(HOMES_ANYWHERE, &[0, 1, 2])]
@@ -62,8 +62,8 @@
     assert_eq!(used, BTreeSet::from([0, 1]));
 }
 
-/// 6 engines of a zone have room for 2.6 million tokens, of which shared prompts may take a
-/// part; 1,600 prompts of 13,000 tokens are 21 million.
+/// The 6 engines of a zone have room for 2.6 million tokens, of which shared prefixes may take
+/// only a fraction; 1,600 prompts of 13,000 tokens are 21 million.
 #[test]
 fn prompts_that_exceed_the_memory_of_a_zone_are_spread_over_all_zones() {
     let mut subject = with_engines(6, Features::ALL);
@@ -123,7 +123,8 @@
     assert!(after.candidate.first_event >= round_trip.scaled(0.95));
 }
 
-/// Of the region's two zones one is cut off: its engines are homes, and get nothing.
+/// One of the two zones of the region is cut off: its engines are still home engines of some
+/// prompts, but must get no requests.
 #[test]
 fn home_engines_in_an_unreachable_zone_get_no_requests() {
     let mut fleet = Fleet::new(9, ZONES);
@@ -152,7 +153,7 @@
     );
 }
 
-/// Zones to which requests with different prompts go, without leaving them there.
+/// Zones to which requests with different prompts go. Each request is abandoned.
 fn zones_chosen(node: &mut Dispatcher, prompts: Range<u64>, now: Timestamp) -> BTreeSet<usize> {
     let chosen = prompts.map(|prompt| {
         let grant = granted(node.dispatch(&demand(prompt, 600, 100), now));
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -1,4 +1,4 @@
-//! Plain back ends, whose calls take milliseconds: when they count as full.
+//! When plain back ends (services without an engine, whose calls take milliseconds) count as full.
 
 mod support;
 
@@ -16,14 +16,15 @@
 const SERVICE: &str = "service";
 const SLOTS: u32 = 6;
 const OTHER_NODES: usize = 6;
-/// Times of a call whose target is 120 ms.
+/// Durations of a call whose target is 120 ms.
 const FAST_CALL: Span = Span::from_milliseconds(30);
 const CALL_AT_TARGET: Span = Span::from_milliseconds(120);
 const SLOW_CALL: Span = Span::from_milliseconds(200);
-/// Time between two words of the other nodes.
+/// Time between two load reports of another node.
 const REPORT_INTERVAL: Span = Span::from_milliseconds(300);
-/// Calls at once as the others' reports of single moments tell them: five on the average, as of
-/// 220 calls a second that take 20 ms each, and at times more than the back end counts for full.
+/// Concurrent calls in successive reports of the other nodes, each of a single moment: about five
+/// on average, as with 220 calls per second that take 20 ms each, and at times more than the
+/// number at which the back end counts as full.
 const REPORTED_COUNTS: [usize; 12] = [3, 5, 9, 4, 6, 8, 2, 7, 5, 10, 4, 3];
 
 fn table() -> Change {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Six other nodes report that they have so many calls there together.
+/// Receives reports of six other nodes that together have `running` calls at the back end.
 fn receive_reports(subject: &mut Dispatcher, running: usize, now: Timestamp) {
     for number in 1..=OTHER_NODES {
         let mut other = node(number);
@@ -86,8 +87,8 @@
     }
 }
 
-/// How many calls are refused, while the others' reports tell these counts in turn, and each call
-/// takes so long.
+/// Makes one call after each of `reports` rounds of reports, which state `counts` in turn; each
+/// call takes `duration`. Returns the number of refused calls.
 fn count_refused(
     subject: &mut Dispatcher,
     counts: &[usize],
@@ -112,9 +113,11 @@
     refused
 }
 
-/// Story: two of three back ends of a service left for good, and the third bore the rest of the
-/// day's calls with ease; yet a tenth of them was refused to its end. Each node judged by the
-/// latest count that it had heard, of a moment long over, and three of these twelve are above 8.
+/// Guards against refusals by a back end with free capacity. After two of three back ends of a
+/// service had left permanently, the third handled all calls with ease, yet a tenth of them was
+/// refused for the rest of the day: each node used the latest reported count, which was of a
+/// moment long past. Three of the twelve counts here are 8 or more, at which the back end counts
+/// as full.
 #[test]
 fn momentary_peaks_in_outdated_reports_refuse_no_calls() {
     let mut subject = node(0);
@@ -131,8 +134,8 @@
     );
 }
 
-/// Calls on their way count as running at the back end: where answers come in a quarter of the
-/// target, more of them than its slots are no sign that the next one comes late.
+/// Calls in transit count as running at the back end: while responses take a quarter of the
+/// target, more calls than slots do not mean that the next one will miss its target.
 #[test]
 fn more_calls_than_slots_are_accepted_while_responses_are_fast() {
     let mut subject = node(0);
@@ -155,7 +158,7 @@
     let refused_after = count_refused(&mut subject, &[3], FAST_CALL, 20, calm);
     assert!(
         refused_after <= 10,
-        "{refused_after} of 20 calls are refused after the end"
+        "{refused_after} of 20 calls are refused after the overload"
     );
 }
 
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -18,8 +18,8 @@
     names.iter().copied().map(RegionName::from).collect()
 }
 
-/// Eight engines: two in each of zones 0 to 3, of which 0 and 1 are west, 2 is east, and of 3
-/// no region is known.
+/// A node with eight engines, two in each of the zones 0 to 3. Zones 0 and 1 are in region west,
+/// zone 2 is in region east, and the region of zone 3 is unknown.
 fn dispatcher_with_two_regions() -> Dispatcher {
     let mut subject = dispatcher_with_features(0, HOMES_ANYWHERE);
     subject.tick(START);
@@ -93,7 +93,7 @@
     assert_eq!(reason, Reason::RegionNotAllowed);
     assert!(
         retry_after >= Span::from_milliseconds(1_000),
-        "soon is too soon"
+        "retry_after is too short"
     );
 }
 
--- a/crates/coordination/dispatch/tests/restarted_back_ends.rs
+++ b/crates/coordination/dispatch/tests/restarted_back_ends.rs
@@ -1,4 +1,5 @@
-//! Back ends that start again under their names: the new run holds nothing of the old one.
+//! Back ends that restart under the same instance name: the new run has an empty cache and no
+//! history of failures.
 
 mod support;
 
@@ -8,7 +9,7 @@
 
 const FIRST_START: u64 = 1_760_000_000_000;
 
-/// Lists the only engine as started at a moment of its own clock.
+/// Lists the only engine with a start time by its own clock.
 fn list_engine(
     subject: &mut Dispatcher,
     started_unix_ms: Option<u64>,
@@ -31,7 +32,7 @@
     START + Span::from_milliseconds(milliseconds)
 }
 
-/// Tokens of a prompt that the engine is expected to read.
+/// Tokens of a prompt that the engine is expected to compute, as they are not in its cache.
 fn uncached_tokens(subject: &mut Dispatcher, now: Timestamp) -> u32 {
     let grant = granted(subject.dispatch(&demand(1, 8_000, 100), now));
     subject.record_first_event(grant.lease, now);
@@ -63,7 +64,7 @@
     assert!(uncached_tokens(&mut subject, after_start(4_000)) < first);
 }
 
-/// Another back end had its address for a while; then it is there again.
+/// Another back end used the address for a while; then the first one returns.
 #[test]
 fn a_restarted_engine_gets_requests_after_its_previous_run_was_replaced() {
     let mut subject = with_one_engine();
--- a/crates/coordination/dispatch/tests/retry_budget.rs
+++ b/crates/coordination/dispatch/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The bound of repeats holds over all nodes without a word between them.
+//! The limit on retries holds over all nodes together, even if they cannot communicate.
 
 use eiderferry_dispatch::{RetryBudget, RetryBudgetSettings};
 use eiderferry_types::{Span, Timestamp};
@@ -34,7 +34,7 @@
         total += spend_all(&mut budget, START, nodes);
     }
     let limit = SETTINGS.ratio * f64::from(nodes * requests_per_node) + SETTINGS.allowance;
-    assert!(f64::from(total) <= limit, "{total} repeats, bound {limit}");
+    assert!(f64::from(total) <= limit, "{total} retries, limit {limit}");
 }
 
 #[test]
--- a/crates/coordination/dispatch/tests/single_node_limits.rs
+++ b/crates/coordination/dispatch/tests/single_node_limits.rs
@@ -1,5 +1,5 @@
-//! Back ends that name a rate limit: what one node sends them, what becomes of the rest, and what
-//! callers hear.
+//! Back ends that state a rate limit: what a single node sends them, where the other requests go,
+//! and what refused callers are told.
 
 mod support;
 
@@ -19,7 +19,8 @@
     assert_eq!(sent_at(&mut subject, later, 4_000), [0, 2_000]);
 }
 
-/// It would be lost to its pool for good: nobody would hear that it takes requests again.
+/// Without any request, nobody would learn that the back end accepts requests again, and it would
+/// be lost to its pool forever.
 #[test]
 fn a_limit_of_zero_allows_one_request_per_minute() {
     let (mut subject, now) = alone(1);
@@ -38,7 +39,7 @@
     }
 }
 
-/// The limits hold for all nodes together, so that no other one takes the caller sooner.
+/// The limits apply to all nodes together, so no other node would accept the caller sooner.
 #[rstest]
 #[case::one_low([0.1, 0.1], 5_000)]
 #[case::together([0.5, 0.25], 1_333)]
@@ -61,8 +62,8 @@
     }
 }
 
-/// Answers overtake each other: one to a request sent before the limit was named says nothing of
-/// its end.
+/// Responses can overtake each other: one to a request sent before the limit was stated does not
+/// show that the limit has ended.
 #[test]
 fn an_older_response_without_a_limit_does_not_end_it() {
     let (mut subject, now) = alone(1);
--- a/crates/coordination/dispatch/tests/stream_isolation.rs
+++ b/crates/coordination/dispatch/tests/stream_isolation.rs
@@ -1,4 +1,4 @@
-//! Some engines of a large pool are kept for streams that long prompts make late.
+//! Some engines of a large pool are reserved for streams that long prompts would delay.
 
 mod support;
 
@@ -9,13 +9,13 @@
 
 const LARGE_POOL: usize = 320;
 const SMALL_POOL: usize = 30;
-/// The split by load is switched off: a fixed part is kept.
+/// Without the split by load, a fixed share of the engines is reserved for streams.
 const FIXED_SHARE: Features = Features {
     pool_split: false,
     ..Features::ALL
 };
 
-/// A short prompt whose stream must not pause.
+/// A request with a short prompt whose stream has a tight target for the gaps between events.
 fn sensitive_stream(prompt: u64) -> Demand {
     Demand {
         event_gap_target: Some(Span::from_milliseconds(200)),
@@ -24,14 +24,14 @@
     }
 }
 
-/// Places so many streams.
+/// Dispatches `streams` sensitive streams.
 fn place_streams(subject: &mut Dispatcher, streams: u64, now: Timestamp) -> Vec<Grant> {
     let placed =
         (0..streams).map(|prompt| granted(subject.dispatch(&sensitive_stream(prompt), now)));
     placed.collect()
 }
 
-/// A dispatcher at which such streams ran for a while, and have just ended.
+/// A dispatcher whose sensitive streams ran for 20 ticks and have just ended.
 fn dispatcher_after_streams(engines: usize) -> Dispatcher {
     let mut subject = with_engines_and(engines, FIXED_SHARE);
     let placed = place_streams(&mut subject, 600, START);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Engines to which one node sends streams and another long prompts.
+/// Number of engines to which one node sends streams and the other sends long prompts.
 fn shared_engines(one: &mut Dispatcher, two: &mut Dispatcher) -> usize {
     let now = START + TICK * 20;
     let stream_engines = place_streams(one, 60, now);
