--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -1,5 +1,5 @@
-//! Back ends that name a rate limit: what all nodes together send them, whatever becomes of the
-//! nodes.
+//! Back ends that state a rate limit: what all nodes together send them, while nodes fail, restart
+//! or are cut off.
 
 mod support;
 
@@ -11,18 +11,18 @@
 use support::{Fleet, START, back_end, back_end_change, demand, most_within};
 
 const LIMITED: &str = "engine-1";
-/// Span over which requests are counted, and the bound in it over all nodes: half as many again
-/// as the limit allows, and some that were on their way.
+/// Window over which requests are counted. All nodes together may send 1.5 times as many in it as
+/// the limit allows, and five more that were in flight.
 const WINDOW: Span = Span::from_milliseconds(4_000);
 const ALLOWED_RATIO: f64 = 1.5;
 const ALLOWED_EXTRA: f64 = 5.0;
-/// Time after the first word in which all nodes come to know of it.
+/// Time after a limit is first stated within which it reaches all nodes.
 const PROPAGATION_TIME: Span = Span::from_milliseconds(3_000);
-/// Time after a node was told in which requests of it may still arrive.
+/// Time after a node has received a limit in which requests that it sent before may still arrive.
 const IN_FLIGHT_TIME: Span = Span::from_milliseconds(500);
-/// Time after a start in which a node hears of limits from others.
+/// Time after a start within which a node receives limits from its peers.
 const CATCH_UP_TIME: Span = Span::from_milliseconds(1_000);
-/// Requests to each node between two ticks.
+/// Requests to each node per tick.
 const REQUESTS_PER_TICK: u64 = 3;
 
 /// A request that reached the limited engine.
@@ -30,26 +30,26 @@
 struct Arrival {
     node: usize,
     at: Timestamp,
-    /// Whether its node had been told of the limit.
+    /// Whether its node knew the limit when it sent the request.
     was_informed: bool,
 }
 
-/// A fleet before an engine that names a limit in each answer while it is in need.
+/// A fleet and an engine that states a limit in each response while it is overloaded.
 struct Simulation {
     fleet: Fleet,
-    /// Its limit now, and since when it names one.
+    /// Current limit of the engine, in requests per second, and the time at which it was set.
     limit: Option<f64>,
     limit_set_at: Timestamp,
-    /// When each node came to know of a limit, at the latest.
+    /// Latest time at which each node came to know of a limit.
     informed_at: BTreeMap<usize, Timestamp>,
     arrivals: Vec<Arrival>,
-    /// Nodes that callers don't ask.
+    /// Nodes that get no requests from callers.
     idle_nodes: BTreeSet<usize>,
     request_count: u64,
 }
 
 impl Simulation {
-    /// A settled fleet; the engine stands in zone 1.
+    /// A fleet whose nodes know each other; the engine is in zone 1.
     fn new(nodes: usize, zones: usize) -> Self {
         let mut fleet = Fleet::new(nodes, zones);
         fleet.first_documents = vec![back_end_change(back_end(LIMITED, 1, 1), 1)];
@@ -68,7 +68,7 @@
         }
     }
 
-    /// All nodes are pressed for so long; answers come within a tick.
+    /// Sends requests to all nodes for `milliseconds`; responses arrive within a tick.
     fn run(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 100 {
             let sent = self.send_requests();
@@ -98,7 +98,7 @@
         sent
     }
 
-    /// What a node sent reaches the engine, unless the way there is cut.
+    /// Delivers a request to the engine and its response to the node, unless they are partitioned.
     fn respond(&mut self, node: usize, lease: LeaseId) {
         let now = self.fleet.now;
         let zone = self.fleet.zones[node];
@@ -122,7 +122,7 @@
         self.fleet.nodes[node].release(lease, Outcome::Completed, now);
     }
 
-    /// The engine falls into need, or its need changes.
+    /// Lets the engine state a new limit, in requests per second.
     fn set_limit(&mut self, rate: f64) {
         self.limit = Some(rate);
         self.limit_set_at = self.fleet.now;
@@ -136,7 +136,7 @@
             .insert(node, self.fleet.now + CATCH_UP_TIME);
     }
 
-    /// Most requests in any window, from when all nodes had time to know of the limit.
+    /// Most requests in any window after the time in which the limit reaches all nodes.
     fn max_in_window(&self) -> usize {
         let counted = self.arrivals.iter().filter(|arrival| arrival.was_informed);
         let times: Vec<Timestamp> = counted.map(|arrival| arrival.at).collect();
@@ -152,7 +152,7 @@
         );
     }
 
-    /// Part of a limit that was used in the last seconds.
+    /// Share of a limit that was used in the last `seconds`.
     fn used_share(&self, rate: f64, seconds: u64) -> f64 {
         self.arrivals_within(seconds) as f64 / (rate * seconds as f64)
     }
@@ -189,7 +189,8 @@
     );
 }
 
-/// Nodes and zones: as many as a run by hand asks for with `LIMIT_NODES` and `LIMIT_ZONES`.
+/// Numbers of nodes and zones. The environment variables `LIMIT_NODES` and `LIMIT_ZONES` override
+/// them in manual runs.
 fn fleet_size_or(nodes: usize, zones: usize) -> (usize, usize) {
     let number = |name: &str| std::env::var(name).ok()?.parse::<usize>().ok();
     (
@@ -198,7 +199,7 @@
     )
 }
 
-/// In the first seconds most nodes are told by their own answers, later few send.
+/// In the first seconds most nodes learn the limit from their own responses; later few nodes send.
 #[rstest]
 #[case::one_a_second(1.0)]
 #[case::less(0.25)]
@@ -211,8 +212,8 @@
     assert!(simulation.used_share(rate, 8) > 0.4);
 }
 
-/// All of it in one day: the engine's zone starts anew, half of it is lost and comes back, it is
-/// cut off, one of its nodes is, and then the limit changes and ends.
+/// Everything in one run: the nodes of the engine's zone restart, half of them stop and return,
+/// the zone is cut off, then one of its nodes is, and finally the limit changes and ends.
 #[test]
 fn a_fleet_stays_within_the_limit_while_nodes_and_the_limit_change() {
     let (nodes, zones) = fleet_size_or(72, 3);
@@ -253,10 +254,10 @@
     let limited = limited
         .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
-    assert_eq!(limited, 0, "nodes still hold it to be limited");
+    assert_eq!(limited, 0, "nodes that still consider the engine limited");
 }
 
-/// Senders end, stop as planned, come back as new runs, and others take their place.
+/// Nodes that send under the limit fail and restart, and others replace them as senders.
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
@@ -284,10 +285,14 @@
     }
     simulation.run(10_000);
     simulation.assert_within(1.0);
-    assert!(simulation.used_share(1.0, 8) > 0.5, "it is not used again");
+    assert!(
+        simulation.used_share(1.0, 8) > 0.5,
+        "the limit is not used again"
+    );
 }
 
-/// Nodes that stop as planned send nothing more under a limit, and others do at once.
+/// Nodes that shut down as planned send nothing more under a limit, and others replace them at
+/// once.
 #[test]
 fn stopping_nodes_leave_their_share_of_the_limit_to_others() {
     let mut simulation = Simulation::new(8, 2);
@@ -316,8 +321,8 @@
     );
 }
 
-/// A zone that is cut off goes on with its own engine; one node that hears nobody and reaches the
-/// engine all the same takes no more than another sender's part.
+/// A zone that is cut off continues to use its own engine; a single node that is isolated from its
+/// peers but still reaches the engine uses no more than the share of one sender.
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
@@ -330,7 +335,7 @@
     simulation.run(20_000);
     assert!(
         simulation.used_share(1.0, 10) > 0.5,
-        "the cut zone doesn't use it"
+        "the isolated zone doesn't use the limit"
     );
     simulation.fleet.cut.clear();
     simulation.run(5_000);
@@ -374,18 +379,18 @@
         assert!(simulation.used_share(rate, 6) > 0.5, "{rate}");
     }
     simulation.limit = None;
-    // One request comes in two seconds; its answer has to reach all.
+    // One request is sent in two seconds; the change its response shows must reach all nodes.
     simulation.run(6_000);
     let now = simulation.fleet.now;
     let limited = simulation.fleet.nodes.iter();
     let limited = limited
         .filter(|node| node.snapshot(now).limited_back_ends > 0)
         .count();
-    assert_eq!(limited, 0, "nodes still hold it to be limited");
+    assert_eq!(limited, 0, "nodes that still consider the engine limited");
 }
 
-/// The nodes of the engine's zone, which send under its limit, get no requests: the others keep
-/// the limit all the same, and hear when it is over.
+/// The nodes of the engine's zone, which send under its limit, get no requests: the other nodes
+/// must still stay within the limit, and learn when it has ended.
 #[rstest]
 #[case::small(8, 4)]
 #[case::with_aggregators(72, 3)]
@@ -400,13 +405,13 @@
     simulation.assert_within(1.0);
     assert!(
         simulation.arrivals_within(35) > 0,
-        "nobody looks whether it still holds"
+        "no node checks whether the limit still holds"
     );
     simulation.limit = None;
     simulation.run(35_000);
     let unlimited_arrivals = simulation.arrivals_within(1);
     assert!(
         unlimited_arrivals > nodes,
-        "{unlimited_arrivals} requests in a second once it is over"
+        "{unlimited_arrivals} requests per second after the end of the limit"
     );
 }
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which back end a request goes to.
+//! Selection of the back end for a request.
 
 mod support;
 
@@ -25,7 +25,7 @@
             subject.release(grant.lease, Outcome::Completed, START);
             engines.insert(grant.instance);
         }
-        assert_eq!(engines.len(), 1, "thing {prompt}");
+        assert_eq!(engines.len(), 1, "prompt {prompt}");
     }
 }
 
@@ -35,7 +35,7 @@
     for prompt in 1..50 {
         let first = granted(first_node.dispatch(&demand(prompt, 13_000, 400), START));
         let second = granted(second_node.dispatch(&demand(prompt, 13_000, 800), START));
-        assert_eq!(first.instance, second.instance, "thing {prompt}");
+        assert_eq!(first.instance, second.instance, "prompt {prompt}");
         first_node.release(first.lease, Outcome::Completed, START);
         second_node.release(second.lease, Outcome::Completed, START);
     }
@@ -68,7 +68,7 @@
     }
     assert!(
         (1..=2).contains(&copies),
-        "{copies} copies; each engine needs one"
+        "{copies} copies; each other engine needs one"
     );
 }
 
@@ -249,7 +249,7 @@
     assert!(matches!(decision, Decision::Refuse(Reason::NoBackEnd, _)));
 }
 
-/// Lets a node see streams at its engines whose longest pauses are so long.
+/// Lets a node observe streams at its engines, each with a gap of `longest_gap` between events.
 fn observe_event_gaps(subject: &mut Dispatcher, longest_gap: Span) {
     for prompt in 0..200 {
         let grant = granted(subject.dispatch(&demand(1_000 + prompt, 300, 100), START));
@@ -258,7 +258,7 @@
     }
 }
 
-/// A stream of 20 events, 25 ms apart but for one pause.
+/// A stream of 20 events that are 25 ms apart, except for one longer gap.
 fn stream_with_gap(longest_gap: Span) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = START;
@@ -342,11 +342,11 @@
     let grant = granted(subject.dispatch(&demand(1, 13_000, 500), START));
     assert_eq!(
         grant.uncached_tokens, 13_500,
-        "603,000 tokens came since, of 520,000"
+        "603,000 tokens were placed since, into a cache of 520,000"
     );
 }
 
-/// A table whose engines serve a tier of rank 0 and one of rank 1.
+/// A table with one route of rank 0 and one of rank 1 to the same engines.
 fn table_with_two_ranks() -> Change {
     let mut change = table_change(2);
     let DocumentContent::Table(table) = &mut change.content else {
@@ -426,12 +426,12 @@
         let second = granted(subject.dispatch(&demand(prompt, 13_000, 500), START));
         subject.record_first_event(second.lease, START);
         subject.release(second.lease, Outcome::Completed, START);
-        assert_eq!(second.instance, first.instance, "thing {prompt}");
+        assert_eq!(second.instance, first.instance, "prompt {prompt}");
     }
 }
 
-/// A node that has seen requests fail at the home engine of thing 1, and others end
-/// well at both.
+/// Gossip of a node at which requests failed at the home engine of prompt 1 while others succeeded
+/// at the other engine. Returns the message and the home engine.
 fn gossip_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
     let mut peer = with_engines(2);
     let home = granted(peer.dispatch(&demand(1, 1_000, 100), START));
@@ -484,7 +484,8 @@
     subject
 }
 
-/// Three engines in each of three zones, of which two of the second end requests like this.
+/// A node with three engines in each of three zones. At two engines of the second zone requests
+/// ended with `outcome`.
 fn with_two_failing_engines(outcome: Outcome) -> Dispatcher {
     let mut subject = with_engines_in_three_zones(9, Features::ALL);
     let mut failing = BTreeSet::new();
@@ -507,7 +508,7 @@
     subject
 }
 
-/// Which of these engines get any of 60 requests.
+/// Numbers of the engines that get any of 60 requests.
 fn engines_used(subject: &mut Dispatcher) -> BTreeSet<usize> {
     let mut used = BTreeSet::new();
     for prompt in 0..60 {
@@ -525,7 +526,7 @@
     assert!(used.iter().all(|number| number % 3 != 1), "{used:?}");
 }
 
-/// Some cuts refuse connections.
+/// In some network partitions connections are refused instead of timing out.
 #[test]
 fn a_zone_where_most_back_ends_refuse_connections_is_suspect() {
     let mut subject = with_two_failing_engines(Outcome::ConnectionRefused);
@@ -533,8 +534,8 @@
     assert!(used.iter().all(|number| number % 3 != 1), "{used:?}");
 }
 
-/// Two engines that crashed are no reason to leave a third one alone that serves: it gets part
-/// of the load that the two had.
+/// Two crashed engines are no reason to avoid a third one of the zone that still serves: it must
+/// take over a share of their load.
 #[test]
 fn crashed_back_ends_do_not_make_the_rest_of_a_larger_zone_suspect() {
     let mut subject = with_engines_in_three_zones(12, support::HOMES_ANYWHERE);
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -1,6 +1,6 @@
-//! Streams and long prompts share a pool: the split follows the load. The load is played
-//! against a small model of engines: each reads its prompts one after another, and a reading
-//! that lasts too long without a break makes all sensitive streams there late.
+//! The split of a pool between streams and long prompts follows the load. The load is simulated
+//! with a small model of engines: each computes its prompts one after another, and a prefill that
+//! lasts too long without a break delays all sensitive streams at that engine.
 
 mod support;
 
@@ -13,20 +13,21 @@
     Fleet, START, back_end, back_end_change, demand, known, lapsed_change, table_change,
 };
 
-/// The split by load is switched off.
+/// Without the split by load, a fixed share of the engines is reserved for streams.
 const FIXED_SHARE: Features = Features {
     pool_split: false,
     ..Features::ALL
 };
-/// Prompt tokens that an engine reads in a millisecond.
+/// Prompt tokens that an engine computes per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 55.0;
-/// Reading without a break from which on a stream beside it is late, in milliseconds.
+/// Duration of uninterrupted prefill from which streams at the same engine are delayed, in
+/// milliseconds.
 const DELAYING_PREFILL_MS: u64 = 260;
 const EVENT_GAP_TARGET: Span = Span::from_milliseconds(280);
-/// Length of a played step.
+/// Length of a simulated step, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// Requests a second of each kind.
+/// Requests per second of each kind.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     chats: f64,
@@ -100,12 +101,12 @@
     }
 }
 
-/// Engines that a step of the border of sixty moves.
+/// Engines by which one step changes the split of 60 engines.
 const MAX_ENGINES_PER_STEP: u32 = 3;
-/// Engines that the border passes at most between two looks.
+/// Engines by which the split may change between two checks, 500 ms apart.
 const MAX_ENGINES_PER_EVALUATION: u32 = 3 * MAX_ENGINES_PER_STEP;
 
-/// A fleet, its engines, and what runs there.
+/// A fleet, its engines and their running requests.
 struct Simulation {
     fleet: Fleet,
     engines: HashMap<String, EngineState>,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Plays a load for so long; returns what came of it.
+    /// Simulates a load for `milliseconds` and returns its statistics.
     fn run(&mut self, load: Load, milliseconds: u64) -> RunStats {
         self.stats = RunStats::default();
         for _ in 0..milliseconds / 100 {
@@ -162,7 +163,7 @@
                 .random
                 .random_bool((rate * STEP_MS as f64 / 2_000.0).min(1.0))
             {
-                // Requests come in pairs: one might be all that an engine bears.
+                // Requests come in pairs: a single one might be all that an engine can take.
                 self.dispatch_request(kind, now);
                 self.dispatch_request(kind, now);
             }
@@ -170,7 +171,7 @@
     }
 
     fn demand(&mut self, kind: Kind) -> Demand {
-        // Lengths are spread widely, as those of real prompts are.
+        // The lengths vary widely, like those of real prompts.
         let spread = (-self.random.random::<f64>().max(1e-3).ln()).min(6.0);
         let random_prompt = |random: &mut ChaCha8Rng, count: u64| random.random_range(0..count);
         match kind {
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Requests begin to answer, and end.
+    /// Records first events and completions that are due.
     fn advance(&mut self, now: u64) {
         for running in &mut self.running {
             if !running.has_first_event && running.first_event_at <= now {
@@ -294,7 +295,8 @@
             .collect()
     }
 
-    /// Homes of long prompts that nobody has read yet, of those that go there.
+    /// Home engines of long prompts that no engine has cached yet, by prompt; prompts that go to
+    /// another engine are left out.
     fn home_engines(&mut self) -> BTreeMap<u64, String> {
         let now = self.fleet.now;
         let node = &mut self.fleet.nodes[0];
@@ -319,12 +321,12 @@
     }
 }
 
-/// A time so many milliseconds after the start.
+/// The time `milliseconds` after the start.
 fn at(milliseconds: u64) -> Timestamp {
     START + Span::from_milliseconds(milliseconds)
 }
 
-/// Events 35 ms apart, but for one long pause where the stream was late.
+/// Events that are 35 ms apart, except for one long gap if the stream was delayed.
 fn pacing(running: &RunningRequest) -> StreamPacing {
     let mut pacing = StreamPacing::default();
     let mut now = running.first_event_at;
@@ -339,7 +341,7 @@
     pacing
 }
 
-/// What comes of a load with the split by load and without it, after a while.
+/// Statistics of a load with the split by load and with a fixed share, after a warm-up.
 fn simulate_both_splits(engines: usize, load: Load) -> (RunStats, RunStats) {
     let simulate = |features| {
         let mut simulation = Simulation::new(engines, features);
@@ -352,7 +354,7 @@
 #[test]
 fn a_split_by_load_delays_fewer_streams_than_a_fixed_share() {
     let (by_load, fixed) = simulate_both_splits(60, BASE_LOAD);
-    // 1 and 66 of 2,000; long prompts wait 181 ms in place of 173.
+    // 1 and 66 of 2,000 streams were delayed; long prompts waited 181 ms instead of 173 ms.
     assert!(by_load.delayed_share() < 0.01, "{by_load:?}");
     assert!(by_load.delayed * 4 < fixed.delayed, "{by_load:?} {fixed:?}");
     assert!(by_load.mean_long_prompt_wait_ms() < fixed.mean_long_prompt_wait_ms() + 100);
@@ -482,16 +484,20 @@
             .map(|split| split.load.engines)
             .min()
     };
-    assert_eq!(min_engines(&simulation), Some(60), "silence for a moment");
+    assert_eq!(
+        min_engines(&simulation),
+        Some(60),
+        "zones that are silent for a moment"
+    );
     simulation.run(BASE_LOAD, 5_000);
-    assert_eq!(min_engines(&simulation), Some(20), "a cut");
+    assert_eq!(min_engines(&simulation), Some(20), "zones that are cut off");
     for split in simulation.split_stats() {
         let share = f64::from(split.prompt_engines) / f64::from(split.ranked_engines);
         assert!((0.2..0.9).contains(&share), "{split:?}");
     }
 }
 
-/// A play that has run for a while.
+/// A simulation of 60 engines after 6 s of the base load.
 fn warmed_up_simulation() -> Simulation {
     let mut simulation = Simulation::new(60, Features::ALL);
     simulation.run(BASE_LOAD, 6_000);
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -1,4 +1,4 @@
-//! Fleets whose source of documents is restored from an older copy.
+//! Fleets whose document source is restored from a backup.
 
 mod support;
 
@@ -12,11 +12,12 @@
 use support::Fleet;
 use support::source::{Source, instance_key};
 
-/// Time within which a confirmed change has to be in force on all nodes.
+/// Time within which a confirmed change must be applied on all nodes, in milliseconds.
 const APPLIED_WITHIN_MS: u64 = 2_000;
-/// Time after a restore within which lost changes are written again and come into force.
+/// Time after a restore within which lost changes are written again and applied, in milliseconds.
 const STABLE_AFTER_MS: u64 = 5_000;
-/// Time after a start or a partition within which a node learns all that its peers know.
+/// Time after a start or a partition within which a node receives all changes that its peers
+/// know, in milliseconds.
 const CATCH_UP_MS: u64 = 3_000;
 
 fn version(fleet: &Fleet, node: usize) -> u64 {
@@ -202,12 +203,12 @@
     assert!(!is_evacuated(&fleet));
 }
 
-/// What the source has confirmed and each node has to know.
+/// What the source has confirmed and each node must know.
 struct Expectations {
     table: (u64, Timestamp),
-    /// When each draining or removed back end was first written as such.
+    /// Time at which each back end was first written as draining or removed.
     leaving_since: BTreeMap<String, Timestamp>,
-    /// Since when each node has been connected to the source and its peers.
+    /// Time since which each node has been connected to the source and its peers.
     connected_since: Vec<Timestamp>,
     /// Time of the last restore of the source.
     last_restore: Timestamp,
@@ -252,9 +253,9 @@
     }
 }
 
-/// Runs writes, restores, restarts and partitions in an order drawn from a seed. Some node always
-/// keeps what was confirmed: at most two of nine nodes restart within the time that a rewrite
-/// takes.
+/// Runs writes, restores, restarts and partitions in a random order that depends on the seed. Some
+/// node always retains the confirmed changes: at most two of nine nodes restart within the time
+/// that a rewrite takes.
 #[rstest]
 fn confirmed_changes_never_revert_under_restores_restarts_and_partitions_in_any_order(
     #[values(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)] group: u64,
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -1,4 +1,4 @@
-//! Which running streams get a replica, where it is held, and who may take a run over.
+//! Which running streams get a replica, which engine holds it, and which may take over a run.
 
 mod support;
 
@@ -12,7 +12,7 @@
     table_change, zone,
 };
 
-/// A table whose engines keep replicas for each other.
+/// A table whose engines hold replicas of each other's runs.
 fn table_with_replicas(revision: u64) -> Change {
     let mut change = table_change(revision);
     if let DocumentContent::Table(table) = &mut change.content {
@@ -26,8 +26,8 @@
     change
 }
 
-/// Engines 0, 3, 6, ... in zone 0, 1, 4, ... in zone 1 and 2, 5, ... in zone 2, which lies in
-/// another region.
+/// A node with `count` engines: 0, 3, 6, ... in zone 0; 1, 4, ... in zone 1; and 2, 5, ... in
+/// zone 2, which is in another region.
 fn with_table(count: usize, table: Change, features: Features) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table, START);
@@ -46,7 +46,7 @@
     with_table(count, table_with_replicas(1), Features::ALL)
 }
 
-/// A stream whose loss no other attempt mends, so short that it is always replicated.
+/// A stream that may not be retried, with a context so short that it is always replicated.
 fn stream(prompt: u64) -> Demand {
     Demand {
         may_retry: false,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The same with a prompt whose replica only pays where streams are lost.
+/// The same with a longer prompt, whose replica is worth its cost only while streams are lost.
 fn longer_stream(prompt: u64) -> Demand {
     Demand {
         may_retry: false,
@@ -167,7 +167,7 @@
     let mut draining_engine = back_end("engine-1", 1, 1);
     draining_engine.draining = true;
     subject.apply(back_end_change(draining_engine, 3), START);
-    // Engines 0 and 3 in zone 0 are left in the region.
+    // Of the region only the engines 0 and 3, both in zone 0, remain.
     for prompt in 0..20 {
         let demand = Demand {
             allowed_regions: eiderferry_routing::AllowedRegions::of(
@@ -189,12 +189,12 @@
 #[test]
 fn replicas_fill_no_engine_beyond_their_memory_share() {
     let mut subject = with_replicas(2);
-    // Of 520,000 tokens 0.6 may be taken with a replica.
+    // With a replica at most 0.6 of the 520,000 tokens of an engine may be used.
     let large = |prompt| Demand {
         output_tokens: 100_000,
         ..stream(prompt)
     };
-    // A loss is certain enough that bytes don't matter.
+    // Makes losses so probable that the bytes of a replica don't matter.
     for prompt in 0..30 {
         let grant = granted(subject.dispatch(&stream(prompt), START));
         subject.release(grant.lease, Outcome::IncompleteResponse, START);
@@ -302,7 +302,7 @@
         };
         subject.release(grant.lease, outcome, START);
     }
-    // Its ejection is over, and it looks empty.
+    // The ejection of the failing engine has ended, and the engine appears to be idle.
     let later = START + Span::from_milliseconds(1_500);
     let holders = (400..440).filter_map(|prompt| {
         let grant = granted(subject.dispatch(&stream(prompt), later));
@@ -337,7 +337,8 @@
         };
         subject.release(grant.lease, outcome, START);
     }
-    // Its ejection is over, the others have work, and it looks empty.
+    // The ejection of the failing engine has ended, and it appears to be idle while the others are
+    // busy.
     let later = START + Span::from_milliseconds(1_500);
     let holders = (400..440).map(|prompt| {
         let grant = granted(subject.dispatch(&stream(prompt), later));
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What a node does for a request, a change or a tick does not grow with the number of back ends.
+//! The work of a node per request, change or tick does not grow with the number of back ends.
 
 mod support;
 
@@ -11,15 +11,15 @@
     START, back_end, back_end_change, demand, engine_number, granted, known, with_engines,
 };
 
-/// Engines of a fleet of 300 nodes, and of one four times as large.
+/// Number of engines of a fleet of 300 nodes, and of one four times as large.
 const LARGE_POOL: usize = 3_000;
 const VERY_LARGE_POOL: usize = 12_000;
-/// Requests over which figures are taken.
+/// Requests per measurement.
 const REQUESTS: u64 = 100;
-/// Tokens of the shared part of a prompt.
+/// Shared prefix of a prompt, in tokens.
 const SHARED_TOKENS: u32 = 6_000;
 
-/// Places requests, each with another prompt, and gives the places back. Returns the engines.
+/// Dispatches requests with different prompts, releasing each at once. Returns their engines.
 fn place_prompts(subject: &mut Dispatcher, requests: u64) -> Vec<usize> {
     let prompts = 1..=requests;
     let place = |prompt| {
@@ -30,7 +30,7 @@
     prompts.map(place).collect()
 }
 
-/// Back ends looked at for a request.
+/// Mean number of back ends examined per request.
 fn examined_per_request(engines: usize) -> f64 {
     let mut subject = with_engines(engines);
     place_prompts(&mut subject, REQUESTS);
@@ -54,7 +54,7 @@
 fn nodes_without_contact_send_a_prompt_to_the_same_engine(#[case] engines: usize) {
     let one = place_prompts(&mut with_engines(engines), REQUESTS);
     let mut other_node = with_engines(engines);
-    // It has drawn other numbers by now.
+    // Advances its random number generator, so that it differs from that of the first node.
     place_prompts(&mut other_node, REQUESTS / 2);
     let two = place_prompts(&mut other_node, REQUESTS);
     let same = one.iter().zip(&two).filter(|(one, two)| one == two).count();
@@ -69,13 +69,13 @@
         *counts.entry(engine).or_default() += 1;
     }
     let max = counts.values().max().copied().unwrap_or_default();
-    // Thrown at random, 3,000 prompts reach 1,896 engines, and none gets more than 8 or 9.
+    // Distributed at random, 3,000 prompts reach 1,896 engines, and none gets more than 8 or 9.
     assert!(counts.len() > LARGE_POOL / 2, "{} engines", counts.len());
     assert!(max <= 10, "{max} prompts at one engine");
 }
 
-/// Homes stay where they are while other engines come and go, but for those of the engines
-/// that went: otherwise each release would empty the caches of the fleet.
+/// When engines are replaced, only the prompts whose home engine was removed should move to
+/// another one: otherwise each release would empty the caches of the fleet.
 #[test]
 fn few_home_engines_change_when_a_tenth_of_a_large_pool_is_replaced() {
     let mut subject = with_engines(LARGE_POOL);
@@ -109,8 +109,8 @@
     prompts.map(place).collect()
 }
 
-/// A prompt that few ask for is found at the engine that read it last, though that one is
-/// neither its home nor drawn.
+/// A rarely requested prompt is found at the engine that computed it last, although that one is
+/// neither its home engine nor sampled.
 #[test]
 fn an_engine_that_caches_a_prompt_is_found_in_a_large_pool() {
     let mut subject = with_engines(LARGE_POOL);
@@ -133,7 +133,7 @@
     assert!(uses_holder, "{third:?} does not use {holder:?}");
 }
 
-/// A run whose engine is lost goes on at the one engine that holds its replica.
+/// A run whose engine is lost continues at the one engine that holds its replica.
 #[test]
 fn the_holder_of_a_replica_is_found_in_a_large_pool() {
     let mut subject = with_engines(LARGE_POOL);
@@ -145,8 +145,8 @@
     }
 }
 
-/// Allocations that passing on one change takes of a node that knows so many back ends: each
-/// entry that is copied counts for several.
+/// Allocations for announcing one change by a node that knows `back_ends` back ends. Each copied
+/// entry would count for several.
 fn allocations_of_an_announcement(back_ends: usize) -> u64 {
     let mut subject = with_engines(back_ends);
     subject.announce(true, START);
@@ -172,7 +172,8 @@
     );
 }
 
-/// A node that knows so many back ends and hears of a release: so many of them changed at once.
+/// Documents that a node includes in its announcement after a release has changed `changed` back
+/// ends at once; `None` if it includes none.
 fn announced_changes(changed: usize) -> Option<BTreeSet<DocumentKey>> {
     let mut subject = with_engines(LARGE_POOL);
     subject.announce(true, START);
@@ -185,8 +186,8 @@
     Some(batch.changes.into_iter().map(|change| change.key).collect())
 }
 
-/// 53 workers that are replaced in each second leave some 64 changes between two looks at the
-/// platform: told in the message itself they cost a node one message, and not a connection and
+/// When 53 workers are replaced per second, some 64 changes occur between two polls of the
+/// platform. Sent in the message itself, they cost a node one message instead of a connection and
 /// a call to another node.
 #[test]
 fn the_changes_of_a_large_release_are_sent_with_the_announcement() {
@@ -195,8 +196,8 @@
     assert_eq!(announced_changes(2_000), None);
 }
 
-/// Which engines to follow is asked of each engine and each node of the zone: nothing to do again
-/// in each tick.
+/// Choosing the engines to follow takes a computation for each engine and each node of the zone,
+/// too expensive to repeat in every tick.
 #[test]
 fn engines_to_follow_are_evaluated_only_after_changes() {
     let mut subject = with_engines(LARGE_POOL);
@@ -220,11 +221,11 @@
     let without_changes = run(&mut subject, 0, 100);
     assert!(
         (1..=4).contains(&without_changes),
-        "{without_changes} looks in 10 s"
+        "{without_changes} evaluations in 10 s"
     );
     let during_release = run(&mut subject, 100, 100);
     assert!(
         (10..=21).contains(&during_release),
-        "{during_release} looks in 10 s"
+        "{during_release} evaluations in 10 s"
     );
 }
