--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -138,8 +138,8 @@
 
     /// Most requests in any window after the time in which the limit reaches all nodes.
     fn max_in_window(&self) -> usize {
-        let counted = self.arrivals.iter().filter(|arrival| arrival.was_informed);
-        let times: Vec<Timestamp> = counted.map(|arrival| arrival.at).collect();
+        let from_informed_nodes = self.arrivals.iter().filter(|arrival| arrival.was_informed);
+        let times: Vec<Timestamp> = from_informed_nodes.map(|arrival| arrival.at).collect();
         most_within(&times, WINDOW, self.limit_set_at + PROPAGATION_TIME)
     }
 
--- a/crates/coordination/dispatch/tests/locality.rs
+++ b/crates/coordination/dispatch/tests/locality.rs
@@ -21,7 +21,7 @@
 const LONG_PROMPT_TOKENS: u32 = 13_000;
 
 /// A node in zone 0 with engines in all zones.
-fn with_engines(per_zone: usize, features: Features) -> Dispatcher {
+fn node_with_engines(per_zone: usize, features: Features) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.tick(START);
     subject.apply(table_change(1), START);
@@ -50,14 +50,14 @@
     #[case] features: Features,
     #[case] expected: &[usize],
 ) {
-    let mut subject = with_engines(6, features);
+    let mut subject = node_with_engines(6, features);
     let used = zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     assert_eq!(used, expected.iter().copied().collect());
 }
 
 #[test]
 fn with_few_engines_in_the_zone_home_engines_span_the_region() {
-    let mut subject = with_engines(3, Features::ALL);
+    let mut subject = node_with_engines(3, Features::ALL);
     let used = zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     assert_eq!(used, BTreeSet::from([0, 1]));
 }
@@ -66,7 +66,7 @@
 /// only a fraction; 1,600 prompts of 13,000 tokens are 21 million.
 #[test]
 fn prompts_that_exceed_the_memory_of_a_zone_are_spread_over_all_zones() {
-    let mut subject = with_engines(6, Features::ALL);
+    let mut subject = node_with_engines(6, Features::ALL);
     for round in 0..4 {
         zones_used(
             &mut subject,
@@ -83,7 +83,7 @@
 
 #[test]
 fn home_engines_change_zone_at_once_when_their_zone_loses_its_engines() {
-    let mut subject = with_engines(6, Features::ALL);
+    let mut subject = node_with_engines(6, Features::ALL);
     zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     for number in (0..18).filter(|number| number % ZONES == 0) {
         subject.apply(lapsed_change(&format!("engine-{number}"), 3), START);
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_full_zone_sends_requests_to_other_zones() {
-    let mut subject = with_engines(4, Features::ALL);
+    let mut subject = node_with_engines(4, Features::ALL);
     let grants = (0..400).map(|own| granted(subject.dispatch(&demand(1, 1_000, own), START)));
     let used: BTreeSet<usize> = grants.map(|grant| engine_number(&grant) % ZONES).collect();
     assert!(used.len() > 1, "only zones {used:?}");
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_measured_round_trip_delays_the_expected_first_event() {
-    let mut subject = with_engines(4, Features::ALL);
+    let mut subject = node_with_engines(4, Features::ALL);
     let nearer_engines: Vec<InstanceId> = (0..12)
         .filter(|number| number % ZONES != 2)
         .map(|number| InstanceId::from(format!("engine-{number}")))
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -104,14 +104,14 @@
 /// Engines by which one step changes the split of 60 engines.
 const MAX_ENGINES_PER_STEP: u32 = 3;
 /// Engines by which the split may change between two checks, 500 ms apart.
-const MAX_ENGINES_PER_EVALUATION: u32 = 3 * MAX_ENGINES_PER_STEP;
+const MAX_ENGINES_BETWEEN_CHECKS: u32 = 3 * MAX_ENGINES_PER_STEP;
 
 /// A fleet, its engines and their running requests.
 struct Simulation {
     fleet: Fleet,
     engines: HashMap<String, EngineState>,
     running: Vec<RunningRequest>,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     stats: RunStats,
 }
 
@@ -135,7 +135,7 @@
             fleet,
             engines: HashMap::new(),
             running: Vec::new(),
-            random: ChaCha8Rng::seed_from_u64(7),
+            rng: ChaCha8Rng::seed_from_u64(7),
             stats: RunStats::default(),
         }
     }
@@ -144,10 +144,10 @@
     fn run(&mut self, load: Load, milliseconds: u64) -> RunStats {
         self.stats = RunStats::default();
         for _ in 0..milliseconds / 100 {
-            let batch_start = self.fleet.now.since(START).milliseconds();
+            let tick_start = self.fleet.now.since(START).milliseconds();
             for step in 0..100 / STEP_MS {
-                self.dispatch_arrivals(load, batch_start + step * STEP_MS);
-                self.advance(batch_start + step * STEP_MS);
+                self.dispatch_arrivals(load, tick_start + step * STEP_MS);
+                self.advance(tick_start + step * STEP_MS);
             }
             self.fleet.step();
         }
@@ -160,7 +160,7 @@
         let kinds = [Kind::Chat, Kind::Classification, Kind::LongPrompt];
         for (kind, rate) in kinds.into_iter().zip(rates) {
             if self
-                .random
+                .rng
                 .random_bool((rate * STEP_MS as f64 / 2_000.0).min(1.0))
             {
                 // Requests come in pairs: a single one might be all that an engine can take.
@@ -172,8 +172,8 @@
 
     fn demand(&mut self, kind: Kind) -> Demand {
         // The lengths vary widely, like those of real prompts.
-        let spread = (-self.random.random::<f64>().max(1e-3).ln()).min(6.0);
-        let random_prompt = |random: &mut ChaCha8Rng, count: u64| random.random_range(0..count);
+        let spread = (-self.rng.random::<f64>().max(1e-3).ln()).min(6.0);
+        let random_prompt = |rng: &mut ChaCha8Rng, count: u64| rng.random_range(0..count);
         match kind {
             Kind::Chat => Demand {
                 rank: 0,
@@ -181,7 +181,7 @@
                 event_gap_target: Some(EVENT_GAP_TARGET),
                 may_retry: false,
                 ..demand(
-                    random_prompt(&mut self.random, 80),
+                    random_prompt(&mut self.rng, 80),
                     200,
                     (628.0 * spread) as u32 + 10,
                 )
@@ -191,7 +191,7 @@
                 target: Span::from_milliseconds(500),
                 event_gap_target: Some(Span::from_milliseconds(500)),
                 ..demand(
-                    1_000 + random_prompt(&mut self.random, 80),
+                    1_000 + random_prompt(&mut self.rng, 80),
                     560,
                     (1_800.0 * spread) as u32 + 10,
                 )
@@ -200,7 +200,7 @@
                 target: Span::from_milliseconds(2_000),
                 event_gap_target: Some(Span::from_milliseconds(1_200)),
                 ..demand(
-                    2_000 + random_prompt(&mut self.random, 300),
+                    2_000 + random_prompt(&mut self.rng, 300),
                     5_400,
                     (6_600.0 * spread) as u32 + 10,
                 )
@@ -213,7 +213,7 @@
         let live_nodes: Vec<usize> = (0..self.fleet.nodes.len())
             .filter(|node| !self.fleet.dark.contains(node))
             .collect();
-        let node = live_nodes[self.random.random_range(0..live_nodes.len())];
+        let node = live_nodes[self.rng.random_range(0..live_nodes.len())];
         let decision = self.fleet.nodes[node].dispatch(&demand, at(now));
         if kind == Kind::Chat {
             self.stats.chats += 1;
@@ -396,11 +396,11 @@
             let sizes = simulation.prompt_engines();
             let (min, max) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
             assert!(max - min <= MAX_ENGINES_PER_STEP, "{sizes:?}");
-            let moves = before.iter().zip(&sizes);
+            let changes = before.iter().zip(&sizes);
             assert!(
-                moves
+                changes
                     .clone()
-                    .all(|(one, two)| one.abs_diff(*two) <= MAX_ENGINES_PER_EVALUATION)
+                    .all(|(old, new)| old.abs_diff(*new) <= MAX_ENGINES_BETWEEN_CHECKS)
             );
             before = sizes;
         }
@@ -506,16 +506,16 @@
 
 #[test]
 fn a_step_of_the_split_moves_few_home_engines() {
-    let (mut one, mut two) = (warmed_up_simulation(), warmed_up_simulation());
-    let before = one.prompt_engines()[0];
+    let (mut unchanged, mut loaded) = (warmed_up_simulation(), warmed_up_simulation());
+    let before = unchanged.prompt_engines()[0];
     let burst = base_load_with(204.0, 70.0);
-    while two.prompt_engines()[0] == before {
-        two.run(burst, 100);
+    while loaded.prompt_engines()[0] == before {
+        loaded.run(burst, 100);
     }
-    let after = two.home_engines();
-    let both = one.home_engines().into_iter();
+    let after = loaded.home_engines();
+    let both = unchanged.home_engines().into_iter();
     let both = both.filter_map(|(prompt, home)| Some((home, after.get(&prompt)?)));
-    let (moved, stayed): (Vec<_>, Vec<_>) = both.partition(|(one, two)| one != *two);
+    let (moved, stayed): (Vec<_>, Vec<_>) = both.partition(|(old, new)| old != *new);
     let share = moved.len() as f64 / (moved.len() + stayed.len()) as f64;
     assert!(stayed.len() > 200, "{}", stayed.len());
     assert!(share < 0.2, "{share}");
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -50,7 +50,9 @@
         .map(|node| version(fleet, node))
         .collect();
     assert!(
-        versions.iter().all(|found| *found == expected),
+        versions
+            .iter()
+            .all(|table_version| *table_version == expected),
         "{versions:?}"
     );
 }
@@ -222,12 +224,12 @@
     fn check(&mut self, fleet: &Fleet, seed: u64) {
         let now = fleet.now;
         for node in 0..fleet.nodes.len() {
-            let found = version(fleet, node);
+            let table_version = version(fleet, node);
             assert!(
-                found >= self.highest_version[node],
-                "seed {seed}, node {node}: reverted to {found}"
+                table_version >= self.highest_version[node],
+                "seed {seed}, node {node}: reverted to {table_version}"
             );
-            self.highest_version[node] = found;
+            self.highest_version[node] = table_version;
             let is_caught_up = now.since(self.connected_since[node]).milliseconds() > CATCH_UP_MS;
             let is_stable = now.since(self.last_restore).milliseconds() > STABLE_AFTER_MS;
             let is_due = |at: Timestamp| {
@@ -235,7 +237,7 @@
                 is_caught_up && is_stable && is_old
             };
             if is_due(self.table.1) {
-                assert_eq!(found, self.table.0, "seed {seed}, node {node}");
+                assert_eq!(table_version, self.table.0, "seed {seed}, node {node}");
             }
             for (name, at) in &self.leaving_since {
                 let is_usable = is_usable(fleet, node, name);
@@ -266,7 +268,7 @@
 }
 
 fn run_scenario(seed: u64) {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (mut fleet, mut source) = settled_fleet(9, 3);
     let mut expected = Expectations {
         table: (1, fleet.now),
@@ -287,10 +289,10 @@
         for (_, key, content) in due {
             source.write(key, content);
         }
-        match random.random_range(0..60) {
+        match rng.random_range(0..60) {
             0..4 => {
                 rewrites.retain(|(_, key, _)| *key != DocumentKey::Table);
-                expected.table = (expected.table.0 + random.random_range(1..4), now);
+                expected.table = (expected.table.0 + rng.random_range(1..4), now);
                 source.write_table(expected.table.0);
             }
             4 => {
@@ -299,13 +301,13 @@
                 names.push(name);
             }
             5 | 6 => {
-                let name = names.choose(&mut random).expect("a back end").clone();
+                let name = names.choose(&mut rng).expect("a back end").clone();
                 rewrites.retain(|(_, key, _)| *key != instance_key(&name));
                 let number = names.iter().position(|other| *other == name);
                 let number = number.expect("a known name");
                 let is_new = !expected.leaving_since.contains_key(&name);
                 expected.leaving_since.entry(name.clone()).or_insert(now);
-                if is_new && random.random_bool(0.5) {
+                if is_new && rng.random_bool(0.5) {
                     source.write_back_end(&name, number, true);
                 } else {
                     source.remove_back_end(&name);
@@ -313,16 +315,16 @@
             }
             7 if step > 20 => {
                 let number = source.number();
-                let backup_number = random.random_range(number.saturating_sub(12).max(4)..=number);
+                let backup_number = rng.random_range(number.saturating_sub(12).max(4)..=number);
                 expected.last_restore = now;
                 for (key, content) in source.restore(backup_number) {
                     rewrites.retain(|(_, other, _)| *other != key);
-                    let wait = Span::from_milliseconds(random.random_range(200..2_000));
+                    let wait = Span::from_milliseconds(rng.random_range(200..2_000));
                     rewrites.push((now + wait, key, content));
                 }
             }
             8 if now.since(last_restart).milliseconds() > 4_000 => {
-                let node = random.random_range(0..9);
+                let node = rng.random_range(0..9);
                 fleet.restart(node);
                 expected.highest_version[node] = 0;
                 expected.known_leaving[node].clear();
@@ -330,13 +332,13 @@
                 last_restart = now;
             }
             9 => {
-                let node = random.random_range(0..9);
+                let node = rng.random_range(0..9);
                 if !source.unreachable.remove(&node) {
                     source.unreachable.insert(node);
                 }
             }
             10 => {
-                let node = random.random_range(0..9);
+                let node = rng.random_range(0..9);
                 if !fleet.isolated.remove(&node) {
                     fleet.isolated.insert(node);
                 }
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -52,12 +52,16 @@
 #[case::large_pool(LARGE_POOL)]
 #[case::much_larger_pool(VERY_LARGE_POOL)]
 fn nodes_without_contact_send_a_prompt_to_the_same_engine(#[case] engines: usize) {
-    let one = place_prompts(&mut with_engines(engines), REQUESTS);
+    let first_engines = place_prompts(&mut with_engines(engines), REQUESTS);
     let mut other_node = with_engines(engines);
     // Advances its random number generator, so that it differs from that of the first node.
     place_prompts(&mut other_node, REQUESTS / 2);
-    let two = place_prompts(&mut other_node, REQUESTS);
-    let same = one.iter().zip(&two).filter(|(one, two)| one == two).count();
+    let second_engines = place_prompts(&mut other_node, REQUESTS);
+    let same = first_engines
+        .iter()
+        .zip(&second_engines)
+        .filter(|(one, two)| one == two)
+        .count();
     assert!(same as u64 >= REQUESTS * 9 / 10, "{same} of {REQUESTS}");
 }
 
--- a/crates/coordination/dispatch/tests/stream_isolation.rs
+++ b/crates/coordination/dispatch/tests/stream_isolation.rs
@@ -52,35 +52,35 @@
 }
 
 /// Number of engines to which one node sends streams and the other sends long prompts.
-fn shared_engines(one: &mut Dispatcher, two: &mut Dispatcher) -> usize {
+fn shared_engines(first_node: &mut Dispatcher, second_node: &mut Dispatcher) -> usize {
     let now = START + TICK * 20;
-    let stream_engines = place_streams(one, 60, now);
+    let stream_engines = place_streams(first_node, 60, now);
     let stream_engines: BTreeSet<String> = stream_engines
         .iter()
         .map(|grant| grant.instance.as_str().to_owned())
         .collect();
     let long_prompt_engines: BTreeSet<String> = (10_000..10_300)
-        .map(|prompt| engine_of(two, &demand(prompt, 13_000, 900), now))
+        .map(|prompt| engine_of(second_node, &demand(prompt, 13_000, 900), now))
         .collect();
     long_prompt_engines.intersection(&stream_engines).count()
 }
 
 #[test]
 fn all_nodes_reserve_the_same_engines_of_a_large_pool_for_streams() {
-    let (mut one, mut two) = (
+    let (mut first_node, mut second_node) = (
         dispatcher_after_streams(LARGE_POOL),
         dispatcher_after_streams(LARGE_POOL),
     );
-    assert_eq!(shared_engines(&mut one, &mut two), 0);
+    assert_eq!(shared_engines(&mut first_node, &mut second_node), 0);
 }
 
 #[test]
 fn a_small_pool_is_not_split() {
-    let (mut one, mut two) = (
+    let (mut first_node, mut second_node) = (
         dispatcher_after_streams(SMALL_POOL),
         dispatcher_after_streams(SMALL_POOL),
     );
-    assert!(shared_engines(&mut one, &mut two) > 0);
+    assert!(shared_engines(&mut first_node, &mut second_node) > 0);
 }
 
 #[test]
