--- a/crates/transport/relay/tests/answers.rs
+++ b/crates/transport/relay/tests/answers.rs
@@ -2,32 +2,35 @@
 
 mod support;
 
-use support::{Running, StandIn, chunk, reset, shed, whole, write};
+use support::{
+    MockBackEnd, TestRelay, chunk, not_run_response, ok_response, reset_on_close, write,
+};
 
 #[test]
 fn a_request_reaches_the_back_end_as_the_caller_sent_it() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "answer"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "answer"));
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let extra = "Tenant: forged\r\nX-Own: kept\r\nRemaining-Ms: 2500\r\n";
-    let answer = relay.call("PUT", "/write/a%20b?q=1&q=2", extra, "the body");
-    assert_eq!((answer.status, answer.body.as_str()), (200, "answer"));
-    assert_eq!(answer.header("stamp").as_deref(), Some("s"));
-    assert_eq!(answer.header("date"), None);
-    let seen = back_end.first();
+    let response = relay.call("PUT", "/write/a%20b?q=1&q=2", extra, "the body");
+    assert_eq!((response.status, response.body.as_str()), (200, "answer"));
+    assert_eq!(response.header("stamp").as_deref(), Some("s"));
+    assert_eq!(response.header("date"), None);
+    let request = back_end.first_request();
     assert!(
-        seen.head
+        request
+            .head
             .starts_with("PUT /write/a%20b?q=1&q=2 HTTP/1.1\r\n")
     );
-    assert_eq!(seen.body, b"the body");
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("tenant"), Some("radio"));
-    assert_eq!(seen.header("expected-instance"), Some("i-0"));
-    assert_eq!(seen.header("authorization"), None);
-    assert_eq!(seen.header("urgency"), Some("6"));
-    let remaining: u64 = seen
+    assert_eq!(request.body, b"the body");
+    assert_eq!(request.header("x-own"), Some("kept"));
+    assert_eq!(request.header("tenant"), Some("radio"));
+    assert_eq!(request.header("expected-instance"), Some("i-0"));
+    assert_eq!(request.header("authorization"), None);
+    assert_eq!(request.header("urgency"), Some("6"));
+    let remaining: u64 = request
         .header("remaining-ms")
         .expect("told")
         .parse()
@@ -37,129 +40,129 @@
 
 #[test]
 fn a_caller_cannot_command_a_back_end_or_hide_what_describes_its_request() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "answer"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "answer"));
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let extra = "Reserve: 7\r\nRESERVE: 8\r\nCopy-From: 10.0.0.9:1\r\nModel: m\r\n\
                  Token-Usage: 9,9\r\nX-Hop: 1\r\nConnection: Model, X-Hop, Request-Id\r\n\
                  Connection: Tenant, Token-Usage\r\n";
-    let answer = relay.call("POST", "/write/1", extra, "x");
-    assert_eq!(answer.status, 200);
-    let seen = back_end.first();
-    assert_eq!(seen.header("reserve"), None, "{}", seen.head);
-    assert_eq!(seen.header("copy-from"), None);
-    assert_eq!(seen.header("x-hop"), None);
-    assert_eq!(seen.header("model"), Some("m"));
-    assert_eq!(seen.header("token-usage"), Some("9,9"));
-    assert_eq!(seen.header("tenant"), Some("radio"));
+    let response = relay.call("POST", "/write/1", extra, "x");
+    assert_eq!(response.status, 200);
+    let request = back_end.first_request();
+    assert_eq!(request.header("reserve"), None, "{}", request.head);
+    assert_eq!(request.header("copy-from"), None);
+    assert_eq!(request.header("x-hop"), None);
+    assert_eq!(request.header("model"), Some("m"));
+    assert_eq!(request.header("token-usage"), Some("9,9"));
+    assert_eq!(request.header("tenant"), Some("radio"));
 }
 
 #[test]
 fn a_surplus_answer_is_not_taken_for_the_next_ones() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        let text = whole(seen, "right");
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        let text = ok_response(request, "right");
         write(stream, &format!("{text}{text}"));
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     for number in 0..20 {
         let path = format!("/write/{number}");
-        let answer = relay.call("POST", &path, "", "x");
-        let id = answer.header("request-id");
+        let response = relay.call("POST", &path, "", "x");
+        let id = response.header("request-id");
         let expected = format!("id-{path}");
         assert!(
-            answer.status == 502 || id.as_deref() == Some(expected.as_str()),
-            "{answer:?}"
+            response.status == 502 || id.as_deref() == Some(expected.as_str()),
+            "{response:?}"
         );
     }
 }
 
 #[test]
 fn an_answer_with_another_id_is_no_answer() {
-    let back_end = StandIn::start(|stream, _, _| {
+    let back_end = MockBackEnd::start(|stream, _, _| {
         let text = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong";
         write(stream, text);
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
-    assert_eq!(back_end.count(), 1);
+    assert_eq!(back_end.request_count(), 1);
 }
 
 #[test]
 fn an_answer_cut_short_does_not_look_complete() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        let text = whole(seen, "only half of this");
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        let text = ok_response(request, "only half of this");
         write(stream, &text[..text.len() - 6]);
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
 }
 
 #[test]
 fn bytes_that_are_no_answer_are_not_passed_on() {
-    let back_end = StandIn::start(|stream, _, _| {
+    let back_end = MockBackEnd::start(|stream, _, _| {
         write(stream, "these bytes are no answer\r\n\r\n");
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
 }
 
 #[test]
 fn an_encoded_body_is_not_the_back_ends() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        let id = seen.id();
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        let id = request.id();
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Encoding: gzip\r\n");
         write(stream, &format!("{head}Content-Length: 2\r\n\r\nxx"));
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
 }
 
-fn unframed(seen: &support::Seen) -> String {
-    let id = seen.id();
+fn unframed(request: &support::ReceivedRequest) -> String {
+    let id = request.id();
     format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nConnection: close\r\n\r\nunframed body")
 }
 
 #[test]
 fn an_answer_without_length_ends_with_its_connection() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &unframed(seen));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &unframed(request));
         false
     });
-    let relay = Running::before(&[&back_end]);
-    let answer = relay.call("POST", "/write/1", "", "x");
+    let relay = TestRelay::with_back_ends(&[&back_end]);
+    let response = relay.call("POST", "/write/1", "", "x");
     assert_eq!(
-        (answer.status, answer.body.as_str()),
+        (response.status, response.body.as_str()),
         (200, "unframed body")
     );
-    assert!(answer.is_whole);
+    assert!(response.is_complete);
 }
 
 #[test]
 fn an_answer_without_length_that_is_reset_is_not_complete() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &unframed(seen));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &unframed(request));
         std::thread::sleep(std::time::Duration::from_millis(50));
-        reset(stream);
+        reset_on_close(stream);
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
 }
 
 #[test]
 fn an_answer_before_the_whole_body_was_read_spoils_no_later_request() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "early"));
-        seen.header("test-answer-early").is_none()
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "early"));
+        request.header("test-answer-early").is_none()
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let long = "b".repeat(250_000);
     for number in 0..5 {
         let early = relay.call(
@@ -170,28 +173,28 @@
         );
         assert!(early.status == 200 || early.status == 502, "{early:?}");
         // A request that crosses the closing on its way is lost with any client.
-        while back_end.closed.lock().expect("lock").len() <= number {
+        while back_end.closed_at.lock().expect("lock").len() <= number {
             std::thread::yield_now();
         }
         let next = relay.call("POST", &format!("/write/n{number}"), "", "short");
         assert_eq!((next.status, next.body.as_str()), (200, "early"));
     }
-    let seen = back_end.seen.lock().expect("lock");
-    let later: Vec<&[u8]> = seen
+    let requests = back_end.requests.lock().expect("lock");
+    let later: Vec<&[u8]> = requests
         .iter()
-        .filter(|seen| seen.header("test-answer-early").is_none())
-        .map(|seen| seen.body.as_slice())
+        .filter(|request| request.header("test-answer-early").is_none())
+        .map(|request| request.body.as_slice())
         .collect();
     assert_eq!(later, vec![b"short".as_slice(); 5]);
 }
 
 #[test]
 fn a_chunked_body_of_a_caller_arrives_whole() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "ok"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "ok"));
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let head = format!(
         "POST /write/1 HTTP/1.1\r\nHost: {}\r\nRequest-Id: c\r\nAuthorization: Bearer {}\r\n\
@@ -203,38 +206,39 @@
     write(&mut caller.stream, &chunk("one "));
     write(&mut caller.stream, &chunk("two"));
     write(&mut caller.stream, "0\r\n\r\n");
-    assert_eq!(caller.answer().status, 200);
-    assert_eq!(back_end.first().body, b"one two");
+    assert_eq!(caller.read_response().status, 200);
+    assert_eq!(back_end.first_request().body, b"one two");
 }
 
 #[test]
 fn a_back_ends_failure_keeps_its_status_and_stamp() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        let text = whole(seen, "failed").replacen("200 OK", "500 Error", 1);
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        let text = ok_response(request, "failed").replacen("200 OK", "500 Error", 1);
         write(stream, &text);
         true
     });
-    let relay = Running::before(&[&back_end]);
-    let answer = relay.call("POST", "/write/1", "", "x");
-    assert_eq!((answer.status, answer.body.as_str()), (500, "failed"));
-    assert_eq!(answer.header("stamp").as_deref(), Some("s"));
+    let relay = TestRelay::with_back_ends(&[&back_end]);
+    let response = relay.call("POST", "/write/1", "", "x");
+    assert_eq!((response.status, response.body.as_str()), (500, "failed"));
+    assert_eq!(response.header("stamp").as_deref(), Some("s"));
 }
 
 #[test]
 fn a_refusal_of_all_back_ends_is_told_with_a_time_to_come_back() {
-    let script = |stream: &mut std::net::TcpStream, seen: &support::Seen, _: usize| {
-        write(stream, &shed(seen));
-        true
-    };
-    let (one, two) = (StandIn::start(script), StandIn::start(script));
-    let relay = Running::before(&[&one, &two]);
-    let answer = relay.call("POST", "/write/1", "", "x");
-    assert_eq!(answer.status, 503);
-    let seconds: f64 = answer
+    let script =
+        |stream: &mut std::net::TcpStream, request: &support::ReceivedRequest, _: usize| {
+            write(stream, &not_run_response(request));
+            true
+        };
+    let (one, two) = (MockBackEnd::start(script), MockBackEnd::start(script));
+    let relay = TestRelay::with_back_ends(&[&one, &two]);
+    let response = relay.call("POST", "/write/1", "", "x");
+    assert_eq!(response.status, 503);
+    let seconds: f64 = response
         .header("retry-after")
         .expect("told")
         .parse()
         .expect("seconds");
     assert!(seconds > 0.0);
-    assert_eq!(one.count() + two.count(), 2);
+    assert_eq!(one.request_count() + two.request_count(), 2);
 }
--- a/crates/transport/relay/tests/cache_follower.rs
+++ b/crates/transport/relay/tests/cache_follower.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{self, Receiver};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{PATIENCE, Running, Seen, StandIn, whole, write};
+use support::{MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, ok_response, write};
 
 const LISTING: &str = "1 10 0\n0 7 500\n";
 const NO_EVENTS: &str = "1 10 0\n";
@@ -15,8 +15,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-fn is_listing(seen: &Seen) -> bool {
-    seen.head.starts_with("GET /cache HTTP")
+fn is_listing(request: &ReceivedRequest) -> bool {
+    request.head.starts_with("GET /cache HTTP")
 }
 
 /// A call as the engine saw it.
@@ -28,36 +28,36 @@
 
 /// An engine that answers its calls with these texts, one after the other, and then without
 /// events. An empty text closes the connection.
-fn engine(answers: Vec<String>) -> (StandIn, Receiver<Call>) {
-    let (seen, calls) = mpsc::channel();
-    let answers = Arc::new(Mutex::new(answers.into_iter()));
-    let stand_in = StandIn::start(move |stream, request, _| {
+fn engine(responses: Vec<String>) -> (MockBackEnd, Receiver<Call>) {
+    let (call_sender, calls) = mpsc::channel();
+    let responses = Arc::new(Mutex::new(responses.into_iter()));
+    let back_end = MockBackEnd::start(move |stream, request, _| {
         let head = request.head.lines().next().unwrap_or_default();
         let target = head.split(' ').nth(1).unwrap_or_default().to_owned();
         let wait = request.header("wait").map(str::to_owned);
         let at = Instant::now();
         // A test that has seen enough is gone.
-        let _ = seen.send(Call { target, wait, at });
+        let _ = call_sender.send(Call { target, wait, at });
         let usual = ok(if is_listing(request) {
             LISTING
         } else {
             NO_EVENTS
         });
-        let text = answers.lock().expect("lock").next().unwrap_or(usual);
+        let text = responses.lock().expect("lock").next().unwrap_or(usual);
         write(stream, &text);
         !text.is_empty()
     });
-    (stand_in, calls)
+    (back_end, calls)
 }
 
 fn next(calls: &Receiver<Call>) -> Call {
-    calls.recv_timeout(PATIENCE).expect("a call")
+    calls.recv_timeout(TEST_TIMEOUT).expect("a call")
 }
 
 #[test]
 fn an_engine_is_listed_and_then_asked_for_events() {
     let (engine, calls) = engine(Vec::new());
-    let _relay = Running::before_engine(&engine);
+    let _relay = TestRelay::with_cache_reporting_engine(&engine);
     assert_eq!(next(&calls).target, "/cache");
     let events = next(&calls);
     assert_eq!(events.target, "/cache-events?after=10");
@@ -67,7 +67,7 @@
 #[test]
 fn after_a_gap_it_is_listed_again() {
     let (engine, calls) = engine(vec![ok(LISTING), ok("1 90 1\n")]);
-    let _relay = Running::before_engine(&engine);
+    let _relay = TestRelay::with_cache_reporting_engine(&engine);
     let targets = [(); 3].map(|()| next(&calls).target);
     assert_eq!(targets, ["/cache", "/cache-events?after=10", "/cache"]);
 }
@@ -75,7 +75,7 @@
 #[test]
 fn after_a_restart_of_its_cache_it_is_listed_again() {
     let (engine, calls) = engine(vec![ok(LISTING), ok("2 1 0\n")]);
-    let _relay = Running::before_engine(&engine);
+    let _relay = TestRelay::with_cache_reporting_engine(&engine);
     let targets = [(); 3].map(|()| next(&calls).target);
     assert_eq!(targets, ["/cache", "/cache-events?after=10", "/cache"]);
 }
@@ -83,12 +83,12 @@
 /// Whatever the first call comes to, the next one waits.
 fn is_repeated_later(first: String) {
     let (engine, calls) = engine(vec![first]);
-    let relay = Running::before_engine(&engine);
-    let vain = next(&calls);
-    let repeated = next(&calls);
-    assert_eq!(repeated.target, "/cache");
-    assert!(repeated.at - vain.at >= Duration::from_millis(900));
-    assert_eq!(relay.readiness(), 200);
+    let relay = TestRelay::with_cache_reporting_engine(&engine);
+    let failed = next(&calls);
+    let retry = next(&calls);
+    assert_eq!(retry.target, "/cache");
+    assert!(retry.at - failed.at >= Duration::from_millis(900));
+    assert_eq!(relay.readiness_status(), 200);
 }
 
 #[test]
@@ -118,28 +118,28 @@
 }
 
 /// An engine whose answers to such calls say something of itself; requests it answers whole.
-fn engine_saying(answer: String) -> StandIn {
-    StandIn::start(move |stream, request, _| {
+fn engine_saying(response: String) -> MockBackEnd {
+    MockBackEnd::start(move |stream, request, _| {
         match request.header("request-id") {
-            Some(_) => write(stream, &whole(request, "ran")),
-            None => write(stream, &answer),
+            Some(_) => write(stream, &ok_response(request, "ran")),
+            None => write(stream, &response),
         }
         true
     })
 }
 
-fn requests(engine: &StandIn) -> usize {
-    let seen = engine.seen.lock().expect("lock");
-    seen.iter().filter(|it| !it.id().is_empty()).count()
+fn requests(engine: &MockBackEnd) -> usize {
+    let requests = engine.requests.lock().expect("lock");
+    requests.iter().filter(|it| !it.id().is_empty()).count()
 }
 
 /// Calls until the node knows what the engine said of itself; from then on nothing more comes.
-fn gets_nothing_once_known(engine: &StandIn) {
-    let relay = Running::before_engine(engine);
+fn gets_nothing_once_known(engine: &MockBackEnd) {
+    let relay = TestRelay::with_cache_reporting_engine(engine);
     let call = || relay.call("POST", "/write/1", "", "x").status;
     let begun = Instant::now();
     while call() != 503 {
-        assert!(begun.elapsed() < PATIENCE, "its word is not heard");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "its word is not heard");
         std::thread::sleep(Duration::from_millis(20));
     }
     let before = requests(engine);
--- a/crates/transport/relay/tests/callers.rs
+++ b/crates/transport/relay/tests/callers.rs
@@ -4,7 +4,9 @@
 
 use rstest::rstest;
 use std::time::{Duration, Instant};
-use support::{HOST, KEY, PATIENCE, Running, StandIn, chunk, event, stream_head, whole, write};
+use support::{
+    HOST, KEY, MockBackEnd, TEST_TIMEOUT, TestRelay, chunk, event, ok_response, stream_head, write,
+};
 
 /// Callers that leave together, and how often: several times the 84 places of a back end with
 /// 64 slots.
@@ -13,9 +15,9 @@
 /// Back ends that make a question for a place take milliseconds.
 const MANY_LEAVING: usize = 20_000;
 
-fn sound() -> StandIn {
-    StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "ok"));
+fn sound() -> MockBackEnd {
+    MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "ok"));
         true
     })
 }
@@ -33,7 +35,7 @@
     #[case] expected: u16,
 ) {
     let back_end = sound();
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let host = if fault == "host-wrong" { "other" } else { HOST };
     let key = match fault {
@@ -53,63 +55,63 @@
     };
     let text = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n{key}{id}{time}\r\n");
     write(&mut caller.stream, &text);
-    let answer = caller.answer();
-    assert_eq!(answer.status, expected);
-    assert_eq!(back_end.count(), 0);
+    let response = caller.read_response();
+    assert_eq!(response.status, expected);
+    assert_eq!(back_end.request_count(), 0);
     caller.send("GET", "/read/2", "", "");
-    assert_eq!(caller.answer().status, 200);
+    assert_eq!(caller.read_response().status, 200);
 }
 
 #[test]
 fn without_a_configuration_callers_are_told_when_to_come_back() {
-    let relay = Running::without_configuration();
-    assert_eq!(relay.readiness(), 503);
-    let answer = relay.call("GET", "/read/1", "", "");
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    let relay = TestRelay::without_configuration();
+    assert_eq!(relay.readiness_status(), 503);
+    let response = relay.call("GET", "/read/1", "", "");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
 }
 
 #[test]
 fn a_request_that_comes_before_the_first_configuration_waits_for_it() {
     let back_end = sound();
     let delay = Duration::from_millis(100);
-    let relay = Running::with_late_configuration(&back_end, delay);
+    let relay = TestRelay::with_delayed_configuration(&back_end, delay);
     let begun = Instant::now();
-    let answer = relay.call("GET", "/read/1", "", "");
+    let response = relay.call("GET", "/read/1", "", "");
     // On a machine so busy that the configuration comes later still, the refusal comes
     // after the whole wait.
     let has_waited = begun.elapsed() >= Duration::from_millis(250);
-    assert!(answer.status == 200 || has_waited, "{answer:?}");
+    assert!(response.status == 200 || has_waited, "{response:?}");
 }
 
 #[test]
 fn a_body_over_the_limit_runs_nowhere() {
     let back_end = sound();
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let head = format!(
         "POST /write/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: 1\r\n\
          Authorization: Bearer {KEY}\r\nContent-Length: 400000\r\n\r\n"
     );
     write(&mut caller.stream, &head);
-    assert_eq!(caller.answer().status, 413);
-    assert_eq!(back_end.count(), 0);
+    assert_eq!(caller.read_response().status, 413);
+    assert_eq!(back_end.request_count(), 0);
 }
 
 #[test]
 fn a_head_over_the_limit_is_refused() {
     let back_end = sound();
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let extra = format!("X-Long: {}\r\n", "h".repeat(40_000));
-    let answer = relay.call("GET", "/read/1", &extra, "");
-    assert_eq!(answer.status, 431);
-    assert_eq!(back_end.count(), 0);
+    let response = relay.call("GET", "/read/1", &extra, "");
+    assert_eq!(response.status, 431);
+    assert_eq!(back_end.request_count(), 0);
 }
 
 #[test]
 fn two_framings_in_one_head_smuggle_nothing() {
     let back_end = sound();
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let text = format!(
         "POST /write/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: 1\r\n\
@@ -117,33 +119,39 @@
          Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
     );
     write(&mut caller.stream, &text);
-    let _ = caller.answer();
+    let _ = caller.read_response();
     std::thread::sleep(Duration::from_millis(100));
-    let seen = back_end.seen.lock().expect("lock");
-    assert!(seen.iter().all(|seen| !seen.head.contains("hidden")));
+    let requests = back_end.requests.lock().expect("lock");
+    assert!(
+        requests
+            .iter()
+            .all(|request| !request.head.contains("hidden"))
+    );
 }
 
 fn wait_for(what: &str, is_so: impl Fn() -> bool) {
     let begun = Instant::now();
     while !is_so() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
 fn a_caller_that_leaves_before_the_answer_ends_the_work() {
-    let back_end = StandIn::start(|stream, _, _| {
+    let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     caller.send("POST", "/write/1", "", "x");
-    wait_for("the request did not arrive", || back_end.count() == 1);
+    wait_for("the request did not arrive", || {
+        back_end.request_count() == 1
+    });
     let left = Instant::now();
     drop(caller);
-    let closed = || back_end.closed.lock().expect("lock").len() == 1;
+    let closed = || back_end.closed_at.lock().expect("lock").len() == 1;
     wait_for("the back end's connection stays open", closed);
     assert!(
         left.elapsed() < Duration::from_secs(3),
@@ -153,20 +161,20 @@
 
 #[test]
 fn a_caller_that_leaves_a_stream_ends_the_work() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&event(1)));
         support::wait_for_close(stream);
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     caller.send("POST", "/stream/1", "", "x");
     let mut buffer = [0; 64];
     let _ = std::io::Read::read(&mut caller.stream, &mut buffer);
     let left = Instant::now();
     drop(caller);
-    let closed = || back_end.closed.lock().expect("lock").len() == 1;
+    let closed = || back_end.closed_at.lock().expect("lock").len() == 1;
     wait_for("the back end's connection stays open", closed);
     assert!(
         left.elapsed() < Duration::from_secs(3),
@@ -183,7 +191,7 @@
 #[test]
 fn callers_that_leave_while_a_place_is_sought_take_none_for_good() {
     let back_end = sound();
-    let relay = Running::before_one_beside_leaving(&back_end, MANY_LEAVING);
+    let relay = TestRelay::with_draining_back_ends(&back_end, MANY_LEAVING);
     for _ in 0..GROUPS_THAT_LEAVE {
         let callers = (0..LEAVING_TOGETHER).map(|_| {
             let mut caller = relay.connect();
@@ -195,87 +203,95 @@
         // It is answered after the questions of those that left.
         relay.call("GET", "/read/between", "", "");
     }
-    let answer = relay.call("GET", "/read/1", "", "");
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = relay.call("GET", "/read/1", "", "");
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 #[test]
 fn a_planned_stop_finishes_what_was_read_and_tells_callers_to_leave() {
-    let back_end = StandIn::start(|stream, seen, _| {
+    let back_end = MockBackEnd::start(|stream, request, _| {
         std::thread::sleep(Duration::from_millis(200));
-        write(stream, &whole(seen, "late but whole"));
+        write(stream, &ok_response(request, "late but whole"));
         true
     });
-    let mut relay = Running::before(&[&back_end]);
-    assert_eq!(relay.readiness(), 200);
+    let mut relay = TestRelay::with_back_ends(&[&back_end]);
+    assert_eq!(relay.readiness_status(), 200);
     let mut caller = relay.connect();
     caller.send("POST", "/write/1", "", "x");
-    wait_for("the request did not arrive", || back_end.count() == 1);
-    relay.begin_stop();
-    wait_for("still ready", || relay.readiness() == 503);
-    let answer = caller.answer();
+    wait_for("the request did not arrive", || {
+        back_end.request_count() == 1
+    });
+    relay.begin_shutdown();
+    wait_for("still ready", || relay.readiness_status() == 503);
+    let response = caller.read_response();
     assert_eq!(
-        (answer.status, answer.body.as_str()),
+        (response.status, response.body.as_str()),
         (200, "late but whole")
     );
-    assert_eq!(answer.header("connection").as_deref(), Some("close"));
-    relay.wait_for_end();
+    assert_eq!(response.header("connection").as_deref(), Some("close"));
+    relay.wait_for_exit();
 }
 
 #[test]
 fn a_planned_stop_answers_even_where_the_back_end_stays_silent() {
-    let back_end = StandIn::start(|stream, _, _| {
+    let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let mut relay = Running::before(&[&back_end]);
+    let mut relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     caller.send("POST", "/write/1", "", "x");
-    wait_for("the request did not arrive", || back_end.count() == 1);
-    relay.begin_stop();
-    let answer = caller.answer();
-    assert_eq!(answer.status, 502);
-    relay.wait_for_end();
+    wait_for("the request did not arrive", || {
+        back_end.request_count() == 1
+    });
+    relay.begin_shutdown();
+    let response = caller.read_response();
+    assert_eq!(response.status, 502);
+    relay.wait_for_exit();
 }
 
 #[test]
 fn late_in_a_planned_stop_new_requests_are_refused_with_a_time_to_come_back() {
-    let back_end = StandIn::start(|stream, _, number| {
+    let back_end = MockBackEnd::start(|stream, _, number| {
         if number == 1 {
             support::wait_for_close(stream);
         }
         false
     });
-    let mut relay = Running::before(&[&back_end]);
+    let mut relay = TestRelay::with_back_ends(&[&back_end]);
     let mut open = relay.connect();
     open.send("POST", "/write/1", "", "x");
-    wait_for("the request did not arrive", || back_end.count() == 1);
-    relay.begin_stop();
+    wait_for("the request did not arrive", || {
+        back_end.request_count() == 1
+    });
+    relay.begin_shutdown();
     std::thread::sleep(Duration::from_millis(600));
-    let answer = relay.call("POST", "/write/2", "", "x");
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
-    assert_eq!(back_end.count(), 1);
-    relay.wait_for_end();
+    let response = relay.call("POST", "/write/2", "", "x");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
+    assert_eq!(back_end.request_count(), 1);
+    relay.wait_for_exit();
 }
 
 #[test]
 fn a_connection_opened_late_in_a_planned_stop_gets_its_answer() {
-    let back_end = StandIn::start(|stream, _, _| {
+    let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let mut relay = Running::before(&[&back_end]);
+    let mut relay = TestRelay::with_back_ends(&[&back_end]);
     let mut open = relay.connect();
     open.send("POST", "/write/1", "", "x");
-    wait_for("the request did not arrive", || back_end.count() == 1);
-    relay.begin_stop();
+    wait_for("the request did not arrive", || {
+        back_end.request_count() == 1
+    });
+    relay.begin_shutdown();
     std::thread::sleep(Duration::from_millis(600));
     let mut late = relay.connect();
     std::thread::sleep(Duration::from_millis(100));
     late.send("POST", "/write/2", "", "x");
-    let answer = late.answer();
-    assert_eq!(answer.status, 503);
-    assert_eq!(answer.header("connection").as_deref(), Some("close"));
-    relay.wait_for_end();
+    let response = late.read_response();
+    assert_eq!(response.status, 503);
+    assert_eq!(response.header("connection").as_deref(), Some("close"));
+    relay.wait_for_exit();
 }
--- a/crates/transport/relay/tests/crashing_requests.rs
+++ b/crates/transport/relay/tests/crashing_requests.rs
@@ -21,7 +21,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use support::{Answer, Fragile, PATIENCE, Running, StandIn};
+use support::{CrashingBackEnd, MockBackEnd, Response, TEST_TIMEOUT, TestRelay};
 
 /// A body that crashes back ends.
 const FATAL: &str = "fatal";
@@ -36,19 +36,19 @@
 const NODES: usize = 3;
 
 struct System {
-    back_ends: Vec<Fragile>,
-    nodes: Vec<Running>,
+    back_ends: Vec<CrashingBackEnd>,
+    nodes: Vec<TestRelay>,
 }
 
 impl System {
     fn start() -> Self {
-        let starts = (0..8).map(|_| Fragile::start(FATAL, DOWN));
-        let back_ends: Vec<Fragile> = starts.collect();
+        let starts = (0..8).map(|_| CrashingBackEnd::start(FATAL, DOWN));
+        let back_ends: Vec<CrashingBackEnd> = starts.collect();
         let mut system = Self {
             back_ends,
             nodes: Vec::new(),
         };
-        system.nodes = Running::fleet_before(NODES, &system.addresses());
+        system.nodes = TestRelay::start_fleet(NODES, &system.addresses());
         system
     }
 
@@ -57,10 +57,13 @@
     }
 
     fn crashes(&self) -> usize {
-        self.back_ends.iter().map(Fragile::crash_count).sum()
+        self.back_ends
+            .iter()
+            .map(CrashingBackEnd::crash_count)
+            .sum()
     }
 
-    fn send(&self, number: usize, path: &str, body: &str) -> Answer {
+    fn send(&self, number: usize, path: &str, body: &str) -> Response {
         let node = &self.nodes[number % self.nodes.len()];
         node.call("POST", path, "", body)
     }
@@ -71,7 +74,7 @@
         let begun = Instant::now();
         let mut number = 0;
         while self.crashes() < CRASHES {
-            assert!(begun.elapsed() < PATIENCE, "no three crashes");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "no three crashes");
             self.send(number, path, FATAL);
             number += 1;
         }
@@ -99,16 +102,16 @@
 fn its_caller_gets_a_final_answer_that_says_why() {
     let system = System::start();
     system.crash_three("/read/check");
-    let answer = system.send(1, "/read/check", FATAL);
-    assert_eq!(answer.status, 500);
-    assert_eq!(answer.header("retry-after"), None);
-    assert_eq!(answer.header("stamp"), None);
+    let response = system.send(1, "/read/check", FATAL);
+    assert_eq!(response.status, 500);
+    assert_eq!(response.header("retry-after"), None);
+    assert_eq!(response.header("stamp"), None);
     assert!(
-        answer.body.starts_with("crashes_back_ends: "),
+        response.body.starts_with("crashes_back_ends: "),
         "{}",
-        answer.body
+        response.body
     );
-    assert!(answer.body.contains("(digest "), "{}", answer.body);
+    assert!(response.body.contains("(digest "), "{}", response.body);
 }
 
 /// The same body elsewhere, another body, or another method is another request.
@@ -126,25 +129,25 @@
 #[test]
 fn requests_that_run_beside_it_are_served() {
     let system = System::start();
-    let answers = std::thread::scope(|scope| {
+    let responses = std::thread::scope(|scope| {
         let beside = scope.spawn(|| {
             let numbers = 0..60;
             let send = |number| system.send(number, "/read/beside", &format!("sound {number}"));
-            numbers.map(send).collect::<Vec<Answer>>()
+            numbers.map(send).collect::<Vec<Response>>()
         });
         system.crash_three("/read/check");
         beside.join().expect("no panic")
     });
-    for (number, answer) in answers.iter().enumerate() {
+    for (number, response) in responses.iter().enumerate() {
         assert!(
-            !answer.body.starts_with("crashes_back_ends"),
+            !response.body.starts_with("crashes_back_ends"),
             "{}",
-            answer.body
+            response.body
         );
-        if answer.status != 200 {
+        if response.status != 200 {
             let body = format!("sound {number}");
             let again = system.send(number, "/read/beside", &body);
-            assert_eq!(again.status, 200, "after {}", answer.status);
+            assert_eq!(again.status, 200, "after {}", response.status);
         }
     }
 }
@@ -152,16 +155,16 @@
 /// Connections break for many reasons; only a back end that is gone has crashed.
 #[test]
 fn a_request_whose_connections_break_is_not_blamed_while_back_ends_serve() {
-    let breaking = || StandIn::start(|_, _, _| false);
+    let breaking = || MockBackEnd::start(|_, _, _| false);
     let back_ends = [breaking(), breaking(), breaking(), breaking()];
-    let listed: Vec<&StandIn> = back_ends.iter().collect();
-    let relay = Running::before(&listed);
+    let listed: Vec<&MockBackEnd> = back_ends.iter().collect();
+    let relay = TestRelay::with_back_ends(&listed);
     for _ in 0..6 {
-        let answer = relay.call("POST", "/read/check", "", "x");
+        let response = relay.call("POST", "/read/check", "", "x");
         assert!(
-            !answer.body.starts_with("crashes_back_ends"),
+            !response.body.starts_with("crashes_back_ends"),
             "{}",
-            answer.body
+            response.body
         );
     }
 }
@@ -171,8 +174,8 @@
     let mut system = System::start();
     system.crash_three("/read/check");
     let before = system.crashes();
-    let joining = Running::joining(&system.nodes, &system.addresses());
-    system.nodes.push(joining);
+    let late_node = TestRelay::join_fleet(&system.nodes, &system.addresses());
+    system.nodes.push(late_node);
     std::thread::sleep(KNOWN_WITHIN);
     assert_eq!(system.send(NODES, "/read/check", FATAL).status, 500);
     assert_eq!(system.crashes(), before);
@@ -183,26 +186,26 @@
 fn it_is_taken_back_from_a_back_end_that_has_not_begun() {
     let path = "/patient-read/check";
     let mut system = System::start();
-    let holding = StandIn::start(|stream, _, _| {
+    let holding = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let node = Running::joining(&system.nodes, &[holding.address]);
-    let answer = std::thread::scope(|scope| {
+    let node = TestRelay::join_fleet(&system.nodes, &[holding.address]);
+    let response = std::thread::scope(|scope| {
         let waiting = scope.spawn(|| node.call("POST", path, "", FATAL));
         let begun = Instant::now();
-        while holding.count() == 0 {
-            assert!(begun.elapsed() < PATIENCE, "not sent");
+        while holding.request_count() == 0 {
+            assert!(begun.elapsed() < TEST_TIMEOUT, "not sent");
             std::thread::sleep(Duration::from_millis(5));
         }
         system.crash_three(path);
         waiting.join().expect("no panic")
     });
-    assert_eq!(answer.status, 500);
+    assert_eq!(response.status, 500);
     assert!(
-        answer.body.starts_with("crashes_back_ends: "),
+        response.body.starts_with("crashes_back_ends: "),
         "{}",
-        answer.body
+        response.body
     );
     system.nodes.push(node);
 }
--- a/crates/transport/relay/tests/leaving_back_ends.rs
+++ b/crates/transport/relay/tests/leaving_back_ends.rs
@@ -22,8 +22,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use support::{
-    PATIENCE, Running, Seen, StandIn, answering, chunk, event, shed, stream_head, whole, with_line,
-    write,
+    MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, chunk, event, not_run_response,
+    ok_response, start_responding, stream_head, with_header_line, write,
 };
 
 /// Requests that were sent to the node this long after it had passed the word on may not reach
@@ -35,47 +35,47 @@
 /// health.
 const ANSWERED_BEFORE: usize = 40;
 
-fn with_word(answer: &str) -> String {
-    with_line(answer, "Leaving: 1")
+fn with_word(response: &str) -> String {
+    with_header_line(response, "Leaving: 1")
 }
 
-fn answer_whole(stream: &mut TcpStream, seen: &Seen) {
-    write(stream, &with_word(&whole(seen, "leaving")));
+fn answer_whole(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_word(&ok_response(request, "leaving")));
 }
 
-fn answer_with_failure(stream: &mut TcpStream, seen: &Seen) {
-    let failure = whole(seen, "leaving").replacen("200 OK", "500 Error", 1);
+fn answer_with_failure(stream: &mut TcpStream, request: &ReceivedRequest) {
+    let failure = ok_response(request, "leaving").replacen("200 OK", "500 Error", 1);
     write(stream, &with_word(&failure));
 }
 
-fn answer_with_stream(stream: &mut TcpStream, seen: &Seen) {
-    write(stream, &with_word(&stream_head(seen, "s")));
+fn answer_with_stream(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_word(&stream_head(request, "s")));
     write(stream, &chunk(&event(1)));
     write(stream, "0\r\n\r\n");
 }
 
-fn turn_away(stream: &mut TcpStream, seen: &Seen) {
-    write(stream, &with_word(&shed(seen)));
+fn turn_away(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_word(&not_run_response(request)));
 }
 
 /// A back end that begins to leave, and says so in each answer from then on.
-fn leaving(answer: fn(&mut TcpStream, &Seen)) -> StandIn {
-    StandIn::start(move |stream, seen, number| {
+fn leaving(respond: fn(&mut TcpStream, &ReceivedRequest)) -> MockBackEnd {
+    MockBackEnd::start(move |stream, request, number| {
         if number <= ANSWERED_BEFORE {
-            write(stream, &whole(seen, "staying"));
+            write(stream, &ok_response(request, "staying"));
         } else {
-            answer(stream, seen);
+            respond(stream, request);
         }
         true
     })
 }
 
 /// Sends requests until an answer has said that the back end leaves.
-fn call_until_told(relay: &Running, route: &str, leaving: &StandIn) {
+fn call_until_told(relay: &TestRelay, route: &str, leaving: &MockBackEnd) {
     let begun = Instant::now();
     let mut number = 0;
-    while leaving.count() <= ANSWERED_BEFORE {
-        assert!(begun.elapsed() < PATIENCE, "it was asked too rarely");
+    while leaving.request_count() <= ANSWERED_BEFORE {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it was asked too rarely");
         relay.post(route, number);
         number += 1;
     }
@@ -88,16 +88,20 @@
 #[case::turned_away("write", turn_away)]
 fn a_back_end_that_says_it_leaves_gets_nothing_sent_later(
     #[case] route: &str,
-    #[case] answer: fn(&mut TcpStream, &Seen),
+    #[case] respond: fn(&mut TcpStream, &ReceivedRequest),
 ) {
-    let (leaving, staying) = (leaving(answer), answering("staying"));
-    let relay = Running::before(&[&leaving, &staying]);
+    let (leaving, staying) = (leaving(respond), start_responding("staying"));
+    let relay = TestRelay::with_back_ends(&[&leaving, &staying]);
     call_until_told(&relay, route, &leaving);
     std::thread::sleep(DRAIN_TIME);
-    let before = leaving.count();
+    let before = leaving.request_count();
     for number in 100..100 + LATER {
-        let answer = relay.post(route, number);
-        assert_eq!((answer.status, answer.body.as_str()), (200, "staying"));
+        let response = relay.post(route, number);
+        assert_eq!((response.status, response.body.as_str()), (200, "staying"));
     }
-    assert_eq!(leaving.count() - before, 0, "requests reached it later");
+    assert_eq!(
+        leaving.request_count() - before,
+        0,
+        "requests reached it later"
+    );
 }
--- a/crates/transport/relay/tests/limited_back_ends.rs
+++ b/crates/transport/relay/tests/limited_back_ends.rs
@@ -22,8 +22,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use support::{
-    Answer, PATIENCE, Running, Seen, StandIn, answering, chunk, event, stream_head, whole,
-    with_line, write,
+    MockBackEnd, ReceivedRequest, Response, TEST_TIMEOUT, TestRelay, chunk, event, ok_response,
+    start_responding, stream_head, with_header_line, write,
 };
 
 /// Nodes before the back ends.
@@ -40,22 +40,22 @@
 /// Time between two requests to one node.
 const PACE: Duration = Duration::from_millis(20);
 
-type Respond = fn(&mut TcpStream, &str, &Seen);
+type Respond = fn(&mut TcpStream, &str, &ReceivedRequest);
 
 /// A back end that names a limit from its first answer on.
-fn limited(limit: f64, respond: Respond) -> StandIn {
+fn limited(limit: f64, respond: Respond) -> MockBackEnd {
     let line = format!("Rate-Limit: {limit}");
-    StandIn::start(move |stream, seen, _| {
-        respond(stream, &line, seen);
+    MockBackEnd::start(move |stream, request, _| {
+        respond(stream, &line, request);
         true
     })
 }
 
 /// Moments of the requests that came after all nodes had time to know of the limit.
-fn counted(limited: &StandIn) -> Vec<Instant> {
-    let arrivals = limited.arrivals();
-    let first = arrivals.first().copied().expect("it was asked");
-    let counted = arrivals.into_iter();
+fn counted(limited: &MockBackEnd) -> Vec<Instant> {
+    let arrival_times = limited.arrival_times();
+    let first = arrival_times.first().copied().expect("it was asked");
+    let counted = arrival_times.into_iter();
     counted.filter(|at| *at >= first + KNOWN_WITHIN).collect()
 }
 
@@ -72,47 +72,50 @@
     (OVERAGE * limit * WINDOW.as_secs_f64() + SLACK) as usize
 }
 
-fn answer_whole(stream: &mut TcpStream, line: &str, seen: &Seen) {
-    write(stream, &with_line(&whole(seen, "limited"), line));
+fn answer_whole(stream: &mut TcpStream, line: &str, request: &ReceivedRequest) {
+    write(
+        stream,
+        &with_header_line(&ok_response(request, "limited"), line),
+    );
 }
 
-fn answer_with_stream(stream: &mut TcpStream, line: &str, seen: &Seen) {
-    write(stream, &with_line(&stream_head(seen, "s"), line));
+fn answer_with_stream(stream: &mut TcpStream, line: &str, request: &ReceivedRequest) {
+    write(stream, &with_header_line(&stream_head(request, "s"), line));
     write(stream, &chunk(&event(1)));
     write(stream, "0\r\n\r\n");
 }
 
-fn call(relay: &Running, route: &str, number: usize) -> Answer {
+fn call(relay: &TestRelay, route: &str, number: usize) -> Response {
     std::thread::sleep(PACE);
     relay.post(route, number)
 }
 
 /// Callers press all nodes until the requests that count have come. Returns their answers.
-fn press(fleet: &[Running], route: &str) -> Vec<Answer> {
+fn press(fleet: &[TestRelay], route: &str) -> Vec<Response> {
     let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let callers = fleet.iter().map(|relay| {
             scope.spawn(|| {
-                let mut answers = Vec::new();
+                let mut responses = Vec::new();
                 while !is_over.load(Ordering::SeqCst) {
-                    answers.push(call(relay, route, answers.len()));
+                    responses.push(call(relay, route, responses.len()));
                 }
-                answers
+                responses
             })
         });
         let callers: Vec<_> = callers.collect();
         std::thread::sleep(KNOWN_WITHIN + COUNTED_FOR);
         is_over.store(true, Ordering::SeqCst);
-        let answers = callers.into_iter();
-        answers
+        let responses = callers.into_iter();
+        responses
             .flat_map(|caller| caller.join().expect("no panic"))
             .collect()
     })
 }
 
-fn fleet_before(back_ends: &[&StandIn]) -> Vec<Running> {
+fn start_fleet(back_ends: &[&MockBackEnd]) -> Vec<TestRelay> {
     let addresses: Vec<SocketAddr> = back_ends.iter().map(|it| it.address).collect();
-    Running::fleet_before(NODES, &addresses)
+    TestRelay::start_fleet(NODES, &addresses)
 }
 
 #[rstest]
@@ -124,8 +127,8 @@
     #[case] limit: f64,
     #[case] respond: Respond,
 ) {
-    let (limited, sound) = (limited(limit, respond), answering("sound"));
-    let fleet = fleet_before(&[&limited, &sound]);
+    let (limited, sound) = (limited(limit, respond), start_responding("sound"));
+    let fleet = start_fleet(&[&limited, &sound]);
     press(&fleet, route);
     let most = most_in_window(&counted(&limited));
     let allowed = allowed(limit);
@@ -135,10 +138,10 @@
 /// What the limited back end doesn't take goes to the other one, and nothing is refused for it.
 #[test]
 fn callers_are_served_by_others_and_the_limit_is_used() {
-    let (limited, sound) = (limited(2.0, answer_whole), answering("sound"));
-    let fleet = fleet_before(&[&limited, &sound]);
-    let answers = press(&fleet, "read");
-    assert!(answers.iter().all(|answer| answer.status == 200));
+    let (limited, sound) = (limited(2.0, answer_whole), start_responding("sound"));
+    let fleet = start_fleet(&[&limited, &sound]);
+    let responses = press(&fleet, "read");
+    assert!(responses.iter().all(|response| response.status == 200));
     assert!(!counted(&limited).is_empty(), "it is not used");
 }
 
@@ -147,7 +150,7 @@
 #[test]
 fn where_all_are_limited_callers_are_refused_with_a_time() {
     let limited = limited(0.25, answer_whole);
-    let relay = Running::before(&[&limited]);
+    let relay = TestRelay::with_back_ends(&[&limited]);
     assert_eq!(call(&relay, "write", 0).status, 200);
     let refused = call(&relay, "write", 1);
     assert_eq!(refused.status, 503);
@@ -156,7 +159,7 @@
 
 /// An answer that names no limit ends it, also that of a failure; one that can't be read doesn't.
 #[rstest]
-#[case::whole("Other: 1", "200 OK", true)]
+#[case::ok_response("Other: 1", "200 OK", true)]
 #[case::a_failure("Other: 1", "500 Error", true)]
 #[case::unreadable("Rate-Limit: soon", "200 OK", false)]
 #[case::negative("Rate-Limit: -1", "200 OK", false)]
@@ -165,23 +168,23 @@
     #[case] status: &'static str,
     #[case] ends: bool,
 ) {
-    let back_end = StandIn::start(move |stream, seen, number| {
+    let back_end = MockBackEnd::start(move |stream, request, number| {
         let line = if number == 1 { "Rate-Limit: 2" } else { line };
-        let answer = with_line(&whole(seen, "back"), line);
-        let answer = if number == 2 {
-            answer.replacen("200 OK", status, 1)
+        let response = with_header_line(&ok_response(request, "back"), line);
+        let response = if number == 2 {
+            response.replacen("200 OK", status, 1)
         } else {
-            answer
+            response
         };
-        write(stream, &answer);
+        write(stream, &response);
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let begun = Instant::now();
     let mut number = 0;
-    while back_end.count() < 2 {
+    while back_end.request_count() < 2 {
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < TEST_TIMEOUT,
             "it gets nothing under its limit"
         );
         call(&relay, "write", number);
--- a/crates/transport/relay/tests/repeats.rs
+++ b/crates/transport/relay/tests/repeats.rs
@@ -3,29 +3,29 @@
 mod support;
 
 use std::net::TcpStream;
-use support::{Running, Seen, StandIn, shed, whole, write};
+use support::{MockBackEnd, ReceivedRequest, TestRelay, not_run_response, ok_response, write};
 
-type Behaviour = fn(&mut TcpStream, &Seen) -> bool;
+type Behaviour = fn(&mut TcpStream, &ReceivedRequest) -> bool;
 
-fn pair(first: Behaviour) -> (StandIn, StandIn) {
-    let failing = StandIn::start(move |stream, seen, _| first(stream, seen));
-    let sound = StandIn::start(|stream, seen, _| {
-        write(stream, &whole(seen, "sound"));
+fn pair(first: Behaviour) -> (MockBackEnd, MockBackEnd) {
+    let failing = MockBackEnd::start(move |stream, request, _| first(stream, request));
+    let sound = MockBackEnd::start(|stream, request, _| {
+        write(stream, &ok_response(request, "sound"));
         true
     });
     (failing, sound)
 }
 
-fn refuse(stream: &mut TcpStream, seen: &Seen) -> bool {
-    write(stream, &shed(seen));
+fn refuse(stream: &mut TcpStream, request: &ReceivedRequest) -> bool {
+    write(stream, &not_run_response(request));
     true
 }
 
-fn break_off(_: &mut TcpStream, _: &Seen) -> bool {
+fn break_off(_: &mut TcpStream, _: &ReceivedRequest) -> bool {
     false
 }
 
-fn misdirected(stream: &mut TcpStream, _: &Seen) -> bool {
+fn misdirected(stream: &mut TcpStream, _: &ReceivedRequest) -> bool {
     write(
         stream,
         "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n",
@@ -34,15 +34,18 @@
 }
 
 /// Calls until the failing back end was asked at least once.
-fn statuses(route: &str, first: Behaviour) -> (Vec<u16>, StandIn, StandIn) {
+fn statuses(route: &str, first: Behaviour) -> (Vec<u16>, MockBackEnd, MockBackEnd) {
     let (failing, sound) = pair(first);
-    let relay = Running::before(&[&failing, &sound]);
+    let relay = TestRelay::with_back_ends(&[&failing, &sound]);
     let mut statuses = Vec::new();
     for number in 0..12 {
         let path = format!("/{route}/{number}");
         statuses.push(relay.call("POST", &path, "", "x").status);
     }
-    assert!(failing.count() > 0, "the failing back end was never asked");
+    assert!(
+        failing.request_count() > 0,
+        "the failing back end was never asked"
+    );
     (statuses, failing, sound)
 }
 
@@ -50,7 +53,7 @@
 fn what_a_back_end_has_not_run_is_sent_to_another() {
     let (statuses, _, sound) = statuses("write", refuse);
     assert_eq!(statuses, vec![200; 12]);
-    assert_eq!(sound.count(), 12);
+    assert_eq!(sound.request_count(), 12);
 }
 
 #[test]
@@ -63,15 +66,15 @@
 fn a_repeatable_request_without_an_answer_is_sent_again() {
     let (statuses, _, sound) = statuses("read", break_off);
     assert_eq!(statuses, vec![200; 12]);
-    assert_eq!(sound.count(), 12);
+    assert_eq!(sound.request_count(), 12);
 }
 
 #[test]
 fn a_request_that_may_have_run_and_may_not_be_repeated_is_sent_once() {
     let (statuses, failing, sound) = statuses("write", break_off);
     let lost = statuses.iter().filter(|status| **status == 502).count();
-    assert_eq!(lost, failing.count());
-    assert_eq!(failing.count() + sound.count(), 12);
+    assert_eq!(lost, failing.request_count());
+    assert_eq!(failing.request_count() + sound.request_count(), 12);
 }
 
 #[test]
@@ -81,42 +84,42 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("bound")
     };
-    let gone = StandIn { address, ..gone };
-    let relay = Running::before(&[&gone, &sound]);
+    let gone = MockBackEnd { address, ..gone };
+    let relay = TestRelay::with_back_ends(&[&gone, &sound]);
     for number in 0..12 {
-        let answer = relay.call("POST", &format!("/write/{number}"), "", "x");
-        assert_eq!(answer.status, 200);
+        let response = relay.call("POST", &format!("/write/{number}"), "", "x");
+        assert_eq!(response.status, 200);
     }
-    assert_eq!(sound.count(), 12);
+    assert_eq!(sound.request_count(), 12);
 }
 
 #[test]
 fn a_failure_that_comes_twice_is_passed_on_as_the_back_end_gave_it() {
-    let failing: Behaviour = |stream, seen| {
+    let failing: Behaviour = |stream, request| {
         write(
             stream,
-            &whole(seen, "no").replacen("200 OK", "500 Error", 1),
+            &ok_response(request, "no").replacen("200 OK", "500 Error", 1),
         );
         true
     };
-    let one = StandIn::start(move |stream, seen, _| failing(stream, seen));
-    let two = StandIn::start(move |stream, seen, _| failing(stream, seen));
-    let relay = Running::before(&[&one, &two]);
-    let answer = relay.call("GET", "/read/1", "", "");
-    assert_eq!((answer.status, answer.body.as_str()), (500, "no"));
-    assert_eq!((one.count(), two.count()), (1, 1));
+    let one = MockBackEnd::start(move |stream, request, _| failing(stream, request));
+    let two = MockBackEnd::start(move |stream, request, _| failing(stream, request));
+    let relay = TestRelay::with_back_ends(&[&one, &two]);
+    let response = relay.call("GET", "/read/1", "", "");
+    assert_eq!((response.status, response.body.as_str()), (500, "no"));
+    assert_eq!((one.request_count(), two.request_count()), (1, 1));
 }
 
 #[test]
 fn a_silent_back_end_is_given_up_at_the_routes_time() {
-    let silent = StandIn::start(|stream, _, _| {
+    let silent = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let relay = Running::before(&[&silent]);
+    let relay = TestRelay::with_back_ends(&[&silent]);
     let begun = std::time::Instant::now();
-    let answer = relay.call("POST", "/quick/1", "", "x");
-    assert_eq!(answer.status, 504);
+    let response = relay.call("POST", "/quick/1", "", "x");
+    assert_eq!(response.status, 504);
     assert!(begun.elapsed() >= std::time::Duration::from_millis(390));
-    assert_eq!(silent.count(), 1);
+    assert_eq!(silent.request_count(), 1);
 }
--- a/crates/transport/relay/tests/resting_back_ends.rs
+++ b/crates/transport/relay/tests/resting_back_ends.rs
@@ -20,7 +20,10 @@
 use rstest::rstest;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use support::{Answer, PATIENCE, Running, Seen, StandIn, answering, shed, whole, with_line, write};
+use support::{
+    MockBackEnd, ReceivedRequest, Response, TEST_TIMEOUT, TestRelay, not_run_response, ok_response,
+    start_responding, with_header_line, write,
+};
 
 /// What the back end asks for.
 const REST: Duration = Duration::from_secs(3);
@@ -34,18 +37,18 @@
 /// Time between two requests to the node.
 const PACE: Duration = Duration::from_millis(20);
 
-type TurnAway = fn(&mut TcpStream, &Seen);
+type TurnAway = fn(&mut TcpStream, &ReceivedRequest);
 
 /// A back end that asks for a rest once.
-struct Resting(StandIn);
+struct Resting(MockBackEnd);
 
 impl Resting {
     fn start(turn_away: TurnAway) -> Self {
-        Self(StandIn::start(move |stream, seen, number| {
+        Self(MockBackEnd::start(move |stream, request, number| {
             if number == ANSWERED_BEFORE + 1 {
-                turn_away(stream, seen);
+                turn_away(stream, request);
             } else {
-                write(stream, &whole(seen, "back"));
+                write(stream, &ok_response(request, "back"));
             }
             true
         }))
@@ -53,48 +56,48 @@
 
     /// When it asked for a rest, if it has.
     fn asked_at(&self) -> Option<Instant> {
-        self.0.arrivals().get(ANSWERED_BEFORE).copied()
+        self.0.arrival_times().get(ANSWERED_BEFORE).copied()
     }
 
     /// Requests that came so long after it asked.
     fn arrivals_between(&self, from: Duration, to: Duration) -> usize {
         let asked = self.asked_at().expect("it has asked");
-        let arrivals = self.0.arrivals().into_iter();
-        let after = arrivals.skip(ANSWERED_BEFORE + 1);
+        let arrival_times = self.0.arrival_times().into_iter();
+        let after = arrival_times.skip(ANSWERED_BEFORE + 1);
         let after = after.map(|at| at.duration_since(asked));
         after.filter(|after| (from..to).contains(after)).count()
     }
 }
 
-fn with_rest(answer: &str) -> String {
+fn with_rest(response: &str) -> String {
     let seconds = REST.as_secs();
-    with_line(answer, &format!("Retry-After: {seconds}"))
+    with_header_line(response, &format!("Retry-After: {seconds}"))
 }
 
-fn not_run(stream: &mut TcpStream, seen: &Seen) {
-    write(stream, &with_rest(&shed(seen)));
+fn not_run(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_rest(&not_run_response(request)));
 }
 
 /// An answer that doesn't say whether the request has run.
-fn unavailable(stream: &mut TcpStream, seen: &Seen) {
-    let answer = whole(seen, "no").replacen("200 OK", "503 Unavailable", 1);
-    write(stream, &with_rest(&answer));
+fn unavailable(stream: &mut TcpStream, request: &ReceivedRequest) {
+    let response = ok_response(request, "no").replacen("200 OK", "503 Unavailable", 1);
+    write(stream, &with_rest(&response));
 }
 
-fn call(relay: &Running, route: &str, number: usize) -> Answer {
+fn call(relay: &TestRelay, route: &str, number: usize) -> Response {
     std::thread::sleep(PACE);
     relay.post(route, number)
 }
 
 /// Sends requests until the back end has asked for its rest and the rest is over.
-fn call_through_rest(relay: &Running, route: &str, resting: &Resting) -> Vec<Answer> {
+fn call_through_rest(relay: &TestRelay, route: &str, resting: &Resting) -> Vec<Response> {
     let begun = Instant::now();
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     while resting.asked_at().is_none_or(|at| at.elapsed() < REST) {
-        assert!(begun.elapsed() < PATIENCE, "it was asked too rarely");
-        answers.push(call(relay, route, answers.len()));
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it was asked too rarely");
+        responses.push(call(relay, route, responses.len()));
     }
-    answers
+    responses
 }
 
 #[rstest]
@@ -107,8 +110,8 @@
     #[case] turn_away: TurnAway,
 ) {
     let resting = Resting::start(turn_away);
-    let sound = answering("sound");
-    let relay = Running::before(&[&resting.0, &sound]);
+    let sound = start_responding("sound");
+    let relay = TestRelay::with_back_ends(&[&resting.0, &sound]);
     call_through_rest(&relay, route, &resting);
     let in_rest = resting.arrivals_between(ON_THEIR_WAY, REST);
     assert!(in_rest <= MOST_IN_REST, "{in_rest} requests in its rest");
@@ -118,11 +121,11 @@
 #[test]
 fn it_gets_requests_again_after_its_rest() {
     let resting = Resting::start(not_run);
-    let relay = Running::before(&[&resting.0]);
+    let relay = TestRelay::with_back_ends(&[&resting.0]);
     call_through_rest(&relay, "read", &resting);
     let begun = Instant::now();
-    while resting.0.count() == ANSWERED_BEFORE + 1 {
-        assert!(begun.elapsed() < PATIENCE, "it gets nothing any more");
+    while resting.0.request_count() == ANSWERED_BEFORE + 1 {
+        assert!(begun.elapsed() < TEST_TIMEOUT, "it gets nothing any more");
         call(&relay, "read", 0);
     }
     assert_eq!(call(&relay, "read", 1).status, 200);
@@ -133,14 +136,14 @@
 #[test]
 fn where_all_rest_callers_are_refused_at_once_with_a_time() {
     let resting = Resting::start(not_run);
-    let relay = Running::before(&[&resting.0]);
-    let answers = call_through_rest(&relay, "write", &resting);
+    let relay = TestRelay::with_back_ends(&[&resting.0]);
+    let responses = call_through_rest(&relay, "write", &resting);
     let in_rest = resting.arrivals_between(ON_THEIR_WAY, REST);
     assert!(in_rest <= MOST_IN_REST, "{in_rest} requests in its rest");
-    let refused: Vec<&Answer> = answers.iter().filter(|it| it.status == 503).collect();
+    let refused: Vec<&Response> = responses.iter().filter(|it| it.status == 503).collect();
     assert!(refused.len() > 10, "{} refused", refused.len());
-    let longest = refused.iter().map(|answer| {
-        let seconds = answer.header("retry-after").expect("a time");
+    let longest = refused.iter().map(|response| {
+        let seconds = response.header("retry-after").expect("a time");
         seconds.parse::<f64>().expect("seconds")
     });
     assert!(longest.fold(0.0, f64::max) <= 0.5);
@@ -154,16 +157,16 @@
 #[case::endless("inf")]
 #[case::no_text("\u{e9}")]
 fn a_rest_that_is_no_number_of_seconds_is_not_kept(#[case] rest: &'static str) {
-    let back_end = StandIn::start(move |stream, seen, number| {
+    let back_end = MockBackEnd::start(move |stream, request, number| {
         if number == 1 {
             let rest = format!("Retry-After: {rest}");
-            write(stream, &with_line(&shed(seen), &rest));
+            write(stream, &with_header_line(&not_run_response(request), &rest));
         } else {
-            write(stream, &whole(seen, "back"));
+            write(stream, &ok_response(request, "back"));
         }
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(call(&relay, "write", 0).status, 503);
     assert_eq!(call(&relay, "write", 1).status, 200);
 }
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use support::{
-    AMPLE_MEMORY, Caller, HOST, KEY, PATIENCE, Running, Seen, StandIn, chunk, stream_head,
-    wait_for_close, whole, write,
+    AMPLE_MEMORY_BUDGET, Caller, HOST, KEY, MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay,
+    chunk, ok_response, stream_head, wait_for_close, write,
 };
 
 /// How long a back end lets its answer sit unread.
@@ -24,13 +24,13 @@
 fn wait_for(what: &str, is_so: impl Fn() -> bool) {
     let begun = Instant::now();
     while !is_so() {
-        assert!(begun.elapsed() < PATIENCE, "{what}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Prints the most that was held; the table of docs/design/backpressure.md is made of it.
-fn tell_peak(what: &str, relay: &Running) {
+fn tell_peak(what: &str, relay: &TestRelay) {
     println!("peak: {what}: {} bytes", relay.memory.peak());
 }
 
@@ -54,20 +54,20 @@
 }
 
 /// Sends a stream; whether it was taken in time.
-fn send_insistently(stream: &mut TcpStream, seen: &Seen, events: u64) -> bool {
+fn send_insistently(stream: &mut TcpStream, request: &ReceivedRequest, events: u64) -> bool {
     let _ = stream.set_write_timeout(Some(UNREAD_LIMIT));
     let mut send = |text: &str| stream.write_all(text.as_bytes()).is_ok();
-    send(&stream_head(seen, "one"))
+    send(&stream_head(request, "one"))
         && (1..=events).all(|id| send(&chunk(&long_event(id))))
         && send("0\r\n\r\n")
 }
 
 /// A back end that cuts off an answer that sits unread.
-fn insistent(events: u64) -> (StandIn, Arc<Fates>) {
+fn insistent(events: u64) -> (MockBackEnd, Arc<Fates>) {
     let fates = Arc::new(Fates::default());
     let noted = Arc::clone(&fates);
-    let back_end = StandIn::with_small_buffers(move |stream, seen, _| {
-        let is_taken = send_insistently(stream, seen, events);
+    let back_end = MockBackEnd::with_small_buffers(move |stream, request, _| {
+        let is_taken = send_insistently(stream, request, events);
         let fate = if is_taken { &noted.taken } else { &noted.cut };
         fate.fetch_add(1, Ordering::SeqCst);
         is_taken
@@ -94,17 +94,17 @@
 #[test]
 fn a_slow_caller_keeps_no_back_end_waiting_and_gets_the_whole_answer() {
     let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
-    let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
-    let mut caller = relay.connect_slowly();
+    let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
+    let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     let begun = read_a_few_bytes(&mut caller);
     assert_eq!(begun, b"HTT");
     wait_for("the stream is still unread", || fates.over() == 1);
     assert_eq!(fates.taken.load(Ordering::SeqCst), 1, "cut off as unread");
     assert!(relay.memory.held_by_kind(MemoryKind::Events) > 0);
-    let answer = caller.answer_after(begun);
-    assert!(answer.is_whole);
-    assert!(is_whole_stream(&answer.body, LONG_STREAM_EVENTS));
+    let response = caller.read_response_after(begun);
+    assert!(response.is_complete);
+    assert!(is_whole_stream(&response.body, LONG_STREAM_EVENTS));
     wait_for("bytes stay held", || relay.memory.held() == 0);
     tell_peak("one slow caller of 6 MB", &relay);
 }
@@ -112,8 +112,8 @@
 #[test]
 fn without_a_budget_a_slow_caller_keeps_its_back_end_waiting() {
     let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
-    let relay = Running::with_memory(&[&back_end], 0);
-    let mut caller = relay.connect_slowly();
+    let relay = TestRelay::with_memory_budget(&[&back_end], 0);
+    let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     wait_for("neither taken nor cut", || fates.over() == 1);
     assert_eq!(fates.cut.load(Ordering::SeqCst), 1);
@@ -125,12 +125,12 @@
     const CALLERS: usize = 1_000;
     const EVENTS: u64 = 600;
     const BUDGET: u64 = 40 * MEBIBYTE;
-    let all: Vec<(StandIn, Arc<Fates>)> = (0..4).map(|_| insistent(EVENTS)).collect();
-    let back_ends: Vec<&StandIn> = all.iter().map(|(back_end, _)| back_end).collect();
-    let relay = Running::with_memory(&back_ends, BUDGET);
+    let all: Vec<(MockBackEnd, Arc<Fates>)> = (0..4).map(|_| insistent(EVENTS)).collect();
+    let back_ends: Vec<&MockBackEnd> = all.iter().map(|(back_end, _)| back_end).collect();
+    let relay = TestRelay::with_memory_budget(&back_ends, BUDGET);
     let mut callers: Vec<Caller> = (0..CALLERS)
         .map(|number| {
-            let mut caller = relay.connect_slowly();
+            let mut caller = relay.connect_with_small_buffer();
             caller.send("POST", &format!("/patient/{number}"), "", "x");
             caller
         })
@@ -143,12 +143,12 @@
     let sent = || {
         back_ends
             .iter()
-            .map(|back_end| back_end.count())
+            .map(|back_end| back_end.request_count())
             .sum::<usize>()
     };
     // Until each of the thousand has its answer, others of them may take the places that the
     // first ones give back: the next caller then finds the back ends truly full.
-    let is_each_answered = callers.iter().all(Caller::is_answered);
+    let is_each_answered = callers.iter().all(Caller::wait_for_response);
     assert!(is_each_answered, "some of the thousand were not answered");
     wait_for("not all streams came to an end", || {
         sent() > 0 && over() == sent()
@@ -156,16 +156,22 @@
     let mut keen = relay.connect();
     keen.send("POST", "/patient/keen", "", "x");
     assert!(
-        is_whole_stream(&keen.answer().body, EVENTS),
+        is_whole_stream(&keen.read_response().body, EVENTS),
         "others suffer"
     );
-    let answers: Vec<_> = callers.iter_mut().map(Caller::answer).collect();
-    let is_right = |answer: &&support::Answer| {
-        answer.is_whole && answer.status == 200 && is_whole_stream(&answer.body, EVENTS)
+    let responses: Vec<_> = callers.iter_mut().map(Caller::read_response).collect();
+    let is_right = |response: &&support::Response| {
+        response.is_complete && response.status == 200 && is_whole_stream(&response.body, EVENTS)
     };
-    let right = answers.iter().filter(is_right).count();
-    let refused = answers.iter().filter(|answer| answer.status == 503).count();
-    let ended = answers.iter().filter(|answer| !answer.is_whole).count();
+    let right = responses.iter().filter(is_right).count();
+    let refused = responses
+        .iter()
+        .filter(|response| response.status == 503)
+        .count();
+    let ended = responses
+        .iter()
+        .filter(|response| !response.is_complete)
+        .count();
     let peak = relay.memory.peak();
     tell_peak("a thousand slow callers of 600 kB", &relay);
     println!("{right} whole, {ended} ended, {refused} refused");
@@ -183,34 +189,34 @@
 fn a_stream_past_its_requests_bound_is_ended_and_does_not_look_complete() {
     let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
     // An eighth of it, 256 KiB, for one request's events.
-    let relay = Running::with_memory(&[&back_end], 2 * MEBIBYTE);
-    let mut caller = relay.connect_slowly();
+    let relay = TestRelay::with_memory_budget(&[&back_end], 2 * MEBIBYTE);
+    let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     wait_for("the stream goes on", || fates.over() == 1);
     wait_for("bytes stay held", || relay.memory.held() == 0);
     assert!(relay.memory.peak() <= MEBIBYTE / 4 + 64 * 1024);
-    assert!(!caller.answer().is_whole);
+    assert!(!caller.read_response().is_complete);
 }
 
 #[test]
 fn events_that_came_before_a_break_reach_a_slow_caller_and_nothing_looks_complete() {
     const EVENTS: u64 = 2_000;
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         for id in 1..=EVENTS {
             write(stream, &chunk(&long_event(id)));
         }
         false
     });
-    let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
-    let mut caller = relay.connect_slowly();
+    let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
+    let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     wait_for("the back end has not broken off", || {
-        back_end.closed.lock().expect("lock").len() == 1
+        back_end.closed_at.lock().expect("lock").len() == 1
     });
-    let answer = caller.answer();
-    assert!(is_whole_stream(&answer.body, EVENTS));
-    assert!(!answer.is_whole);
+    let response = caller.read_response();
+    assert!(is_whole_stream(&response.body, EVENTS));
+    assert!(!response.is_complete);
     wait_for("bytes stay held", || relay.memory.held() == 0);
 }
 
@@ -221,9 +227,9 @@
     const URGENT: usize = 4;
     let (back_end, fates) = insistent(EVENTS);
     // Half of it, 16 MiB, for events: 5 of the 7 streams.
-    let relay = Running::with_memory(&[&back_end], 32 * MEBIBYTE);
+    let relay = TestRelay::with_memory_budget(&[&back_end], 32 * MEBIBYTE);
     let call = |path: String| {
-        let mut caller = relay.connect_slowly();
+        let mut caller = relay.connect_with_small_buffer();
         caller.send("POST", &path, "", "x");
         caller
     };
@@ -236,12 +242,16 @@
         .map(|number| call(format!("/patient-urgent/{number}")))
         .collect();
     wait_for("not all came to an end", || fates.over() == IDLE + URGENT);
-    let whole = |callers: &mut Vec<Caller>| {
-        let answers = callers.iter_mut().map(Caller::answer);
-        answers.filter(|answer| answer.is_whole).count()
+    let count_complete = |callers: &mut Vec<Caller>| {
+        let responses = callers.iter_mut().map(Caller::read_response);
+        responses.filter(|response| response.is_complete).count()
     };
-    assert_eq!(whole(&mut urgent), URGENT, "an urgent one gave way");
-    assert!(whole(&mut idle) < IDLE, "none gave way");
+    assert_eq!(
+        count_complete(&mut urgent),
+        URGENT,
+        "an urgent one gave way"
+    );
+    assert!(count_complete(&mut idle) < IDLE, "none gave way");
     let bodies = (IDLE + URGENT) as u64;
     assert!(relay.memory.peak() <= 16 * MEBIBYTE + bodies);
     tell_peak("seven slow callers of 3.5 MB, three less urgent", &relay);
@@ -249,41 +259,41 @@
 
 #[test]
 fn a_caller_that_leaves_in_the_middle_frees_everything_at_once() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         for id in 1..=LONG_STREAM_EVENTS {
             write(stream, &chunk(&long_event(id)));
         }
         wait_for_close(stream);
         false
     });
-    let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
-    let mut caller = relay.connect_slowly();
+    let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
+    let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     let held = || relay.memory.held_by_kind(MemoryKind::Events);
     wait_for("nothing is read ahead", || held() > MEBIBYTE);
     drop(caller);
     wait_for("the back end's connection stays open", || {
-        back_end.closed.lock().expect("lock").len() == 1
+        back_end.closed_at.lock().expect("lock").len() == 1
     });
     wait_for("bytes stay held", || relay.memory.held() == 0);
 }
 
 #[test]
 fn a_back_end_that_stops_reading_a_body_midway_is_given_up_in_the_routes_time() {
-    let back_end = StandIn::with_small_buffers(|stream, _, _| {
+    let back_end = MockBackEnd::with_small_buffers(|stream, _, _| {
         // Reads no further than the head.
-        std::thread::sleep(PATIENCE / 4);
+        std::thread::sleep(TEST_TIMEOUT / 4);
         let _ = stream.flush();
         false
     });
-    let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
+    let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let body = "b".repeat(290_000);
     let begun = Instant::now();
-    let answer = relay.call("POST", "/quick/1", "Test-Answer-Early: 1\r\n", &body);
-    assert_eq!(answer.status, 504);
+    let response = relay.call("POST", "/quick/1", "Test-Answer-Early: 1\r\n", &body);
+    assert_eq!(response.status, 504);
     assert!(
-        begun.elapsed() < PATIENCE / 4,
+        begun.elapsed() < TEST_TIMEOUT / 4,
         "only when the back end left"
     );
     assert!(relay.memory.peak() >= 290_000, "the body was not counted");
@@ -291,10 +301,10 @@
 }
 
 /// A back end that answers with the longest answer that is accepted.
-fn longest_answers() -> StandIn {
+fn longest_answers() -> MockBackEnd {
     let body = "a".repeat(4 * MEBIBYTE as usize);
-    StandIn::start(move |stream, seen, _| {
-        write(stream, &whole(seen, &body));
+    MockBackEnd::start(move |stream, request, _| {
+        write(stream, &ok_response(request, &body));
         true
     })
 }
@@ -303,8 +313,10 @@
 fn the_longest_answers_to_slow_callers_are_counted_until_they_are_taken() {
     const CALLERS: usize = 8;
     let back_end = longest_answers();
-    let relay = Running::with_memory(&[&back_end], AMPLE_MEMORY);
-    let mut callers: Vec<Caller> = (0..CALLERS).map(|_| relay.connect_slowly()).collect();
+    let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
+    let mut callers: Vec<Caller> = (0..CALLERS)
+        .map(|_| relay.connect_with_small_buffer())
+        .collect();
     for (number, caller) in callers.iter_mut().enumerate() {
         caller.send("GET", &format!("/patient-read/{number}"), "", "");
     }
@@ -313,9 +325,9 @@
         relay.memory.held_by_kind(MemoryKind::Response) == longest * CALLERS as u64
     });
     for caller in &mut callers {
-        let answer = caller.answer();
-        assert_eq!(answer.body.len() as u64, longest, "{}", answer.head);
-        assert!(answer.is_whole);
+        let response = caller.read_response();
+        assert_eq!(response.body.len() as u64, longest, "{}", response.head);
+        assert!(response.is_complete);
     }
     wait_for("bytes stay held", || relay.memory.held() == 0);
     tell_peak("eight whole answers of 4 MiB", &relay);
@@ -326,17 +338,19 @@
     const CALLERS: usize = 4;
     const BUDGET: u64 = 10 * MEBIBYTE;
     let back_end = longest_answers();
-    let relay = Running::with_memory(&[&back_end], BUDGET);
-    let mut callers: Vec<Caller> = (0..CALLERS).map(|_| relay.connect_slowly()).collect();
+    let relay = TestRelay::with_memory_budget(&[&back_end], BUDGET);
+    let mut callers: Vec<Caller> = (0..CALLERS)
+        .map(|_| relay.connect_with_small_buffer())
+        .collect();
     for (number, caller) in callers.iter_mut().enumerate() {
         caller.send("GET", &format!("/patient-read/{number}"), "", "");
     }
-    wait_for("not all have run", || back_end.count() == CALLERS);
-    let answers: Vec<_> = callers.iter_mut().map(Caller::answer).collect();
-    let whole = answers.iter().filter(|answer| answer.status == 200);
-    let lost = answers.iter().filter(|answer| answer.status == 502);
-    assert!(whole.clone().all(|answer| answer.is_whole));
-    assert_eq!(whole.count() + lost.count(), CALLERS);
+    wait_for("not all have run", || back_end.request_count() == CALLERS);
+    let responses: Vec<_> = callers.iter_mut().map(Caller::read_response).collect();
+    let complete = responses.iter().filter(|response| response.status == 200);
+    let lost = responses.iter().filter(|response| response.status == 502);
+    assert!(complete.clone().all(|response| response.is_complete));
+    assert_eq!(complete.count() + lost.count(), CALLERS);
     assert!(relay.memory.peak() <= BUDGET);
     tell_peak("four whole answers of 4 MiB", &relay);
 }
@@ -350,8 +364,8 @@
 }
 
 /// A back end that keeps what it got until the test ends.
-fn silent() -> StandIn {
-    StandIn::start(|stream, _, _| {
+fn silent() -> MockBackEnd {
+    MockBackEnd::start(|stream, _, _| {
         wait_for_close(stream);
         false
     })
@@ -360,32 +374,34 @@
 #[test]
 fn a_body_that_does_not_fit_is_refused_before_it_is_read() {
     let back_end = silent();
-    let relay = Running::with_memory(&[&back_end], 300_000);
+    let relay = TestRelay::with_memory_budget(&[&back_end], 300_000);
     let mut first = relay.connect();
     first.send("POST", "/patient/1", "", &"b".repeat(200_000));
-    wait_for("the first did not arrive", || back_end.count() == 1);
+    wait_for("the first did not arrive", || back_end.request_count() == 1);
     let mut second = relay.connect();
     send_head(&mut second, "/patient/2", 100_000);
-    let answer = second.answer();
-    assert_eq!((answer.status, answer.body.as_str()), (503, "memory\n"));
-    let retry_after: f64 = answer
+    let response = second.read_response();
+    assert_eq!((response.status, response.body.as_str()), (503, "memory\n"));
+    let retry_after: f64 = response
         .header("retry-after")
         .and_then(|value| value.parse().ok())
         .expect("a time to come back");
     assert!(retry_after > 0.0);
-    assert_eq!(back_end.count(), 1);
+    assert_eq!(back_end.request_count(), 1);
     assert!(relay.memory.peak() <= 300_000);
     drop(first);
     wait_for("the body stays held", || relay.memory.held() == 0);
     let mut third = relay.connect();
     third.send("POST", "/patient/3", "", &"b".repeat(100_000));
-    wait_for("not taken though there is room", || back_end.count() == 2);
+    wait_for("not taken though there is room", || {
+        back_end.request_count() == 2
+    });
 }
 
 #[test]
 fn without_a_budget_every_body_is_taken() {
     let back_end = silent();
-    let relay = Running::with_memory(&[&back_end], 0);
+    let relay = TestRelay::with_memory_budget(&[&back_end], 0);
     let callers: Vec<Caller> = (1..=3)
         .map(|number| {
             let mut caller = relay.connect();
@@ -394,21 +410,23 @@
             caller
         })
         .collect();
-    wait_for("not all arrived", || back_end.count() == callers.len());
+    wait_for("not all arrived", || {
+        back_end.request_count() == callers.len()
+    });
 }
 
 #[test]
 fn bodies_do_not_pile_up_at_a_back_end_that_takes_none() {
     let back_end = silent();
     // A quarter of it, 256 KiB, for the bodies at one back end.
-    let relay = Running::with_memory(&[&back_end], MEBIBYTE);
+    let relay = TestRelay::with_memory_budget(&[&back_end], MEBIBYTE);
     let mut first = relay.connect();
     first.send("POST", "/patient/1", "", &"b".repeat(200_000));
-    wait_for("the first did not arrive", || back_end.count() == 1);
-    let answer = relay.call("POST", "/patient/2", "", &"b".repeat(200_000));
-    assert_eq!(answer.status, 503);
-    assert_eq!(back_end.count(), 1);
+    wait_for("the first did not arrive", || back_end.request_count() == 1);
+    let response = relay.call("POST", "/patient/2", "", &"b".repeat(200_000));
+    assert_eq!(response.status, 503);
+    assert_eq!(back_end.request_count(), 1);
     let mut small = relay.connect();
     small.send("POST", "/patient/3", "", "b");
-    wait_for("a small one is kept away", || back_end.count() == 2);
+    wait_for("a small one is kept away", || back_end.request_count() == 2);
 }
--- a/crates/transport/relay/tests/streams.rs
+++ b/crates/transport/relay/tests/streams.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
-use support::{Running, StandIn, chunk, event, stream_head, write};
+use support::{MockBackEnd, TestRelay, chunk, event, stream_head, write};
 
 fn events(range: std::ops::RangeInclusive<u64>) -> String {
     range.map(event).collect()
@@ -15,17 +15,17 @@
 fn an_event_is_passed_on_before_the_next_one_exists() {
     let (go, gate) = mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
-    let back_end = StandIn::start(move |stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(move |stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&event(1)));
         let gate = gate.lock().expect("lock");
-        if gate.recv_timeout(support::PATIENCE).is_ok() {
+        if gate.recv_timeout(support::TEST_TIMEOUT).is_ok() {
             write(stream, &chunk(&event(2)));
             write(stream, "0\r\n\r\n");
         }
         true
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     caller.send("POST", "/stream/1", "", "x");
     let mut first = [0; 1024];
@@ -44,16 +44,16 @@
 
 /// A back end that breaks its first stream in the middle of event 3 and, asked to go
 /// on after an event, sends the rest.
-fn breaking(stamp: &'static str, has_broken: Arc<AtomicBool>) -> StandIn {
-    StandIn::start(move |stream, seen, _| {
-        write(stream, &stream_head(seen, stamp));
+fn breaking(stamp: &'static str, has_broken: Arc<AtomicBool>) -> MockBackEnd {
+    MockBackEnd::start(move |stream, request, _| {
+        write(stream, &stream_head(request, stamp));
         if !has_broken.swap(true, Ordering::SeqCst) {
             write(stream, &chunk(&events(1..=2)));
             write(stream, &chunk(&event(3)[..9]));
             std::thread::sleep(Duration::from_millis(50));
             return false;
         }
-        let after: u64 = seen
+        let after: u64 = request
             .header("last-event-id")
             .map_or(0, |id| id.parse().expect("a number"));
         write(stream, &chunk(&events(after + 1..=5)));
@@ -67,19 +67,19 @@
     let has_broken = Arc::new(AtomicBool::new(false));
     let one = breaking("one", Arc::clone(&has_broken));
     let two = breaking("one", has_broken);
-    let relay = Running::before(&[&one, &two]);
-    let answer = relay.call("POST", "/resumable/1", "", "x");
-    assert!(answer.is_whole, "{answer:?}");
-    assert_eq!(answer.body, events(1..=5));
-    assert_eq!((one.count(), two.count()), (1, 1));
+    let relay = TestRelay::with_back_ends(&[&one, &two]);
+    let response = relay.call("POST", "/resumable/1", "", "x");
+    assert!(response.is_complete, "{response:?}");
+    assert_eq!(response.body, events(1..=5));
+    assert_eq!((one.request_count(), two.request_count()), (1, 1));
 }
 
 #[test]
 fn events_that_were_passed_on_already_are_dropped() {
     let has_broken = Arc::new(AtomicBool::new(false));
     let make = |has_broken: Arc<AtomicBool>| {
-        StandIn::start(move |stream, seen, _| {
-            write(stream, &stream_head(seen, "one"));
+        MockBackEnd::start(move |stream, request, _| {
+            write(stream, &stream_head(request, "one"));
             if !has_broken.swap(true, Ordering::SeqCst) {
                 write(stream, &chunk(&events(1..=2)));
                 return false;
@@ -91,49 +91,49 @@
     };
     let one = make(Arc::clone(&has_broken));
     let two = make(has_broken);
-    let relay = Running::before(&[&one, &two]);
-    let answer = relay.call("POST", "/resumable/1", "", "x");
-    assert_eq!(answer.body, events(1..=4));
-    assert!(answer.is_whole);
+    let relay = TestRelay::with_back_ends(&[&one, &two]);
+    let response = relay.call("POST", "/resumable/1", "", "x");
+    assert_eq!(response.body, events(1..=4));
+    assert!(response.is_complete);
 }
 
 #[test]
 fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&events(1..=2)));
         std::thread::sleep(Duration::from_millis(50));
         false
     });
-    let relay = Running::before(&[&back_end]);
-    let answer = relay.call("POST", "/stream/1", "", "x");
-    assert!(!answer.is_whole);
-    assert_eq!(back_end.count(), 1);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
+    let response = relay.call("POST", "/stream/1", "", "x");
+    assert!(!response.is_complete);
+    assert_eq!(back_end.request_count(), 1);
 }
 
 #[test]
 fn a_stream_that_breaks_before_its_first_event_and_may_not_be_resumed_is_lost() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        write(stream, &stream_head(seen, "one"));
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        write(stream, &stream_head(request, "one"));
         false
     });
-    let relay = Running::before(&[&back_end]);
+    let relay = TestRelay::with_back_ends(&[&back_end]);
     assert_eq!(relay.call("POST", "/stream/1", "", "x").status, 502);
-    assert_eq!(back_end.count(), 1);
+    assert_eq!(back_end.request_count(), 1);
 }
 
 #[test]
 fn a_caller_that_goes_on_after_an_event_gets_just_the_rest() {
-    let back_end = StandIn::start(|stream, seen, _| {
-        let after: u64 = seen
+    let back_end = MockBackEnd::start(|stream, request, _| {
+        let after: u64 = request
             .header("last-event-id")
             .map_or(0, |id| id.parse().expect("a number"));
-        write(stream, &stream_head(seen, "one"));
+        write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&events(after + 1..=4)));
         write(stream, "0\r\n\r\n");
         true
     });
-    let relay = Running::before(&[&back_end]);
-    let answer = relay.call("POST", "/resumable/1", "Last-Event-Id: 2\r\n", "x");
-    assert_eq!(answer.body, events(3..=4));
+    let relay = TestRelay::with_back_ends(&[&back_end]);
+    let response = relay.call("POST", "/resumable/1", "Last-Event-Id: 2\r\n", "x");
+    assert_eq!(response.body, events(3..=4));
 }
--- a/crates/transport/relay/tests/support/caller.rs
+++ b/crates/transport/relay/tests/support/caller.rs
@@ -1,6 +1,6 @@
 //! Callers, and the answers that they read.
 
-use super::back_end::header_of;
+use super::back_end::header_value;
 use super::{HOST, KEY, find, write};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -12,16 +12,16 @@
 
 /// An answer as a caller got it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<String> {
-        header_of(&self.head, name).map(str::to_owned)
+        header_value(&self.head, name).map(str::to_owned)
     }
 }
 
@@ -37,7 +37,7 @@
     }
 
     /// Waits until some of an answer is there, or the connection's end; reads nothing.
-    pub fn is_answered(&self) -> bool {
+    pub fn wait_for_response(&self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
             Err(error) => error.kind() == ErrorKind::ConnectionReset,
@@ -45,40 +45,40 @@
     }
 
     /// Reads one answer.
-    pub fn answer(&mut self) -> Answer {
-        self.answer_after(Vec::new())
+    pub fn read_response(&mut self) -> Response {
+        self.read_response_after(Vec::new())
     }
 
     /// Reads the rest of an answer of which `bytes` have been read.
-    pub fn answer_after(&mut self, mut bytes: Vec<u8>) -> Answer {
+    pub fn read_response_after(&mut self, mut bytes: Vec<u8>) -> Response {
         let end = loop {
             if let Some(end) = find(&bytes, b"\r\n\r\n") {
                 break end + 4;
             }
             if !self.read_more(&mut bytes) {
-                return Answer {
+                return Response {
                     status: 0,
                     head: String::new(),
                     body: String::new(),
-                    is_whole: false,
+                    is_complete: false,
                 };
             }
         };
         let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
         let status = head[9..12].parse().expect("a status");
-        let mut answer = Answer {
+        let mut response = Response {
             status,
             head,
             body: String::new(),
-            is_whole: false,
+            is_complete: false,
         };
-        let rest = bytes.split_off(end);
-        if answer.header("transfer-encoding").is_some() {
-            self.read_chunks(&mut answer, rest);
+        let body_bytes = bytes.split_off(end);
+        if response.header("transfer-encoding").is_some() {
+            self.read_chunks(&mut response, body_bytes);
         } else {
-            self.read_length(&mut answer, rest);
+            self.read_length(&mut response, body_bytes);
         }
-        answer
+        response
     }
 
     fn read_more(&mut self, bytes: &mut Vec<u8>) -> bool {
@@ -92,32 +92,32 @@
         }
     }
 
-    fn read_length(&mut self, answer: &mut Answer, mut rest: Vec<u8>) {
-        let length = answer.header("content-length");
+    fn read_length(&mut self, response: &mut Response, mut body_bytes: Vec<u8>) {
+        let length = response.header("content-length");
         let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
-        while rest.len() < length && self.read_more(&mut rest) {}
-        answer.is_whole = rest.len() == length;
-        answer.body = String::from_utf8_lossy(&rest).into_owned();
+        while body_bytes.len() < length && self.read_more(&mut body_bytes) {}
+        response.is_complete = body_bytes.len() == length;
+        response.body = String::from_utf8_lossy(&body_bytes).into_owned();
     }
 
-    fn read_chunks(&mut self, answer: &mut Answer, mut rest: Vec<u8>) {
+    fn read_chunks(&mut self, response: &mut Response, mut body_bytes: Vec<u8>) {
         loop {
-            while let Some((text, used)) = take_chunk(&rest) {
-                rest.drain(..used);
+            while let Some((text, chunk_length)) = parse_chunk(&body_bytes) {
+                body_bytes.drain(..chunk_length);
                 if text.is_empty() {
-                    answer.is_whole = true;
+                    response.is_complete = true;
                     return;
                 }
-                answer.body.push_str(&text);
+                response.body.push_str(&text);
             }
-            if !self.read_more(&mut rest) {
+            if !self.read_more(&mut body_bytes) {
                 return;
             }
         }
     }
 }
 
-fn take_chunk(bytes: &[u8]) -> Option<(String, usize)> {
+fn parse_chunk(bytes: &[u8]) -> Option<(String, usize)> {
     let line = find(bytes, b"\r\n")?;
     let size = std::str::from_utf8(&bytes[..line]).ok()?;
     let size = usize::from_str_radix(size, 16).ok()?;
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -37,7 +37,7 @@
 }
 
 /// An engine that tells what it keeps.
-pub const ENGINE: EngineSpecification = EngineSpecification {
+pub const CACHE_REPORTING_ENGINE: EngineSpecification = EngineSpecification {
     slots: 64,
     cache_tokens: 500_000,
     tokens_per_event: 1,
@@ -45,11 +45,11 @@
     replicas: None,
 };
 
-fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
+fn parse_numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
     let text = String::from_utf8_lossy(body);
     let lines = text.lines().map(|line| {
-        let words = line.split(' ').map(str::parse);
-        words
+        let fields = line.split(' ').map(str::parse);
+        fields
             .collect::<Result<Vec<u64>, _>>()
             .map_err(|_| MalformedResponse::new("line", line))
     });
@@ -57,7 +57,7 @@
 }
 
 fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
-    let lines = numbers(body)?;
+    let lines = parse_numbers(body)?;
     let [epoch, next, lost] = lines[0][..] else {
         return Err(MalformedResponse::new("head", "other fields"));
     };
@@ -76,14 +76,14 @@
 
 fn read_cache_listing(body: &[u8]) -> Result<CacheListing, MalformedResponse> {
     let events = read_cache_events(body)?;
-    let kept = events.events.iter().map(|event| PromptPart {
+    let cached_parts = events.events.iter().map(|event| PromptPart {
         id: event.part,
         tokens: event.tokens,
     });
     Ok(CacheListing {
         epoch: events.epoch,
         next: events.next,
-        kept: kept.collect(),
+        kept: cached_parts.collect(),
     })
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-fn route(name: &str, kind: RouteKind, attempts: u32) -> Route {
+fn route(name: &str, kind: RouteKind, maximum_attempts: u32) -> Route {
     Route {
         name: name.to_owned(),
         host: HOST.to_owned(),
@@ -112,7 +112,7 @@
             pool: PoolName::from("pool"),
             weight: 1.0,
         }],
-        maximum_attempts: attempts,
+        maximum_attempts,
         is_public: false,
         is_resumable: false,
         allowed_regions: Vec::new(),
@@ -120,7 +120,7 @@
 }
 
 /// Engines that keep replicas of each other's running requests.
-pub fn engine() -> EngineSpecification {
+pub fn replicating_engine() -> EngineSpecification {
     EngineSpecification {
         slots: 64,
         cache_tokens: 400_000,
@@ -185,8 +185,8 @@
 
 /// So many more back ends of the pool, all of them leaving: each question for a place goes over
 /// them in vain.
-pub fn leaving(count: usize) -> Vec<Change> {
-    let listed = (0..count).map(|number| {
+pub fn draining_back_ends(count: usize) -> Vec<Change> {
+    let back_ends = (0..count).map(|number| {
         let instance = InstanceId::from(format!("leaving-{number}"));
         let (high, low) = (number / 250, number % 250);
         let address = format!("127.200.{high}.{low}:9").parse();
@@ -206,12 +206,15 @@
             content: DocumentContent::BackEnd(back_end),
         }
     });
-    listed.collect()
+    back_ends.collect()
 }
 
 /// All documents: a table, and these back ends.
-pub fn changes(back_ends: &[SocketAddr], engine: Option<EngineSpecification>) -> Vec<Change> {
-    let listed = back_ends.iter().enumerate().map(|(number, address)| {
+pub fn configuration_documents(
+    back_ends: &[SocketAddr],
+    engine: Option<EngineSpecification>,
+) -> Vec<Change> {
+    let listed_back_ends = back_ends.iter().enumerate().map(|(number, address)| {
         let instance = InstanceId::from(format!("i-{number}"));
         Change {
             key: DocumentKey::BackEnd(instance.clone()),
@@ -233,5 +236,5 @@
         revision: 1.into(),
         content: DocumentContent::Table(table(engine)),
     };
-    listed.chain([table]).collect()
+    listed_back_ends.chain([table]).collect()
 }
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -5,26 +5,26 @@
 
 mod back_end;
 mod caller;
+mod crashing_back_end;
 mod documents;
-mod fragile;
-mod running;
+mod relay;
 
 pub use back_end::{
-    Seen, StandIn, answering, chunk, event, find, read_request, reset, shed, stream_head,
-    wait_for_close, whole, with_line, write,
+    MockBackEnd, ReceivedRequest, chunk, event, find, not_run_response, ok_response, read_request,
+    reset_on_close, start_responding, stream_head, wait_for_close, with_header_line, write,
 };
-pub use caller::{Answer, Caller};
+pub use caller::{Caller, Response};
+pub use crashing_back_end::CrashingBackEnd;
 pub use documents::{cache_protocol, header_names};
-pub use fragile::Fragile;
-pub use running::Running;
+pub use relay::TestRelay;
 
 use std::time::Duration;
 
 /// Longest wait of a test for anything.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// A budget that no test fills unless it says so.
-pub const AMPLE_MEMORY: u64 = 64 * 1024 * 1024;
+pub const AMPLE_MEMORY_BUDGET: u64 = 64 * 1024 * 1024;
 pub const KEY: &str = "key-of-radio";
 /// Buffer of a socket that holds little.
-const SMALL_BUFFER: usize = 8_192;
+const SMALL_BUFFER_BYTES: usize = 8_192;
 pub const HOST: &str = "calls.example";
--- a/crates/transport/relay/tests/support/running.rs
+++ b/crates/transport/relay/tests/support/relay.rs
@@ -1,7 +1,12 @@
 //! Relays in threads of their own.
 
-use super::documents::{ENGINE, cache_protocol, changes, engine, header_names, leaving};
-use super::{AMPLE_MEMORY, Answer, Caller, PATIENCE, SMALL_BUFFER, StandIn, write};
+use super::documents::{
+    CACHE_REPORTING_ENGINE, cache_protocol, configuration_documents, draining_back_ends,
+    header_names, replicating_engine,
+};
+use super::{
+    AMPLE_MEMORY_BUDGET, Caller, MockBackEnd, Response, SMALL_BUFFER_BYTES, TEST_TIMEOUT, write,
+};
 use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
 use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, ShutdownSettings, Source};
 use eiderferry_routing::{EngineSpecification, NodeName, ZoneName};
@@ -15,26 +20,26 @@
 use std::time::{Duration, Instant};
 
 /// A relay in a thread of its own.
-pub struct Running {
-    pub listen: SocketAddr,
-    pub ready: SocketAddr,
+pub struct TestRelay {
+    pub listen_address: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where it hears other relays.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     pub memory: Arc<MemoryBudget>,
-    stop: Option<async_channel::Sender<()>>,
+    shutdown_sender: Option<async_channel::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// Ports of a relay under test; below those that the system hands out by itself, so
 /// that no other socket holds them.
-const CALLERS_PORT: u16 = 21_001;
-const READY_PORT: u16 = 21_002;
+const LISTEN_PORT: u16 = 21_001;
+const READINESS_PORT: u16 = 21_002;
 const PEER_PORT: u16 = 21_003;
-static RELAYS: AtomicU32 = AtomicU32::new(0);
+static STARTED_RELAYS: AtomicU32 = AtomicU32::new(0);
 
 /// A loopback address of its own for each relay of each test process.
-fn own_ip() -> Ipv4Addr {
-    let number = RELAYS.fetch_add(1, Ordering::SeqCst);
+fn unique_loopback_address() -> Ipv4Addr {
+    let number = STARTED_RELAYS.fetch_add(1, Ordering::SeqCst);
     let process = std::process::id();
     let octet = |value: u32| (value % 250 + 1) as u8;
     Ipv4Addr::new(
@@ -49,11 +54,11 @@
 #[derive(Clone)]
 struct Options {
     /// When it hears of its configuration.
-    delay: Duration,
+    configuration_delay: Duration,
     memory_budget: u64,
     features: Features,
     /// Tells it from the other relays of a fleet.
-    number: usize,
+    node_number: usize,
     /// Addresses of other relays for messages.
     seeds: Vec<SocketAddr>,
 }
@@ -61,99 +66,106 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            delay: Duration::ZERO,
-            memory_budget: AMPLE_MEMORY,
+            configuration_delay: Duration::ZERO,
+            memory_budget: AMPLE_MEMORY_BUDGET,
             features: Features::ALL,
-            number: 1,
+            node_number: 1,
             seeds: Vec::new(),
         }
     }
 }
 
-impl Running {
+impl TestRelay {
     /// Relays before these back ends that know each other.
-    pub fn fleet_before(count: usize, back_ends: &[SocketAddr]) -> Vec<Self> {
+    pub fn start_fleet(count: usize, back_ends: &[SocketAddr]) -> Vec<Self> {
         let mut fleet: Vec<Self> = Vec::new();
         for _ in 0..count {
-            fleet.push(Self::joining(&fleet, back_ends));
+            fleet.push(Self::join_fleet(&fleet, back_ends));
         }
         fleet
     }
 
     /// One relay more that knows the first of a fleet.
-    pub fn joining(fleet: &[Self], back_ends: &[SocketAddr]) -> Self {
+    pub fn join_fleet(fleet: &[Self], back_ends: &[SocketAddr]) -> Self {
         let options = Options {
-            number: fleet.len() + 1,
-            seeds: fleet.first().map(|first| first.peer).into_iter().collect(),
+            node_number: fleet.len() + 1,
+            seeds: fleet
+                .first()
+                .map(|first| first.peer_address)
+                .into_iter()
+                .collect(),
             ..Options::default()
         };
-        Self::ready_before_addresses(back_ends, None, options)
+        Self::start_ready_at_addresses(back_ends, None, options)
     }
 
     /// A relay before these back ends.
-    pub fn before(back_ends: &[&StandIn]) -> Self {
-        Self::with_memory(back_ends, AMPLE_MEMORY)
+    pub fn with_back_ends(back_ends: &[&MockBackEnd]) -> Self {
+        Self::with_memory_budget(back_ends, AMPLE_MEMORY_BUDGET)
     }
 
     /// A relay before one back end and so many that are leaving.
-    pub fn before_one_beside_leaving(back_end: &StandIn, count: usize) -> Self {
-        let mut documents = changes(&[back_end.address], None);
-        documents.extend(leaving(count));
+    pub fn with_draining_back_ends(back_end: &MockBackEnd, count: usize) -> Self {
+        let mut documents = configuration_documents(&[back_end.address], None);
+        documents.extend(draining_back_ends(count));
         Self::start_ready(documents, Options::default())
     }
 
     /// A relay before these back ends with a budget of this many bytes.
-    pub fn with_memory(back_ends: &[&StandIn], bytes: u64) -> Self {
+    pub fn with_memory_budget(back_ends: &[&MockBackEnd], bytes: u64) -> Self {
         let options = Options {
             memory_budget: bytes,
             ..Options::default()
         };
-        Self::ready_before(back_ends, None, options)
+        Self::start_ready_with(back_ends, None, options)
     }
 
     /// A relay before engines that keep replicas for each other.
-    pub fn before_engines(engines: &[&StandIn]) -> Self {
-        Self::ready_before(engines, Some(engine()), Options::default())
+    pub fn with_replicating_engines(engines: &[&MockBackEnd]) -> Self {
+        Self::start_ready_with(engines, Some(replicating_engine()), Options::default())
     }
 
     /// The same with replicas switched off.
-    pub fn before_engines_without_replicas(engines: &[&StandIn]) -> Self {
+    pub fn with_replicas_disabled(engines: &[&MockBackEnd]) -> Self {
         let mut options = Options::default();
         options.features.run_replicas = false;
-        Self::ready_before(engines, Some(engine()), options)
+        Self::start_ready_with(engines, Some(replicating_engine()), options)
     }
 
-    fn ready_before(
-        back_ends: &[&StandIn],
+    fn start_ready_with(
+        back_ends: &[&MockBackEnd],
         engine: Option<EngineSpecification>,
         options: Options,
     ) -> Self {
         let addresses: Vec<SocketAddr> =
-            back_ends.iter().map(|stand_in| stand_in.address).collect();
-        Self::ready_before_addresses(&addresses, engine, options)
+            back_ends.iter().map(|back_end| back_end.address).collect();
+        Self::start_ready_at_addresses(&addresses, engine, options)
     }
 
-    fn ready_before_addresses(
+    fn start_ready_at_addresses(
         back_ends: &[SocketAddr],
         engine: Option<EngineSpecification>,
         options: Options,
     ) -> Self {
-        Self::start_ready(changes(back_ends, engine), options)
+        Self::start_ready(configuration_documents(back_ends, engine), options)
     }
 
     fn start_ready(documents: Vec<Change>, options: Options) -> Self {
-        let running = Self::start(Some(documents), options);
-        let begun = Instant::now();
-        while running.readiness() != 200 {
-            assert!(begun.elapsed() < PATIENCE, "the relay is not ready");
+        let relay = Self::start(Some(documents), options);
+        let started_at = Instant::now();
+        while relay.readiness_status() != 200 {
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the relay is not ready"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
-        running
+        relay
     }
 
     /// A relay before an engine that tells what it keeps.
-    pub fn before_engine(engine: &StandIn) -> Self {
-        let documents = changes(&[engine.address], Some(ENGINE));
+    pub fn with_cache_reporting_engine(engine: &MockBackEnd) -> Self {
+        let documents = configuration_documents(&[engine.address], Some(CACHE_REPORTING_ENGINE));
         Self::start(Some(documents), Options::default())
     }
 
@@ -163,27 +175,33 @@
     }
 
     /// A relay before a back end that hears of its configuration this late.
-    pub fn with_late_configuration(back_end: &StandIn, delay: Duration) -> Self {
+    pub fn with_delayed_configuration(
+        back_end: &MockBackEnd,
+        configuration_delay: Duration,
+    ) -> Self {
         let options = Options {
-            delay,
+            configuration_delay,
             ..Options::default()
         };
-        Self::start(Some(changes(&[back_end.address], None)), options)
+        Self::start(
+            Some(configuration_documents(&[back_end.address], None)),
+            options,
+        )
     }
 
     fn start(documents: Option<Vec<Change>>, options: Options) -> Self {
-        let ip = own_ip();
-        let listen = SocketAddr::from((ip, CALLERS_PORT));
-        let ready = SocketAddr::from((ip, READY_PORT));
-        let peer = SocketAddr::from((ip, PEER_PORT));
+        let ip = unique_loopback_address();
+        let listen_address = SocketAddr::from((ip, LISTEN_PORT));
+        let readiness_address = SocketAddr::from((ip, READINESS_PORT));
+        let peer_address = SocketAddr::from((ip, PEER_PORT));
         let settings = RelaySettings {
-            node: NodeName::from(format!("node-{}", options.number)),
+            node: NodeName::from(format!("node-{}", options.node_number)),
             zone: ZoneName::from("a"),
-            listen_address: listen,
-            readiness_address: ready,
+            listen_address,
+            readiness_address,
             readiness_path: "/ready".to_owned(),
             metrics_address: None,
-            peer_address: peer,
+            peer_address,
             seeds: options.seeds,
             retry_budget: RetryBudgetSettings {
                 ratio: 0.2,
@@ -209,89 +227,102 @@
         let source: Source = Box::new(move |feed| {
             Box::pin(async move {
                 if let Some(documents) = documents {
-                    smol::Timer::after(options.delay).await;
+                    smol::Timer::after(options.configuration_delay).await;
                     feed.apply_changes(documents, 2.into());
                 }
                 std::future::pending::<()>().await;
             })
         });
-        let (stop, stopped) = async_channel::bounded::<()>(1);
-        let (started, is_started) = mpsc::channel();
+        let (shutdown_sender, shutdown_receiver) = async_channel::bounded::<()>(1);
+        let (memory_sender, memory_receiver) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let relay = Relay::start(settings, source).expect("free addresses");
-            started.send(relay.memory()).expect("the test waits");
-            let stop = async move {
-                let _ = stopped.recv().await;
+            memory_sender.send(relay.memory()).expect("the test waits");
+            let shutdown_signal = async move {
+                let _ = shutdown_receiver.recv().await;
             };
-            relay.serve(stop).expect("free addresses");
+            relay.serve(shutdown_signal).expect("free addresses");
         });
-        let memory = is_started.recv_timeout(PATIENCE).expect("started");
-        let running = Self {
-            listen,
-            ready,
-            peer,
+        let memory = memory_receiver.recv_timeout(TEST_TIMEOUT).expect("started");
+        let relay = Self {
+            listen_address,
+            readiness_address,
+            peer_address,
             memory,
-            stop: Some(stop),
+            shutdown_sender: Some(shutdown_sender),
             thread: Some(thread),
         };
-        running.wait_until_listening();
-        running
+        relay.wait_until_listening();
+        relay
     }
 
     fn wait_until_listening(&self) {
-        let begun = Instant::now();
-        while TcpStream::connect(self.listen).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "the relay does not listen");
+        let started_at = Instant::now();
+        while TcpStream::connect(self.listen_address).is_err() {
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the relay does not listen"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Begins a planned stop.
-    pub fn begin_stop(&mut self) {
-        self.stop = None;
+    pub fn begin_shutdown(&mut self) {
+        self.shutdown_sender = None;
     }
 
     /// Waits until the process would have ended.
-    pub fn wait_for_end(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         self.thread.take().expect("once").join().expect("no panic");
     }
 
     /// Status of the readiness path.
-    pub fn readiness(&self) -> u16 {
-        let mut stream = TcpStream::connect(self.ready).expect("listening");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    pub fn readiness_status(&self) -> u16 {
+        let mut stream = TcpStream::connect(self.readiness_address).expect("listening");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a socket");
         write(
             &mut stream,
             "GET /ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n",
         );
-        Caller { stream }.answer().status
+        Caller { stream }.read_response().status
     }
 
-    pub fn call(&self, method: &str, path: &str, extra: &str, body: &str) -> Answer {
+    pub fn call(&self, method: &str, path: &str, extra: &str, body: &str) -> Response {
         let mut caller = self.connect();
         caller.send(method, path, extra, body);
-        caller.answer()
+        caller.read_response()
     }
 
     /// A request of that number on a route, on a connection of its own.
-    pub fn post(&self, route: &str, number: usize) -> Answer {
+    pub fn post(&self, route: &str, number: usize) -> Response {
         self.call("POST", &format!("/{route}/{number}"), "", "x")
     }
 
     /// A caller whose machine takes little that it has not read.
-    pub fn connect_slowly(&self) -> Caller {
+    pub fn connect_with_small_buffer(&self) -> Caller {
         let kind = socket2::Type::STREAM;
         let socket = socket2::Socket::new(socket2::Domain::IPV4, kind, None).expect("a socket");
-        socket.set_recv_buffer_size(SMALL_BUFFER).expect("a socket");
-        socket.connect(&self.listen.into()).expect("listening");
+        socket
+            .set_recv_buffer_size(SMALL_BUFFER_BYTES)
+            .expect("a socket");
+        socket
+            .connect(&self.listen_address.into())
+            .expect("listening");
         let stream = TcpStream::from(socket);
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a socket");
         Caller { stream }
     }
 
     pub fn connect(&self) -> Caller {
-        let stream = TcpStream::connect(self.listen).expect("listening");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        let stream = TcpStream::connect(self.listen_address).expect("listening");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a socket");
         Caller { stream }
     }
 }
