--- a/crates/transport/relay/tests/cache_follower.rs
+++ b/crates/transport/relay/tests/cache_follower.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 use support::{MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, ok_response, write};
 
-const LISTING: &str = "1 10 0\n0 7 500\n";
-const NO_EVENTS: &str = "1 10 0\n";
+const LISTING_BODY: &str = "1 10 0\n0 7 500\n";
+const EMPTY_EVENTS_BODY: &str = "1 10 0\n";
 
-fn ok(body: &str) -> String {
+fn cache_response(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-fn is_listing(request: &ReceivedRequest) -> bool {
+fn is_listing_call(request: &ReceivedRequest) -> bool {
     request.head.starts_with("GET /cache HTTP")
 }
 
@@ -23,102 +23,119 @@
 struct Call {
     target: String,
     wait: Option<String>,
-    at: Instant,
+    received_at: Instant,
 }
 
 /// An engine that answers its calls with these texts, one after the other, and then without
 /// events. An empty text closes the connection.
-fn engine(responses: Vec<String>) -> (MockBackEnd, Receiver<Call>) {
+fn engine_with_responses(responses: Vec<String>) -> (MockBackEnd, Receiver<Call>) {
     let (call_sender, calls) = mpsc::channel();
     let responses = Arc::new(Mutex::new(responses.into_iter()));
     let back_end = MockBackEnd::start(move |stream, request, _| {
         let head = request.head.lines().next().unwrap_or_default();
         let target = head.split(' ').nth(1).unwrap_or_default().to_owned();
         let wait = request.header("wait").map(str::to_owned);
-        let at = Instant::now();
+        let received_at = Instant::now();
         // A test that has seen enough is gone.
-        let _ = call_sender.send(Call { target, wait, at });
-        let usual = ok(if is_listing(request) {
-            LISTING
+        let _ = call_sender.send(Call {
+            target,
+            wait,
+            received_at,
+        });
+        let default_response = cache_response(if is_listing_call(request) {
+            LISTING_BODY
         } else {
-            NO_EVENTS
+            EMPTY_EVENTS_BODY
         });
-        let text = responses.lock().expect("lock").next().unwrap_or(usual);
+        let text = responses
+            .lock()
+            .expect("lock")
+            .next()
+            .unwrap_or(default_response);
         write(stream, &text);
         !text.is_empty()
     });
     (back_end, calls)
 }
 
-fn next(calls: &Receiver<Call>) -> Call {
+fn next_call(calls: &Receiver<Call>) -> Call {
     calls.recv_timeout(TEST_TIMEOUT).expect("a call")
 }
 
 #[test]
-fn an_engine_is_listed_and_then_asked_for_events() {
-    let (engine, calls) = engine(Vec::new());
+fn the_listing_is_fetched_first_and_then_events() {
+    let (engine, calls) = engine_with_responses(Vec::new());
     let _relay = TestRelay::with_cache_reporting_engine(&engine);
-    assert_eq!(next(&calls).target, "/cache");
-    let events = next(&calls);
+    assert_eq!(next_call(&calls).target, "/cache");
+    let events = next_call(&calls);
     assert_eq!(events.target, "/cache-events?after=10");
     assert_eq!(events.wait.as_deref(), Some("1000"));
 }
 
 #[test]
-fn after_a_gap_it_is_listed_again() {
-    let (engine, calls) = engine(vec![ok(LISTING), ok("1 90 1\n")]);
+fn the_listing_is_fetched_again_after_a_gap_in_the_events() {
+    let (engine, calls) = engine_with_responses(vec![
+        cache_response(LISTING_BODY),
+        cache_response("1 90 1\n"),
+    ]);
     let _relay = TestRelay::with_cache_reporting_engine(&engine);
-    let targets = [(); 3].map(|()| next(&calls).target);
+    let targets = [(); 3].map(|()| next_call(&calls).target);
     assert_eq!(targets, ["/cache", "/cache-events?after=10", "/cache"]);
 }
 
 #[test]
-fn after_a_restart_of_its_cache_it_is_listed_again() {
-    let (engine, calls) = engine(vec![ok(LISTING), ok("2 1 0\n")]);
+fn the_listing_is_fetched_again_after_the_cache_was_reset() {
+    let (engine, calls) = engine_with_responses(vec![
+        cache_response(LISTING_BODY),
+        cache_response("2 1 0\n"),
+    ]);
     let _relay = TestRelay::with_cache_reporting_engine(&engine);
-    let targets = [(); 3].map(|()| next(&calls).target);
+    let targets = [(); 3].map(|()| next_call(&calls).target);
     assert_eq!(targets, ["/cache", "/cache-events?after=10", "/cache"]);
 }
 
 /// Whatever the first call comes to, the next one waits.
-fn is_repeated_later(first: String) {
-    let (engine, calls) = engine(vec![first]);
+fn assert_call_is_retried_after_a_delay(first_response: String) {
+    let (engine, calls) = engine_with_responses(vec![first_response]);
     let relay = TestRelay::with_cache_reporting_engine(&engine);
-    let failed = next(&calls);
-    let retry = next(&calls);
+    let failed = next_call(&calls);
+    let retry = next_call(&calls);
     assert_eq!(retry.target, "/cache");
-    assert!(retry.at - failed.at >= Duration::from_millis(900));
+    assert!(retry.received_at - failed.received_at >= Duration::from_millis(900));
     assert_eq!(relay.readiness_status(), 200);
 }
 
 #[test]
-fn a_call_turned_away_is_repeated_later() {
-    is_repeated_later("HTTP/1.1 429 Many\r\nContent-Length: 0\r\n\r\n".to_owned());
+fn a_rejected_call_is_retried_after_a_delay() {
+    assert_call_is_retried_after_a_delay(
+        "HTTP/1.1 429 Many\r\nContent-Length: 0\r\n\r\n".to_owned(),
+    );
 }
 
 #[test]
-fn a_call_without_an_answer_is_repeated_later() {
-    is_repeated_later(String::new());
+fn a_call_without_a_response_is_retried_after_a_delay() {
+    assert_call_is_retried_after_a_delay(String::new());
 }
 
 #[test]
-fn an_answer_of_unknown_shape_is_not_used() {
-    is_repeated_later(ok("kept: all"));
+fn a_malformed_response_is_not_used() {
+    assert_call_is_retried_after_a_delay(cache_response("kept: all"));
 }
 
 #[test]
-fn an_answer_without_end_is_given_up() {
-    let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{LISTING}");
-    is_repeated_later(endless);
+fn an_incomplete_response_is_abandoned() {
+    let truncated_response =
+        format!("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{LISTING_BODY}");
+    assert_call_is_retried_after_a_delay(truncated_response);
 }
 
 /// An answer to a call for what it keeps, with a further header line.
-fn told(line: &str) -> String {
-    ok(LISTING).replacen("\r\n", &format!("\r\n{line}\r\n"), 1)
+fn listing_with_header_line(header_line: &str) -> String {
+    cache_response(LISTING_BODY).replacen("\r\n", &format!("\r\n{header_line}\r\n"), 1)
 }
 
 /// An engine whose answers to such calls say something of itself; requests it answers whole.
-fn engine_saying(response: String) -> MockBackEnd {
+fn engine_with_cache_response(response: String) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         match request.header("request-id") {
             Some(_) => write(stream, &ok_response(request, "ran")),
@@ -128,35 +145,40 @@
     })
 }
 
-fn requests(engine: &MockBackEnd) -> usize {
+fn forwarded_request_count(engine: &MockBackEnd) -> usize {
     let requests = engine.requests.lock().expect("lock");
-    requests.iter().filter(|it| !it.id().is_empty()).count()
+    requests
+        .iter()
+        .filter(|request| !request.id().is_empty())
+        .count()
 }
 
 /// Calls until the node knows what the engine said of itself; from then on nothing more comes.
-fn gets_nothing_once_known(engine: &MockBackEnd) {
+fn assert_no_request_is_sent_once_known(engine: &MockBackEnd) {
     let relay = TestRelay::with_cache_reporting_engine(engine);
     let call = || relay.call("POST", "/write/1", "", "x").status;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while call() != 503 {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "its word is not heard");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "its word is not heard");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let before = requests(engine);
+    let count_before = forwarded_request_count(engine);
     for _ in 0..10 {
         assert_eq!(call(), 503);
     }
-    assert_eq!(requests(engine), before);
+    assert_eq!(forwarded_request_count(engine), count_before);
 }
 
 /// A node may follow an engine that none of its callers' requests go to.
 #[test]
-fn an_engine_that_says_in_such_an_answer_that_it_leaves_gets_no_request() {
-    gets_nothing_once_known(&engine_saying(told("Leaving: 1")));
+fn an_engine_that_announces_draining_in_a_cache_response_gets_no_request() {
+    assert_no_request_is_sent_once_known(&engine_with_cache_response(listing_with_header_line(
+        "Leaving: 1",
+    )));
 }
 
 #[test]
-fn an_engine_that_asks_for_a_rest_in_such_an_answer_gets_it() {
-    let refused = told("Retry-After: 600").replacen("200 OK", "503 Busy", 1);
-    gets_nothing_once_known(&engine_saying(refused));
+fn retry_after_in_a_cache_response_is_respected() {
+    let refusal = listing_with_header_line("Retry-After: 600").replacen("200 OK", "503 Busy", 1);
+    assert_no_request_is_sent_once_known(&engine_with_cache_response(refusal));
 }
--- a/crates/transport/relay/tests/callers.rs
+++ b/crates/transport/relay/tests/callers.rs
@@ -10,12 +10,12 @@
 
 /// Callers that leave together, and how often: several times the 84 places of a back end with
 /// 64 slots.
-const LEAVING_TOGETHER: usize = 60;
-const GROUPS_THAT_LEAVE: usize = 10;
+const CALLERS_PER_GROUP: usize = 60;
+const GROUP_COUNT: usize = 10;
 /// Back ends that make a question for a place take milliseconds.
-const MANY_LEAVING: usize = 20_000;
+const DRAINING_BACK_END_COUNT: usize = 20_000;
 
-fn sound() -> MockBackEnd {
+fn healthy_back_end() -> MockBackEnd {
     MockBackEnd::start(|stream, request, _| {
         write(stream, &ok_response(request, "ok"));
         true
@@ -29,31 +29,38 @@
 #[case::wrong_key("/read/1", "key-wrong", 401)]
 #[case::no_id("/read/1", "id-none", 400)]
 #[case::time_unreadable("/read/1", "time-wrong", 400)]
-fn a_request_that_does_not_fit_is_answered_and_harms_no_other(
+fn an_invalid_request_is_refused_and_the_next_on_its_connection_is_served(
     #[case] path: &str,
-    #[case] fault: &str,
+    #[case] defect: &str,
     #[case] expected: u16,
 ) {
-    let back_end = sound();
+    let back_end = healthy_back_end();
     let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
-    let host = if fault == "host-wrong" { "other" } else { HOST };
-    let key = match fault {
+    let host = if defect == "host-wrong" {
+        "other"
+    } else {
+        HOST
+    };
+    let authorization_line = match defect {
         "key-none" => String::new(),
         "key-wrong" => "Authorization: Bearer other\r\n".to_owned(),
         _ => format!("Authorization: Bearer {KEY}\r\n"),
     };
-    let id = if fault == "id-none" {
+    let request_id_line = if defect == "id-none" {
         ""
     } else {
         "Request-Id: 1\r\n"
     };
-    let time = if fault == "time-wrong" {
+    let remaining_time_line = if defect == "time-wrong" {
         "Remaining-Ms: soon\r\n"
     } else {
         ""
     };
-    let text = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n{key}{id}{time}\r\n");
+    let text = format!(
+        "GET {path} HTTP/1.1\r\nHost: {host}\r\n\
+         {authorization_line}{request_id_line}{remaining_time_line}\r\n"
+    );
     write(&mut caller.stream, &text);
     let response = caller.read_response();
     assert_eq!(response.status, expected);
@@ -63,7 +70,7 @@
 }
 
 #[test]
-fn without_a_configuration_callers_are_told_when_to_come_back() {
+fn without_a_configuration_requests_are_answered_with_retry_after() {
     let relay = TestRelay::without_configuration();
     assert_eq!(relay.readiness_status(), 503);
     let response = relay.call("GET", "/read/1", "", "");
@@ -72,21 +79,21 @@
 }
 
 #[test]
-fn a_request_that_comes_before_the_first_configuration_waits_for_it() {
-    let back_end = sound();
+fn a_request_before_the_first_configuration_waits_for_it() {
+    let back_end = healthy_back_end();
     let delay = Duration::from_millis(100);
     let relay = TestRelay::with_delayed_configuration(&back_end, delay);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let response = relay.call("GET", "/read/1", "", "");
     // On a machine so busy that the configuration comes later still, the refusal comes
     // after the whole wait.
-    let has_waited = begun.elapsed() >= Duration::from_millis(250);
+    let has_waited = started_at.elapsed() >= Duration::from_millis(250);
     assert!(response.status == 200 || has_waited, "{response:?}");
 }
 
 #[test]
-fn a_body_over_the_limit_runs_nowhere() {
-    let back_end = sound();
+fn a_body_over_the_limit_is_refused_and_not_forwarded() {
+    let back_end = healthy_back_end();
     let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let head = format!(
@@ -100,17 +107,17 @@
 
 #[test]
 fn a_head_over_the_limit_is_refused() {
-    let back_end = sound();
+    let back_end = healthy_back_end();
     let relay = TestRelay::with_back_ends(&[&back_end]);
-    let extra = format!("X-Long: {}\r\n", "h".repeat(40_000));
-    let response = relay.call("GET", "/read/1", &extra, "");
+    let extra_headers = format!("X-Long: {}\r\n", "h".repeat(40_000));
+    let response = relay.call("GET", "/read/1", &extra_headers, "");
     assert_eq!(response.status, 431);
     assert_eq!(back_end.request_count(), 0);
 }
 
 #[test]
-fn two_framings_in_one_head_smuggle_nothing() {
-    let back_end = sound();
+fn content_length_beside_chunked_encoding_cannot_smuggle_a_request() {
+    let back_end = healthy_back_end();
     let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     let text = format!(
@@ -129,16 +136,16 @@
     );
 }
 
-fn wait_for(what: &str, is_so: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !is_so() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
+fn wait_for(failure: &str, condition: impl Fn() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{failure}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_answer_ends_the_work() {
+fn a_disconnect_before_the_response_closes_the_connection_to_the_back_end() {
     let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
@@ -149,18 +156,18 @@
     wait_for("the request did not arrive", || {
         back_end.request_count() == 1
     });
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(caller);
-    let closed = || back_end.closed_at.lock().expect("lock").len() == 1;
-    wait_for("the back end's connection stays open", closed);
+    let is_closed = || back_end.close_times.lock().expect("lock").len() == 1;
+    wait_for("the back end's connection stays open", is_closed);
     assert!(
-        left.elapsed() < Duration::from_secs(3),
+        disconnected_at.elapsed() < Duration::from_secs(3),
         "only at the route's time"
     );
 }
 
 #[test]
-fn a_caller_that_leaves_a_stream_ends_the_work() {
+fn a_disconnect_during_a_stream_closes_the_connection_to_the_back_end() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&event(1)));
@@ -172,12 +179,12 @@
     caller.send("POST", "/stream/1", "", "x");
     let mut buffer = [0; 64];
     let _ = std::io::Read::read(&mut caller.stream, &mut buffer);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(caller);
-    let closed = || back_end.closed_at.lock().expect("lock").len() == 1;
-    wait_for("the back end's connection stays open", closed);
+    let is_closed = || back_end.close_times.lock().expect("lock").len() == 1;
+    wait_for("the back end's connection stays open", is_closed);
     assert!(
-        left.elapsed() < Duration::from_secs(3),
+        disconnected_at.elapsed() < Duration::from_secs(3),
         "only at the route's time"
     );
 }
@@ -189,11 +196,11 @@
 ///
 /// Here each question takes milliseconds, as it goes over thousands of back ends that leave.
 #[test]
-fn callers_that_leave_while_a_place_is_sought_take_none_for_good() {
-    let back_end = sound();
-    let relay = TestRelay::with_draining_back_ends(&back_end, MANY_LEAVING);
-    for _ in 0..GROUPS_THAT_LEAVE {
-        let callers = (0..LEAVING_TOGETHER).map(|_| {
+fn callers_that_disconnect_during_dispatch_leak_no_back_end_slots() {
+    let back_end = healthy_back_end();
+    let relay = TestRelay::with_draining_back_ends(&back_end, DRAINING_BACK_END_COUNT);
+    for _ in 0..GROUP_COUNT {
+        let callers = (0..CALLERS_PER_GROUP).map(|_| {
             let mut caller = relay.connect();
             caller.send("GET", "/read/left", "", "");
             caller
@@ -208,7 +215,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_was_read_and_tells_callers_to_leave() {
+fn a_graceful_shutdown_finishes_received_requests_and_closes_connections() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         std::thread::sleep(Duration::from_millis(200));
         write(stream, &ok_response(request, "late but whole"));
@@ -233,7 +240,7 @@
 }
 
 #[test]
-fn a_planned_stop_answers_even_where_the_back_end_stays_silent() {
+fn a_graceful_shutdown_answers_requests_whose_back_end_does_not_respond() {
     let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
@@ -251,7 +258,7 @@
 }
 
 #[test]
-fn late_in_a_planned_stop_new_requests_are_refused_with_a_time_to_come_back() {
+fn late_in_a_graceful_shutdown_new_requests_are_refused_with_retry_after() {
     let back_end = MockBackEnd::start(|stream, _, number| {
         if number == 1 {
             support::wait_for_close(stream);
@@ -259,8 +266,8 @@
         false
     });
     let mut relay = TestRelay::with_back_ends(&[&back_end]);
-    let mut open = relay.connect();
-    open.send("POST", "/write/1", "", "x");
+    let mut open_caller = relay.connect();
+    open_caller.send("POST", "/write/1", "", "x");
     wait_for("the request did not arrive", || {
         back_end.request_count() == 1
     });
@@ -274,23 +281,23 @@
 }
 
 #[test]
-fn a_connection_opened_late_in_a_planned_stop_gets_its_answer() {
+fn a_connection_opened_late_in_a_graceful_shutdown_gets_a_response() {
     let back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
     let mut relay = TestRelay::with_back_ends(&[&back_end]);
-    let mut open = relay.connect();
-    open.send("POST", "/write/1", "", "x");
+    let mut open_caller = relay.connect();
+    open_caller.send("POST", "/write/1", "", "x");
     wait_for("the request did not arrive", || {
         back_end.request_count() == 1
     });
     relay.begin_shutdown();
     std::thread::sleep(Duration::from_millis(600));
-    let mut late = relay.connect();
+    let mut late_caller = relay.connect();
     std::thread::sleep(Duration::from_millis(100));
-    late.send("POST", "/write/2", "", "x");
-    let response = late.read_response();
+    late_caller.send("POST", "/write/2", "", "x");
+    let response = late_caller.read_response();
     assert_eq!(response.status, 503);
     assert_eq!(response.header("connection").as_deref(), Some("close"));
     relay.wait_for_exit();
--- a/crates/transport/relay/tests/crashing_requests.rs
+++ b/crates/transport/relay/tests/crashing_requests.rs
@@ -24,39 +24,42 @@
 use support::{CrashingBackEnd, MockBackEnd, Response, TEST_TIMEOUT, TestRelay};
 
 /// A body that crashes back ends.
-const FATAL: &str = "fatal";
+const CRASHING_BODY: &str = "fatal";
 /// Time for which a back end is down.
-const DOWN: Duration = Duration::from_millis(600);
+const DOWN_TIME: Duration = Duration::from_millis(600);
 /// Crashes after which a request may be known for what it is.
-const CRASHES: usize = 3;
+const CRASH_THRESHOLD: usize = 3;
 /// Time that all nodes have from then on to hear of it.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_DEADLINE: Duration = Duration::from_secs(3);
 /// Back ends that it may reach after that, over all nodes and for good.
-const MOST_AFTER: usize = 3;
-const NODES: usize = 3;
+const MAX_LATER_CRASHES: usize = 3;
+const NODE_COUNT: usize = 3;
 
-struct System {
+struct Cluster {
     back_ends: Vec<CrashingBackEnd>,
     nodes: Vec<TestRelay>,
 }
 
-impl System {
+impl Cluster {
     fn start() -> Self {
-        let starts = (0..8).map(|_| CrashingBackEnd::start(FATAL, DOWN));
-        let back_ends: Vec<CrashingBackEnd> = starts.collect();
-        let mut system = Self {
+        let crashing_back_ends = (0..8).map(|_| CrashingBackEnd::start(CRASHING_BODY, DOWN_TIME));
+        let back_ends: Vec<CrashingBackEnd> = crashing_back_ends.collect();
+        let mut cluster = Self {
             back_ends,
             nodes: Vec::new(),
         };
-        system.nodes = TestRelay::start_fleet(NODES, &system.addresses());
-        system
+        cluster.nodes = TestRelay::start_fleet(NODE_COUNT, &cluster.addresses());
+        cluster
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        self.back_ends.iter().map(|it| it.address).collect()
+        self.back_ends
+            .iter()
+            .map(|back_end| back_end.address)
+            .collect()
     }
 
-    fn crashes(&self) -> usize {
+    fn crash_count(&self) -> usize {
         self.back_ends
             .iter()
             .map(CrashingBackEnd::crash_count)
@@ -70,15 +73,15 @@
 
     /// Sends the fatal request to one node after the other until it has crashed three, and
     /// waits until all nodes may know.
-    fn crash_three(&self, path: &str) {
-        let begun = Instant::now();
+    fn crash_three_back_ends(&self, path: &str) {
+        let started_at = Instant::now();
         let mut number = 0;
-        while self.crashes() < CRASHES {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "no three crashes");
-            self.send(number, path, FATAL);
+        while self.crash_count() < CRASH_THRESHOLD {
+            assert!(started_at.elapsed() < TEST_TIMEOUT, "no three crashes");
+            self.send(number, path, CRASHING_BODY);
             number += 1;
         }
-        std::thread::sleep(KNOWN_WITHIN);
+        std::thread::sleep(PROPAGATION_DEADLINE);
     }
 }
 
@@ -87,22 +90,25 @@
 #[case::answered_by_a_stream("/resumable/check")]
 #[case::not_repeatable("/write/check")]
 #[case::without_a_word_of_the_crash("/quick/check")]
-fn a_request_that_crashed_three_back_ends_is_sent_to_hardly_any_more(#[case] path: &str) {
-    let system = System::start();
-    system.crash_three(path);
-    let before = system.crashes();
+fn a_request_that_crashed_three_back_ends_reaches_few_others(#[case] path: &str) {
+    let cluster = Cluster::start();
+    cluster.crash_three_back_ends(path);
+    let count_before = cluster.crash_count();
     for number in 0..24 {
-        system.send(number, path, FATAL);
+        cluster.send(number, path, CRASHING_BODY);
     }
-    let after = system.crashes() - before;
-    assert!(after <= MOST_AFTER, "{after} more back ends crashed");
+    let later_crashes = cluster.crash_count() - count_before;
+    assert!(
+        later_crashes <= MAX_LATER_CRASHES,
+        "{later_crashes} more back ends crashed"
+    );
 }
 
 #[test]
-fn its_caller_gets_a_final_answer_that_says_why() {
-    let system = System::start();
-    system.crash_three("/read/check");
-    let response = system.send(1, "/read/check", FATAL);
+fn a_refused_request_gets_a_final_response_with_the_reason() {
+    let cluster = Cluster::start();
+    cluster.crash_three_back_ends("/read/check");
+    let response = cluster.send(1, "/read/check", CRASHING_BODY);
     assert_eq!(response.status, 500);
     assert_eq!(response.header("retry-after"), None);
     assert_eq!(response.header("stamp"), None);
@@ -116,27 +122,27 @@
 
 /// The same body elsewhere, another body, or another method is another request.
 #[test]
-fn other_requests_are_served() {
-    let system = System::start();
-    system.crash_three("/read/check");
+fn requests_with_another_body_are_served() {
+    let cluster = Cluster::start();
+    cluster.crash_three_back_ends("/read/check");
     for number in 0..12 {
         let body = format!("sound {number}");
-        assert_eq!(system.send(number, "/read/check", &body).status, 200);
+        assert_eq!(cluster.send(number, "/read/check", &body).status, 200);
     }
 }
 
 /// What breaks off with a crash is sent elsewhere, and never taken for its cause.
 #[test]
-fn requests_that_run_beside_it_are_served() {
-    let system = System::start();
+fn requests_interrupted_by_the_crash_of_another_are_not_refused() {
+    let cluster = Cluster::start();
     let responses = std::thread::scope(|scope| {
-        let beside = scope.spawn(|| {
+        let concurrent_calls = scope.spawn(|| {
             let numbers = 0..60;
-            let send = |number| system.send(number, "/read/beside", &format!("sound {number}"));
+            let send = |number| cluster.send(number, "/read/beside", &format!("sound {number}"));
             numbers.map(send).collect::<Vec<Response>>()
         });
-        system.crash_three("/read/check");
-        beside.join().expect("no panic")
+        cluster.crash_three_back_ends("/read/check");
+        concurrent_calls.join().expect("no panic")
     });
     for (number, response) in responses.iter().enumerate() {
         assert!(
@@ -146,19 +152,24 @@
         );
         if response.status != 200 {
             let body = format!("sound {number}");
-            let again = system.send(number, "/read/beside", &body);
-            assert_eq!(again.status, 200, "after {}", response.status);
+            let retry = cluster.send(number, "/read/beside", &body);
+            assert_eq!(retry.status, 200, "after {}", response.status);
         }
     }
 }
 
 /// Connections break for many reasons; only a back end that is gone has crashed.
 #[test]
-fn a_request_whose_connections_break_is_not_blamed_while_back_ends_serve() {
-    let breaking = || MockBackEnd::start(|_, _, _| false);
-    let back_ends = [breaking(), breaking(), breaking(), breaking()];
-    let listed: Vec<&MockBackEnd> = back_ends.iter().collect();
-    let relay = TestRelay::with_back_ends(&listed);
+fn broken_connections_do_not_count_as_crashes_while_back_ends_accept_connections() {
+    let start_disconnecting = || MockBackEnd::start(|_, _, _| false);
+    let back_ends = [
+        start_disconnecting(),
+        start_disconnecting(),
+        start_disconnecting(),
+        start_disconnecting(),
+    ];
+    let back_end_refs: Vec<&MockBackEnd> = back_ends.iter().collect();
+    let relay = TestRelay::with_back_ends(&back_end_refs);
     for _ in 0..6 {
         let response = relay.call("POST", "/read/check", "", "x");
         assert!(
@@ -170,36 +181,41 @@
 }
 
 #[test]
-fn a_node_that_starts_later_refuses_it() {
-    let mut system = System::start();
-    system.crash_three("/read/check");
-    let before = system.crashes();
-    let late_node = TestRelay::join_fleet(&system.nodes, &system.addresses());
-    system.nodes.push(late_node);
-    std::thread::sleep(KNOWN_WITHIN);
-    assert_eq!(system.send(NODES, "/read/check", FATAL).status, 500);
-    assert_eq!(system.crashes(), before);
+fn a_node_that_joins_later_refuses_the_request() {
+    let mut cluster = Cluster::start();
+    cluster.crash_three_back_ends("/read/check");
+    let count_before = cluster.crash_count();
+    let late_node = TestRelay::join_fleet(&cluster.nodes, &cluster.addresses());
+    cluster.nodes.push(late_node);
+    std::thread::sleep(PROPAGATION_DEADLINE);
+    assert_eq!(
+        cluster
+            .send(NODE_COUNT, "/read/check", CRASHING_BODY)
+            .status,
+        500
+    );
+    assert_eq!(cluster.crash_count(), count_before);
 }
 
 /// While a back end still holds the request in its queue it has not crashed, and is not to.
 #[test]
-fn it_is_taken_back_from_a_back_end_that_has_not_begun() {
+fn a_queued_request_is_cancelled_once_it_is_known_to_crash_back_ends() {
     let path = "/patient-read/check";
-    let mut system = System::start();
-    let holding = MockBackEnd::start(|stream, _, _| {
+    let mut cluster = Cluster::start();
+    let queueing_back_end = MockBackEnd::start(|stream, _, _| {
         support::wait_for_close(stream);
         false
     });
-    let node = TestRelay::join_fleet(&system.nodes, &[holding.address]);
+    let node = TestRelay::join_fleet(&cluster.nodes, &[queueing_back_end.address]);
     let response = std::thread::scope(|scope| {
-        let waiting = scope.spawn(|| node.call("POST", path, "", FATAL));
-        let begun = Instant::now();
-        while holding.request_count() == 0 {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "not sent");
+        let queued_call = scope.spawn(|| node.call("POST", path, "", CRASHING_BODY));
+        let started_at = Instant::now();
+        while queueing_back_end.request_count() == 0 {
+            assert!(started_at.elapsed() < TEST_TIMEOUT, "not sent");
             std::thread::sleep(Duration::from_millis(5));
         }
-        system.crash_three(path);
-        waiting.join().expect("no panic")
+        cluster.crash_three_back_ends(path);
+        queued_call.join().expect("no panic")
     });
     assert_eq!(response.status, 500);
     assert!(
@@ -207,5 +223,5 @@
         "{}",
         response.body
     );
-    system.nodes.push(node);
+    cluster.nodes.push(node);
 }
--- a/crates/transport/relay/tests/leaving_back_ends.rs
+++ b/crates/transport/relay/tests/draining_back_ends.rs
@@ -22,46 +22,49 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use support::{
-    MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, chunk, event, not_run_response,
-    ok_response, start_responding, stream_head, with_header_line, write,
+    MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, back_end_responding_with, chunk, event,
+    not_run_response, ok_response, stream_head, with_header_line, write,
 };
 
 /// Requests that were sent to the node this long after it had passed the word on may not reach
 /// the back end any more.
-const DRAIN_TIME: Duration = Duration::from_secs(2);
+const ROUTING_STOP_TIME: Duration = Duration::from_secs(2);
 /// Requests sent after that.
-const LATER: usize = 24;
+const LATER_REQUESTS: usize = 24;
 /// Requests that a back end answers well before it leaves: what follows is no judgement of its
 /// health.
-const ANSWERED_BEFORE: usize = 40;
+const REQUESTS_BEFORE_DRAINING: usize = 40;
 
-fn with_word(response: &str) -> String {
+fn with_draining_header(response: &str) -> String {
     with_header_line(response, "Leaving: 1")
 }
 
-fn answer_whole(stream: &mut TcpStream, request: &ReceivedRequest) {
-    write(stream, &with_word(&ok_response(request, "leaving")));
+fn respond_ok(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(
+        stream,
+        &with_draining_header(&ok_response(request, "leaving")),
+    );
 }
 
-fn answer_with_failure(stream: &mut TcpStream, request: &ReceivedRequest) {
+fn respond_with_error(stream: &mut TcpStream, request: &ReceivedRequest) {
     let failure = ok_response(request, "leaving").replacen("200 OK", "500 Error", 1);
-    write(stream, &with_word(&failure));
+    write(stream, &with_draining_header(&failure));
 }
 
-fn answer_with_stream(stream: &mut TcpStream, request: &ReceivedRequest) {
-    write(stream, &with_word(&stream_head(request, "s")));
+fn respond_with_stream(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_draining_header(&stream_head(request, "s")));
     write(stream, &chunk(&event(1)));
     write(stream, "0\r\n\r\n");
 }
 
-fn turn_away(stream: &mut TcpStream, request: &ReceivedRequest) {
-    write(stream, &with_word(&not_run_response(request)));
+fn refuse(stream: &mut TcpStream, request: &ReceivedRequest) {
+    write(stream, &with_draining_header(&not_run_response(request)));
 }
 
 /// A back end that begins to leave, and says so in each answer from then on.
-fn leaving(respond: fn(&mut TcpStream, &ReceivedRequest)) -> MockBackEnd {
+fn draining_back_end(respond: fn(&mut TcpStream, &ReceivedRequest)) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, number| {
-        if number <= ANSWERED_BEFORE {
+        if number <= REQUESTS_BEFORE_DRAINING {
             write(stream, &ok_response(request, "staying"));
         } else {
             respond(stream, request);
@@ -71,36 +74,42 @@
 }
 
 /// Sends requests until an answer has said that the back end leaves.
-fn call_until_told(relay: &TestRelay, route: &str, leaving: &MockBackEnd) {
-    let begun = Instant::now();
+fn call_until_announced(relay: &TestRelay, route: &str, draining: &MockBackEnd) {
+    let started_at = Instant::now();
     let mut number = 0;
-    while leaving.request_count() <= ANSWERED_BEFORE {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "it was asked too rarely");
+    while draining.request_count() <= REQUESTS_BEFORE_DRAINING {
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "it was asked too rarely"
+        );
         relay.post(route, number);
         number += 1;
     }
 }
 
 #[rstest]
-#[case::whole_answers("read", answer_whole)]
-#[case::failures("write", answer_with_failure)]
-#[case::streams("stream", answer_with_stream)]
-#[case::turned_away("write", turn_away)]
-fn a_back_end_that_says_it_leaves_gets_nothing_sent_later(
+#[case::whole_answers("read", respond_ok)]
+#[case::failures("write", respond_with_error)]
+#[case::streams("stream", respond_with_stream)]
+#[case::turned_away("write", refuse)]
+fn a_back_end_that_announces_draining_gets_no_later_requests(
     #[case] route: &str,
     #[case] respond: fn(&mut TcpStream, &ReceivedRequest),
 ) {
-    let (leaving, staying) = (leaving(respond), start_responding("staying"));
-    let relay = TestRelay::with_back_ends(&[&leaving, &staying]);
-    call_until_told(&relay, route, &leaving);
-    std::thread::sleep(DRAIN_TIME);
-    let before = leaving.request_count();
-    for number in 100..100 + LATER {
+    let (draining, healthy) = (
+        draining_back_end(respond),
+        back_end_responding_with("staying"),
+    );
+    let relay = TestRelay::with_back_ends(&[&draining, &healthy]);
+    call_until_announced(&relay, route, &draining);
+    std::thread::sleep(ROUTING_STOP_TIME);
+    let count_before = draining.request_count();
+    for number in 100..100 + LATER_REQUESTS {
         let response = relay.post(route, number);
         assert_eq!((response.status, response.body.as_str()), (200, "staying"));
     }
     assert_eq!(
-        leaving.request_count() - before,
+        draining.request_count() - count_before,
         0,
         "requests reached it later"
     );
--- a/crates/transport/relay/tests/logging.rs
+++ b/crates/transport/relay/tests/logging.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn the_budget_of_a_second_holds_and_what_is_left_out_is_counted() {
+fn the_rate_limit_holds_and_dropped_lines_are_counted() {
     let (queue, _lines) = LogQueue::new(1_000, BUDGET);
     let admitted = (0..500).filter(|_| queue.admits(false)).count();
     assert!(
@@ -21,20 +21,20 @@
 }
 
 #[test]
-fn lines_about_failures_have_room_when_the_others_have_none() {
+fn warnings_are_admitted_when_the_info_budget_is_spent() {
     let (queue, _lines) = LogQueue::new(1_000, BUDGET);
     while queue.admits(false) {}
     assert!(queue.admits(true));
 }
 
 #[test]
-fn a_reader_that_has_stopped_reading_blocks_nobody() {
+fn a_stalled_reader_blocks_no_writer() {
     let (queue, lines) = LogQueue::new(8, BUDGET);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..10_000 {
         queue.push(b"line\n".to_vec());
     }
-    assert!(begun.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
     assert_eq!(queue.drain_dropped_count(), 9_992);
     assert_eq!(lines.try_iter().count(), 8);
 }
--- a/crates/transport/relay/tests/answers.rs
+++ b/crates/transport/relay/tests/responses.rs
@@ -7,14 +7,14 @@
 };
 
 #[test]
-fn a_request_reaches_the_back_end_as_the_caller_sent_it() {
+fn a_request_is_forwarded_unchanged_apart_from_the_relays_headers() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &ok_response(request, "answer"));
         true
     });
     let relay = TestRelay::with_back_ends(&[&back_end]);
-    let extra = "Tenant: forged\r\nX-Own: kept\r\nRemaining-Ms: 2500\r\n";
-    let response = relay.call("PUT", "/write/a%20b?q=1&q=2", extra, "the body");
+    let extra_headers = "Tenant: forged\r\nX-Own: kept\r\nRemaining-Ms: 2500\r\n";
+    let response = relay.call("PUT", "/write/a%20b?q=1&q=2", extra_headers, "the body");
     assert_eq!((response.status, response.body.as_str()), (200, "answer"));
     assert_eq!(response.header("stamp").as_deref(), Some("s"));
     assert_eq!(response.header("date"), None);
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn a_caller_cannot_command_a_back_end_or_hide_what_describes_its_request() {
+fn callers_cannot_send_command_headers_or_hide_descriptive_headers() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &ok_response(request, "answer"));
         true
     });
     let relay = TestRelay::with_back_ends(&[&back_end]);
-    let extra = "Reserve: 7\r\nRESERVE: 8\r\nCopy-From: 10.0.0.9:1\r\nModel: m\r\n\
+    let extra_headers = "Reserve: 7\r\nRESERVE: 8\r\nCopy-From: 10.0.0.9:1\r\nModel: m\r\n\
                  Token-Usage: 9,9\r\nX-Hop: 1\r\nConnection: Model, X-Hop, Request-Id\r\n\
                  Connection: Tenant, Token-Usage\r\n";
-    let response = relay.call("POST", "/write/1", extra, "x");
+    let response = relay.call("POST", "/write/1", extra_headers, "x");
     assert_eq!(response.status, 200);
     let request = back_end.first_request();
     assert_eq!(request.header("reserve"), None, "{}", request.head);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_surplus_answer_is_not_taken_for_the_next_ones() {
+fn a_surplus_response_is_never_used_for_a_later_request() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         let text = ok_response(request, "right");
         write(stream, &format!("{text}{text}"));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_answer_with_another_id_is_no_answer() {
+fn a_response_with_another_request_id_is_rejected() {
     let back_end = MockBackEnd::start(|stream, _, _| {
         let text = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong";
         write(stream, text);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_answer_cut_short_does_not_look_complete() {
+fn a_truncated_response_is_answered_with_502() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         let text = ok_response(request, "only half of this");
         write(stream, &text[..text.len() - 6]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_not_passed_on() {
+fn bytes_that_are_not_http_are_not_forwarded() {
     let back_end = MockBackEnd::start(|stream, _, _| {
         write(stream, "these bytes are no answer\r\n\r\n");
         false
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_encoded_body_is_not_the_back_ends() {
+fn a_response_with_a_content_encoding_is_rejected() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         let id = request.id();
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Encoding: gzip\r\n");
@@ -124,15 +124,15 @@
     assert_eq!(relay.call("POST", "/write/1", "", "x").status, 502);
 }
 
-fn unframed(request: &support::ReceivedRequest) -> String {
+fn response_without_length(request: &support::ReceivedRequest) -> String {
     let id = request.id();
     format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nConnection: close\r\n\r\nunframed body")
 }
 
 #[test]
-fn an_answer_without_length_ends_with_its_connection() {
+fn a_response_without_length_ends_when_its_connection_closes() {
     let back_end = MockBackEnd::start(|stream, request, _| {
-        write(stream, &unframed(request));
+        write(stream, &response_without_length(request));
         false
     });
     let relay = TestRelay::with_back_ends(&[&back_end]);
@@ -145,9 +145,9 @@
 }
 
 #[test]
-fn an_answer_without_length_that_is_reset_is_not_complete() {
+fn a_response_without_length_whose_connection_is_reset_is_rejected() {
     let back_end = MockBackEnd::start(|stream, request, _| {
-        write(stream, &unframed(request));
+        write(stream, &response_without_length(request));
         std::thread::sleep(std::time::Duration::from_millis(50));
         reset_on_close(stream);
         false
@@ -157,39 +157,45 @@
 }
 
 #[test]
-fn an_answer_before_the_whole_body_was_read_spoils_no_later_request() {
+fn a_response_sent_before_the_body_was_read_does_not_affect_later_requests() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &ok_response(request, "early"));
         request.header("test-answer-early").is_none()
     });
     let relay = TestRelay::with_back_ends(&[&back_end]);
-    let long = "b".repeat(250_000);
+    let large_body = "b".repeat(250_000);
     for number in 0..5 {
-        let early = relay.call(
+        let early_response = relay.call(
             "POST",
             &format!("/write/e{number}"),
             "Test-Answer-Early: 1\r\n",
-            &long,
+            &large_body,
+        );
+        assert!(
+            early_response.status == 200 || early_response.status == 502,
+            "{early_response:?}"
         );
-        assert!(early.status == 200 || early.status == 502, "{early:?}");
         // A request that crosses the closing on its way is lost with any client.
-        while back_end.closed_at.lock().expect("lock").len() <= number {
+        while back_end.close_times.lock().expect("lock").len() <= number {
             std::thread::yield_now();
         }
-        let next = relay.call("POST", &format!("/write/n{number}"), "", "short");
-        assert_eq!((next.status, next.body.as_str()), (200, "early"));
+        let next_response = relay.call("POST", &format!("/write/n{number}"), "", "short");
+        assert_eq!(
+            (next_response.status, next_response.body.as_str()),
+            (200, "early")
+        );
     }
     let requests = back_end.requests.lock().expect("lock");
-    let later: Vec<&[u8]> = requests
+    let later_bodies: Vec<&[u8]> = requests
         .iter()
         .filter(|request| request.header("test-answer-early").is_none())
         .map(|request| request.body.as_slice())
         .collect();
-    assert_eq!(later, vec![b"short".as_slice(); 5]);
+    assert_eq!(later_bodies, vec![b"short".as_slice(); 5]);
 }
 
 #[test]
-fn a_chunked_body_of_a_caller_arrives_whole() {
+fn a_chunked_request_body_arrives_complete() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &ok_response(request, "ok"));
         true
@@ -211,7 +217,7 @@
 }
 
 #[test]
-fn a_back_ends_failure_keeps_its_status_and_stamp() {
+fn an_error_response_is_forwarded_with_its_status_and_headers() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         let text = ok_response(request, "failed").replacen("200 OK", "500 Error", 1);
         write(stream, &text);
@@ -224,13 +230,13 @@
 }
 
 #[test]
-fn a_refusal_of_all_back_ends_is_told_with_a_time_to_come_back() {
-    let script =
+fn a_request_that_all_back_ends_refuse_is_answered_with_retry_after() {
+    let refuse =
         |stream: &mut std::net::TcpStream, request: &support::ReceivedRequest, _: usize| {
             write(stream, &not_run_response(request));
             true
         };
-    let (one, two) = (MockBackEnd::start(script), MockBackEnd::start(script));
+    let (one, two) = (MockBackEnd::start(refuse), MockBackEnd::start(refuse));
     let relay = TestRelay::with_back_ends(&[&one, &two]);
     let response = relay.call("POST", "/write/1", "", "x");
     assert_eq!(response.status, 503);
--- a/crates/transport/relay/tests/run_replicas.rs
+++ b/crates/transport/relay/tests/run_replicas.rs
@@ -11,8 +11,8 @@
 };
 
 /// A prompt and an answer that are worth a replica.
-const USAGE: &str = "Token-Usage: 200,200\r\n";
-const ID: &str = "id-/stream/1";
+const TOKEN_USAGE_LINE: &str = "Token-Usage: 200,200\r\n";
+const REQUEST_ID: &str = "id-/stream/1";
 
 /// Age from which on a run is held to have a replica, and a little more.
 const REPLICA_AGE: Duration = Duration::from_millis(210);
@@ -21,7 +21,7 @@
     range.map(event).collect()
 }
 
-fn continues(request: &ReceivedRequest) -> bool {
+fn is_continuation(request: &ReceivedRequest) -> bool {
     request.header("resume-from").is_some()
 }
 
@@ -31,14 +31,18 @@
     BeforeHead,
     BeforeFirstEvent,
     /// Between two events of a run so young that it has no replica yet.
-    AtOnce,
+    BeforeReplica,
     BetweenEvents,
     WithinEvent,
-    Garbled,
+    InvalidChunk,
 }
 
 /// Loses a stream; returns whether the connection is kept.
-fn lose(stream: &mut std::net::TcpStream, request: &ReceivedRequest, loss: Loss) -> bool {
+fn send_and_lose_stream(
+    stream: &mut std::net::TcpStream,
+    request: &ReceivedRequest,
+    loss: Loss,
+) -> bool {
     if !matches!(loss, Loss::BeforeHead) {
         write(stream, &stream_head(request, "source"));
     }
@@ -47,13 +51,13 @@
     }
     if !matches!(
         loss,
-        Loss::BeforeHead | Loss::BeforeFirstEvent | Loss::AtOnce
+        Loss::BeforeHead | Loss::BeforeFirstEvent | Loss::BeforeReplica
     ) {
         std::thread::sleep(REPLICA_AGE);
     }
     match loss {
         Loss::WithinEvent => write(stream, &chunk(&event(3)[..9])),
-        Loss::Garbled => {
+        Loss::InvalidChunk => {
             write(stream, "this is no chunk\r\n");
             wait_for_close(stream);
         }
@@ -63,16 +67,16 @@
 }
 
 /// When connections of an engine ended.
-type Ends = Arc<Mutex<Vec<Instant>>>;
-type Continuation = dyn Fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool + Send + Sync;
+type CloseTimes = Arc<Mutex<Vec<Instant>>>;
+type ContinuationHandler = dyn Fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool + Send + Sync;
 
 /// Two engines: the one that is asked first loses its run, the other continues it.
-struct Pair {
+struct EnginePair {
     engines: [MockBackEnd; 2],
     relay: TestRelay,
 }
 
-impl Pair {
+impl EnginePair {
     fn new(
         loss: Loss,
         continuation: impl Fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool
@@ -80,14 +84,14 @@
         + Sync
         + 'static,
     ) -> Self {
-        let continuation: Arc<Continuation> = Arc::new(continuation);
+        let continuation: Arc<ContinuationHandler> = Arc::new(continuation);
         let engines = [0, 1].map(|_| {
             let continuation = Arc::clone(&continuation);
             MockBackEnd::start(move |stream, request, _| {
-                if continues(request) {
+                if is_continuation(request) {
                     continuation(stream, request)
                 } else {
-                    lose(stream, request, loss)
+                    send_and_lose_stream(stream, request, loss)
                 }
             })
         });
@@ -96,7 +100,7 @@
     }
 
     fn call(&self) -> Response {
-        self.relay.call("POST", "/stream/1", USAGE, "x")
+        self.relay.call("POST", "/stream/1", TOKEN_USAGE_LINE, "x")
     }
 
     /// Requests that both engines saw: first runs, and continued ones.
@@ -106,7 +110,7 @@
             requests.clone()
         });
         let (continued, first): (Vec<ReceivedRequest>, Vec<ReceivedRequest>) =
-            all.partition(continues);
+            all.partition(is_continuation);
         (first, continued)
     }
 
@@ -114,28 +118,28 @@
     fn holder(&self) -> &MockBackEnd {
         let is_holder = |engine: &&MockBackEnd| {
             let requests = engine.requests.lock().expect("lock");
-            requests.iter().any(continues)
+            requests.iter().any(is_continuation)
         };
         self.engines.iter().find(is_holder).expect("a holder")
     }
 }
 
-fn last_event(request: &ReceivedRequest) -> u64 {
+fn last_event_id(request: &ReceivedRequest) -> u64 {
     let id = request.header("last-event-id").expect("a place to go on");
     id.parse().expect("a number")
 }
 
-fn rest(stream: &mut std::net::TcpStream, request: &ReceivedRequest) -> bool {
+fn send_remaining_events(stream: &mut std::net::TcpStream, request: &ReceivedRequest) -> bool {
     write(stream, &stream_head(request, "holder"));
-    write(stream, &chunk(&events(last_event(request) + 1..=5)));
+    write(stream, &chunk(&events(last_event_id(request) + 1..=5)));
     write(stream, "0\r\n\r\n");
     true
 }
 
 #[test]
-fn a_run_lost_midway_goes_on_with_no_byte_lost_or_doubled_under_its_first_head() {
-    for loss in [Loss::BetweenEvents, Loss::WithinEvent, Loss::Garbled] {
-        let pair = Pair::new(loss, rest);
+fn a_run_lost_midway_continues_without_lost_or_duplicate_bytes_under_its_first_head() {
+    for loss in [Loss::BetweenEvents, Loss::WithinEvent, Loss::InvalidChunk] {
+        let pair = EnginePair::new(loss, send_remaining_events);
         let response = pair.call();
         assert!(response.is_complete, "{loss:?} {response:?}");
         assert_eq!(response.body, events(1..=5), "{loss:?}");
@@ -147,10 +151,10 @@
             first[0].header("replica-at"),
             Some(holder.to_string().as_str())
         );
-        let replica = format!("{holder}/{ID}");
+        let replica = format!("{holder}/{REQUEST_ID}");
         assert_eq!(continued[0].header("resume-from"), Some(replica.as_str()));
         assert_eq!(continued[0].header("last-event-id"), Some("2"));
-        assert_eq!(continued[0].id(), ID);
+        assert_eq!(continued[0].id(), REQUEST_ID);
         assert_eq!(continued[0].header("replica-at"), None);
         assert_ne!(
             first[0].header("expected-instance"),
@@ -160,14 +164,14 @@
 }
 
 #[test]
-fn a_run_lost_before_its_first_event_or_just_begun_is_not_asked_for_elsewhere() {
+fn a_run_lost_before_its_first_event_or_its_replica_is_not_continued_elsewhere() {
     for loss in [Loss::BeforeHead, Loss::BeforeFirstEvent] {
-        let pair = Pair::new(loss, rest);
+        let pair = EnginePair::new(loss, send_remaining_events);
         assert_eq!(pair.call().status, 502, "{loss:?}");
         let (first, continued) = pair.first_and_continued_requests();
         assert_eq!((first.len(), continued.len()), (1, 0), "{loss:?}");
     }
-    let pair = Pair::new(Loss::AtOnce, rest);
+    let pair = EnginePair::new(Loss::BeforeReplica, send_remaining_events);
     let response = pair.call();
     assert_eq!(
         (response.is_complete, response.body),
@@ -178,7 +182,7 @@
 }
 
 #[test]
-fn without_a_replica_at_the_holder_the_stream_ends_at_once_and_honestly() {
+fn when_the_holder_refuses_to_continue_the_stream_ends_at_once_as_incomplete() {
     let refusals: [fn(&ReceivedRequest) -> String; 3] = [
         not_run_response,
         |request| not_run_response(request).replace("503 Busy", "421 Misdirected Request"),
@@ -189,24 +193,24 @@
         },
     ];
     for refusal in refusals {
-        let pair = Pair::new(Loss::BetweenEvents, move |stream, request| {
+        let pair = EnginePair::new(Loss::BetweenEvents, move |stream, request| {
             write(stream, &refusal(request));
             true
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let response = pair.call();
         assert!(!response.is_complete);
         assert_eq!(response.body, events(1..=2));
         // The route's time is 4 s.
-        assert!(begun.elapsed() < Duration::from_millis(3_500));
+        assert!(started_at.elapsed() < Duration::from_millis(3_500));
         let (first, continued) = pair.first_and_continued_requests();
         assert_eq!((first.len(), continued.len()), (1, 1));
     }
 }
 
 #[test]
-fn a_run_is_taken_over_once_only() {
-    let losses: [fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool; 2] = [
+fn a_run_is_taken_over_at_most_once() {
+    let handlers: [fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool; 2] = [
         |_, _| false,
         |stream, request| {
             write(stream, &stream_head(request, "holder"));
@@ -214,8 +218,8 @@
             false
         },
     ];
-    for lose_again in losses {
-        let pair = Pair::new(Loss::BetweenEvents, lose_again);
+    for handler in handlers {
+        let pair = EnginePair::new(Loss::BetweenEvents, handler);
         let response = pair.call();
         assert!(!response.is_complete);
         let (first, continued) = pair.first_and_continued_requests();
@@ -224,108 +228,123 @@
 }
 
 #[test]
-fn the_first_engine_is_told_to_stop_before_the_second_one_begins() {
-    let engines: Arc<Mutex<Vec<Ends>>> = Arc::default();
-    let closed = Arc::clone(&engines);
+fn the_connection_to_the_first_engine_is_closed_before_the_holder_continues() {
+    let close_times: Arc<Mutex<Vec<CloseTimes>>> = Arc::default();
+    let observed_close_times = Arc::clone(&close_times);
     // The garbled engine goes on until its connection is closed.
-    let pair = Pair::new(Loss::Garbled, move |stream, request| {
-        let begun = Instant::now();
+    let pair = EnginePair::new(Loss::InvalidChunk, move |stream, request| {
+        let started_at = Instant::now();
         let has_stopped = || {
-            let closed = closed.lock().expect("lock");
-            closed
+            let close_times = observed_close_times.lock().expect("lock");
+            close_times
                 .iter()
-                .any(|ends| !ends.lock().expect("lock").is_empty())
+                .any(|engine| !engine.lock().expect("lock").is_empty())
         };
-        while !has_stopped() && begun.elapsed() < TEST_TIMEOUT {
+        while !has_stopped() && started_at.elapsed() < TEST_TIMEOUT {
             std::thread::sleep(Duration::from_millis(2));
         }
-        has_stopped() && rest(stream, request)
+        has_stopped() && send_remaining_events(stream, request)
     });
-    let ends = pair
+    let engine_close_times = pair
         .engines
         .iter()
-        .map(|engine| Arc::clone(&engine.closed_at));
-    engines.lock().expect("lock").extend(ends);
+        .map(|engine| Arc::clone(&engine.close_times));
+    close_times.lock().expect("lock").extend(engine_close_times);
     assert!(pair.call().is_complete);
 }
 
 /// A holder that tells when it was asked, and goes on once it is told to.
-fn gated() -> (Pair, Receiver<()>, Sender<()>) {
-    let (asked, is_asked) = mpsc::channel();
-    let (go, gate) = mpsc::channel::<()>();
-    let (asked, gate) = (Mutex::new(asked), Mutex::new(gate));
-    let pair = Pair::new(Loss::BetweenEvents, move |stream, request| {
-        asked
+fn pair_with_waiting_holder() -> (EnginePair, Receiver<()>, Sender<()>) {
+    let (continuation_sender, continuation_receiver) = mpsc::channel();
+    let (resume_sender, resume_receiver) = mpsc::channel::<()>();
+    let (continuation_sender, resume_receiver) =
+        (Mutex::new(continuation_sender), Mutex::new(resume_receiver));
+    let pair = EnginePair::new(Loss::BetweenEvents, move |stream, request| {
+        continuation_sender
             .lock()
             .expect("lock")
             .send(())
             .expect("the test waits");
-        let gate = gate.lock().expect("lock");
-        gate.recv_timeout(TEST_TIMEOUT).is_ok() && rest(stream, request)
+        let resume_receiver = resume_receiver.lock().expect("lock");
+        resume_receiver.recv_timeout(TEST_TIMEOUT).is_ok() && send_remaining_events(stream, request)
     });
-    (pair, is_asked, go)
+    (pair, continuation_receiver, resume_sender)
 }
 
 #[test]
-fn a_planned_stop_lets_a_takeover_that_is_under_way_end_well() {
-    let (mut pair, is_asked, go) = gated();
+fn a_takeover_in_progress_finishes_during_a_graceful_shutdown() {
+    let (mut pair, continuation_receiver, resume_sender) = pair_with_waiting_holder();
     let mut caller = pair.relay.connect();
-    caller.send("POST", "/stream/1", USAGE, "x");
-    is_asked.recv_timeout(TEST_TIMEOUT).expect("asked");
+    caller.send("POST", "/stream/1", TOKEN_USAGE_LINE, "x");
+    continuation_receiver
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("asked");
     pair.relay.begin_shutdown();
-    go.send(()).expect("the holder waits");
+    resume_sender.send(()).expect("the holder waits");
     let response = caller.read_response();
     assert!(response.is_complete, "{response:?}");
     assert_eq!(response.body, events(1..=5));
 }
 
 #[test]
-fn a_caller_that_leaves_during_a_takeover_ends_it() {
-    let (asked, is_asked) = mpsc::channel();
-    let (left, has_left) = mpsc::channel();
-    let (asked, left) = (Mutex::new(asked), Mutex::new(left));
-    let pair = Pair::new(Loss::BetweenEvents, move |stream, _| {
-        asked
+fn a_disconnect_during_a_takeover_cancels_it() {
+    let (continuation_sender, continuation_receiver) = mpsc::channel();
+    let (close_sender, close_receiver) = mpsc::channel();
+    let (continuation_sender, close_sender) =
+        (Mutex::new(continuation_sender), Mutex::new(close_sender));
+    let pair = EnginePair::new(Loss::BetweenEvents, move |stream, _| {
+        continuation_sender
             .lock()
             .expect("lock")
             .send(())
             .expect("the test waits");
         let is_closed = wait_for_close(stream);
-        left.lock()
+        close_sender
+            .lock()
             .expect("lock")
             .send(is_closed)
             .expect("the test waits");
         false
     });
     let mut caller = pair.relay.connect();
-    caller.send("POST", "/stream/1", USAGE, "x");
-    is_asked.recv_timeout(TEST_TIMEOUT).expect("asked");
+    caller.send("POST", "/stream/1", TOKEN_USAGE_LINE, "x");
+    continuation_receiver
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("asked");
     drop(caller);
-    assert!(has_left.recv_timeout(TEST_TIMEOUT).expect("an end"));
+    assert!(close_receiver.recv_timeout(TEST_TIMEOUT).expect("an end"));
 }
 
 #[test]
-fn switched_off_no_replica_is_kept_and_a_lost_run_ends() {
+fn with_replicas_disabled_none_is_requested_and_a_lost_run_ends() {
     let engines = [0, 1].map(|_| {
-        MockBackEnd::start(|stream, request, _| lose(stream, request, Loss::BetweenEvents))
+        MockBackEnd::start(|stream, request, _| {
+            send_and_lose_stream(stream, request, Loss::BetweenEvents)
+        })
     });
     let relay = TestRelay::with_replicas_disabled(&[&engines[0], &engines[1]]);
-    let response = relay.call("POST", "/stream/1", USAGE, "x");
+    let response = relay.call("POST", "/stream/1", TOKEN_USAGE_LINE, "x");
     assert!(!response.is_complete);
     assert_eq!(engines[0].request_count() + engines[1].request_count(), 1);
-    let asked = engines.iter().find(|engine| engine.request_count() == 1);
+    let chosen_engine = engines.iter().find(|engine| engine.request_count() == 1);
     assert_eq!(
-        asked.expect("one").first_request().header("replica-at"),
+        chosen_engine
+            .expect("one")
+            .first_request()
+            .header("replica-at"),
         None
     );
 }
 
 #[test]
-fn a_callers_commands_never_reach_an_engine() {
-    let back_end = MockBackEnd::start(|stream, request, _| rest_of_plain(stream, request));
+fn replica_commands_of_a_caller_never_reach_an_engine() {
+    let back_end = MockBackEnd::start(|stream, request, _| respond_done(stream, request));
     let relay = TestRelay::with_back_ends(&[&back_end]);
-    let extra = "Replica-At: 127.0.0.9:80\r\nResume-From: 127.0.0.9:80/other\r\n";
-    assert_eq!(relay.call("POST", "/stream/1", extra, "x").status, 200);
+    let extra_headers = "Replica-At: 127.0.0.9:80\r\nResume-From: 127.0.0.9:80/other\r\n";
+    assert_eq!(
+        relay.call("POST", "/stream/1", extra_headers, "x").status,
+        200
+    );
     let request = back_end.first_request();
     assert_eq!(
         (request.header("replica-at"), request.header("resume-from")),
@@ -333,13 +352,13 @@
     );
 }
 
-fn rest_of_plain(stream: &mut std::net::TcpStream, request: &ReceivedRequest) -> bool {
+fn respond_done(stream: &mut std::net::TcpStream, request: &ReceivedRequest) -> bool {
     write(stream, &support::ok_response(request, "done"));
     true
 }
 
 #[test]
-fn a_source_that_pauses_and_is_not_known_to_be_lost_is_waited_for() {
+fn a_pausing_engine_that_is_not_known_to_be_lost_is_waited_for() {
     let engines = [0, 1].map(|_| {
         MockBackEnd::start(|stream, request, _| {
             write(stream, &stream_head(request, "source"));
@@ -352,7 +371,7 @@
         })
     });
     let relay = TestRelay::with_replicating_engines(&[&engines[0], &engines[1]]);
-    let response = relay.call("POST", "/paced/1", USAGE, "x");
+    let response = relay.call("POST", "/paced/1", TOKEN_USAGE_LINE, "x");
     assert!(response.is_complete, "{response:?}");
     assert_eq!(response.body, events(1..=2));
     assert_eq!(engines[0].request_count() + engines[1].request_count(), 1);
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -14,48 +14,52 @@
 };
 
 /// How long a back end lets its answer sit unread.
-const UNREAD_LIMIT: Duration = Duration::from_millis(1_500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// More than the kernel takes for one connection while nobody reads.
 const LONG_STREAM_EVENTS: u64 = 6_000;
 /// Bytes of an event.
 const EVENT_BYTES: usize = 1_024;
 const MEBIBYTE: u64 = 1024 * 1024;
 
-fn wait_for(what: &str, is_so: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !is_so() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "{what}");
+fn wait_for(failure: &str, condition: impl Fn() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{failure}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Prints the most that was held; the table of docs/design/backpressure.md is made of it.
-fn tell_peak(what: &str, relay: &TestRelay) {
-    println!("peak: {what}: {} bytes", relay.memory.peak());
+fn print_peak(scenario: &str, relay: &TestRelay) {
+    println!("peak: {scenario}: {} bytes", relay.memory.peak());
 }
 
 fn long_event(id: u64) -> String {
     let head = format!("id: {id}\ndata: ");
-    let filling = "w".repeat(EVENT_BYTES - head.len() - 2);
-    format!("{head}{filling}\n\n")
+    let padding = "w".repeat(EVENT_BYTES - head.len() - 2);
+    format!("{head}{padding}\n\n")
 }
 
 /// What became of streams at a back end that insists on being read.
 #[derive(Default)]
-struct Fates {
-    taken: AtomicUsize,
-    cut: AtomicUsize,
+struct StreamOutcomes {
+    completed: AtomicUsize,
+    timed_out: AtomicUsize,
 }
 
-impl Fates {
-    fn over(&self) -> usize {
-        self.taken.load(Ordering::SeqCst) + self.cut.load(Ordering::SeqCst)
+impl StreamOutcomes {
+    fn finished_count(&self) -> usize {
+        self.completed.load(Ordering::SeqCst) + self.timed_out.load(Ordering::SeqCst)
     }
 }
 
 /// Sends a stream; whether it was taken in time.
-fn send_insistently(stream: &mut TcpStream, request: &ReceivedRequest, events: u64) -> bool {
-    let _ = stream.set_write_timeout(Some(UNREAD_LIMIT));
+fn send_stream_with_timeout(
+    stream: &mut TcpStream,
+    request: &ReceivedRequest,
+    events: u64,
+) -> bool {
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let mut send = |text: &str| stream.write_all(text.as_bytes()).is_ok();
     send(&stream_head(request, "one"))
         && (1..=events).all(|id| send(&chunk(&long_event(id))))
@@ -63,24 +67,28 @@
 }
 
 /// A back end that cuts off an answer that sits unread.
-fn insistent(events: u64) -> (MockBackEnd, Arc<Fates>) {
-    let fates = Arc::new(Fates::default());
-    let noted = Arc::clone(&fates);
+fn back_end_with_write_timeout(events: u64) -> (MockBackEnd, Arc<StreamOutcomes>) {
+    let outcomes = Arc::new(StreamOutcomes::default());
+    let recorded = Arc::clone(&outcomes);
     let back_end = MockBackEnd::with_small_buffers(move |stream, request, _| {
-        let is_taken = send_insistently(stream, request, events);
-        let fate = if is_taken { &noted.taken } else { &noted.cut };
-        fate.fetch_add(1, Ordering::SeqCst);
-        is_taken
+        let is_sent = send_stream_with_timeout(stream, request, events);
+        let outcome = if is_sent {
+            &recorded.completed
+        } else {
+            &recorded.timed_out
+        };
+        outcome.fetch_add(1, Ordering::SeqCst);
+        is_sent
     });
-    (back_end, fates)
+    (back_end, outcomes)
 }
 
-fn is_whole_stream(body: &str, events: u64) -> bool {
+fn is_complete_stream(body: &str, events: u64) -> bool {
     body.len() == events as usize * EVENT_BYTES
         && (1..=events).all(|id| body.contains(&format!("id: {id}\n")))
 }
 
-fn read_a_few_bytes(caller: &mut Caller) -> Vec<u8> {
+fn read_first_bytes(caller: &mut Caller) -> Vec<u8> {
     let mut byte = [0];
     (0..3)
         .map(|_| {
@@ -92,31 +100,37 @@
 }
 
 #[test]
-fn a_slow_caller_keeps_no_back_end_waiting_and_gets_the_whole_answer() {
-    let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
+fn a_slow_caller_does_not_block_its_back_end_and_gets_the_complete_response() {
+    let (back_end, outcomes) = back_end_with_write_timeout(LONG_STREAM_EVENTS);
     let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    let begun = read_a_few_bytes(&mut caller);
-    assert_eq!(begun, b"HTT");
-    wait_for("the stream is still unread", || fates.over() == 1);
-    assert_eq!(fates.taken.load(Ordering::SeqCst), 1, "cut off as unread");
+    let prefix = read_first_bytes(&mut caller);
+    assert_eq!(prefix, b"HTT");
+    wait_for("the stream is still unread", || {
+        outcomes.finished_count() == 1
+    });
+    assert_eq!(
+        outcomes.completed.load(Ordering::SeqCst),
+        1,
+        "cut off as unread"
+    );
     assert!(relay.memory.held_by_kind(MemoryKind::Events) > 0);
-    let response = caller.read_response_after(begun);
+    let response = caller.read_response_after(prefix);
     assert!(response.is_complete);
-    assert!(is_whole_stream(&response.body, LONG_STREAM_EVENTS));
+    assert!(is_complete_stream(&response.body, LONG_STREAM_EVENTS));
     wait_for("bytes stay held", || relay.memory.held() == 0);
-    tell_peak("one slow caller of 6 MB", &relay);
+    print_peak("one slow caller of 6 MB", &relay);
 }
 
 #[test]
-fn without_a_budget_a_slow_caller_keeps_its_back_end_waiting() {
-    let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
+fn without_a_memory_budget_a_slow_caller_blocks_its_back_end() {
+    let (back_end, outcomes) = back_end_with_write_timeout(LONG_STREAM_EVENTS);
     let relay = TestRelay::with_memory_budget(&[&back_end], 0);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    wait_for("neither taken nor cut", || fates.over() == 1);
-    assert_eq!(fates.cut.load(Ordering::SeqCst), 1);
+    wait_for("neither taken nor cut", || outcomes.finished_count() == 1);
+    assert_eq!(outcomes.timed_out.load(Ordering::SeqCst), 1);
     assert_eq!(relay.memory.held_by_kind(MemoryKind::Events), 0);
 }
 
@@ -125,8 +139,13 @@
     const CALLERS: usize = 1_000;
     const EVENTS: u64 = 600;
     const BUDGET: u64 = 40 * MEBIBYTE;
-    let all: Vec<(MockBackEnd, Arc<Fates>)> = (0..4).map(|_| insistent(EVENTS)).collect();
-    let back_ends: Vec<&MockBackEnd> = all.iter().map(|(back_end, _)| back_end).collect();
+    let back_ends_with_outcomes: Vec<(MockBackEnd, Arc<StreamOutcomes>)> = (0..4)
+        .map(|_| back_end_with_write_timeout(EVENTS))
+        .collect();
+    let back_ends: Vec<&MockBackEnd> = back_ends_with_outcomes
+        .iter()
+        .map(|(back_end, _)| back_end)
+        .collect();
     let relay = TestRelay::with_memory_budget(&back_ends, BUDGET);
     let mut callers: Vec<Caller> = (0..CALLERS)
         .map(|number| {
@@ -139,8 +158,13 @@
     wait_for("the budget does not fill", || {
         relay.memory.peak() >= BUDGET * 45 / 100
     });
-    let over = || all.iter().map(|(_, fates)| fates.over()).sum::<usize>();
-    let sent = || {
+    let finished_count = || {
+        back_ends_with_outcomes
+            .iter()
+            .map(|(_, outcomes)| outcomes.finished_count())
+            .sum::<usize>()
+    };
+    let started_count = || {
         back_ends
             .iter()
             .map(|back_end| back_end.request_count())
@@ -151,55 +175,58 @@
     let is_each_answered = callers.iter().all(Caller::wait_for_response);
     assert!(is_each_answered, "some of the thousand were not answered");
     wait_for("not all streams came to an end", || {
-        sent() > 0 && over() == sent()
+        started_count() > 0 && finished_count() == started_count()
     });
-    let mut keen = relay.connect();
-    keen.send("POST", "/patient/keen", "", "x");
+    let mut late_caller = relay.connect();
+    late_caller.send("POST", "/patient/keen", "", "x");
     assert!(
-        is_whole_stream(&keen.read_response().body, EVENTS),
+        is_complete_stream(&late_caller.read_response().body, EVENTS),
         "others suffer"
     );
     let responses: Vec<_> = callers.iter_mut().map(Caller::read_response).collect();
-    let is_right = |response: &&support::Response| {
-        response.is_complete && response.status == 200 && is_whole_stream(&response.body, EVENTS)
+    let is_expected = |response: &&support::Response| {
+        response.is_complete && response.status == 200 && is_complete_stream(&response.body, EVENTS)
     };
-    let right = responses.iter().filter(is_right).count();
-    let refused = responses
+    let complete_count = responses.iter().filter(is_expected).count();
+    let refused_count = responses
         .iter()
         .filter(|response| response.status == 503)
         .count();
-    let ended = responses
+    let truncated_count = responses
         .iter()
         .filter(|response| !response.is_complete)
         .count();
     let peak = relay.memory.peak();
-    tell_peak("a thousand slow callers of 600 kB", &relay);
-    println!("{right} whole, {ended} ended, {refused} refused");
+    print_peak("a thousand slow callers of 600 kB", &relay);
+    println!("{complete_count} whole, {truncated_count} ended, {refused_count} refused");
     assert_eq!(
-        right + refused + ended,
+        complete_count + refused_count + truncated_count,
         CALLERS,
         "an answer looks whole and is not"
     );
     assert!(peak <= BUDGET, "{peak} bytes were held");
-    assert!(ended > 0, "the budget was never full: this shows nothing");
+    assert!(
+        truncated_count > 0,
+        "the budget was never full: this shows nothing"
+    );
     wait_for("bytes stay held", || relay.memory.held() == 0);
 }
 
 #[test]
-fn a_stream_past_its_requests_bound_is_ended_and_does_not_look_complete() {
-    let (back_end, fates) = insistent(LONG_STREAM_EVENTS);
+fn a_stream_over_the_limit_of_one_request_is_ended_as_incomplete() {
+    let (back_end, outcomes) = back_end_with_write_timeout(LONG_STREAM_EVENTS);
     // An eighth of it, 256 KiB, for one request's events.
     let relay = TestRelay::with_memory_budget(&[&back_end], 2 * MEBIBYTE);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    wait_for("the stream goes on", || fates.over() == 1);
+    wait_for("the stream goes on", || outcomes.finished_count() == 1);
     wait_for("bytes stay held", || relay.memory.held() == 0);
     assert!(relay.memory.peak() <= MEBIBYTE / 4 + 64 * 1024);
     assert!(!caller.read_response().is_complete);
 }
 
 #[test]
-fn events_that_came_before_a_break_reach_a_slow_caller_and_nothing_looks_complete() {
+fn events_received_before_a_disconnect_reach_a_slow_caller_and_the_stream_ends_as_incomplete() {
     const EVENTS: u64 = 2_000;
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &stream_head(request, "one"));
@@ -212,20 +239,20 @@
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
     wait_for("the back end has not broken off", || {
-        back_end.closed_at.lock().expect("lock").len() == 1
+        back_end.close_times.lock().expect("lock").len() == 1
     });
     let response = caller.read_response();
-    assert!(is_whole_stream(&response.body, EVENTS));
+    assert!(is_complete_stream(&response.body, EVENTS));
     assert!(!response.is_complete);
     wait_for("bytes stay held", || relay.memory.held() == 0);
 }
 
 #[test]
-fn the_less_urgent_streams_give_way_first() {
+fn streams_of_lower_priority_are_evicted_first() {
     const EVENTS: u64 = 3_500;
-    const IDLE: usize = 3;
-    const URGENT: usize = 4;
-    let (back_end, fates) = insistent(EVENTS);
+    const LOW_PRIORITY: usize = 3;
+    const HIGH_PRIORITY: usize = 4;
+    let (back_end, outcomes) = back_end_with_write_timeout(EVENTS);
     // Half of it, 16 MiB, for events: 5 of the 7 streams.
     let relay = TestRelay::with_memory_budget(&[&back_end], 32 * MEBIBYTE);
     let call = |path: String| {
@@ -233,32 +260,39 @@
         caller.send("POST", &path, "", "x");
         caller
     };
-    let mut idle: Vec<Caller> = (0..IDLE)
+    let mut low_priority: Vec<Caller> = (0..LOW_PRIORITY)
         .map(|number| call(format!("/patient/{number}")))
         .collect();
-    wait_for("not all were read ahead", || fates.over() == IDLE);
-    assert_eq!(fates.cut.load(Ordering::SeqCst), 0);
-    let mut urgent: Vec<Caller> = (0..URGENT)
+    wait_for("not all were read ahead", || {
+        outcomes.finished_count() == LOW_PRIORITY
+    });
+    assert_eq!(outcomes.timed_out.load(Ordering::SeqCst), 0);
+    let mut high_priority: Vec<Caller> = (0..HIGH_PRIORITY)
         .map(|number| call(format!("/patient-urgent/{number}")))
         .collect();
-    wait_for("not all came to an end", || fates.over() == IDLE + URGENT);
+    wait_for("not all came to an end", || {
+        outcomes.finished_count() == LOW_PRIORITY + HIGH_PRIORITY
+    });
     let count_complete = |callers: &mut Vec<Caller>| {
         let responses = callers.iter_mut().map(Caller::read_response);
         responses.filter(|response| response.is_complete).count()
     };
     assert_eq!(
-        count_complete(&mut urgent),
-        URGENT,
+        count_complete(&mut high_priority),
+        HIGH_PRIORITY,
         "an urgent one gave way"
     );
-    assert!(count_complete(&mut idle) < IDLE, "none gave way");
-    let bodies = (IDLE + URGENT) as u64;
-    assert!(relay.memory.peak() <= 16 * MEBIBYTE + bodies);
-    tell_peak("seven slow callers of 3.5 MB, three less urgent", &relay);
+    assert!(
+        count_complete(&mut low_priority) < LOW_PRIORITY,
+        "none gave way"
+    );
+    let request_body_bytes = (LOW_PRIORITY + HIGH_PRIORITY) as u64;
+    assert!(relay.memory.peak() <= 16 * MEBIBYTE + request_body_bytes);
+    print_peak("seven slow callers of 3.5 MB, three less urgent", &relay);
 }
 
 #[test]
-fn a_caller_that_leaves_in_the_middle_frees_everything_at_once() {
+fn a_disconnect_during_a_stream_releases_its_memory_and_back_end_connection() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &stream_head(request, "one"));
         for id in 1..=LONG_STREAM_EVENTS {
@@ -274,13 +308,13 @@
     wait_for("nothing is read ahead", || held() > MEBIBYTE);
     drop(caller);
     wait_for("the back end's connection stays open", || {
-        back_end.closed_at.lock().expect("lock").len() == 1
+        back_end.close_times.lock().expect("lock").len() == 1
     });
     wait_for("bytes stay held", || relay.memory.held() == 0);
 }
 
 #[test]
-fn a_back_end_that_stops_reading_a_body_midway_is_given_up_in_the_routes_time() {
+fn a_back_end_that_stops_reading_a_body_is_abandoned_at_the_route_timeout() {
     let back_end = MockBackEnd::with_small_buffers(|stream, _, _| {
         // Reads no further than the head.
         std::thread::sleep(TEST_TIMEOUT / 4);
@@ -289,11 +323,11 @@
     });
     let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let body = "b".repeat(290_000);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let response = relay.call("POST", "/quick/1", "Test-Answer-Early: 1\r\n", &body);
     assert_eq!(response.status, 504);
     assert!(
-        begun.elapsed() < TEST_TIMEOUT / 4,
+        started_at.elapsed() < TEST_TIMEOUT / 4,
         "only when the back end left"
     );
     assert!(relay.memory.peak() >= 290_000, "the body was not counted");
@@ -301,7 +335,7 @@
 }
 
 /// A back end that answers with the longest answer that is accepted.
-fn longest_answers() -> MockBackEnd {
+fn back_end_with_longest_response() -> MockBackEnd {
     let body = "a".repeat(4 * MEBIBYTE as usize);
     MockBackEnd::start(move |stream, request, _| {
         write(stream, &ok_response(request, &body));
@@ -310,9 +344,9 @@
 }
 
 #[test]
-fn the_longest_answers_to_slow_callers_are_counted_until_they_are_taken() {
+fn the_longest_responses_count_as_held_memory_until_slow_callers_read_them() {
     const CALLERS: usize = 8;
-    let back_end = longest_answers();
+    let back_end = back_end_with_longest_response();
     let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let mut callers: Vec<Caller> = (0..CALLERS)
         .map(|_| relay.connect_with_small_buffer())
@@ -330,14 +364,14 @@
         assert!(response.is_complete);
     }
     wait_for("bytes stay held", || relay.memory.held() == 0);
-    tell_peak("eight whole answers of 4 MiB", &relay);
+    print_peak("eight whole answers of 4 MiB", &relay);
 }
 
 #[test]
-fn answers_past_the_budget_end_honestly_and_the_bound_holds() {
+fn responses_over_the_memory_budget_get_502_and_the_budget_is_kept() {
     const CALLERS: usize = 4;
     const BUDGET: u64 = 10 * MEBIBYTE;
-    let back_end = longest_answers();
+    let back_end = back_end_with_longest_response();
     let relay = TestRelay::with_memory_budget(&[&back_end], BUDGET);
     let mut callers: Vec<Caller> = (0..CALLERS)
         .map(|_| relay.connect_with_small_buffer())
@@ -352,10 +386,10 @@
     assert!(complete.clone().all(|response| response.is_complete));
     assert_eq!(complete.count() + lost.count(), CALLERS);
     assert!(relay.memory.peak() <= BUDGET);
-    tell_peak("four whole answers of 4 MiB", &relay);
+    print_peak("four whole answers of 4 MiB", &relay);
 }
 
-fn send_head(caller: &mut Caller, path: &str, length: usize) {
+fn send_request_head(caller: &mut Caller, path: &str, length: usize) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: id-{path}\r\n\
          Authorization: Bearer {KEY}\r\nContent-Length: {length}\r\n\r\n"
@@ -364,7 +398,7 @@
 }
 
 /// A back end that keeps what it got until the test ends.
-fn silent() -> MockBackEnd {
+fn unresponsive_back_end() -> MockBackEnd {
     MockBackEnd::start(|stream, _, _| {
         wait_for_close(stream);
         false
@@ -372,14 +406,14 @@
 }
 
 #[test]
-fn a_body_that_does_not_fit_is_refused_before_it_is_read() {
-    let back_end = silent();
+fn a_body_over_the_memory_budget_is_refused_before_it_is_read() {
+    let back_end = unresponsive_back_end();
     let relay = TestRelay::with_memory_budget(&[&back_end], 300_000);
     let mut first = relay.connect();
     first.send("POST", "/patient/1", "", &"b".repeat(200_000));
     wait_for("the first did not arrive", || back_end.request_count() == 1);
     let mut second = relay.connect();
-    send_head(&mut second, "/patient/2", 100_000);
+    send_request_head(&mut second, "/patient/2", 100_000);
     let response = second.read_response();
     assert_eq!((response.status, response.body.as_str()), (503, "memory\n"));
     let retry_after: f64 = response
@@ -399,8 +433,8 @@
 }
 
 #[test]
-fn without_a_budget_every_body_is_taken() {
-    let back_end = silent();
+fn without_a_memory_budget_every_body_is_accepted() {
+    let back_end = unresponsive_back_end();
     let relay = TestRelay::with_memory_budget(&[&back_end], 0);
     let callers: Vec<Caller> = (1..=3)
         .map(|number| {
@@ -416,8 +450,8 @@
 }
 
 #[test]
-fn bodies_do_not_pile_up_at_a_back_end_that_takes_none() {
-    let back_end = silent();
+fn bodies_held_for_one_back_end_are_limited() {
+    let back_end = unresponsive_back_end();
     // A quarter of it, 256 KiB, for the bodies at one back end.
     let relay = TestRelay::with_memory_budget(&[&back_end], MEBIBYTE);
     let mut first = relay.connect();
--- a/crates/transport/relay/tests/streams.rs
+++ b/crates/transport/relay/tests/streams.rs
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn an_event_is_passed_on_before_the_next_one_exists() {
-    let (go, gate) = mpsc::channel::<()>();
-    let gate = std::sync::Mutex::new(gate);
+fn an_event_is_forwarded_before_the_next_one_is_produced() {
+    let (resume_sender, resume_receiver) = mpsc::channel::<()>();
+    let resume_receiver = std::sync::Mutex::new(resume_receiver);
     let back_end = MockBackEnd::start(move |stream, request, _| {
         write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&event(1)));
-        let gate = gate.lock().expect("lock");
-        if gate.recv_timeout(support::TEST_TIMEOUT).is_ok() {
+        let resume_receiver = resume_receiver.lock().expect("lock");
+        if resume_receiver.recv_timeout(support::TEST_TIMEOUT).is_ok() {
             write(stream, &chunk(&event(2)));
             write(stream, "0\r\n\r\n");
         }
@@ -28,23 +28,23 @@
     let relay = TestRelay::with_back_ends(&[&back_end]);
     let mut caller = relay.connect();
     caller.send("POST", "/stream/1", "", "x");
-    let mut first = [0; 1024];
+    let mut buffer = [0; 1024];
     let mut text = String::new();
     while !text.contains("word 1") {
-        let count = std::io::Read::read(&mut caller.stream, &mut first).expect("an event");
-        text.push_str(&String::from_utf8_lossy(&first[..count]));
+        let count = std::io::Read::read(&mut caller.stream, &mut buffer).expect("an event");
+        text.push_str(&String::from_utf8_lossy(&buffer[..count]));
     }
-    go.send(()).expect("the back end waits");
+    resume_sender.send(()).expect("the back end waits");
     while !text.contains("0\r\n\r\n") {
-        let count = std::io::Read::read(&mut caller.stream, &mut first).expect("the end");
-        text.push_str(&String::from_utf8_lossy(&first[..count]));
+        let count = std::io::Read::read(&mut caller.stream, &mut buffer).expect("the end");
+        text.push_str(&String::from_utf8_lossy(&buffer[..count]));
     }
     assert!(text.contains("word 2"));
 }
 
 /// A back end that breaks its first stream in the middle of event 3 and, asked to go
 /// on after an event, sends the rest.
-fn breaking(stamp: &'static str, has_broken: Arc<AtomicBool>) -> MockBackEnd {
+fn back_end_breaking_first_stream(stamp: &'static str, has_broken: Arc<AtomicBool>) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         write(stream, &stream_head(request, stamp));
         if !has_broken.swap(true, Ordering::SeqCst) {
@@ -53,20 +53,20 @@
             std::thread::sleep(Duration::from_millis(50));
             return false;
         }
-        let after: u64 = request
+        let last_event_id: u64 = request
             .header("last-event-id")
             .map_or(0, |id| id.parse().expect("a number"));
-        write(stream, &chunk(&events(after + 1..=5)));
+        write(stream, &chunk(&events(last_event_id + 1..=5)));
         write(stream, "0\r\n\r\n");
         true
     })
 }
 
 #[test]
-fn a_broken_stream_goes_on_elsewhere_with_no_byte_lost_or_doubled() {
+fn a_broken_stream_resumes_at_another_back_end_without_lost_or_duplicate_bytes() {
     let has_broken = Arc::new(AtomicBool::new(false));
-    let one = breaking("one", Arc::clone(&has_broken));
-    let two = breaking("one", has_broken);
+    let one = back_end_breaking_first_stream("one", Arc::clone(&has_broken));
+    let two = back_end_breaking_first_stream("one", has_broken);
     let relay = TestRelay::with_back_ends(&[&one, &two]);
     let response = relay.call("POST", "/resumable/1", "", "x");
     assert!(response.is_complete, "{response:?}");
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn events_that_were_passed_on_already_are_dropped() {
+fn events_that_were_already_forwarded_are_dropped() {
     let has_broken = Arc::new(AtomicBool::new(false));
-    let make = |has_broken: Arc<AtomicBool>| {
+    let back_end_repeating_events = |has_broken: Arc<AtomicBool>| {
         MockBackEnd::start(move |stream, request, _| {
             write(stream, &stream_head(request, "one"));
             if !has_broken.swap(true, Ordering::SeqCst) {
@@ -89,8 +89,8 @@
             true
         })
     };
-    let one = make(Arc::clone(&has_broken));
-    let two = make(has_broken);
+    let one = back_end_repeating_events(Arc::clone(&has_broken));
+    let two = back_end_repeating_events(has_broken);
     let relay = TestRelay::with_back_ends(&[&one, &two]);
     let response = relay.call("POST", "/resumable/1", "", "x");
     assert_eq!(response.body, events(1..=4));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
+fn a_broken_stream_that_is_not_resumable_ends_as_incomplete() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &stream_head(request, "one"));
         write(stream, &chunk(&events(1..=2)));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_before_its_first_event_and_may_not_be_resumed_is_lost() {
+fn a_stream_that_breaks_before_its_first_event_and_is_not_resumable_is_answered_with_502() {
     let back_end = MockBackEnd::start(|stream, request, _| {
         write(stream, &stream_head(request, "one"));
         false
@@ -123,13 +123,13 @@
 }
 
 #[test]
-fn a_caller_that_goes_on_after_an_event_gets_just_the_rest() {
+fn a_caller_that_resumes_after_an_event_gets_only_later_events() {
     let back_end = MockBackEnd::start(|stream, request, _| {
-        let after: u64 = request
+        let last_event_id: u64 = request
             .header("last-event-id")
             .map_or(0, |id| id.parse().expect("a number"));
         write(stream, &stream_head(request, "one"));
-        write(stream, &chunk(&events(after + 1..=4)));
+        write(stream, &chunk(&events(last_event_id + 1..=4)));
         write(stream, "0\r\n\r\n");
         true
     });
--- a/crates/transport/relay/tests/support/back_end.rs
+++ b/crates/transport/relay/tests/support/back_end.rs
@@ -41,7 +41,7 @@
 pub struct MockBackEnd {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
-    pub closed_at: Arc<Mutex<Vec<Instant>>>,
+    pub close_times: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl MockBackEnd {
@@ -73,23 +73,24 @@
     ) -> Self {
         let address = listener.local_addr().expect("bound");
         let requests: Arc<Mutex<Vec<ReceivedRequest>>> = Arc::default();
-        let closed_at: Arc<Mutex<Vec<Instant>>> = Arc::default();
+        let close_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let handler: Arc<RequestHandler> = Arc::new(handler);
-        let (thread_requests, thread_closed_at) = (Arc::clone(&requests), Arc::clone(&closed_at));
+        let (thread_requests, thread_close_times) =
+            (Arc::clone(&requests), Arc::clone(&close_times));
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (handler, requests) = (Arc::clone(&handler), Arc::clone(&thread_requests));
-                let closed_at = Arc::clone(&thread_closed_at);
+                let close_times = Arc::clone(&thread_close_times);
                 std::thread::spawn(move || {
                     serve(stream, &handler, &requests);
-                    closed_at.lock().expect("lock").push(Instant::now());
+                    close_times.lock().expect("lock").push(Instant::now());
                 });
             }
         });
         Self {
             address,
             requests,
-            closed_at,
+            close_times,
         }
     }
 
@@ -129,7 +130,7 @@
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     let head_end = loop {
-        if let Some(head_end) = find(&bytes, b"\r\n\r\n") {
+        if let Some(head_end) = find_bytes(&bytes, b"\r\n\r\n") {
             break head_end + 4;
         }
         let count = stream.read(&mut buffer).ok().filter(|count| *count > 0)?;
@@ -152,7 +153,7 @@
     Some(request)
 }
 
-pub fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+pub fn find_bytes(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     let mut windows = bytes.windows(pattern.len());
     windows.position(|window| window == pattern)
 }
@@ -172,7 +173,7 @@
 }
 
 /// A back end that answers each request with the same body.
-pub fn start_responding(body: &'static str) -> MockBackEnd {
+pub fn back_end_responding_with(body: &'static str) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         write(stream, &ok_response(request, body));
         true
--- a/crates/transport/relay/tests/support/caller.rs
+++ b/crates/transport/relay/tests/support/caller.rs
@@ -1,7 +1,7 @@
 //! Callers, and the answers that they read.
 
 use super::back_end::header_value;
-use super::{HOST, KEY, find, write};
+use super::{HOST, KEY, find_bytes, write};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
@@ -27,11 +27,11 @@
 
 impl Caller {
     /// Sends a request with a key and an id; `extra` holds further header lines.
-    pub fn send(&mut self, method: &str, path: &str, extra: &str, body: &str) {
+    pub fn send(&mut self, method: &str, path: &str, extra_headers: &str, body: &str) {
         let length = body.len();
         let text = format!(
             "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: id-{path}\r\n\
-             Authorization: Bearer {KEY}\r\nContent-Length: {length}\r\n{extra}\r\n{body}"
+             Authorization: Bearer {KEY}\r\nContent-Length: {length}\r\n{extra_headers}\r\n{body}"
         );
         write(&mut self.stream, &text);
     }
@@ -52,7 +52,7 @@
     /// Reads the rest of an answer of which `bytes` have been read.
     pub fn read_response_after(&mut self, mut bytes: Vec<u8>) -> Response {
         let end = loop {
-            if let Some(end) = find(&bytes, b"\r\n\r\n") {
+            if let Some(end) = find_bytes(&bytes, b"\r\n\r\n") {
                 break end + 4;
             }
             if !self.read_more(&mut bytes) {
@@ -118,7 +118,7 @@
 }
 
 fn parse_chunk(bytes: &[u8]) -> Option<(String, usize)> {
-    let line = find(bytes, b"\r\n")?;
+    let line = find_bytes(bytes, b"\r\n")?;
     let size = std::str::from_utf8(&bytes[..line]).ok()?;
     let size = usize::from_str_radix(size, 16).ok()?;
     let end = line + 2 + size + 2;
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -10,8 +10,9 @@
 mod relay;
 
 pub use back_end::{
-    MockBackEnd, ReceivedRequest, chunk, event, find, not_run_response, ok_response, read_request,
-    reset_on_close, start_responding, stream_head, wait_for_close, with_header_line, write,
+    MockBackEnd, ReceivedRequest, back_end_responding_with, chunk, event, find_bytes,
+    not_run_response, ok_response, read_request, reset_on_close, stream_head, wait_for_close,
+    with_header_line, write,
 };
 pub use caller::{Caller, Response};
 pub use crashing_back_end::CrashingBackEnd;
--- a/crates/transport/relay/tests/support/relay.rs
+++ b/crates/transport/relay/tests/support/relay.rs
@@ -290,9 +290,9 @@
         Caller { stream }.read_response().status
     }
 
-    pub fn call(&self, method: &str, path: &str, extra: &str, body: &str) -> Response {
+    pub fn call(&self, method: &str, path: &str, extra_headers: &str, body: &str) -> Response {
         let mut caller = self.connect();
-        caller.send(method, path, extra, body);
+        caller.send(method, path, extra_headers, body);
         caller.read_response()
     }
 
