--- a/crates/transport/relay/tests/support/back_end.rs
+++ b/crates/transport/relay/tests/support/back_end.rs
@@ -1,4 +1,4 @@
-//! Back ends that follow a script, and the messages that they send.
+//! Mock back ends with scripted behaviour, and the HTTP messages that they exchange.
 
 use super::{SMALL_BUFFER_BYTES, TEST_TIMEOUT};
 use std::io::{Read, Write};
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A request as a back end saw it.
+/// A request as received by a back end.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
-    /// When its head was there.
+    /// When the head was complete.
     pub received_at: Instant,
 }
 
@@ -20,12 +20,13 @@
         header_value(&self.head, name)
     }
 
+    /// The request id, empty if the header is missing.
     pub fn id(&self) -> &str {
         self.header("request-id").unwrap_or_default()
     }
 }
 
-/// A header's value in the head of a message.
+/// Finds a header's value in the head of a message; names are compared without case.
 pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().skip(1);
     lines.find_map(|line| {
@@ -34,13 +35,14 @@
     })
 }
 
-/// What a back end does with one request; returns whether it keeps the connection.
+/// Handles one request, given its number from 1 on; returns whether the connection stays open.
 pub type RequestHandler = dyn Fn(&mut TcpStream, &ReceivedRequest, usize) -> bool + Send + Sync;
 
-/// A back end that follows a script.
+/// A back end that runs a handler for each request and records the requests.
 pub struct MockBackEnd {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    /// When each connection that has ended did so.
     pub close_times: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -52,7 +54,7 @@
         Self::start_on(listener, handler)
     }
 
-    /// The same with small buffers, so that what one side does not read soon stops the other.
+    /// Uses small socket buffers, so that unread data soon blocks the sender.
     pub fn with_small_buffers(
         handler: impl Fn(&mut TcpStream, &ReceivedRequest, usize) -> bool + Send + Sync + 'static,
     ) -> Self {
@@ -98,7 +100,7 @@
         self.requests.lock().expect("lock").len()
     }
 
-    /// Moments at which requests reached it.
+    /// Times at which the requests arrived.
     pub fn arrival_times(&self) -> Vec<Instant> {
         let requests = self.requests.lock().expect("lock");
         requests.iter().map(|request| request.received_at).collect()
@@ -126,6 +128,8 @@
     }
 }
 
+/// Reads a request. The body stays unread if the header `Test-Answer-Early` is set. Returns
+/// `None` if the connection ends first.
 pub fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
@@ -158,7 +162,7 @@
     windows.position(|window| window == pattern)
 }
 
-/// A whole answer with the request's id.
+/// A complete 200 response that echoes the request id.
 pub fn ok_response(request: &ReceivedRequest, body: &str) -> String {
     let id = request.id();
     let length = body.len();
@@ -167,12 +171,12 @@
     )
 }
 
-/// An answer with one line more in its head.
+/// Adds a header line to a response.
 pub fn with_header_line(response: &str, line: &str) -> String {
     response.replacen("\r\n", &format!("\r\n{line}\r\n"), 1)
 }
 
-/// A back end that answers each request with the same body.
+/// Starts a back end that answers each request with 200 and this body.
 pub fn back_end_responding_with(body: &'static str) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         write(stream, &ok_response(request, body));
@@ -180,13 +184,13 @@
     })
 }
 
-/// A back end's word that it has not run the request.
+/// A 503 response stating that the back end has not run the request.
 pub fn not_run_response(request: &ReceivedRequest) -> String {
     let id = request.id();
     format!("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// Head of a stream.
+/// The head of an event stream.
 pub fn stream_head(request: &ReceivedRequest, stamp: &str) -> String {
     let id = request.id();
     format!(
@@ -195,26 +199,29 @@
     )
 }
 
-/// A piece of a chunked body.
+/// A chunk of a body in chunked transfer encoding.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// A server-sent event with this id.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: word {id}\n\n")
 }
 
+/// Writes to a peer that may already have closed the connection; errors are ignored.
 pub fn write(stream: &mut TcpStream, text: &str) {
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// Closes with a reset.
+/// Makes the connection end with a reset when it is closed.
 pub fn reset_on_close(stream: &mut TcpStream) {
     let socket = socket2::SockRef::from(&*stream);
     let _ = socket.set_linger(Some(Duration::ZERO));
 }
 
-/// Waits until the other side closes; whether it did in time.
+/// Waits until the peer closes the connection, for at most `TEST_TIMEOUT`. Returns whether it was
+/// closed or its error state can be read.
 pub fn wait_for_close(stream: &mut TcpStream) -> bool {
     let _ = stream.set_read_timeout(Some(TEST_TIMEOUT));
     matches!(stream.read(&mut [0; 64]), Ok(0)) || {
--- a/crates/transport/relay/tests/support/caller.rs
+++ b/crates/transport/relay/tests/support/caller.rs
@@ -1,21 +1,22 @@
-//! Callers, and the answers that they read.
+//! Callers, and the responses that they receive.
 
 use super::back_end::header_value;
 use super::{HOST, KEY, find_bytes, write};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-/// One connection of a caller.
+/// A connection of a caller.
 pub struct Caller {
     pub stream: TcpStream,
 }
 
-/// An answer as a caller got it.
+/// A response as received by a caller.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
+    /// Whether the body ended as its framing requires.
     pub is_complete: bool,
 }
 
@@ -26,7 +27,8 @@
 }
 
 impl Caller {
-    /// Sends a request with a key and an id; `extra` holds further header lines.
+    /// Sends a request with an API key and a request id; `extra_headers` holds further header
+    /// lines.
     pub fn send(&mut self, method: &str, path: &str, extra_headers: &str, body: &str) {
         let length = body.len();
         let text = format!(
@@ -36,7 +38,8 @@
         write(&mut self.stream, &text);
     }
 
-    /// Waits until some of an answer is there, or the connection's end; reads nothing.
+    /// Waits for the first byte of a response or the end of the connection, and consumes nothing.
+    /// Returns false after the read timeout or on any error other than a reset.
     pub fn wait_for_response(&self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
@@ -44,12 +47,12 @@
         }
     }
 
-    /// Reads one answer.
+    /// Reads one response; its status is 0 if the connection ends before the head is complete.
     pub fn read_response(&mut self) -> Response {
         self.read_response_after(Vec::new())
     }
 
-    /// Reads the rest of an answer of which `bytes` have been read.
+    /// Reads the rest of a response of which `bytes` have already been read.
     pub fn read_response_after(&mut self, mut bytes: Vec<u8>) -> Response {
         let end = loop {
             if let Some(end) = find_bytes(&bytes, b"\r\n\r\n") {
@@ -81,6 +84,7 @@
         response
     }
 
+    /// Appends what can be read; returns false at the end of the connection or on an error.
     fn read_more(&mut self, bytes: &mut Vec<u8>) -> bool {
         let mut buffer = [0; 4096];
         match self.stream.read(&mut buffer) {
@@ -117,6 +121,7 @@
     }
 }
 
+/// Parses the first complete chunk; returns its text and its encoded length in bytes.
 fn parse_chunk(bytes: &[u8]) -> Option<(String, usize)> {
     let line = find_bytes(bytes, b"\r\n")?;
     let size = std::str::from_utf8(&bytes[..line]).ok()?;
--- a/crates/transport/relay/tests/support/crashing_back_end.rs
+++ b/crates/transport/relay/tests/support/crashing_back_end.rs
@@ -1,4 +1,4 @@
-//! A back end that some requests crash.
+//! A back end that crashes on certain requests.
 
 use super::{
     ReceivedRequest, chunk, event, ok_response, read_request, reset_on_close, stream_head, write,
@@ -8,32 +8,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two looks at whether it has crashed.
+/// Interval at which the accept loop checks for a crash.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// Time for which a sound request runs.
+/// Time that a request takes to run or to crash the back end.
 const RUN_TIME: Duration = Duration::from_millis(30);
 
-/// Where requests are answered by a stream, of which an event comes before the crash.
+/// Path prefix of requests that are answered by a stream; one event precedes the crash.
 const STREAM_PATH: &str = "/resumable/";
 
-/// Crashes under each request whose body says so, and is back at the same address after a
-/// while. All others get a whole answer.
+/// Crashes on each request with a certain body and restarts at the same address after a while.
+/// All other requests get a complete response.
 pub struct CrashingBackEnd {
     pub address: SocketAddr,
     crashes: Arc<Mutex<Vec<Crash>>>,
 }
 
 struct Crash {
+    /// Whether connections stay open without any response instead of being reset.
     hangs: bool,
 }
 
-/// Where a crash says nothing: connections stay open and silent, new ones are refused.
+/// Path prefix of requests whose crash leaves connections open without a response; new
+/// connections are refused.
 const HANG_PATH: &str = "/quick/";
 
 type OpenStreams = Arc<Mutex<Vec<TcpStream>>>;
 
 impl CrashingBackEnd {
-    /// A back end that this body crashes, and that is back after `down`.
+    /// Starts a back end that crashes on `crashing_body` and restarts after `down_time`.
     pub fn start(crashing_body: &'static str, down_time: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -45,7 +47,7 @@
             loop {
                 hung_streams.extend(run_until_crash(listener, crashing_body, &thread_crashes));
                 std::thread::sleep(down_time);
-                listener = TcpListener::bind(address).expect("its own port");
+                listener = TcpListener::bind(address).expect("the port is still free");
             }
         });
         Self { address, crashes }
@@ -56,7 +58,7 @@
     }
 }
 
-/// Returns the connections that stay open.
+/// Serves until a crash; returns the connections that stay open after it.
 fn run_until_crash(
     listener: TcpListener,
     crashing_body: &'static str,
@@ -101,7 +103,7 @@
 ) {
     while let Some(request) = read_request(&mut stream) {
         if request.body == crashing_body.as_bytes() {
-            // One crash takes all that runs along; it counts once.
+            // A crash interrupts all running requests and counts once.
             if !has_crashed.load(Ordering::SeqCst) {
                 let hangs = request.head.contains(HANG_PATH);
                 crashes.lock().expect("lock").push(Crash { hangs });
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -1,4 +1,4 @@
-//! What a relay of the tests is told: names of headers, routes, back ends.
+//! Configuration of the relays under test: header names, routing table, back ends.
 
 use super::{HOST, KEY};
 use eiderferry_dispatch::{
@@ -36,7 +36,7 @@
     }
 }
 
-/// An engine that tells what it keeps.
+/// An engine that reports the contents of its cache.
 pub const CACHE_REPORTING_ENGINE: EngineSpecification = EngineSpecification {
     slots: 64,
     cache_tokens: 500_000,
@@ -45,6 +45,7 @@
     replicas: None,
 };
 
+/// Parses lines of numbers that are separated by spaces.
 fn parse_numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
     let text = String::from_utf8_lossy(body);
     let lines = text.lines().map(|line| {
@@ -87,7 +88,8 @@
     })
 }
 
-/// Answers of lines: epoch, number to go on from, gap; then number, part, tokens each.
+/// Responses consist of lines: epoch, next event number and gap flag first; then event number,
+/// part and tokens of each event.
 pub fn cache_protocol() -> CacheProtocol {
     CacheProtocol {
         events_path: |after| format!("/cache-events?after={after}"),
@@ -119,7 +121,7 @@
     }
 }
 
-/// Engines that keep replicas of each other's running requests.
+/// Specification of engines that keep replicas of each other's running requests.
 pub fn replicating_engine() -> EngineSpecification {
     EngineSpecification {
         slots: 64,
@@ -183,8 +185,8 @@
     }
 }
 
-/// So many more back ends of the pool, all of them leaving: each question for a place goes over
-/// them in vain.
+/// Documents of `count` further back ends of the pool, all draining: each dispatch examines them
+/// without finding an eligible one.
 pub fn draining_back_ends(count: usize) -> Vec<Change> {
     let back_ends = (0..count).map(|number| {
         let instance = InstanceId::from(format!("leaving-{number}"));
@@ -209,7 +211,7 @@
     back_ends.collect()
 }
 
-/// All documents: a table, and these back ends.
+/// The complete configuration: the routing table and these back ends.
 pub fn configuration_documents(
     back_ends: &[SocketAddr],
     engine: Option<EngineSpecification>,
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for tests over TCP: back ends that follow a script, and callers.
+//! Support for tests over TCP: mock back ends, relays under test and callers.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
-#![allow(unused_imports, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some items")]
+#![allow(unused_imports, reason = "each test file uses only some items")]
 
 mod back_end;
 mod caller;
@@ -21,11 +21,13 @@
 
 use std::time::Duration;
 
-/// Longest wait of a test for anything.
+/// Longest time that a test waits for any event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// A budget that no test fills unless it says so.
+/// Memory budget in bytes that most tests do not fill.
 pub const AMPLE_MEMORY_BUDGET: u64 = 64 * 1024 * 1024;
+/// API key of the tenant `radio`.
 pub const KEY: &str = "key-of-radio";
-/// Buffer of a socket that holds little.
+/// Socket buffer size in bytes with which unread data soon blocks the sender.
 const SMALL_BUFFER_BYTES: usize = 8_192;
+/// Host name of all routes.
 pub const HOST: &str = "calls.example";
--- a/crates/transport/relay/tests/support/relay.rs
+++ b/crates/transport/relay/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Relays in threads of their own.
+//! Relays under test, each on its own thread.
 
 use super::documents::{
     CACHE_REPORTING_ENGINE, cache_protocol, configuration_documents, draining_back_ends,
@@ -19,25 +19,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A relay in a thread of its own.
+/// A relay that runs on its own thread.
 pub struct TestRelay {
     pub listen_address: SocketAddr,
     pub readiness_address: SocketAddr,
-    /// Where it hears other relays.
+    /// Address for messages of other relays.
     pub peer_address: SocketAddr,
     pub memory: Arc<MemoryBudget>,
     shutdown_sender: Option<async_channel::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Ports of a relay under test; below those that the system hands out by itself, so
-/// that no other socket holds them.
+/// Ports of a relay under test. They are below the ephemeral port range, so that no socket with
+/// an automatically assigned port occupies them.
 const LISTEN_PORT: u16 = 21_001;
 const READINESS_PORT: u16 = 21_002;
 const PEER_PORT: u16 = 21_003;
 static STARTED_RELAYS: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address of its own for each relay of each test process.
+/// A loopback address that differs for each relay of a test process and, as far as process ids
+/// allow, between test processes.
 fn unique_loopback_address() -> Ipv4Addr {
     let number = STARTED_RELAYS.fetch_add(1, Ordering::SeqCst);
     let process = std::process::id();
@@ -50,16 +51,17 @@
     )
 }
 
-/// How a relay of the tests is started.
+/// Options with which a relay is started.
 #[derive(Clone)]
 struct Options {
-    /// When it hears of its configuration.
+    /// Delay after which the relay receives its configuration.
     configuration_delay: Duration,
+    /// In bytes; 0 means no budget.
     memory_budget: u64,
     features: Features,
-    /// Tells it from the other relays of a fleet.
+    /// Distinguishes the relays of a fleet.
     node_number: usize,
-    /// Addresses of other relays for messages.
+    /// Peer addresses of relays that are known from the start.
     seeds: Vec<SocketAddr>,
 }
 
@@ -76,7 +78,7 @@
 }
 
 impl TestRelay {
-    /// Relays before these back ends that know each other.
+    /// Starts relays that know each other and use these back ends.
     pub fn start_fleet(count: usize, back_ends: &[SocketAddr]) -> Vec<Self> {
         let mut fleet: Vec<Self> = Vec::new();
         for _ in 0..count {
@@ -85,7 +87,7 @@
         fleet
     }
 
-    /// One relay more that knows the first of a fleet.
+    /// Starts a further relay whose seed is the first relay of the fleet.
     pub fn join_fleet(fleet: &[Self], back_ends: &[SocketAddr]) -> Self {
         let options = Options {
             node_number: fleet.len() + 1,
@@ -99,19 +101,19 @@
         Self::start_ready_at_addresses(back_ends, None, options)
     }
 
-    /// A relay before these back ends.
+    /// Starts a relay with these back ends.
     pub fn with_back_ends(back_ends: &[&MockBackEnd]) -> Self {
         Self::with_memory_budget(back_ends, AMPLE_MEMORY_BUDGET)
     }
 
-    /// A relay before one back end and so many that are leaving.
+    /// Starts a relay with one back end and `count` draining ones.
     pub fn with_draining_back_ends(back_end: &MockBackEnd, count: usize) -> Self {
         let mut documents = configuration_documents(&[back_end.address], None);
         documents.extend(draining_back_ends(count));
         Self::start_ready(documents, Options::default())
     }
 
-    /// A relay before these back ends with a budget of this many bytes.
+    /// Starts a relay with these back ends and a memory budget of this many bytes; 0 means none.
     pub fn with_memory_budget(back_ends: &[&MockBackEnd], bytes: u64) -> Self {
         let options = Options {
             memory_budget: bytes,
@@ -120,12 +122,12 @@
         Self::start_ready_with(back_ends, None, options)
     }
 
-    /// A relay before engines that keep replicas for each other.
+    /// Starts a relay with engines that keep replicas for each other.
     pub fn with_replicating_engines(engines: &[&MockBackEnd]) -> Self {
         Self::start_ready_with(engines, Some(replicating_engine()), Options::default())
     }
 
-    /// The same with replicas switched off.
+    /// Starts a relay with such engines but with replicas disabled.
     pub fn with_replicas_disabled(engines: &[&MockBackEnd]) -> Self {
         let mut options = Options::default();
         options.features.run_replicas = false;
@@ -163,18 +165,19 @@
         relay
     }
 
-    /// A relay before an engine that tells what it keeps.
+    /// Starts a relay with an engine that reports the contents of its cache; does not wait until
+    /// the relay is ready.
     pub fn with_cache_reporting_engine(engine: &MockBackEnd) -> Self {
         let documents = configuration_documents(&[engine.address], Some(CACHE_REPORTING_ENGINE));
         Self::start(Some(documents), Options::default())
     }
 
-    /// A relay that knows no configuration.
+    /// Starts a relay that receives no configuration.
     pub fn without_configuration() -> Self {
         Self::start(None, Options::default())
     }
 
-    /// A relay before a back end that hears of its configuration this late.
+    /// Starts a relay that receives its configuration after this delay.
     pub fn with_delayed_configuration(
         back_end: &MockBackEnd,
         configuration_delay: Duration,
@@ -243,7 +246,9 @@
             };
             relay.serve(shutdown_signal).expect("free addresses");
         });
-        let memory = memory_receiver.recv_timeout(TEST_TIMEOUT).expect("started");
+        let memory = memory_receiver
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the relay starts");
         let relay = Self {
             listen_address,
             readiness_address,
@@ -267,17 +272,21 @@
         }
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn begin_shutdown(&mut self) {
         self.shutdown_sender = None;
     }
 
-    /// Waits until the process would have ended.
+    /// Waits until the thread of the relay has ended.
     pub fn wait_for_exit(&mut self) {
-        self.thread.take().expect("once").join().expect("no panic");
+        self.thread
+            .take()
+            .expect("wait_for_exit is called once")
+            .join()
+            .expect("no panic");
     }
 
-    /// Status of the readiness path.
+    /// Status code of the readiness path.
     pub fn readiness_status(&self) -> u16 {
         let mut stream = TcpStream::connect(self.readiness_address).expect("listening");
         stream
@@ -290,18 +299,19 @@
         Caller { stream }.read_response().status
     }
 
+    /// Sends a request on a new connection and reads the response.
     pub fn call(&self, method: &str, path: &str, extra_headers: &str, body: &str) -> Response {
         let mut caller = self.connect();
         caller.send(method, path, extra_headers, body);
         caller.read_response()
     }
 
-    /// A request of that number on a route, on a connection of its own.
+    /// Posts the request with this number to a route, on a new connection.
     pub fn post(&self, route: &str, number: usize) -> Response {
         self.call("POST", &format!("/{route}/{number}"), "", "x")
     }
 
-    /// A caller whose machine takes little that it has not read.
+    /// Connects a caller with a small receive buffer, so that unread data soon blocks the relay.
     pub fn connect_with_small_buffer(&self) -> Caller {
         let kind = socket2::Type::STREAM;
         let socket = socket2::Socket::new(socket2::Domain::IPV4, kind, None).expect("a socket");
