--- a/crates/transport/relay/tests/backoff.rs
+++ b/crates/transport/relay/tests/backoff.rs
@@ -1,19 +1,13 @@
-//! Back ends that turn a request away and ask for a rest.
+//! Back ends that refuse a request and ask for a backoff with the header `Retry-After`.
 //!
-//! What callers saw: nothing. What the back end saw: it had turned a request of a node away and
-//! asked that node for 3 s of rest; in that time it got six more requests from it. Two may come,
-//! as some are on their way when it asks.
-//!
-//! In what order: a plain back end that had answered well turns one request away, with 503 and
-//! `Retry-After`; the node sends that request to another and goes on choosing this one too.
-//!
-//! The cause: `Retry-After` was read nowhere. A refusal counted as one failure among the answers
-//! of the last seconds, so that what followed hung on how many of these had been good: three in a
-//! row kept requests away for one second, a large share for some, a single one for none.
-//!
-//! The evidence: on a played day 134 refusals asked a node for a second of rest; in 81 of these
-//! seconds that node was granted up to ten further places there, the first of them at once, in 53
-//! none. Below, one refusal among 40 good answers changes nothing at all.
+//! Formerly the header was not read: a refusal counted as one failure among the recent responses,
+//! so the effect depended on how many of these were good. Three in a row kept requests away for a
+//! second, a large share diverted some, and a single one had no effect. In a simulated day 134
+//! refusals asked a node for a second of backoff; in 81 of these seconds the node granted that back
+//! end up to ten further requests, the first at once, in 53 none. A back end that had refused one
+//! request with 503 and asked for 3 s got six more from that node in that time; two are acceptable,
+//! as some are in flight when it asks. Below, one refusal comes after 40 good responses, which had
+//! no effect at all while the header was not read.
 
 mod support;
 
@@ -25,21 +19,21 @@
     not_run_response, ok_response, with_header_line, write,
 };
 
-/// What the back end asks for.
+/// Backoff that the back end asks for.
 const BACKOFF: Duration = Duration::from_secs(3);
-/// Requests that come within this time may have been on their way.
+/// Requests that arrive within this time of the refusal may have been in flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// Requests that may come in the rest of the time.
+/// Requests that may arrive in the remaining backoff.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
-/// Requests that a back end answers well before it asks: one that it turns away then is no
-/// judgement of its health.
+/// Requests that a back end answers with success before it refuses one, so that the refusal alone
+/// does not make it unhealthy.
 const REQUESTS_BEFORE_REFUSAL: usize = 40;
-/// Time between two requests to the node.
+/// Pause before each request to the node.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
 type RefusalHandler = fn(&mut TcpStream, &ReceivedRequest);
 
-/// A back end that asks for a rest once.
+/// A back end that refuses one request and asks for a backoff.
 struct BackEndRequestingBackoff(MockBackEnd);
 
 impl BackEndRequestingBackoff {
@@ -54,14 +48,14 @@
         }))
     }
 
-    /// When it asked for a rest, if it has.
+    /// When the refused request arrived.
     fn refused_at(&self) -> Option<Instant> {
         self.0.arrival_times().get(REQUESTS_BEFORE_REFUSAL).copied()
     }
 
-    /// Requests that came so long after it asked.
+    /// Number of requests that arrived in this range of time after the refused one.
     fn count_requests_between(&self, from: Duration, to: Duration) -> usize {
-        let refused_at = self.refused_at().expect("it has asked");
+        let refused_at = self.refused_at().expect("a request was refused");
         let arrival_times = self.0.arrival_times().into_iter();
         let delays = arrival_times.skip(REQUESTS_BEFORE_REFUSAL + 1);
         let delays = delays.map(|at| at.duration_since(refused_at));
@@ -78,7 +72,7 @@
     write(stream, &with_retry_after(&not_run_response(request)));
 }
 
-/// An answer that doesn't say whether the request has run.
+/// Responds without stating whether the request has run.
 fn respond_unavailable(stream: &mut TcpStream, request: &ReceivedRequest) {
     let response = ok_response(request, "no").replacen("200 OK", "503 Unavailable", 1);
     write(stream, &with_retry_after(&response));
@@ -89,7 +83,7 @@
     relay.post(route, number)
 }
 
-/// Sends requests until the back end has asked for its rest and the rest is over.
+/// Sends requests until the back end has refused one and its backoff is over.
 fn call_through_backoff(
     relay: &TestRelay,
     route: &str,
@@ -103,7 +97,7 @@
     {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "it was asked too rarely"
+            "the back end receives too few requests"
         );
         responses.push(call(relay, route, responses.len()));
     }
@@ -126,11 +120,11 @@
     let requests_in_backoff = backing_off.count_requests_between(IN_FLIGHT_TIME, BACKOFF);
     assert!(
         requests_in_backoff <= MAX_REQUESTS_IN_BACKOFF,
-        "{requests_in_backoff} requests in its rest"
+        "{requests_in_backoff} requests during the backoff"
     );
 }
 
-/// It has rested: without work for good it would be lost to its pool.
+/// A back end that stayed without requests would be lost to its pool.
 #[test]
 fn a_back_end_gets_requests_again_after_its_backoff() {
     let backing_off = BackEndRequestingBackoff::start(refuse_as_not_run);
@@ -140,15 +134,15 @@
     while backing_off.0.request_count() == REQUESTS_BEFORE_REFUSAL + 1 {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "it gets nothing any more"
+            "the back end gets no requests after its backoff"
         );
         call(&relay, "read", 0);
     }
     assert_eq!(call(&relay, "read", 1).status, 200);
 }
 
-/// Where no other back end is left the caller hears at once that nothing has run, and comes back
-/// soon, perhaps to a node from which nobody rests.
+/// Without another back end the caller is told at once that the request has not run. It should
+/// retry soon, as another node may have no backoff in effect.
 #[test]
 fn requests_are_refused_at_once_with_retry_after_while_all_back_ends_back_off() {
     let backing_off = BackEndRequestingBackoff::start(refuse_as_not_run);
@@ -157,7 +151,7 @@
     let requests_in_backoff = backing_off.count_requests_between(IN_FLIGHT_TIME, BACKOFF);
     assert!(
         requests_in_backoff <= MAX_REQUESTS_IN_BACKOFF,
-        "{requests_in_backoff} requests in its rest"
+        "{requests_in_backoff} requests during the backoff"
     );
     let refused: Vec<&Response> = responses
         .iter()
@@ -165,13 +159,15 @@
         .collect();
     assert!(refused.len() > 10, "{} refused", refused.len());
     let retry_delays = refused.iter().map(|response| {
-        let seconds = response.header("retry-after").expect("a time");
+        let seconds = response
+            .header("retry-after")
+            .expect("the header is present");
         seconds.parse::<f64>().expect("seconds")
     });
     assert!(retry_delays.fold(0.0, f64::max) <= 0.5);
 }
 
-/// A date, or nonsense, is logged and not kept: the back end is judged by its failure alone.
+/// A date or an invalid value is logged and ignored: the refusal counts as a failure only.
 #[rstest]
 #[case::a_date("Thu, 03 Dec 2026 05:00:00 GMT")]
 #[case::negative("-3")]
--- a/crates/transport/relay/tests/cache_follower.rs
+++ b/crates/transport/relay/tests/cache_follower.rs
@@ -1,4 +1,5 @@
-//! Calls for what engines keep, over sockets; one failure a test.
+//! The relay follows the cache contents that engines report over HTTP. Each test covers one kind
+//! of failure.
 
 mod support;
 
@@ -7,6 +8,7 @@
 use std::time::{Duration, Instant};
 use support::{MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay, ok_response, write};
 
+/// Listing of epoch 1 with next event 10: part 7 with 500 tokens.
 const LISTING_BODY: &str = "1 10 0\n0 7 500\n";
 const EMPTY_EVENTS_BODY: &str = "1 10 0\n";
 
@@ -19,15 +21,15 @@
     request.head.starts_with("GET /cache HTTP")
 }
 
-/// A call as the engine saw it.
+/// A call of the relay as received by the engine.
 struct Call {
     target: String,
     wait: Option<String>,
     received_at: Instant,
 }
 
-/// An engine that answers its calls with these texts, one after the other, and then without
-/// events. An empty text closes the connection.
+/// Starts an engine that answers calls with these responses in order, then with the listing or an
+/// empty list of events. An empty response closes the connection.
 fn engine_with_responses(responses: Vec<String>) -> (MockBackEnd, Receiver<Call>) {
     let (call_sender, calls) = mpsc::channel();
     let responses = Arc::new(Mutex::new(responses.into_iter()));
@@ -36,7 +38,7 @@
         let target = head.split(' ').nth(1).unwrap_or_default().to_owned();
         let wait = request.header("wait").map(str::to_owned);
         let received_at = Instant::now();
-        // A test that has seen enough is gone.
+        // The receiver is gone once the test has received enough calls.
         let _ = call_sender.send(Call {
             target,
             wait,
@@ -94,7 +96,8 @@
     assert_eq!(targets, ["/cache", "/cache-events?after=10", "/cache"]);
 }
 
-/// Whatever the first call comes to, the next one waits.
+/// Asserts that the relay calls for the listing again, not before 0.9 s, after this first
+/// response.
 fn assert_call_is_retried_after_a_delay(first_response: String) {
     let (engine, calls) = engine_with_responses(vec![first_response]);
     let relay = TestRelay::with_cache_reporting_engine(&engine);
@@ -129,12 +132,12 @@
     assert_call_is_retried_after_a_delay(truncated_response);
 }
 
-/// An answer to a call for what it keeps, with a further header line.
+/// A response with the listing and a further header line.
 fn listing_with_header_line(header_line: &str) -> String {
     cache_response(LISTING_BODY).replacen("\r\n", &format!("\r\n{header_line}\r\n"), 1)
 }
 
-/// An engine whose answers to such calls say something of itself; requests it answers whole.
+/// Starts an engine that answers cache calls with this response and forwarded requests with 200.
 fn engine_with_cache_response(response: String) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         match request.header("request-id") {
@@ -145,6 +148,7 @@
     })
 }
 
+/// Number of requests that the engine received, apart from cache calls.
 fn forwarded_request_count(engine: &MockBackEnd) -> usize {
     let requests = engine.requests.lock().expect("lock");
     requests
@@ -153,13 +157,17 @@
         .count()
 }
 
-/// Calls until the node knows what the engine said of itself; from then on nothing more comes.
+/// Sends requests until the relay refuses them because of the state that the engine reported, and
+/// asserts that the engine receives none from then on.
 fn assert_no_request_is_sent_once_known(engine: &MockBackEnd) {
     let relay = TestRelay::with_cache_reporting_engine(engine);
     let call = || relay.call("POST", "/write/1", "", "x").status;
     let started_at = Instant::now();
     while call() != 503 {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "its word is not heard");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the reported state is not applied"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     let count_before = forwarded_request_count(engine);
@@ -169,7 +177,8 @@
     assert_eq!(forwarded_request_count(engine), count_before);
 }
 
-/// A node may follow an engine that none of its callers' requests go to.
+/// A node may follow the cache of an engine without sending it any requests of callers, so the
+/// state must be read from responses to cache calls too.
 #[test]
 fn an_engine_that_announces_draining_in_a_cache_response_gets_no_request() {
     assert_no_request_is_sent_once_known(&engine_with_cache_response(listing_with_header_line(
--- a/crates/transport/relay/tests/crashing_requests.rs
+++ b/crates/transport/relay/tests/crashing_requests.rs
@@ -1,20 +1,17 @@
-//! Requests that crash each back end that begins to run them.
+//! Requests that crash each back end that starts to run them.
 //!
-//! What callers saw: over a tenth of all requests failed for a quarter of a minute, and later
-//! again. In a pool of nine engines one after the other crashed, 31 times in all, each seconds
-//! after it was back. What else ran or waited there was lost with it.
+//! A request starts to run, its engine crashes within 20 to 120 ms, and the node that sent it
+//! retries it at another engine as far as the route allows, then answers 502. The caller sends the
+//! request again, under another id and to another node. In one case the engines of a pool of nine
+//! crashed one after the other, 31 times in all, each within seconds of its restart. The requests
+//! that ran or waited there were lost too; over a tenth of all requests failed for a quarter of a
+//! minute, and later again.
 //!
-//! In what order: a request begins to run, its engine crashes within 20 to 120 ms, the node
-//! that sent it tries another engine as far as the route allows, then answers 502. The caller
-//! sends the request again, under another id and to another node, which knows nothing of it.
-//!
-//! The cause: what a request does to back ends was remembered of the back ends alone. An
-//! exchange forgets its failures when it ends, and nodes told each other of back ends only.
-//!
-//! The evidence: before each crash that was looked at a run of one and the same route had
-//! begun at that engine; all connections to it broke within 0.2 s on all nodes, and new ones
-//! were refused for seconds. Below, back ends crash under one body and under no other, and
-//! nothing ever stops that body.
+//! Formerly failures were recorded for back ends only: an exchange forgot its failures when it
+//! ended, and nodes told each other nothing about requests. Before each crash that was
+//! examined, a request of the same route had started at that engine; all nodes lost their
+//! connections to it within 0.2 s, and new ones were refused for seconds. Below, back ends crash
+//! on one body and on no other, and callers never stop sending it.
 
 mod support;
 
@@ -23,15 +20,15 @@
 use std::time::{Duration, Instant};
 use support::{CrashingBackEnd, MockBackEnd, Response, TEST_TIMEOUT, TestRelay};
 
-/// A body that crashes back ends.
+/// The request body that crashes back ends.
 const CRASHING_BODY: &str = "fatal";
-/// Time for which a back end is down.
+/// Time from a crash of a back end to its restart.
 const DOWN_TIME: Duration = Duration::from_millis(600);
-/// Crashes after which a request may be known for what it is.
+/// Crashes after which nodes should refuse the request.
 const CRASH_THRESHOLD: usize = 3;
-/// Time that all nodes have from then on to hear of it.
+/// Time that all nodes then have to learn of it.
 const PROPAGATION_DEADLINE: Duration = Duration::from_secs(3);
-/// Back ends that it may reach after that, over all nodes and for good.
+/// Further crashes that are allowed after that, over all nodes and without a time limit.
 const MAX_LATER_CRASHES: usize = 3;
 const NODE_COUNT: usize = 3;
 
@@ -66,18 +63,22 @@
             .sum()
     }
 
+    /// Sends a request to the node with this number, modulo the number of nodes.
     fn send(&self, number: usize, path: &str, body: &str) -> Response {
         let node = &self.nodes[number % self.nodes.len()];
         node.call("POST", path, "", body)
     }
 
-    /// Sends the fatal request to one node after the other until it has crashed three, and
-    /// waits until all nodes may know.
+    /// Sends the crashing request to one node after the other until it has crashed three back
+    /// ends, then waits until all nodes must know of it.
     fn crash_three_back_ends(&self, path: &str) {
         let started_at = Instant::now();
         let mut number = 0;
         while self.crash_count() < CRASH_THRESHOLD {
-            assert!(started_at.elapsed() < TEST_TIMEOUT, "no three crashes");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "fewer than three crashes"
+            );
             self.send(number, path, CRASHING_BODY);
             number += 1;
         }
@@ -100,7 +101,7 @@
     let later_crashes = cluster.crash_count() - count_before;
     assert!(
         later_crashes <= MAX_LATER_CRASHES,
-        "{later_crashes} more back ends crashed"
+        "{later_crashes} further crashes"
     );
 }
 
@@ -120,7 +121,7 @@
     assert!(response.body.contains("(digest "), "{}", response.body);
 }
 
-/// The same body elsewhere, another body, or another method is another request.
+/// The same body on another path, another body, or another method makes another request.
 #[test]
 fn requests_with_another_body_are_served() {
     let cluster = Cluster::start();
@@ -131,7 +132,7 @@
     }
 }
 
-/// What breaks off with a crash is sent elsewhere, and never taken for its cause.
+/// A request that is interrupted by the crash is retried elsewhere and never considered its cause.
 #[test]
 fn requests_interrupted_by_the_crash_of_another_are_not_refused() {
     let cluster = Cluster::start();
@@ -158,7 +159,7 @@
     }
 }
 
-/// Connections break for many reasons; only a back end that is gone has crashed.
+/// Connections break for many reasons; a back end has crashed only if it refuses new ones too.
 #[test]
 fn broken_connections_do_not_count_as_crashes_while_back_ends_accept_connections() {
     let start_disconnecting = || MockBackEnd::start(|_, _, _| false);
@@ -197,7 +198,7 @@
     assert_eq!(cluster.crash_count(), count_before);
 }
 
-/// While a back end still holds the request in its queue it has not crashed, and is not to.
+/// A back end that still has the request in its queue is protected by cancelling the request.
 #[test]
 fn a_queued_request_is_cancelled_once_it_is_known_to_crash_back_ends() {
     let path = "/patient-read/check";
@@ -211,7 +212,10 @@
         let queued_call = scope.spawn(|| node.call("POST", path, "", CRASHING_BODY));
         let started_at = Instant::now();
         while queueing_back_end.request_count() == 0 {
-            assert!(started_at.elapsed() < TEST_TIMEOUT, "not sent");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "the request was not sent"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         cluster.crash_three_back_ends(path);
--- a/crates/transport/relay/tests/draining_back_ends.rs
+++ b/crates/transport/relay/tests/draining_back_ends.rs
@@ -1,20 +1,10 @@
-//! Back ends that say in their answers that they are leaving.
+//! Back ends that announce in their responses, with the header `Leaving`, that they are draining.
 //!
-//! What callers saw: nothing, as long as the back end served on. What it saw: while the platform
-//! could not list it as leaving, a node went on sending it requests, 4 and 6 s after the node
-//! had passed on an answer that said so. What it was sent last would have ended with it.
-//!
-//! In what order: the platform's store goes away; half a second later an engine begins to leave
-//! and says so in all its answers; a node passes the first of them on and sends it further
-//! requests, until the store is back.
-//!
-//! The cause: a node knew that a back end leaves from the platform's list alone. Answers were
-//! read for what they are to the caller; what their heads say of the back end was dropped.
-//!
-//! The evidence: each of the later requests was granted its place within 4 ms of its coming, from
-//! a list that was 4 to 8 s old, and no entry of the engine was taken between that answer and
-//! the next place. Below there is no platform that could say anything, and the next request after
-//! such an answer goes to the back end that gave it.
+//! Formerly a node took this from the platform's list alone and did not read it from responses.
+//! When the platform's store was unavailable and an engine started to drain half a second later, a
+//! node that had forwarded a response with the announcement still sent it requests 4 and 6 s later,
+//! each dispatched within 4 ms from a list that was 4 to 8 s old. Requests sent last would be lost
+//! when the engine exits. Below, only the responses announce the draining.
 
 mod support;
 
@@ -26,13 +16,12 @@
     not_run_response, ok_response, stream_head, with_header_line, write,
 };
 
-/// Requests that were sent to the node this long after it had passed the word on may not reach
-/// the back end any more.
+/// Time after the announcement from which on no new request may reach the back end.
 const ROUTING_STOP_TIME: Duration = Duration::from_secs(2);
-/// Requests sent after that.
+/// Number of requests sent after that time.
 const LATER_REQUESTS: usize = 24;
-/// Requests that a back end answers well before it leaves: what follows is no judgement of its
-/// health.
+/// Requests that a back end answers with success before it drains, so that its health does not
+/// affect what follows.
 const REQUESTS_BEFORE_DRAINING: usize = 40;
 
 fn with_draining_header(response: &str) -> String {
@@ -61,7 +50,7 @@
     write(stream, &with_draining_header(&not_run_response(request)));
 }
 
-/// A back end that begins to leave, and says so in each answer from then on.
+/// Starts a back end that begins to drain and announces it in each response from then on.
 fn draining_back_end(respond: fn(&mut TcpStream, &ReceivedRequest)) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, number| {
         if number <= REQUESTS_BEFORE_DRAINING {
@@ -73,14 +62,14 @@
     })
 }
 
-/// Sends requests until an answer has said that the back end leaves.
+/// Sends requests until a response has announced that the back end is draining.
 fn call_until_announced(relay: &TestRelay, route: &str, draining: &MockBackEnd) {
     let started_at = Instant::now();
     let mut number = 0;
     while draining.request_count() <= REQUESTS_BEFORE_DRAINING {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "it was asked too rarely"
+            "the back end receives too few requests"
         );
         relay.post(route, number);
         number += 1;
@@ -111,6 +100,6 @@
     assert_eq!(
         draining.request_count() - count_before,
         0,
-        "requests reached it later"
+        "later requests reached the back end"
     );
 }
--- a/crates/transport/relay/tests/rate_limited_back_ends.rs
+++ b/crates/transport/relay/tests/rate_limited_back_ends.rs
@@ -1,19 +1,13 @@
-//! Back ends that name a limit of requests a second in their answers.
+//! Back ends that state a rate limit, in requests per second, in their responses.
 //!
-//! What callers saw: nothing; their requests were served. What the back ends saw: two that were in
-//! need had named a limit of one request a second for all nodes together, and got 12 and 13 in 4 s
-//! from nodes that had passed on an answer which said so.
-//!
-//! In what order: an engine falls into need and names its limit in all answers; nodes of four
-//! zones pass them on, and each goes on sending there what it sent before.
-//!
-//! The cause: the header was read nowhere. And had each node kept what it read for itself, eight
-//! would have sent eight times as much: nothing was shared among nodes that a back end had said
-//! to one of them.
-//!
-//! The evidence: of the first twelve requests that one of the engines got under its limit, eight
-//! came from two nodes, two of them 63 ms apart; six came from nodes that had sent it another one
-//! more than a second before. Below, four nodes send 246 to 772 requests in 4 s after the first word of a limit.
+//! Formerly the header was not read, and nodes shared nothing that a back end had told one of
+//! them. Two engines in difficulty each stated a limit of one request per second for all nodes
+//! together, and got 12 and 13 requests in 4 s from nodes of four zones that had forwarded
+//! responses with the limit. Of the first twelve at one engine eight came from two nodes, two of
+//! these 63 ms apart; six came from nodes that had sent it another more than a second before. Had
+//! each node kept the limit for itself, eight nodes would have sent eight times as much. While the
+//! header was not read, the four nodes below sent 246 to 772 requests in 4 s after the limit was
+//! first stated.
 
 mod support;
 
@@ -26,23 +20,23 @@
     chunk, event, ok_response, stream_head, with_header_line, write,
 };
 
-/// Nodes before the back ends.
+/// Number of relays that share the back ends.
 const NODE_COUNT: usize = 4;
-/// Time after the first word in which all nodes come to know of it.
+/// Time after the limit is first stated in which all nodes learn of it.
 const PROPAGATION_DEADLINE: Duration = Duration::from_secs(3);
-/// Span over which requests are counted, and the bound in it: half as many again as the limit
-/// allows, and some that were on their way.
+/// Length of the sliding window. It may contain 1.5 times the requests that the limit allows, and
+/// some that were in flight.
 const WINDOW: Duration = Duration::from_secs(4);
 const OVERAGE_FACTOR: f64 = 1.5;
 const SLACK_REQUESTS: f64 = 5.0;
-/// Time for which requests are counted.
+/// Time for which requests are sent after all nodes know the limit.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(6);
-/// Time between two requests to one node.
+/// Pause before each request to a node.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
 type Responder = fn(&mut TcpStream, &str, &ReceivedRequest);
 
-/// A back end that names a limit from its first answer on.
+/// Starts a back end that states a limit in each response.
 fn rate_limited_back_end(limit: f64, respond: Responder) -> MockBackEnd {
     let header_line = format!("Rate-Limit: {limit}");
     MockBackEnd::start(move |stream, request, _| {
@@ -51,16 +45,17 @@
     })
 }
 
-/// Moments of the requests that came after all nodes had time to know of the limit.
+/// Arrival times of the requests after all nodes had time to learn of the limit.
 fn arrivals_under_limit(limited: &MockBackEnd) -> Vec<Instant> {
     let arrival_times = limited.arrival_times();
-    let first = arrival_times.first().copied().expect("it was asked");
+    let first = arrival_times.first().copied().expect("a request arrived");
     let arrivals = arrival_times.into_iter();
     arrivals
         .filter(|at| *at >= first + PROPAGATION_DEADLINE)
         .collect()
 }
 
+/// Highest number of requests in any window.
 fn max_requests_in_window(arrival_times: &[Instant]) -> usize {
     let counts = arrival_times.iter().map(|window_start| {
         let in_window = arrival_times.iter().filter(|at| **at >= *window_start);
@@ -69,7 +64,7 @@
     counts.max().unwrap_or(0)
 }
 
-/// Requests that may come within the window.
+/// Number of requests allowed in a window.
 fn max_allowed_requests(limit: f64) -> usize {
     (OVERAGE_FACTOR * limit * WINDOW.as_secs_f64() + SLACK_REQUESTS) as usize
 }
@@ -95,7 +90,7 @@
     relay.post(route, number)
 }
 
-/// Callers press all nodes until the requests that count have come. Returns their answers.
+/// Sends requests to all nodes for as long as arrivals are measured; returns the responses.
 fn load_all_nodes(fleet: &[TestRelay], route: &str) -> Vec<Response> {
     let is_finished = AtomicBool::new(false);
     std::thread::scope(|scope| {
@@ -146,7 +141,7 @@
     );
 }
 
-/// What the limited back end doesn't take goes to the other one, and nothing is refused for it.
+/// Requests over the limit go to the other back end, and none is refused.
 #[test]
 fn requests_over_the_limit_go_to_other_back_ends_and_the_limit_is_used() {
     let (limited, unlimited) = (
@@ -156,11 +151,14 @@
     let fleet = start_nodes(&[&limited, &unlimited]);
     let responses = load_all_nodes(&fleet, "read");
     assert!(responses.iter().all(|response| response.status == 200));
-    assert!(!arrivals_under_limit(&limited).is_empty(), "it is not used");
+    assert!(
+        !arrivals_under_limit(&limited).is_empty(),
+        "the limited back end gets no requests"
+    );
 }
 
-/// Where no other back end is left the caller hears at once that nothing has run, and when the
-/// limit leaves room for one request.
+/// Without another back end the caller is told at once that the request has not run, and when the
+/// limit allows the next one.
 #[test]
 fn requests_are_refused_with_retry_after_when_all_back_ends_are_at_their_limit() {
     let limited = rate_limited_back_end(0.25, respond_ok);
@@ -171,7 +169,7 @@
     assert_eq!(refusal.header("retry-after").as_deref(), Some("4.00"));
 }
 
-/// An answer that names no limit ends it, also that of a failure; one that can't be read doesn't.
+/// A response without a limit lifts it, also an error response; a malformed limit does not.
 #[rstest]
 #[case::whole("Other: 1", "200 OK", true)]
 #[case::a_failure("Other: 1", "500 Error", true)]
@@ -203,7 +201,7 @@
     while back_end.request_count() < 2 {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "it gets nothing under its limit"
+            "the back end gets no request under its limit"
         );
         call(&relay, "write", number);
         number += 1;
--- a/crates/transport/relay/tests/retries.rs
+++ b/crates/transport/relay/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What is sent again, and what never is.
+//! Which requests are retried at another back end, and which are not.
 
 mod support;
 
@@ -33,7 +33,8 @@
     true
 }
 
-/// Calls until the failing back end was asked at least once.
+/// Sends twelve requests, of which at least one must reach the failing back end; returns their
+/// statuses and both back ends.
 fn call_twelve_times(route: &str, fail: FailureHandler) -> (Vec<u16>, MockBackEnd, MockBackEnd) {
     let (failing, healthy) = start_failing_and_healthy(fail);
     let relay = TestRelay::with_back_ends(&[&failing, &healthy]);
@@ -44,7 +45,7 @@
     }
     assert!(
         failing.request_count() > 0,
-        "the failing back end was never asked"
+        "the failing back end got no request"
     );
     (statuses, failing, healthy)
 }
