--- a/crates/transport/relay/tests/callers.rs
+++ b/crates/transport/relay/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: bad input, leaving early, planned stops.
+//! Callers that send invalid requests or disconnect early, and graceful shutdown.
 
 mod support;
 
@@ -8,11 +8,11 @@
     HOST, KEY, MockBackEnd, TEST_TIMEOUT, TestRelay, chunk, event, ok_response, stream_head, write,
 };
 
-/// Callers that leave together, and how often: several times the 84 places of a back end with
-/// 64 slots.
+/// Callers that disconnect together. All groups have several times the 84 requests that a back
+/// end with 64 slots accepts.
 const CALLERS_PER_GROUP: usize = 60;
 const GROUP_COUNT: usize = 10;
-/// Back ends that make a question for a place take milliseconds.
+/// Draining back ends in the pool, so many that each dispatch takes milliseconds.
 const DRAINING_BACK_END_COUNT: usize = 20_000;
 
 fn healthy_back_end() -> MockBackEnd {
@@ -85,8 +85,8 @@
     let relay = TestRelay::with_delayed_configuration(&back_end, delay);
     let started_at = Instant::now();
     let response = relay.call("GET", "/read/1", "", "");
-    // On a machine so busy that the configuration comes later still, the refusal comes
-    // after the whole wait.
+    // On a busy machine the configuration may arrive after the relay stopped waiting for it;
+    // the refusal must not come before that.
     let has_waited = started_at.elapsed() >= Duration::from_millis(250);
     assert!(response.status == 200 || has_waited, "{response:?}");
 }
@@ -162,7 +162,7 @@
     wait_for("the back end's connection stays open", is_closed);
     assert!(
         disconnected_at.elapsed() < Duration::from_secs(3),
-        "only at the route's time"
+        "closed only at the route timeout"
     );
 }
 
@@ -185,16 +185,16 @@
     wait_for("the back end's connection stays open", is_closed);
     assert!(
         disconnected_at.elapsed() < Duration::from_secs(3),
-        "only at the route's time"
+        "closed only at the route timeout"
     );
 }
 
-/// Story: a caller may leave between its request's question for a place and the control
-/// thread's answer, which takes long on a node that has little of a core. The place was granted,
-/// and nobody was there to give it back: it counted at its back end, on all nodes, for as long
-/// as the process lived. 24 of them fill a pool of three back ends with 6 slots for good.
+/// A caller may disconnect after its request was passed to the control thread for dispatch and
+/// before the reply, which takes long on a node with little CPU time. The lease was then granted
+/// and never released: it counted at its back end, on all nodes, for the lifetime of the process.
+/// 24 such leases fill a pool of three back ends with 6 slots for good.
 ///
-/// Here each question takes milliseconds, as it goes over thousands of back ends that leave.
+/// Here each dispatch takes milliseconds, as it examines thousands of draining back ends.
 #[test]
 fn callers_that_disconnect_during_dispatch_leak_no_back_end_slots() {
     let back_end = healthy_back_end();
@@ -207,7 +207,7 @@
         });
         let callers: Vec<_> = callers.collect();
         drop(callers);
-        // It is answered after the questions of those that left.
+        // Dispatched after the requests of the callers that disconnected.
         relay.call("GET", "/read/between", "", "");
     }
     let response = relay.call("GET", "/read/1", "", "");
@@ -229,7 +229,9 @@
         back_end.request_count() == 1
     });
     relay.begin_shutdown();
-    wait_for("still ready", || relay.readiness_status() == 503);
+    wait_for("the relay is still ready", || {
+        relay.readiness_status() == 503
+    });
     let response = caller.read_response();
     assert_eq!(
         (response.status, response.body.as_str()),
--- a/crates/transport/relay/tests/event_stream.rs
+++ b/crates/transport/relay/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Streams are cut at the ends of events only.
+//! The splitter forwards event streams in whole events.
 
 use eiderferry_relay::EventSplitter;
 use rstest::rstest;
--- a/crates/transport/relay/tests/logging.rs
+++ b/crates/transport/relay/tests/logging.rs
@@ -1,8 +1,9 @@
-//! The log is bounded and never waited for.
+//! The log queue limits its rate and never blocks a writer.
 
 use eiderferry_relay::{LogBudget, LogQueue};
 use std::time::{Duration, Instant};
 
+/// Lines per second in these tests.
 const BUDGET: LogBudget = LogBudget {
     info_per_second: 10,
     warnings_per_second: 20,
--- a/crates/transport/relay/tests/responses.rs
+++ b/crates/transport/relay/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Requests and answers pass unchanged, and no answer reaches another request.
+//! Requests and responses are forwarded unchanged, and no response reaches another request.
 
 mod support;
 
@@ -32,7 +32,7 @@
     assert_eq!(request.header("urgency"), Some("6"));
     let remaining: u64 = request
         .header("remaining-ms")
-        .expect("told")
+        .expect("the header is present")
         .parse()
         .expect("a number");
     assert!((1..=2_500).contains(&remaining));
@@ -175,7 +175,7 @@
             early_response.status == 200 || early_response.status == 502,
             "{early_response:?}"
         );
-        // A request that crosses the closing on its way is lost with any client.
+        // A request sent while the back end closes the connection would be lost with any client.
         while back_end.close_times.lock().expect("lock").len() <= number {
             std::thread::yield_now();
         }
@@ -242,7 +242,7 @@
     assert_eq!(response.status, 503);
     let seconds: f64 = response
         .header("retry-after")
-        .expect("told")
+        .expect("the header is present")
         .parse()
         .expect("seconds");
     assert!(seconds > 0.0);
--- a/crates/transport/relay/tests/run_replicas.rs
+++ b/crates/transport/relay/tests/run_replicas.rs
@@ -1,4 +1,4 @@
-//! A run whose engine is lost goes on at the engine that holds its replica.
+//! A run whose engine is lost continues at the engine that holds its replica.
 
 mod support;
 
@@ -10,34 +10,36 @@
     not_run_response, stream_head, wait_for_close, write,
 };
 
-/// A prompt and an answer that are worth a replica.
+/// Header line with token counts of prompt and response for which a replica is requested.
 const TOKEN_USAGE_LINE: &str = "Token-Usage: 200,200\r\n";
+/// Request id that the caller sends for `/stream/1`.
 const REQUEST_ID: &str = "id-/stream/1";
 
-/// Age from which on a run is held to have a replica, and a little more.
+/// A little more than the age from which on a run is assumed to have a replica.
 const REPLICA_AGE: Duration = Duration::from_millis(210);
 
 fn events(range: std::ops::RangeInclusive<u64>) -> String {
     range.map(event).collect()
 }
 
+/// Whether a request asks an engine to continue a run from its replica.
 fn is_continuation(request: &ReceivedRequest) -> bool {
     request.header("resume-from").is_some()
 }
 
-/// What a lost engine leaves of its answer.
+/// How far a stream gets before its engine is lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     BeforeHead,
     BeforeFirstEvent,
-    /// Between two events of a run so young that it has no replica yet.
+    /// Between two events, but before the run has a replica.
     BeforeReplica,
     BetweenEvents,
     WithinEvent,
     InvalidChunk,
 }
 
-/// Loses a stream; returns whether the connection is kept.
+/// Sends a stream up to the given point; returns whether the connection stays open.
 fn send_and_lose_stream(
     stream: &mut std::net::TcpStream,
     request: &ReceivedRequest,
@@ -66,11 +68,11 @@
     false
 }
 
-/// When connections of an engine ended.
+/// When the connections of an engine ended.
 type CloseTimes = Arc<Mutex<Vec<Instant>>>;
 type ContinuationHandler = dyn Fn(&mut std::net::TcpStream, &ReceivedRequest) -> bool + Send + Sync;
 
-/// Two engines: the one that is asked first loses its run, the other continues it.
+/// A relay with two engines: the one that is chosen first loses its run, the other continues it.
 struct EnginePair {
     engines: [MockBackEnd; 2],
     relay: TestRelay,
@@ -103,7 +105,7 @@
         self.relay.call("POST", "/stream/1", TOKEN_USAGE_LINE, "x")
     }
 
-    /// Requests that both engines saw: first runs, and continued ones.
+    /// The requests that both engines received: first runs, and continuations.
     fn first_and_continued_requests(&self) -> (Vec<ReceivedRequest>, Vec<ReceivedRequest>) {
         let all = self.engines.iter().flat_map(|engine| {
             let requests = engine.requests.lock().expect("lock");
@@ -114,7 +116,7 @@
         (first, continued)
     }
 
-    /// The engine that was asked to continue, and not the first one.
+    /// The engine that was asked to continue the run.
     fn holder(&self) -> &MockBackEnd {
         let is_holder = |engine: &&MockBackEnd| {
             let requests = engine.requests.lock().expect("lock");
@@ -125,7 +127,9 @@
 }
 
 fn last_event_id(request: &ReceivedRequest) -> u64 {
-    let id = request.header("last-event-id").expect("a place to go on");
+    let id = request
+        .header("last-event-id")
+        .expect("the header is present");
     id.parse().expect("a number")
 }
 
@@ -201,7 +205,7 @@
         let response = pair.call();
         assert!(!response.is_complete);
         assert_eq!(response.body, events(1..=2));
-        // The route's time is 4 s.
+        // The route timeout is 4 s.
         assert!(started_at.elapsed() < Duration::from_millis(3_500));
         let (first, continued) = pair.first_and_continued_requests();
         assert_eq!((first.len(), continued.len()), (1, 1));
@@ -231,7 +235,7 @@
 fn the_connection_to_the_first_engine_is_closed_before_the_holder_continues() {
     let close_times: Arc<Mutex<Vec<CloseTimes>>> = Arc::default();
     let observed_close_times = Arc::clone(&close_times);
-    // The garbled engine goes on until its connection is closed.
+    // The first engine keeps its connection open until the relay closes it.
     let pair = EnginePair::new(Loss::InvalidChunk, move |stream, request| {
         let started_at = Instant::now();
         let has_stopped = || {
@@ -253,7 +257,7 @@
     assert!(pair.call().is_complete);
 }
 
-/// A holder that tells when it was asked, and goes on once it is told to.
+/// An engine pair whose holder signals that it was asked to continue, and waits for permission.
 fn pair_with_waiting_holder() -> (EnginePair, Receiver<()>, Sender<()>) {
     let (continuation_sender, continuation_receiver) = mpsc::channel();
     let (resume_sender, resume_receiver) = mpsc::channel::<()>();
@@ -278,7 +282,7 @@
     caller.send("POST", "/stream/1", TOKEN_USAGE_LINE, "x");
     continuation_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("asked");
+        .expect("the holder is asked to continue");
     pair.relay.begin_shutdown();
     resume_sender.send(()).expect("the holder waits");
     let response = caller.read_response();
@@ -310,9 +314,13 @@
     caller.send("POST", "/stream/1", TOKEN_USAGE_LINE, "x");
     continuation_receiver
         .recv_timeout(TEST_TIMEOUT)
-        .expect("asked");
+        .expect("the holder is asked to continue");
     drop(caller);
-    assert!(close_receiver.recv_timeout(TEST_TIMEOUT).expect("an end"));
+    assert!(
+        close_receiver
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the connection ends")
+    );
 }
 
 #[test]
@@ -363,7 +371,7 @@
         MockBackEnd::start(|stream, request, _| {
             write(stream, &stream_head(request, "source"));
             write(stream, &chunk(&event(1)));
-            // Longer than a stream that may be resumed is waited for: 1.5 s.
+            // Longer than the 1.5 s for which the next event of a resumable stream is awaited.
             std::thread::sleep(Duration::from_millis(1_700));
             write(stream, &chunk(&event(2)));
             write(stream, "0\r\n\r\n");
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Callers and back ends that are slow to read: what is held for them is bounded.
+//! Memory held for callers and back ends that read slowly is bounded.
 
 mod support;
 
@@ -13,11 +13,11 @@
     chunk, ok_response, stream_head, wait_for_close, write,
 };
 
-/// How long a back end lets its answer sit unread.
+/// Write timeout of back ends: how long a write may block while nobody reads.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// More than the kernel takes for one connection while nobody reads.
+/// Events that exceed what the kernel buffers for one connection while nobody reads.
 const LONG_STREAM_EVENTS: u64 = 6_000;
-/// Bytes of an event.
+/// Size of an event in bytes.
 const EVENT_BYTES: usize = 1_024;
 const MEBIBYTE: u64 = 1024 * 1024;
 
@@ -29,18 +29,19 @@
     }
 }
 
-/// Prints the most that was held; the table of docs/design/backpressure.md is made of it.
+/// Prints the peak of held memory; the table in docs/design/backpressure.md is made from it.
 fn print_peak(scenario: &str, relay: &TestRelay) {
     println!("peak: {scenario}: {} bytes", relay.memory.peak());
 }
 
+/// An event of `EVENT_BYTES`.
 fn long_event(id: u64) -> String {
     let head = format!("id: {id}\ndata: ");
     let padding = "w".repeat(EVENT_BYTES - head.len() - 2);
     format!("{head}{padding}\n\n")
 }
 
-/// What became of streams at a back end that insists on being read.
+/// Outcomes of the streams of a back end with a write timeout.
 #[derive(Default)]
 struct StreamOutcomes {
     completed: AtomicUsize,
@@ -53,7 +54,7 @@
     }
 }
 
-/// Sends a stream; whether it was taken in time.
+/// Sends a stream; returns whether no write timed out.
 fn send_stream_with_timeout(
     stream: &mut TcpStream,
     request: &ReceivedRequest,
@@ -66,7 +67,7 @@
         && send("0\r\n\r\n")
 }
 
-/// A back end that cuts off an answer that sits unread.
+/// Starts a back end that ends a response which is not read within its write timeout.
 fn back_end_with_write_timeout(events: u64) -> (MockBackEnd, Arc<StreamOutcomes>) {
     let outcomes = Arc::new(StreamOutcomes::default());
     let recorded = Arc::clone(&outcomes);
@@ -107,19 +108,19 @@
     caller.send("POST", "/patient/1", "", "x");
     let prefix = read_first_bytes(&mut caller);
     assert_eq!(prefix, b"HTT");
-    wait_for("the stream is still unread", || {
+    wait_for("the stream has not ended", || {
         outcomes.finished_count() == 1
     });
     assert_eq!(
         outcomes.completed.load(Ordering::SeqCst),
         1,
-        "cut off as unread"
+        "the back end timed out"
     );
     assert!(relay.memory.held_by_kind(MemoryKind::Events) > 0);
     let response = caller.read_response_after(prefix);
     assert!(response.is_complete);
     assert!(is_complete_stream(&response.body, LONG_STREAM_EVENTS));
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.held() == 0);
     print_peak("one slow caller of 6 MB", &relay);
 }
 
@@ -129,7 +130,9 @@
     let relay = TestRelay::with_memory_budget(&[&back_end], 0);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    wait_for("neither taken nor cut", || outcomes.finished_count() == 1);
+    wait_for("the stream neither completed nor timed out", || {
+        outcomes.finished_count() == 1
+    });
     assert_eq!(outcomes.timed_out.load(Ordering::SeqCst), 1);
     assert_eq!(relay.memory.held_by_kind(MemoryKind::Events), 0);
 }
@@ -154,7 +157,7 @@
             caller
         })
         .collect();
-    // Half of the budget is for events.
+    // Half of the budget is available for events.
     wait_for("the budget does not fill", || {
         relay.memory.peak() >= BUDGET * 45 / 100
     });
@@ -170,18 +173,21 @@
             .map(|back_end| back_end.request_count())
             .sum::<usize>()
     };
-    // Until each of the thousand has its answer, others of them may take the places that the
-    // first ones give back: the next caller then finds the back ends truly full.
+    // Until each of the thousand has a response, waiting ones may take the slots that finished
+    // ones release; another caller would then rightly find the back ends full.
     let is_each_answered = callers.iter().all(Caller::wait_for_response);
-    assert!(is_each_answered, "some of the thousand were not answered");
-    wait_for("not all streams came to an end", || {
+    assert!(
+        is_each_answered,
+        "some of the thousand callers got no response"
+    );
+    wait_for("not all streams have ended", || {
         started_count() > 0 && finished_count() == started_count()
     });
     let mut late_caller = relay.connect();
     late_caller.send("POST", "/patient/keen", "", "x");
     assert!(
         is_complete_stream(&late_caller.read_response().body, EVENTS),
-        "others suffer"
+        "another caller is not served"
     );
     let responses: Vec<_> = callers.iter_mut().map(Caller::read_response).collect();
     let is_expected = |response: &&support::Response| {
@@ -202,25 +208,27 @@
     assert_eq!(
         complete_count + refused_count + truncated_count,
         CALLERS,
-        "an answer looks whole and is not"
+        "a response looks complete and is not"
     );
     assert!(peak <= BUDGET, "{peak} bytes were held");
     assert!(
         truncated_count > 0,
-        "the budget was never full: this shows nothing"
+        "the budget was never exhausted, so the test proves nothing"
     );
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.held() == 0);
 }
 
 #[test]
 fn a_stream_over_the_limit_of_one_request_is_ended_as_incomplete() {
     let (back_end, outcomes) = back_end_with_write_timeout(LONG_STREAM_EVENTS);
-    // An eighth of it, 256 KiB, for one request's events.
+    // An eighth of the budget, 256 KiB, is available for the events of one request.
     let relay = TestRelay::with_memory_budget(&[&back_end], 2 * MEBIBYTE);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    wait_for("the stream goes on", || outcomes.finished_count() == 1);
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("the stream has not ended", || {
+        outcomes.finished_count() == 1
+    });
+    wait_for("memory is not released", || relay.memory.held() == 0);
     assert!(relay.memory.peak() <= MEBIBYTE / 4 + 64 * 1024);
     assert!(!caller.read_response().is_complete);
 }
@@ -238,13 +246,13 @@
     let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    wait_for("the back end has not broken off", || {
+    wait_for("the back end has not disconnected", || {
         back_end.close_times.lock().expect("lock").len() == 1
     });
     let response = caller.read_response();
     assert!(is_complete_stream(&response.body, EVENTS));
     assert!(!response.is_complete);
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.held() == 0);
 }
 
 #[test]
@@ -253,7 +261,7 @@
     const LOW_PRIORITY: usize = 3;
     const HIGH_PRIORITY: usize = 4;
     let (back_end, outcomes) = back_end_with_write_timeout(EVENTS);
-    // Half of it, 16 MiB, for events: 5 of the 7 streams.
+    // Half of the budget, 16 MiB, is available for events: enough for 5 of the 7 streams.
     let relay = TestRelay::with_memory_budget(&[&back_end], 32 * MEBIBYTE);
     let call = |path: String| {
         let mut caller = relay.connect_with_small_buffer();
@@ -263,14 +271,14 @@
     let mut low_priority: Vec<Caller> = (0..LOW_PRIORITY)
         .map(|number| call(format!("/patient/{number}")))
         .collect();
-    wait_for("not all were read ahead", || {
+    wait_for("not all streams were read ahead", || {
         outcomes.finished_count() == LOW_PRIORITY
     });
     assert_eq!(outcomes.timed_out.load(Ordering::SeqCst), 0);
     let mut high_priority: Vec<Caller> = (0..HIGH_PRIORITY)
         .map(|number| call(format!("/patient-urgent/{number}")))
         .collect();
-    wait_for("not all came to an end", || {
+    wait_for("not all streams have ended", || {
         outcomes.finished_count() == LOW_PRIORITY + HIGH_PRIORITY
     });
     let count_complete = |callers: &mut Vec<Caller>| {
@@ -280,11 +288,11 @@
     assert_eq!(
         count_complete(&mut high_priority),
         HIGH_PRIORITY,
-        "an urgent one gave way"
+        "a stream of high priority was evicted"
     );
     assert!(
         count_complete(&mut low_priority) < LOW_PRIORITY,
-        "none gave way"
+        "no stream was evicted"
     );
     let request_body_bytes = (LOW_PRIORITY + HIGH_PRIORITY) as u64;
     assert!(relay.memory.peak() <= 16 * MEBIBYTE + request_body_bytes);
@@ -310,13 +318,13 @@
     wait_for("the back end's connection stays open", || {
         back_end.close_times.lock().expect("lock").len() == 1
     });
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.held() == 0);
 }
 
 #[test]
 fn a_back_end_that_stops_reading_a_body_is_abandoned_at_the_route_timeout() {
     let back_end = MockBackEnd::with_small_buffers(|stream, _, _| {
-        // Reads no further than the head.
+        // Reads nothing after the head.
         std::thread::sleep(TEST_TIMEOUT / 4);
         let _ = stream.flush();
         false
@@ -328,13 +336,15 @@
     assert_eq!(response.status, 504);
     assert!(
         started_at.elapsed() < TEST_TIMEOUT / 4,
-        "only when the back end left"
+        "answered only when the back end disconnected"
     );
     assert!(relay.memory.peak() >= 290_000, "the body was not counted");
-    wait_for("the body stays held", || relay.memory.held() == 0);
+    wait_for("the memory of the body is not released", || {
+        relay.memory.held() == 0
+    });
 }
 
-/// A back end that answers with the longest answer that is accepted.
+/// Starts a back end whose responses have the maximum accepted length, 4 MiB.
 fn back_end_with_longest_response() -> MockBackEnd {
     let body = "a".repeat(4 * MEBIBYTE as usize);
     MockBackEnd::start(move |stream, request, _| {
@@ -355,7 +365,7 @@
         caller.send("GET", &format!("/patient-read/{number}"), "", "");
     }
     let longest = 4 * MEBIBYTE;
-    wait_for("answers are not held", || {
+    wait_for("the responses are not held", || {
         relay.memory.held_by_kind(MemoryKind::Response) == longest * CALLERS as u64
     });
     for caller in &mut callers {
@@ -363,7 +373,7 @@
         assert_eq!(response.body.len() as u64, longest, "{}", response.head);
         assert!(response.is_complete);
     }
-    wait_for("bytes stay held", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.held() == 0);
     print_peak("eight whole answers of 4 MiB", &relay);
 }
 
@@ -379,7 +389,9 @@
     for (number, caller) in callers.iter_mut().enumerate() {
         caller.send("GET", &format!("/patient-read/{number}"), "", "");
     }
-    wait_for("not all have run", || back_end.request_count() == CALLERS);
+    wait_for("not all requests reached the back end", || {
+        back_end.request_count() == CALLERS
+    });
     let responses: Vec<_> = callers.iter_mut().map(Caller::read_response).collect();
     let complete = responses.iter().filter(|response| response.status == 200);
     let lost = responses.iter().filter(|response| response.status == 502);
@@ -389,6 +401,7 @@
     print_peak("four whole answers of 4 MiB", &relay);
 }
 
+/// Sends the head of a request whose body does not follow.
 fn send_request_head(caller: &mut Caller, path: &str, length: usize) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: id-{path}\r\n\
@@ -397,7 +410,7 @@
     write(&mut caller.stream, &head);
 }
 
-/// A back end that keeps what it got until the test ends.
+/// Starts a back end that never responds.
 fn unresponsive_back_end() -> MockBackEnd {
     MockBackEnd::start(|stream, _, _| {
         wait_for_close(stream);
@@ -411,7 +424,9 @@
     let relay = TestRelay::with_memory_budget(&[&back_end], 300_000);
     let mut first = relay.connect();
     first.send("POST", "/patient/1", "", &"b".repeat(200_000));
-    wait_for("the first did not arrive", || back_end.request_count() == 1);
+    wait_for("the first request did not arrive", || {
+        back_end.request_count() == 1
+    });
     let mut second = relay.connect();
     send_request_head(&mut second, "/patient/2", 100_000);
     let response = second.read_response();
@@ -419,17 +434,20 @@
     let retry_after: f64 = response
         .header("retry-after")
         .and_then(|value| value.parse().ok())
-        .expect("a time to come back");
+        .expect("a number of seconds");
     assert!(retry_after > 0.0);
     assert_eq!(back_end.request_count(), 1);
     assert!(relay.memory.peak() <= 300_000);
     drop(first);
-    wait_for("the body stays held", || relay.memory.held() == 0);
+    wait_for("the memory of the body is not released", || {
+        relay.memory.held() == 0
+    });
     let mut third = relay.connect();
     third.send("POST", "/patient/3", "", &"b".repeat(100_000));
-    wait_for("not taken though there is room", || {
-        back_end.request_count() == 2
-    });
+    wait_for(
+        "the request is not forwarded though the budget has room",
+        || back_end.request_count() == 2,
+    );
 }
 
 #[test]
@@ -444,7 +462,7 @@
             caller
         })
         .collect();
-    wait_for("not all arrived", || {
+    wait_for("not all requests arrived", || {
         back_end.request_count() == callers.len()
     });
 }
@@ -452,15 +470,19 @@
 #[test]
 fn bodies_held_for_one_back_end_are_limited() {
     let back_end = unresponsive_back_end();
-    // A quarter of it, 256 KiB, for the bodies at one back end.
+    // A quarter of the budget, 256 KiB, is available for the bodies at one back end.
     let relay = TestRelay::with_memory_budget(&[&back_end], MEBIBYTE);
     let mut first = relay.connect();
     first.send("POST", "/patient/1", "", &"b".repeat(200_000));
-    wait_for("the first did not arrive", || back_end.request_count() == 1);
+    wait_for("the first request did not arrive", || {
+        back_end.request_count() == 1
+    });
     let response = relay.call("POST", "/patient/2", "", &"b".repeat(200_000));
     assert_eq!(response.status, 503);
     assert_eq!(back_end.request_count(), 1);
     let mut small = relay.connect();
     small.send("POST", "/patient/3", "", "b");
-    wait_for("a small one is kept away", || back_end.request_count() == 2);
+    wait_for("a small body is not forwarded", || {
+        back_end.request_count() == 2
+    });
 }
--- a/crates/transport/relay/tests/streams.rs
+++ b/crates/transport/relay/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams are passed on event by event, and taken up elsewhere without loss.
+//! Streams are forwarded event by event and resumed at another back end without loss.
 
 mod support;
 
@@ -42,8 +42,8 @@
     assert!(text.contains("word 2"));
 }
 
-/// A back end that breaks its first stream in the middle of event 3 and, asked to go
-/// on after an event, sends the rest.
+/// Starts a back end that disconnects in the middle of event 3. Once `has_broken` is set, it sends
+/// the events after the requested one instead.
 fn back_end_breaking_first_stream(stamp: &'static str, has_broken: Arc<AtomicBool>) -> MockBackEnd {
     MockBackEnd::start(move |stream, request, _| {
         write(stream, &stream_head(request, stamp));
