--- a/crates/transport/relay/tests/callers.rs
+++ b/crates/transport/relay/tests/callers.rs
@@ -5,7 +5,8 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 use support::{
-    HOST, KEY, MockBackEnd, TEST_TIMEOUT, TestRelay, chunk, event, ok_response, stream_head, write,
+    API_KEY, HOST, MockBackEnd, TEST_TIMEOUT, TestRelay, chunk, event, ok_response, stream_head,
+    write,
 };
 
 /// Callers that disconnect together. All groups have several times the 84 requests that a back
@@ -45,7 +46,7 @@
     let authorization_line = match defect {
         "key-none" => String::new(),
         "key-wrong" => "Authorization: Bearer other\r\n".to_owned(),
-        _ => format!("Authorization: Bearer {KEY}\r\n"),
+        _ => format!("Authorization: Bearer {API_KEY}\r\n"),
     };
     let request_id_line = if defect == "id-none" {
         ""
@@ -98,7 +99,7 @@
     let mut caller = relay.connect();
     let head = format!(
         "POST /write/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: 1\r\n\
-         Authorization: Bearer {KEY}\r\nContent-Length: 400000\r\n\r\n"
+         Authorization: Bearer {API_KEY}\r\nContent-Length: 400000\r\n\r\n"
     );
     write(&mut caller.stream, &head);
     assert_eq!(caller.read_response().status, 413);
@@ -122,7 +123,7 @@
     let mut caller = relay.connect();
     let text = format!(
         "POST /write/1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: 1\r\n\
-         Authorization: Bearer {KEY}\r\nContent-Length: 45\r\n\
+         Authorization: Bearer {API_KEY}\r\nContent-Length: 45\r\n\
          Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/hidden HTTP/1.1\r\nHost: x\r\n\r\n"
     );
     write(&mut caller.stream, &text);
--- a/crates/transport/relay/tests/responses.rs
+++ b/crates/transport/relay/tests/responses.rs
@@ -206,7 +206,7 @@
         "POST /write/1 HTTP/1.1\r\nHost: {}\r\nRequest-Id: c\r\nAuthorization: Bearer {}\r\n\
          Transfer-Encoding: chunked\r\n\r\n",
         support::HOST,
-        support::KEY
+        support::API_KEY
     );
     write(&mut caller.stream, &head);
     write(&mut caller.stream, &chunk("one "));
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use support::{
-    AMPLE_MEMORY_BUDGET, Caller, HOST, KEY, MockBackEnd, ReceivedRequest, TEST_TIMEOUT, TestRelay,
-    chunk, ok_response, stream_head, wait_for_close, write,
+    AMPLE_MEMORY_BUDGET, API_KEY, Caller, HOST, MockBackEnd, ReceivedRequest, TEST_TIMEOUT,
+    TestRelay, chunk, ok_response, stream_head, wait_for_close, write,
 };
 
 /// Write timeout of back ends: how long a write may block while nobody reads.
@@ -405,7 +405,7 @@
 fn send_request_head(caller: &mut Caller, path: &str, length: usize) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: id-{path}\r\n\
-         Authorization: Bearer {KEY}\r\nContent-Length: {length}\r\n\r\n"
+         Authorization: Bearer {API_KEY}\r\nContent-Length: {length}\r\n\r\n"
     );
     write(&mut caller.stream, &head);
 }
--- a/crates/transport/relay/tests/support/caller.rs
+++ b/crates/transport/relay/tests/support/caller.rs
@@ -1,7 +1,7 @@
 //! Callers, and the responses that they receive.
 
 use super::back_end::header_value;
-use super::{HOST, KEY, find_bytes, write};
+use super::{API_KEY, HOST, find_bytes, write};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
@@ -33,7 +33,7 @@
         let length = body.len();
         let text = format!(
             "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: id-{path}\r\n\
-             Authorization: Bearer {KEY}\r\nContent-Length: {length}\r\n{extra_headers}\r\n{body}"
+             Authorization: Bearer {API_KEY}\r\nContent-Length: {length}\r\n{extra_headers}\r\n{body}"
         );
         write(&mut self.stream, &text);
     }
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -1,6 +1,6 @@
 //! Configuration of the relays under test: header names, routing table, back ends.
 
-use super::{HOST, KEY};
+use super::{API_KEY, HOST};
 use eiderferry_dispatch::{
     CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
@@ -59,7 +59,7 @@
 
 fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
     let lines = parse_numbers(body)?;
-    let [epoch, next, lost] = lines[0][..] else {
+    let [epoch, next, gap_flag] = lines[0][..] else {
         return Err(MalformedResponse::new("head", "other fields"));
     };
     let events = lines[1..].iter().map(|line| CacheEvent {
@@ -70,7 +70,7 @@
     Ok(CacheEvents {
         epoch,
         next,
-        has_gap: lost > 0,
+        has_gap: gap_flag > 0,
         events: events.collect(),
     })
 }
@@ -178,7 +178,7 @@
         },
         tenants: vec![Tenant {
             name: "radio".to_owned(),
-            keys: vec![KEY.to_owned()],
+            keys: vec![API_KEY.to_owned()],
             rank: None,
             allowed_regions: Vec::new(),
         }],
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -26,7 +26,7 @@
 /// Memory budget in bytes that most tests do not fill.
 pub const AMPLE_MEMORY_BUDGET: u64 = 64 * 1024 * 1024;
 /// API key of the tenant `radio`.
-pub const KEY: &str = "key-of-radio";
+pub const API_KEY: &str = "key-of-radio";
 /// Socket buffer size in bytes with which unread data soon blocks the sender.
 const SMALL_BUFFER_BYTES: usize = 8_192;
 /// Host name of all routes.
