--- a/crates/transport/relay/tests/event_stream.rs
+++ b/crates/transport/relay/tests/event_stream.rs
@@ -3,6 +3,7 @@
 use eiderferry_relay::EventSplitter;
 use rstest::rstest;
 
+/// Three events and a comment.
 const STREAM: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: note\n\nid: 3\ndata: d\n\n";
 
 #[rstest]
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -15,7 +15,7 @@
 
 /// Write timeout of back ends: how long a write may block while nobody reads.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Events that exceed what the kernel buffers for one connection while nobody reads.
+/// Events of a stream that is longer than what the kernel buffers for one connection.
 const LONG_STREAM_EVENTS: u64 = 6_000;
 /// Size of an event in bytes.
 const EVENT_BYTES: usize = 1_024;
--- a/crates/transport/relay/tests/streams.rs
+++ b/crates/transport/relay/tests/streams.rs
@@ -77,6 +77,7 @@
 #[test]
 fn events_that_were_already_forwarded_are_dropped() {
     let has_broken = Arc::new(AtomicBool::new(false));
+    // Disconnects after event 2; once `has_broken` is set, sends all events from 1 on instead.
     let back_end_repeating_events = |has_broken: Arc<AtomicBool>| {
         MockBackEnd::start(move |stream, request, _| {
             write(stream, &stream_head(request, "one"));
--- a/crates/transport/relay/tests/support/crashing_back_end.rs
+++ b/crates/transport/relay/tests/support/crashing_back_end.rs
@@ -95,6 +95,7 @@
     Vec::new()
 }
 
+/// Serves the requests of one connection until it ends or the back end crashes.
 fn serve(
     mut stream: TcpStream,
     crashing_body: &'static str,
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -57,6 +57,7 @@
     lines.collect()
 }
 
+/// Parses a response with cache events, see `cache_protocol`.
 fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
     let lines = parse_numbers(body)?;
     let [epoch, next, gap_flag] = lines[0][..] else {
@@ -75,6 +76,7 @@
     })
 }
 
+/// Parses a listing; it has the form of a response with events.
 fn read_cache_listing(body: &[u8]) -> Result<CacheListing, MalformedResponse> {
     let events = read_cache_events(body)?;
     let cached_parts = events.events.iter().map(|event| PromptPart {
