--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -1,6 +1,6 @@
-//! What a relay of the tests is told: names of headers, routes, back ends.
+//! Configuration of the relays under test: header names, routing table, back ends.
 
-use super::{HOST, KEY};
+use super::{API_KEY, HOST};
 use eiderferry_dispatch::{
     CacheEvent, CacheEvents, CacheListing, Change, DocumentContent, DocumentKey, PromptPart,
 };
@@ -36,8 +36,8 @@
     }
 }
 
-/// An engine that tells what it keeps.
-pub const ENGINE: EngineSpecification = EngineSpecification {
+/// An engine that reports the contents of its cache.
+pub const CACHE_REPORTING_ENGINE: EngineSpecification = EngineSpecification {
     slots: 64,
     cache_tokens: 500_000,
     tokens_per_event: 1,
@@ -45,20 +45,22 @@
     replicas: None,
 };
 
-fn numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
+/// Parses lines of numbers that are separated by spaces.
+fn parse_numbers(body: &[u8]) -> Result<Vec<Vec<u64>>, MalformedResponse> {
     let text = String::from_utf8_lossy(body);
     let lines = text.lines().map(|line| {
-        let words = line.split(' ').map(str::parse);
-        words
+        let fields = line.split(' ').map(str::parse);
+        fields
             .collect::<Result<Vec<u64>, _>>()
             .map_err(|_| MalformedResponse::new("line", line))
     });
     lines.collect()
 }
 
+/// Parses a response with cache events, see `cache_protocol`.
 fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
-    let lines = numbers(body)?;
-    let [epoch, next, lost] = lines[0][..] else {
+    let lines = parse_numbers(body)?;
+    let [epoch, next, gap_flag] = lines[0][..] else {
         return Err(MalformedResponse::new("head", "other fields"));
     };
     let events = lines[1..].iter().map(|line| CacheEvent {
@@ -69,25 +71,27 @@
     Ok(CacheEvents {
         epoch,
         next,
-        has_gap: lost > 0,
+        has_gap: gap_flag > 0,
         events: events.collect(),
     })
 }
 
+/// Parses a listing; it has the form of a response with events.
 fn read_cache_listing(body: &[u8]) -> Result<CacheListing, MalformedResponse> {
     let events = read_cache_events(body)?;
-    let kept = events.events.iter().map(|event| PromptPart {
+    let cached_parts = events.events.iter().map(|event| PromptPart {
         id: event.part,
         tokens: event.tokens,
     });
     Ok(CacheListing {
         epoch: events.epoch,
         next: events.next,
-        kept: kept.collect(),
+        kept: cached_parts.collect(),
     })
 }
 
-/// Answers of lines: epoch, number to go on from, gap; then number, part, tokens each.
+/// Responses consist of lines: epoch, next event number and gap flag first; then event number,
+/// part and tokens of each event.
 pub fn cache_protocol() -> CacheProtocol {
     CacheProtocol {
         events_path: |after| format!("/cache-events?after={after}"),
@@ -98,7 +102,7 @@
     }
 }
 
-fn route(name: &str, kind: RouteKind, attempts: u32) -> Route {
+fn route(name: &str, kind: RouteKind, maximum_attempts: u32) -> Route {
     Route {
         name: name.to_owned(),
         host: HOST.to_owned(),
@@ -112,15 +116,15 @@
             pool: PoolName::from("pool"),
             weight: 1.0,
         }],
-        maximum_attempts: attempts,
+        maximum_attempts,
         is_public: false,
         is_resumable: false,
         allowed_regions: Vec::new(),
     }
 }
 
-/// Engines that keep replicas of each other's running requests.
-pub fn engine() -> EngineSpecification {
+/// Specification of engines that keep replicas of each other's running requests.
+pub fn replicating_engine() -> EngineSpecification {
     EngineSpecification {
         slots: 64,
         cache_tokens: 400_000,
@@ -176,17 +180,17 @@
         },
         tenants: vec![Tenant {
             name: "radio".to_owned(),
-            keys: vec![KEY.to_owned()],
+            keys: vec![API_KEY.to_owned()],
             rank: None,
             allowed_regions: Vec::new(),
         }],
     }
 }
 
-/// So many more back ends of the pool, all of them leaving: each question for a place goes over
-/// them in vain.
-pub fn leaving(count: usize) -> Vec<Change> {
-    let listed = (0..count).map(|number| {
+/// Documents of `count` further back ends of the pool, all draining: each dispatch examines them
+/// without finding an eligible one.
+pub fn draining_back_ends(count: usize) -> Vec<Change> {
+    let back_ends = (0..count).map(|number| {
         let instance = InstanceId::from(format!("leaving-{number}"));
         let (high, low) = (number / 250, number % 250);
         let address = format!("127.200.{high}.{low}:9").parse();
@@ -206,12 +210,15 @@
             content: DocumentContent::BackEnd(back_end),
         }
     });
-    listed.collect()
+    back_ends.collect()
 }
 
-/// All documents: a table, and these back ends.
-pub fn changes(back_ends: &[SocketAddr], engine: Option<EngineSpecification>) -> Vec<Change> {
-    let listed = back_ends.iter().enumerate().map(|(number, address)| {
+/// The complete configuration: the routing table and these back ends.
+pub fn configuration_documents(
+    back_ends: &[SocketAddr],
+    engine: Option<EngineSpecification>,
+) -> Vec<Change> {
+    let listed_back_ends = back_ends.iter().enumerate().map(|(number, address)| {
         let instance = InstanceId::from(format!("i-{number}"));
         Change {
             key: DocumentKey::BackEnd(instance.clone()),
@@ -233,5 +240,5 @@
         revision: 1.into(),
         content: DocumentContent::Table(table(engine)),
     };
-    listed.chain([table]).collect()
+    listed_back_ends.chain([table]).collect()
 }
--- a/crates/transport/relay/tests/support/mod.rs
+++ b/crates/transport/relay/tests/support/mod.rs
@@ -1,30 +1,33 @@
-//! Stand-ins for tests over TCP: back ends that follow a script, and callers.
+//! Support for tests over TCP: mock back ends, relays under test and callers.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
-#![allow(unused_imports, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some items")]
+#![allow(unused_imports, reason = "each test file uses only some items")]
 
 mod back_end;
 mod caller;
+mod crashing_back_end;
 mod documents;
-mod fragile;
-mod running;
+mod relay;
 
 pub use back_end::{
-    Seen, StandIn, answering, chunk, event, find, read_request, reset, shed, stream_head,
-    wait_for_close, whole, with_line, write,
+    MockBackEnd, ReceivedRequest, back_end_responding_with, chunk, event, find_bytes,
+    not_run_response, ok_response, read_request, reset_on_close, stream_head, wait_for_close,
+    with_header_line, write,
 };
-pub use caller::{Answer, Caller};
+pub use caller::{Caller, Response};
+pub use crashing_back_end::CrashingBackEnd;
 pub use documents::{cache_protocol, header_names};
-pub use fragile::Fragile;
-pub use running::Running;
+pub use relay::TestRelay;
 
 use std::time::Duration;
 
-/// Longest wait of a test for anything.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// A budget that no test fills unless it says so.
-pub const AMPLE_MEMORY: u64 = 64 * 1024 * 1024;
-pub const KEY: &str = "key-of-radio";
-/// Buffer of a socket that holds little.
-const SMALL_BUFFER: usize = 8_192;
+/// Longest time that a test waits for any event.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Memory budget in bytes that most tests do not fill.
+pub const AMPLE_MEMORY_BUDGET: u64 = 64 * 1024 * 1024;
+/// API key of the tenant `radio`.
+pub const API_KEY: &str = "key-of-radio";
+/// Socket buffer size in bytes with which unread data soon blocks the sender.
+const SMALL_BUFFER_BYTES: usize = 8_192;
+/// Host name of all routes.
 pub const HOST: &str = "calls.example";
