--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -1,12 +1,12 @@
 //! The admission queue itself.
 
+mod grants;
 mod refusal;
-mod serving;
 
 use crate::back_end::{BackEndState, LoadReport};
-use crate::estimate::{AnswerLengths, Average, Rate};
+use crate::estimate::{EventRate, MovingAverage, ResponseLengths};
 use crate::selection::ClassState;
-use crate::tenant_use::TenantUse;
+use crate::tenant_usage::TenantUsage;
 use crate::{Ask, CellPolicy, Observation, Outcome, Ticket};
 use eiderferry_config::Configuration;
 use eiderferry_types::{
@@ -15,15 +15,15 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use crate::tenant_use::Allowance;
-use refusal::SHORTEST_RETRY;
+pub use crate::tenant_usage::Allowance;
+use refusal::MIN_RETRY_DELAY;
 
 /// Weight of one lease in the learned holding time.
-const HOLDING_WEIGHT: f64 = 0.05;
+const LEASE_SAMPLE_WEIGHT: f64 = 0.05;
 /// Holding time assumed before any lease has ended, in microseconds.
-const ASSUMED_HOLDING: f64 = 4_000_000.0;
+const INITIAL_LEASE_DURATION_US: f64 = 4_000_000.0;
 /// Time to first token assumed before any was seen, in microseconds.
-const ASSUMED_FIRST_TOKEN: f64 = 200_000.0;
+const INITIAL_TIME_TO_FIRST_TOKEN_US: f64 = 200_000.0;
 
 /// A slot handed out.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     back_end: BackEndId,
     kv_tokens: u64,
     expected_tokens: u32,
-    granted: Timestamp,
+    granted_at: Timestamp,
 }
 
 /// A decision of the cell.
@@ -98,16 +98,16 @@
     classes: BTreeMap<ClassId, ClassState>,
     back_ends: BTreeMap<BackEndId, BackEndState>,
     leases: BTreeMap<Ticket, Lease>,
-    tenants: TenantUse,
-    lengths: AnswerLengths<(ClassId, TenantId)>,
-    holding: Average,
-    first_token: Average,
+    tenant_usage: TenantUsage,
+    response_lengths: ResponseLengths<(ClassId, TenantId)>,
+    lease_duration: MovingAverage,
+    time_to_first_token: MovingAverage,
     /// Last grant outside minimum shares, per tier.
-    last_open_grant: BTreeMap<Tier, Timestamp>,
+    last_grant_outside_shares: BTreeMap<Tier, Timestamp>,
     /// Until then a new holder waits for load reports before it hands out slots.
-    learning_until: Timestamp,
+    report_wait_until: Timestamp,
     /// Until then a new holder collects what owners ask for again.
-    collecting_until: Timestamp,
+    collection_until: Timestamp,
     /// Back ends that have not reported since the holder took over.
     unreported: BTreeSet<BackEndId>,
     events: Vec<CellEvent>,
@@ -122,13 +122,16 @@
             classes: BTreeMap::new(),
             back_ends: BTreeMap::new(),
             leases: BTreeMap::new(),
-            tenants: TenantUse::default(),
-            lengths: AnswerLengths::default(),
-            holding: Average::new(ASSUMED_HOLDING, HOLDING_WEIGHT),
-            first_token: Average::new(ASSUMED_FIRST_TOKEN, HOLDING_WEIGHT),
-            last_open_grant: BTreeMap::new(),
-            learning_until: Timestamp::default(),
-            collecting_until: Timestamp::default(),
+            tenant_usage: TenantUsage::default(),
+            response_lengths: ResponseLengths::default(),
+            lease_duration: MovingAverage::new(INITIAL_LEASE_DURATION_US, LEASE_SAMPLE_WEIGHT),
+            time_to_first_token: MovingAverage::new(
+                INITIAL_TIME_TO_FIRST_TOKEN_US,
+                LEASE_SAMPLE_WEIGHT,
+            ),
+            last_grant_outside_shares: BTreeMap::new(),
+            report_wait_until: Timestamp::default(),
+            collection_until: Timestamp::default(),
             unreported: BTreeSet::new(),
             events: Vec::new(),
         }
@@ -138,26 +141,27 @@
     /// every back end has reported its load, or the learning time is over, and owners
     /// have had the time to ask again.
     pub fn start_learning(&mut self, now: Timestamp) {
-        self.learning_until = now + self.policy.learning_time;
-        self.collecting_until = now + self.policy.collecting_time;
+        self.report_wait_until = now + self.policy.report_wait;
+        self.collection_until = now + self.policy.collection_wait;
         self.unreported = self.back_ends.keys().copied().collect();
     }
 
-    fn is_learning(&self, now: Timestamp) -> bool {
-        let is_unreported = now < self.learning_until && !self.unreported.is_empty();
-        is_unreported || now < self.collecting_until
+    fn is_taking_over(&self, now: Timestamp) -> bool {
+        let awaits_reports = now < self.report_wait_until && !self.unreported.is_empty();
+        awaits_reports || now < self.collection_until
     }
 
     /// Applies a configuration. Requests of classes that are gone are refused.
     pub fn configure(&mut self, now: Timestamp, configuration: &Configuration) {
-        let kept: BTreeSet<ClassId> = configuration.classes.iter().map(|class| class.id).collect();
-        let gone: Vec<ClassId> = self
+        let listed_ids: BTreeSet<ClassId> =
+            configuration.classes.iter().map(|class| class.id).collect();
+        let removed_classes: Vec<ClassId> = self
             .classes
             .keys()
             .copied()
-            .filter(|id| !kept.contains(id))
+            .filter(|id| !listed_ids.contains(id))
             .collect();
-        for class in gone {
+        for class in removed_classes {
             self.refuse_class(class);
         }
         for class in &configuration.classes {
@@ -168,7 +172,7 @@
                 assumed_answer_tokens: class.assumed_answer_tokens,
                 queue: Default::default(),
                 running: 0,
-                arrivals: Rate::new(now),
+                arrival_rate: EventRate::new(now),
             });
             state.tier = class.tier;
             state.minimum_share = class.minimum_share;
@@ -180,7 +184,7 @@
                 back_end.set_limits(pool.slots_per_back_end, pool.kv_tokens_per_back_end);
             }
         }
-        self.tenants.clear_allowances();
+        self.tenant_usage.clear_allowances();
     }
 
     fn refuse_class(&mut self, class: ClassId) {
@@ -194,15 +198,15 @@
 
     /// Sets what one tenant may use of this cell.
     pub fn set_allowance(&mut self, tenant: TenantId, allowance: Allowance) {
-        self.tenants.set_allowance(tenant, allowance);
+        self.tenant_usage.set_allowance(tenant, allowance);
     }
 
     /// Sets the back ends of this cell: number, slots, KV tokens, leaving.
     ///
     /// Leases on a back end that is gone stay until their owners release them.
     pub fn set_back_ends(&mut self, listed: &[(BackEndId, u32, u64, bool)]) {
-        let kept: BTreeSet<BackEndId> = listed.iter().map(|entry| entry.0).collect();
-        self.back_ends.retain(|id, _| kept.contains(id));
+        let listed_ids: BTreeSet<BackEndId> = listed.iter().map(|entry| entry.0).collect();
+        self.back_ends.retain(|id, _| listed_ids.contains(id));
         for (id, slots, kv_tokens, leaving) in listed {
             let back_end = self
                 .back_ends
@@ -233,19 +237,19 @@
         let Some(state) = self.classes.get_mut(&ask.class) else {
             self.refuse(
                 &ask,
-                Refusal::not_run(Reason::NotReady, Some(SHORTEST_RETRY)),
+                Refusal::not_run(Reason::NotReady, Some(MIN_RETRY_DELAY)),
             );
             return;
         };
         if state.queue.contains(&ask.ticket) {
             return;
         }
-        state.arrivals.record(now);
+        state.arrival_rate.record(now);
         if let Some(refusal) = self.early_refusal(now, &ask) {
             self.refuse(&ask, refusal);
             return;
         }
-        if self.waiting() >= self.policy.maximum_waiting && !self.displace(&ask) {
+        if self.waiting() >= self.policy.maximum_waiting && !self.displace_lower_tier(&ask) {
             let refusal =
                 Refusal::not_run(Reason::QueueFull, Some(self.retry_after(now, ask.class)));
             self.refuse(&ask, refusal);
@@ -254,7 +258,7 @@
         if let Some(state) = self.classes.get_mut(&ask.class) {
             state.queue.push(ask);
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
     /// Whether an attempt waits here.
@@ -291,29 +295,30 @@
         let Some(lease) = self.leases.remove(ticket) else {
             return;
         };
-        self.vacate(now, &lease, observation.tokens);
+        self.free_lease(now, &lease, observation.tokens);
         if let Some(span) = observation.first_token {
-            self.first_token.record(span.0 as f64);
+            self.time_to_first_token.record(span.0 as f64);
         }
         if observation.outcome == Outcome::Completed {
-            self.holding.record(now.since(lease.granted).0 as f64);
-            self.lengths
+            self.lease_duration
+                .record(now.since(lease.granted_at).0 as f64);
+            self.response_lengths
                 .record((lease.class, lease.tenant), observation.tokens);
         }
         if let Some(back_end) = self.back_ends.get_mut(&lease.back_end) {
             back_end.observe(now, observation);
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    fn vacate(&mut self, now: Timestamp, lease: &Lease, used_tokens: u32) {
+    fn free_lease(&mut self, now: Timestamp, lease: &Lease, used_tokens: u32) {
         if let Some(state) = self.classes.get_mut(&lease.class) {
             state.running = state.running.saturating_sub(1);
         }
         if let Some(back_end) = self.back_ends.get_mut(&lease.back_end) {
-            back_end.vacate(lease.kv_tokens);
+            back_end.free_slot(lease.kv_tokens);
         }
-        self.tenants
+        self.tenant_usage
             .finish(lease.tenant, now, lease.expected_tokens, used_tokens);
     }
 
@@ -324,7 +329,7 @@
         }
         self.withdraw(&ask.ticket);
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.recognise();
+            state.remove_external_request();
         }
         self.lease(now, ask, back_end);
     }
@@ -340,26 +345,26 @@
         let lost: Vec<Ticket> = self.leases.keys().copied().filter(is_lost).collect();
         for ticket in lost {
             if let Some(lease) = self.leases.remove(&ticket) {
-                self.vacate(now, &lease, lease.expected_tokens);
+                self.free_lease(now, &lease, lease.expected_tokens);
             }
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
     /// Takes in a back end's load report.
     pub fn report(&mut self, now: Timestamp, back_end: BackEndId, report: &LoadReport) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.report(now, report);
+            state.apply_load_report(now, report);
         }
         self.unreported.remove(&back_end);
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
     /// Notes that a back end is asked for its load: one that does not answer
     /// several times gets nothing until it does.
     pub fn note_poll(&mut self, back_end: BackEndId) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.note_poll();
+            state.record_poll();
         }
     }
 
@@ -367,7 +372,7 @@
     pub fn leases_older_than(&self, now: Timestamp, age: Span) -> Vec<Ticket> {
         self.leases
             .iter()
-            .filter(|(_, lease)| now.since(lease.granted) >= age)
+            .filter(|(_, lease)| now.since(lease.granted_at) >= age)
             .map(|(ticket, _)| *ticket)
             .collect()
     }
@@ -407,10 +412,10 @@
 
     /// Regular work: refuses what can no longer be served in time, compares speeds.
     pub fn tick(&mut self, now: Timestamp) {
-        self.judge_speeds();
+        self.update_slowness();
         self.adapt_slots();
         self.refuse_expired(now);
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
     /// Decisions made since the last call.
@@ -440,7 +445,7 @@
 
     /// Requests each tenant runs here.
     pub fn tenants_running(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
-        self.tenants.iter()
+        self.tenant_usage.running_by_tenant()
     }
 
     /// Usable slots of all back ends that take work.
--- a/crates/coordination/admission/src/cell/serving.rs
+++ b/crates/coordination/admission/src/cell/grants.rs
@@ -3,11 +3,11 @@
 use super::{Cell, CellEvent, Lease};
 use crate::Ask;
 use crate::back_end::BackEndState;
-use crate::selection::{Selected, select_back_end, select_class};
+use crate::selection::{SelectedClass, select_back_end, select_class};
 use eiderferry_types::{BackEndId, TenantId, Timestamp};
 
 impl Cell {
-    pub(super) fn judge_speeds(&mut self) {
+    pub(super) fn update_slowness(&mut self) {
         if !self.policy.slow_detection {
             return;
         }
@@ -22,7 +22,7 @@
         speeds.sort_by(f64::total_cmp);
         let median = speeds[(speeds.len() - 1) / 2];
         for back_end in self.back_ends.values_mut() {
-            back_end.judge_speed(median);
+            back_end.update_slowness(median);
         }
     }
 
@@ -32,13 +32,13 @@
             return;
         }
         let running = self.classes.values().filter(|state| state.running > 0);
-        let tightest = running.map(|state| state.per_token_target).min();
-        let any = self
+        let tightest_running = running.map(|state| state.per_token_target).min();
+        let tightest_overall = self
             .classes
             .values()
             .map(|state| state.per_token_target)
             .min();
-        let Some(target) = tightest.or(any) else {
+        let Some(target) = tightest_running.or(tightest_overall) else {
             return;
         };
         for back_end in self.back_ends.values_mut() {
@@ -47,29 +47,29 @@
     }
 
     /// Hands out free slots until none is left or nothing that waits fits.
-    pub(super) fn serve(&mut self, now: Timestamp) {
-        if self.is_learning(now) {
+    pub(super) fn grant_free_slots(&mut self, now: Timestamp) {
+        if self.is_taking_over(now) {
             return;
         }
         let total = self.total_slots(now);
-        while self.serve_one(now, total) {}
+        while self.grant_next(now, total) {}
     }
 
-    fn serve_one(&mut self, now: Timestamp, total_slots: u32) -> bool {
-        let has_room = self
+    fn grant_next(&mut self, now: Timestamp, total_slots: u32) -> bool {
+        let has_capacity = self
             .back_ends
             .values()
-            .any(|back_end| back_end.has_room(now, 0));
-        if !has_room {
+            .any(|back_end| back_end.has_capacity(now, 0));
+        if !has_capacity {
             return false;
         }
-        let tenants = &self.tenants;
+        let tenants = &self.tenant_usage;
         let is_eligible = |tenant: TenantId| tenants.exhausted(tenant, now).is_none();
         let fair = self.policy.tenant_fairness;
         // Until the owners of running requests have registered, every class seems to
         // run less than its share: then tiers alone decide.
         let mut policy = self.policy.clone();
-        policy.minimum_shares &= now >= self.learning_until;
+        policy.minimum_shares &= now >= self.report_wait_until;
         let selected = select_class(&self.classes, &policy, total_slots, |state| {
             !state.queue.is_empty() && state.queue.next_tenant(fair, is_eligible).is_some()
         });
@@ -83,7 +83,7 @@
         let Some(ask) = next.cloned() else {
             return false;
         };
-        let kv_tokens = self.reservation(&ask);
+        let kv_tokens = self.kv_token_reservation(&ask);
         let back_end = select_back_end(&self.back_ends, &self.policy, now, &ask, kv_tokens);
         let Some(back_end) = back_end else {
             return false;
@@ -92,12 +92,12 @@
         true
     }
 
-    fn grant(&mut self, now: Timestamp, selected: Selected, ask: Ask, back_end: BackEndId) {
+    fn grant(&mut self, now: Timestamp, selected: SelectedClass, ask: Ask, back_end: BackEndId) {
         let work = f64::from(ask.prompt_tokens) / 10.0 + f64::from(self.expected_tokens(&ask));
         if let Some(state) = self.classes.get_mut(&selected.class) {
             state.queue.pop(ask.tenant, work);
             if !selected.by_share {
-                self.last_open_grant.insert(state.tier, now);
+                self.last_grant_outside_shares.insert(state.tier, now);
             }
         }
         self.lease(now, &ask, back_end);
@@ -111,23 +111,23 @@
     }
 
     pub(super) fn lease(&mut self, now: Timestamp, ask: &Ask, back_end: BackEndId) {
-        let kv_tokens = self.reservation(ask);
+        let kv_tokens = self.kv_token_reservation(ask);
         let expected_tokens = self.expected_tokens(ask);
         if let Some(state) = self.classes.get_mut(&ask.class) {
             state.running += 1;
         }
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.occupy(now, kv_tokens);
-            state.prefixes.touch(&ask.prefixes);
+            state.take_slot(now, kv_tokens);
+            state.prefixes.record_use(&ask.prefixes);
         }
-        self.tenants.start(ask.tenant, now, expected_tokens);
+        self.tenant_usage.start(ask.tenant, now, expected_tokens);
         let lease = Lease {
             class: ask.class,
             tenant: ask.tenant,
             back_end,
             kv_tokens,
             expected_tokens,
-            granted: now,
+            granted_at: now,
         };
         self.leases.insert(ask.ticket, lease);
     }
@@ -137,10 +137,11 @@
             .classes
             .get(&ask.class)
             .map_or(0, |state| state.assumed_answer_tokens);
-        self.lengths.high(&(ask.class, ask.tenant), assumed)
+        self.response_lengths
+            .upper_estimate(&(ask.class, ask.tenant), assumed)
     }
 
-    fn reservation(&self, ask: &Ask) -> u64 {
+    fn kv_token_reservation(&self, ask: &Ask) -> u64 {
         u64::from(ask.prompt_tokens) + u64::from(self.expected_tokens(ask))
     }
 }
--- a/crates/coordination/admission/src/cell/refusal.rs
+++ b/crates/coordination/admission/src/cell/refusal.rs
@@ -2,20 +2,20 @@
 
 use super::{Cell, CellEvent};
 use crate::Ask;
-use crate::estimate::span_of;
-use crate::tenant_use::Exhausted;
+use crate::estimate::span_from_microseconds;
+use crate::tenant_usage::ExhaustedLimit;
 use eiderferry_types::{ClassId, Reason, Refusal, Span, Tier, Timestamp};
 
 /// The learned first-token delay never takes more than this part of a budget:
 /// otherwise one slow spell would refuse everything and never be unlearned.
-const FIRST_TOKEN_BUDGET_PART: f64 = 0.5;
+const MAX_FIRST_TOKEN_SHARE: f64 = 0.5;
 /// While a lower tier got slots outside its share this recently, a higher tier
 /// waits instead of being refused early: there is room.
-const ROOM_MEMORY: Span = Span::from_milliseconds(200);
+const LOWER_TIER_GRANT_WINDOW: Span = Span::from_milliseconds(200);
 /// Shortest time a refused caller is told to wait.
-pub(super) const SHORTEST_RETRY: Span = Span::from_milliseconds(500);
+pub(super) const MIN_RETRY_DELAY: Span = Span::from_milliseconds(500);
 /// Longest time a refused caller is told to wait.
-const LONGEST_RETRY: Span = Span::from_milliseconds(30_000);
+const MAX_RETRY_DELAY: Span = Span::from_milliseconds(30_000);
 
 impl Cell {
     /// Estimated time a new request of `class` would wait for a slot.
@@ -23,25 +23,27 @@
         let Some(state) = self.classes.get(&class) else {
             return Span::ZERO;
         };
-        let total = self.total_slots(now);
-        let free = i64::from(total) - self.leases.len() as i64;
-        let ahead = self.waiting_ahead(state.tier) as f64;
-        if free > 0 && ahead < free as f64 {
+        let total_slots = self.total_slots(now);
+        let free_slots = i64::from(total_slots) - self.leases.len() as i64;
+        let requests_ahead = self.waiting_ahead(state.tier) as f64;
+        if free_slots > 0 && requests_ahead < free_slots as f64 {
             return Span::ZERO;
         }
-        let turnover = f64::from(total.max(1)) / (self.holding.mean() / 1e6).max(0.001);
-        let higher: f64 = self
+        let service_rate =
+            f64::from(total_slots.max(1)) / (self.lease_duration.mean() / 1e6).max(0.001);
+        let higher_tier_rate: f64 = self
             .classes
             .values()
             .filter(|other| other.tier < state.tier)
-            .map(|other| other.arrivals.per_second(now))
+            .map(|other| other.arrival_rate.per_second(now))
             .sum();
-        let open = ahead / (turnover - higher).max(turnover * 0.01);
+        let shared_wait =
+            requests_ahead / (service_rate - higher_tier_rate).max(service_rate * 0.01);
         if state.minimum_share <= 0.0 {
-            return Span::from_seconds(open);
+            return Span::from_seconds(shared_wait);
         }
-        let guaranteed = state.queue.len() as f64 / (turnover * state.minimum_share);
-        Span::from_seconds(open.min(guaranteed))
+        let guaranteed_wait = state.queue.len() as f64 / (service_rate * state.minimum_share);
+        Span::from_seconds(shared_wait.min(guaranteed_wait))
     }
 
     fn waiting_ahead(&self, tier: Tier) -> usize {
@@ -53,23 +55,23 @@
     }
 
     fn first_token_delay(&self, target: Span) -> Span {
-        let learned = span_of(self.first_token.mean());
-        let cap = span_of(target.0 as f64 * FIRST_TOKEN_BUDGET_PART);
+        let learned = span_from_microseconds(self.time_to_first_token.mean());
+        let cap = span_from_microseconds(target.0 as f64 * MAX_FIRST_TOKEN_SHARE);
         learned.min(cap)
     }
 
     /// Time a request may still wait for its slot.
     fn wait_budget(&self, now: Timestamp, ask: &Ask) -> Span {
         let target = ask.arrived.until(ask.first_token_due);
-        let left = now.until(ask.first_token_due);
-        Span(left.0.saturating_sub(self.first_token_delay(target).0))
+        let remaining = now.until(ask.first_token_due);
+        Span(remaining.0.saturating_sub(self.first_token_delay(target).0))
     }
 
     pub(super) fn early_refusal(&self, now: Timestamp, ask: &Ask) -> Option<Refusal> {
         if self.back_ends.is_empty() {
-            return Some(Refusal::not_run(Reason::NoBackEnd, Some(SHORTEST_RETRY)));
+            return Some(Refusal::not_run(Reason::NoBackEnd, Some(MIN_RETRY_DELAY)));
         }
-        if !self.policy.early_refusal || self.lower_tier_has_room(now, ask.class) {
+        if !self.policy.early_refusal || self.lower_tier_got_slots(now, ask.class) {
             return None;
         }
         let wait = self.estimated_wait(now, ask.class);
@@ -82,22 +84,22 @@
     }
 
     /// Whether a lower tier lately got slots that the class could have had.
-    fn lower_tier_has_room(&self, now: Timestamp, class: ClassId) -> bool {
+    fn lower_tier_got_slots(&self, now: Timestamp, class: ClassId) -> bool {
         let Some(state) = self.classes.get(&class) else {
             return false;
         };
-        self.last_open_grant
+        self.last_grant_outside_shares
             .range(Tier(state.tier.0 + 1)..)
-            .any(|(_, granted)| now.since(*granted) < ROOM_MEMORY)
+            .any(|(_, granted)| now.since(*granted) < LOWER_TIER_GRANT_WINDOW)
     }
 
     pub(super) fn retry_after(&self, now: Timestamp, class: ClassId) -> Span {
         self.estimated_wait(now, class)
-            .clamp(SHORTEST_RETRY, LONGEST_RETRY)
+            .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
     /// Makes room in a full queue by refusing a request of a lower tier.
-    pub(super) fn displace(&mut self, ask: &Ask) -> bool {
+    pub(super) fn displace_lower_tier(&mut self, ask: &Ask) -> bool {
         let Some(tier) = self.classes.get(&ask.class).map(|state| state.tier) else {
             return false;
         };
@@ -110,17 +112,17 @@
         let Some(class) = lowest else {
             return false;
         };
-        let victim = self
+        let displaced = self
             .classes
             .get_mut(&class)
             .and_then(|state| state.queue.pop_newest());
-        if let Some(victim) = &victim {
+        if let Some(displaced) = &displaced {
             self.refuse(
-                victim,
-                Refusal::not_run(Reason::Displaced, Some(LONGEST_RETRY)),
+                displaced,
+                Refusal::not_run(Reason::Displaced, Some(MAX_RETRY_DELAY)),
             );
         }
-        victim.is_some()
+        displaced.is_some()
     }
 
     pub(super) fn refuse(&mut self, ask: &Ask, refusal: Refusal) {
@@ -135,18 +137,20 @@
     pub(super) fn refuse_expired(&mut self, now: Timestamp) {
         let classes: Vec<ClassId> = self.classes.keys().copied().collect();
         for class in classes {
-            let delay_known = self.first_token_delay(Span(u64::MAX));
+            let expected_delay = self.first_token_delay(Span(u64::MAX));
             let Some(state) = self.classes.get_mut(&class) else {
                 continue;
             };
             let expired = state
                 .queue
-                .remove_where(|ask| is_too_late(now, ask, delay_known));
+                .remove_where(|ask| will_miss_deadline(now, ask, expected_delay));
             for ask in expired {
-                let limit = self.tenants.exhausted_since(ask.tenant, ask.arrived, now);
+                let limit = self
+                    .tenant_usage
+                    .exhausted_since(ask.tenant, ask.arrived, now);
                 let reason = match limit {
-                    Some(Exhausted::Concurrency) => Reason::TenantConcurrency,
-                    Some(Exhausted::TokenRate) => Reason::TenantTokenRate,
+                    Some(ExhaustedLimit::Concurrency) => Reason::TenantConcurrency,
+                    Some(ExhaustedLimit::TokenRate) => Reason::TenantTokenRate,
                     None => Reason::DeadlinePassed,
                 };
                 let retry = self.retry_after(now, class);
@@ -157,8 +161,8 @@
 }
 
 /// Whether a request could not get its first token in time even with a slot now.
-fn is_too_late(now: Timestamp, ask: &Ask, first_token_delay: Span) -> bool {
+fn will_miss_deadline(now: Timestamp, ask: &Ask, first_token_delay: Span) -> bool {
     let target = ask.arrived.until(ask.first_token_due);
-    let cap = span_of(target.0 as f64 * FIRST_TOKEN_BUDGET_PART);
+    let cap = span_from_microseconds(target.0 as f64 * MAX_FIRST_TOKEN_SHARE);
     now + first_token_delay.min(cap) >= ask.first_token_due
 }
--- a/crates/coordination/admission/src/class_queue.rs
+++ b/crates/coordination/admission/src/class_queue.rs
@@ -9,7 +9,7 @@
 struct TenantQueue {
     waiting: VecDeque<Ask>,
     /// Work served so far, in tokens: the tenant with the least goes next.
-    served: f64,
+    served_tokens: f64,
 }
 
 /// Waiting requests of one class.
@@ -17,40 +17,40 @@
 pub struct ClassQueue {
     tenants: BTreeMap<TenantId, TenantQueue>,
     /// Work served to the tenant that went last; late-comers start from here.
-    served_level: f64,
-    arrivals: u64,
-    order: BTreeMap<Ticket, u64>,
+    virtual_time: f64,
+    arrival_count: u64,
+    arrival_order: BTreeMap<Ticket, u64>,
 }
 
 impl ClassQueue {
     /// Requests waiting.
     pub fn len(&self) -> usize {
-        self.order.len()
+        self.arrival_order.len()
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.arrival_order.is_empty()
     }
 
     /// Whether this attempt waits here.
     pub fn contains(&self, ticket: &Ticket) -> bool {
-        self.order.contains_key(ticket)
+        self.arrival_order.contains_key(ticket)
     }
 
     /// The attempts that wait.
     pub fn tickets(&self) -> impl Iterator<Item = &Ticket> {
-        self.order.keys()
+        self.arrival_order.keys()
     }
 
     /// Adds a request to its tenant's queue, in the order of due times; a further
     /// attempt goes in front, because work has already been spent on it.
     pub fn push(&mut self, ask: Ask) {
-        self.arrivals += 1;
-        self.order.insert(ask.ticket, self.arrivals);
+        self.arrival_count += 1;
+        self.arrival_order.insert(ask.ticket, self.arrival_count);
         let queue = self.tenants.entry(ask.tenant).or_default();
         if queue.waiting.is_empty() {
-            queue.served = queue.served.max(self.served_level);
+            queue.served_tokens = queue.served_tokens.max(self.virtual_time);
         }
         let key = |ask: &Ask| (ask.ticket.attempt == 0, ask.first_token_due);
         let position = queue
@@ -61,7 +61,7 @@
 
     /// Removes one waiting request.
     pub fn remove(&mut self, ticket: &Ticket) -> Option<Ask> {
-        self.order.remove(ticket)?;
+        self.arrival_order.remove(ticket)?;
         for queue in self.tenants.values_mut() {
             let position = queue.waiting.iter().position(|ask| ask.ticket == *ticket);
             if let Some(position) = position {
@@ -83,11 +83,11 @@
             .filter(|(tenant, queue)| !queue.waiting.is_empty() && is_eligible(**tenant));
         if fair {
             return candidates
-                .min_by(|left, right| left.1.served.total_cmp(&right.1.served))
+                .min_by(|left, right| left.1.served_tokens.total_cmp(&right.1.served_tokens))
                 .map(|(tenant, _)| *tenant);
         }
         candidates
-            .min_by_key(|(_, queue)| self.order.get(&queue.waiting[0].ticket))
+            .min_by_key(|(_, queue)| self.arrival_order.get(&queue.waiting[0].ticket))
             .map(|(tenant, _)| *tenant)
     }
 
@@ -100,25 +100,29 @@
     pub fn pop(&mut self, tenant: TenantId, work: f64) -> Option<Ask> {
         let queue = self.tenants.get_mut(&tenant)?;
         let ask = queue.waiting.pop_front()?;
-        self.served_level = self.served_level.max(queue.served);
-        queue.served += work;
-        self.order.remove(&ask.ticket);
+        self.virtual_time = self.virtual_time.max(queue.served_tokens);
+        queue.served_tokens += work;
+        self.arrival_order.remove(&ask.ticket);
         Some(ask)
     }
 
     /// Removes the request that came last: the one that lost least by waiting.
     pub fn pop_newest(&mut self) -> Option<Ask> {
-        let ticket = *self.order.iter().max_by_key(|(_, order)| **order)?.0;
+        let ticket = *self
+            .arrival_order
+            .iter()
+            .max_by_key(|(_, arrival_order)| **arrival_order)?
+            .0;
         self.remove(&ticket)
     }
 
     /// Removes every request for which `is_lost` holds.
-    pub fn remove_where(&mut self, mut is_lost: impl FnMut(&Ask) -> bool) -> Vec<Ask> {
+    pub fn remove_where(&mut self, mut should_remove: impl FnMut(&Ask) -> bool) -> Vec<Ask> {
         let mut removed = Vec::new();
         for queue in self.tenants.values_mut() {
             let mut index = 0;
             while index < queue.waiting.len() {
-                if !is_lost(&queue.waiting[index]) {
+                if !should_remove(&queue.waiting[index]) {
                     index += 1;
                     continue;
                 }
@@ -126,21 +130,21 @@
             }
         }
         for ask in &removed {
-            self.order.remove(&ask.ticket);
+            self.arrival_order.remove(&ask.ticket);
         }
-        self.drop_idle_tenants();
+        self.remove_idle_tenants();
         removed
     }
 
     /// Forgets tenants that no longer wait and are not ahead of the others.
-    fn drop_idle_tenants(&mut self) {
-        let level = self.served_level;
+    fn remove_idle_tenants(&mut self) {
+        let virtual_time = self.virtual_time;
         self.tenants
-            .retain(|_, queue| !queue.waiting.is_empty() || queue.served > level);
+            .retain(|_, queue| !queue.waiting.is_empty() || queue.served_tokens > virtual_time);
     }
 
     /// When the request that waits longest arrived.
-    pub fn oldest_arrival(&self) -> Option<Timestamp> {
+    pub fn earliest_front_arrival(&self) -> Option<Timestamp> {
         self.tenants
             .values()
             .filter_map(|queue| queue.waiting.front())
--- a/crates/coordination/admission/src/estimate.rs
+++ b/crates/coordination/admission/src/estimate.rs
@@ -5,19 +5,19 @@
 
 /// Exponentially weighted mean and mean deviation of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Average {
+pub struct MovingAverage {
     mean: f64,
     deviation: f64,
     weight: f64,
     samples: u64,
 }
 
-impl Average {
+impl MovingAverage {
     /// An average that starts at `assumed`; each sample counts with `weight`.
-    pub fn new(assumed: f64, weight: f64) -> Self {
+    pub fn new(initial: f64, weight: f64) -> Self {
         Self {
-            mean: assumed,
-            deviation: assumed / 2.0,
+            mean: initial,
+            deviation: initial / 2.0,
             weight,
             samples: 0,
         }
@@ -40,7 +40,7 @@
     }
 
     /// A value that most samples stay below.
-    pub fn high(&self) -> f64 {
+    pub fn upper_estimate(&self) -> f64 {
         self.mean + self.deviation
     }
 
@@ -52,71 +52,71 @@
 
 /// Events a second, averaged over a sliding time constant.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub struct EventRate {
     per_second: f64,
-    last: Timestamp,
+    updated_at: Timestamp,
 }
 
 /// Time constant of [`Rate`].
-const RATE_WINDOW_SECONDS: f64 = 2.0;
+const RATE_TIME_CONSTANT_SECONDS: f64 = 2.0;
 
-impl Rate {
+impl EventRate {
     /// A rate of zero.
     pub fn new(now: Timestamp) -> Self {
         Self {
             per_second: 0.0,
-            last: now,
+            updated_at: now,
         }
     }
 
     /// Counts one event.
     pub fn record(&mut self, now: Timestamp) {
-        self.per_second = self.per_second(now) + 1.0 / RATE_WINDOW_SECONDS;
-        self.last = now;
+        self.per_second = self.per_second(now) + 1.0 / RATE_TIME_CONSTANT_SECONDS;
+        self.updated_at = now;
     }
 
     /// The rate as of now.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.last).seconds();
-        self.per_second * (-age / RATE_WINDOW_SECONDS).exp()
+        let elapsed = now.since(self.updated_at).seconds();
+        self.per_second * (-elapsed / RATE_TIME_CONSTANT_SECONDS).exp()
     }
 }
 
 /// Weight of one answer in a learned answer length.
-const LENGTH_WEIGHT: f64 = 0.05;
+const LENGTH_SAMPLE_WEIGHT: f64 = 0.05;
 /// Learned lengths kept at the most; past that, new keys use the assumption.
-const MAXIMUM_LENGTHS: usize = 20_000;
+const MAX_LENGTH_KEYS: usize = 20_000;
 
 /// Learned answer lengths per key.
 ///
 /// Nobody knows the length of an answer beforehand: these feed reservations and
 /// fairness, never a promise.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerLengths<Key: Ord> {
-    lengths: BTreeMap<Key, Average>,
+pub struct ResponseLengths<Key: Ord> {
+    lengths: BTreeMap<Key, MovingAverage>,
 }
 
-impl<Key: Ord> AnswerLengths<Key> {
+impl<Key: Ord> ResponseLengths<Key> {
     /// Takes in the length of one complete answer.
     pub fn record(&mut self, key: Key, tokens: u32) {
-        if self.lengths.len() >= MAXIMUM_LENGTHS && !self.lengths.contains_key(&key) {
+        if self.lengths.len() >= MAX_LENGTH_KEYS && !self.lengths.contains_key(&key) {
             return;
         }
         self.lengths
             .entry(key)
-            .or_insert_with(|| Average::new(f64::from(tokens), LENGTH_WEIGHT))
+            .or_insert_with(|| MovingAverage::new(f64::from(tokens), LENGTH_SAMPLE_WEIGHT))
             .record(f64::from(tokens));
     }
 
     /// A length that most answers of this key stay below.
-    pub fn high(&self, key: &Key, assumed: u32) -> u32 {
+    pub fn upper_estimate(&self, key: &Key, initial: u32) -> u32 {
         self.lengths
             .get(key)
-            .map_or(assumed, |average| average.high() as u32)
+            .map_or(initial, |average| average.upper_estimate() as u32)
     }
 }
 
 /// Converts a mean in microseconds to a span.
-pub fn span_of(microseconds: f64) -> Span {
+pub fn span_from_microseconds(microseconds: f64) -> Span {
     Span(microseconds.max(0.0) as u64)
 }
--- a/crates/coordination/admission/src/lib.rs
+++ b/crates/coordination/admission/src/lib.rs
@@ -16,11 +16,11 @@
 mod policy;
 mod prefix;
 mod selection;
-mod tenant_use;
+mod tenant_usage;
 
 pub use ask::{Ask, Observation, Outcome, PrefixMark, Ticket};
 pub use back_end::{BackEndState, LoadReport};
 pub use cell::{Allowance, Cell, CellEvent, CellSnapshot, ClassSnapshot};
-pub use estimate::Average;
+pub use estimate::MovingAverage;
 pub use policy::CellPolicy;
 pub use prefix::PrefixIndex;
--- a/crates/coordination/admission/src/policy.rs
+++ b/crates/coordination/admission/src/policy.rs
@@ -26,10 +26,10 @@
     /// Part of the time to the target that the estimated wait may fill.
     pub wait_safety_factor: f64,
     /// How long a new holder trusts load reports over its own empty table.
-    pub learning_time: Span,
+    pub report_wait: Span,
     /// How long a new holder collects asks before it grants any, so that the order of
     /// their arrival does not decide between tiers.
-    pub collecting_time: Span,
+    pub collection_wait: Span,
 }
 
 impl Default for CellPolicy {
@@ -43,8 +43,8 @@
             tenant_fairness: true,
             maximum_waiting: 20_000,
             wait_safety_factor: 0.9,
-            learning_time: Span::from_milliseconds(1_500),
-            collecting_time: Span::from_milliseconds(100),
+            report_wait: Span::from_milliseconds(1_500),
+            collection_wait: Span::from_milliseconds(100),
         }
     }
 }
--- a/crates/coordination/admission/src/prefix.rs
+++ b/crates/coordination/admission/src/prefix.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Prefixes remembered per back end; the cache itself is limited too.
-const MAXIMUM_PREFIXES: usize = 512;
+const MAX_PREFIXES: usize = 512;
 
 /// A least-recently-used set of prefix hashes.
 ///
@@ -12,14 +12,14 @@
 /// events, which come late and with gaps: a hit is a hint, never a promise.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
-    last_use: BTreeMap<u32, u64>,
-    by_use: BTreeMap<u64, u32>,
-    clock: u64,
+    use_by_hash: BTreeMap<u32, u64>,
+    hash_by_use: BTreeMap<u64, u32>,
+    use_counter: u64,
 }
 
 impl PrefixIndex {
     /// Notes that these prefixes were just used.
-    pub fn touch(&mut self, prefixes: &[PrefixMark]) {
+    pub fn record_use(&mut self, prefixes: &[PrefixMark]) {
         for mark in prefixes {
             self.insert(mark.hash);
         }
@@ -27,30 +27,30 @@
 
     /// Notes that the back end stored a prefix.
     pub fn insert(&mut self, hash: u32) {
-        self.clock += 1;
-        if let Some(previous) = self.last_use.insert(hash, self.clock) {
-            self.by_use.remove(&previous);
+        self.use_counter += 1;
+        if let Some(previous) = self.use_by_hash.insert(hash, self.use_counter) {
+            self.hash_by_use.remove(&previous);
         }
-        self.by_use.insert(self.clock, hash);
-        while self.last_use.len() > MAXIMUM_PREFIXES {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+        self.hash_by_use.insert(self.use_counter, hash);
+        while self.use_by_hash.len() > MAX_PREFIXES {
+            let Some((_, oldest)) = self.hash_by_use.pop_first() else {
                 return;
             };
-            self.last_use.remove(&oldest);
+            self.use_by_hash.remove(&oldest);
         }
     }
 
     /// Notes that the back end dropped a prefix.
     pub fn remove(&mut self, hash: u32) {
-        if let Some(used) = self.last_use.remove(&hash) {
-            self.by_use.remove(&used);
+        if let Some(last_used) = self.use_by_hash.remove(&hash) {
+            self.hash_by_use.remove(&last_used);
         }
     }
 
     /// Forgets everything: the back end restarted or its events had a gap.
     pub fn clear(&mut self) {
-        self.last_use.clear();
-        self.by_use.clear();
+        self.use_by_hash.clear();
+        self.hash_by_use.clear();
     }
 
     /// Tokens of the longest known prefix; `prefixes` are shortest first.
@@ -58,7 +58,7 @@
         prefixes
             .iter()
             .rev()
-            .find(|mark| self.last_use.contains_key(&mark.hash))
+            .find(|mark| self.use_by_hash.contains_key(&mark.hash))
             .map_or(0, |mark| mark.tokens)
     }
 }
--- a/crates/coordination/admission/src/selection.rs
+++ b/crates/coordination/admission/src/selection.rs
@@ -26,12 +26,12 @@
     pub assumed_answer_tokens: u32,
     pub queue: ClassQueue,
     pub running: u32,
-    pub arrivals: crate::estimate::Rate,
+    pub arrival_rate: crate::estimate::EventRate,
 }
 
 /// The class to serve next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Selected {
+pub(crate) struct SelectedClass {
     pub class: ClassId,
     /// Whether the class was chosen for its minimum share.
     pub by_share: bool,
@@ -57,19 +57,24 @@
     policy: &CellPolicy,
     total_slots: u32,
     has_work: impl Fn(&ClassState) -> bool,
-) -> Option<Selected> {
+) -> Option<SelectedClass> {
     let candidates = classes.iter().filter(|(_, state)| has_work(state));
     let key = |(class, state): &(&ClassId, &ClassState)| {
-        let below = policy.minimum_shares && state.is_below_share(total_slots);
+        let is_below_share = policy.minimum_shares && state.is_below_share(total_slots);
         let tier = if policy.tier_order {
             state.tier
         } else {
             Tier(0)
         };
-        (!below, tier, state.queue.oldest_arrival(), **class)
+        (
+            !is_below_share,
+            tier,
+            state.queue.earliest_front_arrival(),
+            **class,
+        )
     };
     let (class, state) = candidates.min_by_key(key)?;
-    Some(Selected {
+    Some(SelectedClass {
         class: *class,
         by_share: policy.minimum_shares && state.is_below_share(total_slots),
     })
@@ -85,7 +90,7 @@
 ) -> Option<BackEndId> {
     back_ends
         .values()
-        .filter(|back_end| back_end.has_room(now, kv_tokens))
+        .filter(|back_end| back_end.has_capacity(now, kv_tokens))
         .min_by(|left, right| {
             let left_cost = left.placement_cost(ask, policy);
             let right_cost = right.placement_cost(ask, policy);
--- a/crates/coordination/admission/src/tenant_use.rs
+++ b/crates/coordination/admission/src/tenant_usage.rs
@@ -17,7 +17,7 @@
 
 /// Why a tenant may not start another request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exhausted {
+pub enum ExhaustedLimit {
     /// Too many requests at once.
     Concurrency,
     /// Too many tokens lately.
@@ -28,20 +28,20 @@
 struct Usage {
     running: u32,
     /// Tokens it may still use; negative after an answer longer than expected.
-    tokens: f64,
-    refilled: Timestamp,
+    token_balance: f64,
+    refilled_at: Timestamp,
 }
 
 /// Use and allowances of all tenants seen here.
 #[derive(Clone, Debug, Default)]
-pub struct TenantUse {
+pub struct TenantUsage {
     usage: BTreeMap<TenantId, Usage>,
     /// When each tenant last was at a limit, and at which.
-    last_exhausted: BTreeMap<TenantId, (Timestamp, Exhausted)>,
+    last_exhausted: BTreeMap<TenantId, (Timestamp, ExhaustedLimit)>,
     allowances: BTreeMap<TenantId, Allowance>,
 }
 
-impl TenantUse {
+impl TenantUsage {
     /// Sets a tenant's allowance; it holds from the next grant on.
     pub fn set_allowance(&mut self, tenant: TenantId, allowance: Allowance) {
         self.allowances.insert(tenant, allowance);
@@ -53,23 +53,25 @@
     }
 
     /// Tenants with anything running, and how much.
-    pub fn iter(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
+    pub fn running_by_tenant(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
         self.usage
             .iter()
             .map(|(tenant, usage)| (*tenant, usage.running))
     }
 
     /// Why the tenant may not start another request, if so.
-    pub fn exhausted(&self, tenant: TenantId, now: Timestamp) -> Option<Exhausted> {
+    pub fn exhausted(&self, tenant: TenantId, now: Timestamp) -> Option<ExhaustedLimit> {
         let allowance = self.allowances.get(&tenant)?;
         let usage = self.usage.get(&tenant);
         let running = usage.map_or(0, |usage| usage.running);
         if allowance.concurrency.is_some_and(|limit| running >= limit) {
-            return Some(Exhausted::Concurrency);
+            return Some(ExhaustedLimit::Concurrency);
         }
         let rate = allowance.tokens_per_second?;
-        let tokens = usage.map_or(rate * BURST_SECONDS, |usage| usage.available(now, rate));
-        (tokens <= 0.0).then_some(Exhausted::TokenRate)
+        let token_balance = usage.map_or(rate * BURST_SECONDS, |usage| {
+            usage.available_tokens(now, rate)
+        });
+        (token_balance <= 0.0).then_some(ExhaustedLimit::TokenRate)
     }
 
     /// The limit that held the tenant back at some time since `since`, if any.
@@ -78,16 +80,16 @@
         tenant: TenantId,
         since: Timestamp,
         now: Timestamp,
-    ) -> Option<Exhausted> {
-        let lately = self
+    ) -> Option<ExhaustedLimit> {
+        let recent = self
             .last_exhausted
             .get(&tenant)
             .filter(|(at, _)| *at >= since);
         self.exhausted(tenant, now)
-            .or(lately.map(|(_, limit)| *limit))
+            .or(recent.map(|(_, limit)| *limit))
     }
 
-    fn note_exhausted(&mut self, tenant: TenantId, now: Timestamp) {
+    fn record_exhausted(&mut self, tenant: TenantId, now: Timestamp) {
         if let Some(limit) = self.exhausted(tenant, now) {
             self.last_exhausted.insert(tenant, (now, limit));
         }
@@ -98,27 +100,27 @@
         let rate = self.rate(tenant);
         let usage = self.usage.entry(tenant).or_insert(Usage {
             running: 0,
-            tokens: rate * BURST_SECONDS,
-            refilled: now,
+            token_balance: rate * BURST_SECONDS,
+            refilled_at: now,
         });
         usage.refill(now, rate);
         usage.running += 1;
-        usage.tokens -= f64::from(expected_tokens);
-        self.note_exhausted(tenant, now);
+        usage.token_balance -= f64::from(expected_tokens);
+        self.record_exhausted(tenant, now);
     }
 
     /// Counts a request that ended, and corrects the tokens it was expected to use.
     pub fn finish(&mut self, tenant: TenantId, now: Timestamp, expected: u32, used: u32) {
         let rate = self.rate(tenant);
-        self.note_exhausted(tenant, now);
+        self.record_exhausted(tenant, now);
         let Some(usage) = self.usage.get_mut(&tenant) else {
             return;
         };
         usage.refill(now, rate);
         usage.running = usage.running.saturating_sub(1);
-        usage.tokens += f64::from(expected) - f64::from(used);
-        usage.tokens = usage.tokens.min(rate * BURST_SECONDS);
-        let idle = usage.running == 0 && usage.tokens >= rate * BURST_SECONDS;
+        usage.token_balance += f64::from(expected) - f64::from(used);
+        usage.token_balance = usage.token_balance.min(rate * BURST_SECONDS);
+        let idle = usage.running == 0 && usage.token_balance >= rate * BURST_SECONDS;
         if idle {
             self.usage.remove(&tenant);
         }
@@ -133,13 +135,13 @@
 }
 
 impl Usage {
-    fn available(&self, now: Timestamp, rate: f64) -> f64 {
-        let gained = now.since(self.refilled).seconds() * rate;
-        (self.tokens + gained).min(rate * BURST_SECONDS)
+    fn available_tokens(&self, now: Timestamp, rate: f64) -> f64 {
+        let gained = now.since(self.refilled_at).seconds() * rate;
+        (self.token_balance + gained).min(rate * BURST_SECONDS)
     }
 
     fn refill(&mut self, now: Timestamp, rate: f64) {
-        self.tokens = self.available(now, rate);
-        self.refilled = now;
+        self.token_balance = self.available_tokens(now, rate);
+        self.refilled_at = now;
     }
 }
--- a/crates/coordination/admission/tests/cell.rs
+++ b/crates/coordination/admission/tests/cell.rs
@@ -29,14 +29,14 @@
     Timestamp(milliseconds * 1_000)
 }
 
-fn cell(back_ends: u32, policy: CellPolicy) -> Cell {
+fn cell(back_end_count: u32, policy: CellPolicy) -> Cell {
     let id = CellId {
         zone: ZoneId(1),
         pool: PoolId(1),
         shard: 0,
     };
     let mut cell = Cell::new(id, policy);
-    let listed: Vec<_> = (1..=back_ends)
+    let listed: Vec<_> = (1..=back_end_count)
         .map(|id| (BackEndId(id), 4, 100_000, false))
         .collect();
     cell.set_back_ends(&listed);
@@ -79,7 +79,7 @@
     }
 }
 
-fn granted(cell: &mut Cell) -> Vec<u64> {
+fn take_granted(cell: &mut Cell) -> Vec<u64> {
     cell.take_events()
         .into_iter()
         .filter_map(|event| match event {
@@ -89,7 +89,7 @@
         .collect()
 }
 
-fn refused(cell: &mut Cell) -> Vec<(u64, Reason)> {
+fn take_refused(cell: &mut Cell) -> Vec<(u64, Reason)> {
     cell.take_events()
         .into_iter()
         .filter_map(|event| match event {
@@ -102,75 +102,78 @@
 }
 
 /// Fills the cell with batch requests numbered from 100.
-fn fill(cell: &mut Cell, slots: u64) {
+fn fill_with_batch(cell: &mut Cell, slots: u64) {
     for sequence in 100..100 + slots {
         cell.ask(at(0), ask(sequence, BATCH, 1, at(0)));
     }
-    assert_eq!(granted(cell).len() as u64, slots);
+    assert_eq!(take_granted(cell).len() as u64, slots);
 }
 
 #[test]
 fn a_free_slot_is_granted_at_once() {
     let mut cell = cell(1, CellPolicy::default());
     cell.ask(at(0), ask(1, INTERACTIVE, 1, at(0)));
-    assert_eq!(granted(&mut cell), [1]);
+    assert_eq!(take_granted(&mut cell), [1]);
 }
 
 #[rstest]
 #[case::tier_order(true, 2)]
 #[case::broken_without_tier_order(false, 1)]
-fn a_freed_slot_goes_to_the_highest_tier(#[case] tier_order: bool, #[case] expected: u64) {
+fn a_freed_slot_is_granted_to_the_highest_tier(#[case] tier_order: bool, #[case] expected: u64) {
     let policy = CellPolicy {
         tier_order,
         ..CellPolicy::default()
     };
     let mut cell = cell(1, policy);
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, BATCH, 1, at(1)));
     cell.ask(at(2), ask(2, INTERACTIVE, 1, at(2)));
     cell.release(at(10), &ticket(100), &completed(10));
-    assert_eq!(granted(&mut cell), [expected]);
+    assert_eq!(take_granted(&mut cell), [expected]);
 }
 
 #[rstest]
 #[case::with_share(true, 2)]
 #[case::broken_without_share(false, 1)]
-fn a_class_below_its_share_goes_first(#[case] minimum_shares: bool, #[case] expected: u64) {
+fn a_class_below_its_minimum_share_is_served_first(
+    #[case] minimum_shares: bool,
+    #[case] expected: u64,
+) {
     let policy = CellPolicy {
         minimum_shares,
         ..CellPolicy::default()
     };
     let mut cell = cell(1, policy);
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, INTERACTIVE, 1, at(1)));
     cell.ask(at(2), ask(2, GUARANTEED, 1, at(2)));
     cell.release(at(10), &ticket(100), &completed(10));
-    assert_eq!(granted(&mut cell), [expected]);
+    assert_eq!(take_granted(&mut cell), [expected]);
 }
 
 #[test]
-fn a_class_at_its_share_waits_for_higher_tiers() {
+fn a_class_at_its_minimum_share_waits_for_higher_tiers() {
     let mut cell = cell(1, CellPolicy::default());
     cell.ask(at(0), ask(50, GUARANTEED, 1, at(0)));
-    fill_rest(&mut cell);
+    fill_remaining_slots(&mut cell);
     cell.ask(at(1), ask(1, GUARANTEED, 1, at(1)));
     cell.ask(at(2), ask(2, INTERACTIVE, 1, at(2)));
     cell.release(at(10), &ticket(100), &completed(10));
-    assert_eq!(granted(&mut cell), [2]);
+    assert_eq!(take_granted(&mut cell), [2]);
 }
 
-fn fill_rest(cell: &mut Cell) {
-    granted(cell);
+fn fill_remaining_slots(cell: &mut Cell) {
+    take_granted(cell);
     for sequence in 100..103 {
         cell.ask(at(0), ask(sequence, BATCH, 1, at(0)));
     }
-    assert_eq!(granted(cell).len(), 3);
+    assert_eq!(take_granted(cell).len(), 3);
 }
 
 #[test]
-fn tenants_of_a_class_take_turns_by_tokens() {
+fn tenants_of_a_class_share_slots_by_tokens_served() {
     let mut cell = cell(1, CellPolicy::default());
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     for sequence in 1..=6 {
         cell.ask(at(1), ask(sequence, BATCH, 1, at(1)));
     }
@@ -179,13 +182,13 @@
         cell.release(at(10), &ticket(slot), &completed(10));
     }
     assert!(
-        granted(&mut cell).contains(&7),
+        take_granted(&mut cell).contains(&7),
         "the small tenant does not wait behind the large one"
     );
 }
 
 #[test]
-fn a_tenant_at_its_allowance_waits_and_others_pass() {
+fn a_tenant_at_its_allowance_waits_without_blocking_others() {
     let mut cell = cell(1, CellPolicy::default());
     let allowance = Allowance {
         concurrency: Some(1),
@@ -195,105 +198,112 @@
     cell.ask(at(0), ask(1, BATCH, 9, at(0)));
     cell.ask(at(0), ask(2, BATCH, 9, at(0)));
     cell.ask(at(0), ask(3, BATCH, 1, at(0)));
-    assert_eq!(granted(&mut cell), [1, 3]);
+    assert_eq!(take_granted(&mut cell), [1, 3]);
     cell.release(at(10), &ticket(1), &completed(10));
-    assert_eq!(granted(&mut cell), [2]);
+    assert_eq!(take_granted(&mut cell), [2]);
 }
 
 #[test]
-fn a_token_rate_is_held_over_time() {
+fn a_token_rate_limit_is_enforced_over_time() {
     let mut cell = cell(4, CellPolicy::default());
     let allowance = Allowance {
         concurrency: None,
         tokens_per_second: Some(100.0),
     };
     cell.set_allowance(TenantId(9), allowance);
-    let mut served = 0;
+    let mut served_tokens = 0;
     let mut sequence = 0;
     for second in 0..60 {
         for _ in 0..4 {
             sequence += 1;
             let now = at(second * 1_000);
             cell.ask(now, ask(sequence, BATCH, 9, now));
-            for granted in granted(&mut cell) {
-                served += 100;
-                cell.release(now, &ticket(granted), &completed(100));
+            for sequence in take_granted(&mut cell) {
+                served_tokens += 100;
+                cell.release(now, &ticket(sequence), &completed(100));
             }
         }
     }
     // 60 s at 100 tokens/s, 5 s of burst, one answer of overshoot.
-    assert!((5_500..=6_700).contains(&served), "served {served} tokens");
+    assert!(
+        (5_500..=6_700).contains(&served_tokens),
+        "served {served_tokens} tokens"
+    );
 }
 
 #[test]
-fn what_cannot_be_met_is_refused_at_once() {
+fn requests_with_unreachable_deadlines_are_refused_on_arrival() {
     let mut cell = cell(1, CellPolicy::default());
-    fill(&mut cell, 4);
-    let mut reasons = Vec::new();
+    fill_with_batch(&mut cell, 4);
+    let mut refusals = Vec::new();
     for sequence in 1..=40 {
         cell.ask(at(500), ask(sequence, INTERACTIVE, 1, at(500)));
-        reasons.extend(refused(&mut cell));
+        refusals.extend(take_refused(&mut cell));
     }
     assert!(
-        reasons
+        refusals
             .iter()
             .all(|(_, reason)| *reason == Reason::DeadlineUnreachable)
     );
     assert!(
-        reasons.len() > 30,
+        refusals.len() > 30,
         "only {} of 40 were refused",
-        reasons.len()
+        refusals.len()
     );
 }
 
 #[test]
-fn while_a_lower_tier_gets_slots_a_higher_one_is_not_refused_early() {
+fn no_early_refusal_while_a_lower_tier_gets_slots() {
     let mut cell = cell(1, CellPolicy::default());
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     for sequence in 1..=40 {
         cell.ask(at(100), ask(sequence, INTERACTIVE, 1, at(100)));
     }
-    assert_eq!(refused(&mut cell), []);
+    assert_eq!(take_refused(&mut cell), []);
 }
 
 #[test]
-fn a_waiting_request_is_refused_when_its_time_is_up() {
+fn a_waiting_request_is_refused_once_its_deadline_is_missed() {
     let mut cell = cell(1, CellPolicy::default());
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, INTERACTIVE, 1, at(1)));
     cell.take_events();
     cell.tick(at(1_000));
-    assert_eq!(refused(&mut cell), [(1, Reason::DeadlinePassed)]);
+    assert_eq!(take_refused(&mut cell), [(1, Reason::DeadlinePassed)]);
 }
 
 #[test]
-fn a_full_queue_gives_up_its_lowest_tier() {
+fn a_full_queue_displaces_the_lowest_tier() {
     let policy = CellPolicy {
         maximum_waiting: 2,
         early_refusal: false,
         ..CellPolicy::default()
     };
     let mut cell = cell(1, policy);
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, BATCH, 1, at(1)));
     cell.ask(at(1), ask(2, BATCH, 1, at(1)));
     cell.ask(at(2), ask(3, INTERACTIVE, 1, at(2)));
-    assert_eq!(refused(&mut cell), [(2, Reason::Displaced)]);
+    assert_eq!(take_refused(&mut cell), [(2, Reason::Displaced)]);
     cell.ask(at(3), ask(4, BATCH, 1, at(3)));
-    assert_eq!(refused(&mut cell), [(4, Reason::QueueFull)]);
+    assert_eq!(take_refused(&mut cell), [(4, Reason::QueueFull)]);
 }
 
 #[test]
-fn asking_twice_takes_one_slot() {
+fn a_repeated_request_takes_only_one_slot() {
     let mut cell = cell(1, CellPolicy::default());
     cell.ask(at(0), ask(1, BATCH, 1, at(0)));
     cell.ask(at(1), ask(1, BATCH, 1, at(1)));
-    assert_eq!(granted(&mut cell), [1, 1], "the lost grant is repeated");
+    assert_eq!(
+        take_granted(&mut cell),
+        [1, 1],
+        "the lost grant is repeated"
+    );
     assert_eq!(cell.leases(), 1);
 }
 
 #[test]
-fn a_leaving_back_end_gets_nothing_new() {
+fn a_leaving_back_end_gets_no_new_requests() {
     let mut cell = cell(2, CellPolicy::default());
     cell.set_back_ends(&[
         (BackEndId(1), 4, 100_000, true),
@@ -302,7 +312,7 @@
     for sequence in 1..=8 {
         cell.ask(at(0), ask(sequence, BATCH, 1, at(0)));
     }
-    let places: Vec<BackEndId> = cell
+    let back_ends: Vec<BackEndId> = cell
         .take_events()
         .into_iter()
         .filter_map(|event| match event {
@@ -310,7 +320,7 @@
             CellEvent::Refused { .. } => None,
         })
         .collect();
-    assert_eq!(places, [BackEndId(2); 4]);
+    assert_eq!(back_ends, [BackEndId(2); 4]);
 }
 
 #[rstest]
@@ -353,7 +363,7 @@
     let mut cell = cell(1, CellPolicy::default());
     cell.start_learning(at(0));
     cell.ask(at(0), ask(1, BATCH, 1, at(0)));
-    assert_eq!(granted(&mut cell), []);
+    assert_eq!(take_granted(&mut cell), []);
     let report = LoadReport {
         running: 3,
         waiting: 0,
@@ -362,14 +372,14 @@
     cell.report(at(110), BackEndId(1), &report);
     cell.ask(at(111), ask(2, BATCH, 1, at(111)));
     assert_eq!(
-        granted(&mut cell),
+        take_granted(&mut cell),
         [1],
         "three of four slots are in use by others"
     );
 }
 
 #[test]
-fn a_new_holder_collects_asks_before_it_grants_by_tier() {
+fn a_new_holder_collects_requests_before_granting_by_tier() {
     let mut cell = cell(1, CellPolicy::default());
     cell.start_learning(at(0));
     let idle = LoadReport {
@@ -384,23 +394,23 @@
     for sequence in 5..=8 {
         cell.ask(at(90), ask(sequence, INTERACTIVE, 1, at(90)));
     }
-    assert_eq!(granted(&mut cell), []);
+    assert_eq!(take_granted(&mut cell), []);
     cell.tick(at(110));
-    assert_eq!(granted(&mut cell), [5, 6, 7, 8]);
+    assert_eq!(take_granted(&mut cell), [5, 6, 7, 8]);
 }
 
 #[test]
-fn slots_of_a_lost_node_are_free_again() {
+fn slots_leased_by_a_lost_node_are_freed() {
     let mut cell = cell(1, CellPolicy::default());
-    fill(&mut cell, 4);
+    fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, BATCH, 1, at(1)));
-    assert_eq!(granted(&mut cell), []);
+    assert_eq!(take_granted(&mut cell), []);
     cell.forget_node(at(2), NodeId(1), None);
     assert_eq!((cell.leases(), cell.waiting()), (0, 0));
 }
 
 #[test]
-fn failures_in_a_row_suspend_a_back_end() {
+fn consecutive_failures_suspend_a_back_end() {
     let mut cell = cell(1, CellPolicy::default());
     let failed = Observation {
         outcome: Outcome::Failed,
@@ -410,12 +420,12 @@
         cell.ask(at(0), ask(sequence, BATCH, 1, at(0)));
         cell.release(at(0), &ticket(sequence), &failed);
     }
-    granted(&mut cell);
+    take_granted(&mut cell);
     cell.ask(at(10), ask(3, BATCH, 1, at(10)));
-    assert_eq!(granted(&mut cell), []);
+    assert_eq!(take_granted(&mut cell), []);
     cell.tick(at(1_100));
     assert_eq!(
-        granted(&mut cell),
+        take_granted(&mut cell),
         [3],
         "it is tried again after the suspension"
     );
