--- a/crates/coordination/admission/src/ask.rs
+++ b/crates/coordination/admission/src/ask.rs
@@ -1,18 +1,18 @@
-//! What entry nodes tell the holder of a cell.
+//! Messages that entry nodes send to the holder of a cell.
 
 use eiderferry_types::{ClassId, RequestId, Span, TenantId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// One attempt of one request: the name under which a slot is leased.
+/// One attempt of one request; identifies the lease of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The request.
     pub request: RequestId,
-    /// Attempts before this one.
+    /// Number of earlier attempts.
     pub attempt: u8,
 }
 
-/// A prefix of a prompt, by its hash.
+/// A prefix of a prompt, identified by its hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixMark {
     /// Hash of the prefix's text.
@@ -24,7 +24,7 @@
 /// A request for one slot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
-    /// Name of the lease.
+    /// Identifies the lease.
     pub ticket: Ticket,
     /// Class of the request.
     pub class: ClassId,
@@ -32,40 +32,40 @@
     pub tenant: TenantId,
     /// Prompt length in tokens, as estimated by the entry node.
     pub prompt_tokens: u32,
-    /// Prefixes of the prompt, shortest first.
+    /// Prefixes of the prompt, from shortest to longest.
     pub prefixes: Vec<PrefixMark>,
     /// When the first token is due, on the holder's clock.
     pub first_token_due: Timestamp,
-    /// Arrival at the holder, on the holder's clock.
+    /// When the request reached the holder, on the holder's clock.
     pub arrived: Timestamp,
 }
 
-/// How a leased slot was given back.
+/// How the use of a leased slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The answer is complete.
+    /// The response is complete.
     Completed,
-    /// The back end broke off or could not be reached.
+    /// The back end aborted the response or could not be reached.
     Failed,
-    /// The caller went away, or the grant came too late to be used.
+    /// The caller disconnected, or the grant arrived too late to be used.
     Cancelled,
 }
 
-/// What the entry node saw while it used a slot.
+/// What the entry node measured while it used a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// How it ended.
+    /// How the use of the slot ended.
     pub outcome: Outcome,
-    /// Answer tokens received.
+    /// Response tokens received.
     pub tokens: u32,
-    /// Time from dispatch to the first token, if one came.
+    /// Time from dispatch to the first token, if one was received.
     pub first_token: Option<Span>,
-    /// Mean time between tokens, if two or more came.
+    /// Mean time between tokens, if two or more were received.
     pub per_token: Option<Span>,
 }
 
 impl Observation {
-    /// A slot given back unused.
+    /// A slot that was released unused.
     pub const UNUSED: Observation = Observation {
         outcome: Outcome::Cancelled,
         tokens: 0,
--- a/crates/coordination/admission/src/back_end.rs
+++ b/crates/coordination/admission/src/back_end.rs
@@ -1,39 +1,42 @@
-//! One back end as its holder sees it.
+//! The state that a cell's holder keeps for one back end.
 
 use crate::estimate::MovingAverage;
 use crate::{Ask, CellPolicy, Observation, Outcome, PrefixIndex};
 use eiderferry_types::{BackEndId, Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Weight of one observation in the learned time per token.
+/// Weight of one observation in the moving averages of time per token and time
+/// to first token.
 const TIMING_SAMPLE_WEIGHT: f64 = 0.2;
-/// Observations needed before a back end may be called slow.
+/// Observations needed before an average is used.
 const MIN_TIMING_SAMPLES: u64 = 3;
-/// Ratio to its peers below which a back end counts as equally fast.
+/// Ratio of a back end's time per token to the median of the cell up to which it
+/// is not treated as slow.
 const SLOWNESS_TOLERANCE: f64 = 1.3;
-/// A back end is never judged slower than this, so that it keeps being observed.
+/// Upper bound of the slowness, so that a slow back end still gets requests and
+/// keeps being observed.
 const MAX_SLOWNESS: f64 = 8.0;
-/// Part of the target for the time per token above which the batch shrinks.
+/// Fraction of the target time per token above which the slot limit shrinks.
 const SHRINK_THRESHOLD: f64 = 0.95;
-/// Part of the target that a shrunk batch aims at.
+/// Fraction of the target time per token that a reduced slot limit aims at.
 const SHRINK_TARGET: f64 = 0.85;
-/// Part of the target below which the batch grows.
+/// Fraction of the target time per token below which the slot limit grows.
 const GROW_THRESHOLD: f64 = 0.85;
-/// Smallest part of its size to which one step shrinks a batch.
+/// Smallest factor by which one step reduces the slot limit.
 const MIN_SHRINK_FACTOR: f64 = 0.5;
-/// Polls in a row without an answer that make a back end unavailable.
+/// Consecutive unanswered polls up to which a back end stays available.
 const MAX_UNANSWERED_POLLS: u32 = 4;
-/// Failures in a row that suspend a back end.
+/// Consecutive failures that suspend a back end.
 const FAILURES_TO_SUSPEND: u32 = 2;
-/// First suspension; it doubles with each further failure.
+/// Duration of the first suspension; it doubles with each further failure.
 const INITIAL_SUSPENSION: Span = Span::from_milliseconds(1_000);
-/// Longest suspension.
+/// Upper bound of a suspension's duration.
 const MAX_SUSPENSION: Span = Span::from_milliseconds(30_000);
-/// Time a load report lags behind at the most: the report is compared with the
-/// largest number of own leases within this time.
+/// Maximum delay of a load report: a report is compared with the largest number
+/// of this cell's leases within this time.
 const MAX_REPORT_LAG: Span = Span::from_milliseconds(2_000);
 
-/// A back end's own lagging word on its load.
+/// The load that a back end reports of itself, with some delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct LoadReport {
     /// Requests in the batch.
@@ -44,7 +47,7 @@
     pub kv_tokens: u64,
 }
 
-/// Slots, speed and health of one back end.
+/// Slots, latency and health of one back end.
 #[derive(Clone, Debug)]
 pub struct BackEndState {
     /// The back end.
@@ -53,28 +56,29 @@
     kv_token_capacity: u64,
     running: u32,
     reserved_kv_tokens: u64,
-    /// Requests that other holders seem to have placed here.
+    /// Reported requests that this cell holds no lease for; other holders placed them.
     external_requests: u32,
     leaving: bool,
     time_per_token: MovingAverage,
     time_to_first_token: MovingAverage,
     slowness: f64,
-    /// Slots that the observed time per token allows; grows and shrinks.
+    /// Slots that keep the observed time per token within the target.
     adaptive_slot_limit: f64,
-    /// Samples of the time per token taken in when the slots were last adapted.
+    /// Number of time-per-token samples when the slot limit was last adapted.
     samples_at_adaptation: u64,
     unanswered_polls: u32,
     consecutive_failures: u32,
     suspended_until: Timestamp,
-    /// Largest number of own leases in the current and the previous report window.
+    /// Largest number of this cell's leases in the current and the previous window of
+    /// [`MAX_REPORT_LAG`].
     lease_peaks: [u32; 2],
     peak_window_start: Timestamp,
-    /// Prefixes the back end probably caches.
+    /// Prefixes that the back end probably has in its cache.
     pub prefixes: PrefixIndex,
 }
 
 impl BackEndState {
-    /// A back end with nothing running.
+    /// Creates the state of a back end without requests.
     pub fn new(id: BackEndId, slots: u32, kv_tokens: u64) -> Self {
         Self {
             id,
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Changes the limits given by the configuration.
+    /// Sets the limits from the configuration.
     pub fn set_limits(&mut self, slots: u32, kv_tokens: u64) {
         if slots != self.configured_slots {
             self.adaptive_slot_limit = f64::from(slots);
@@ -107,12 +111,12 @@
         self.kv_token_capacity = kv_tokens;
     }
 
-    /// Notes that the back end is asked for its load.
+    /// Records that the back end is polled for its load.
     pub fn record_poll(&mut self) {
         self.unanswered_polls = self.unanswered_polls.saturating_add(1);
     }
 
-    /// Notes whether the back end is leaving; while it is, it gets nothing new.
+    /// Sets whether the back end is leaving; a leaving back end gets no new requests.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
@@ -122,13 +126,14 @@
         self.leaving
     }
 
-    /// Whether new work may be placed here now.
+    /// Whether the back end may get new requests now.
     pub fn is_available(&self, now: Timestamp) -> bool {
         let responds = self.unanswered_polls <= MAX_UNANSWERED_POLLS;
         !self.leaving && responds && now >= self.suspended_until
     }
 
-    /// Slots it may use, fewer if it is slow; one while it is on probation.
+    /// Slots that may be in use: fewer while the back end is slow, and one after
+    /// repeated failures until a request completes.
     pub fn usable_slots(&self) -> u32 {
         if self.consecutive_failures >= FAILURES_TO_SUSPEND {
             return 1;
@@ -140,38 +145,41 @@
             .max(1)
     }
 
-    /// Requests running here, as far as known.
+    /// Requests known to run here, those of other holders included.
     pub fn running(&self) -> u32 {
         self.running + self.external_requests
     }
 
-    /// How many times slower than its peers it is.
+    /// Time per token relative to the median of the cell; 1 unless the back end is
+    /// slow.
     pub fn slowness(&self) -> f64 {
         self.slowness
     }
 
-    /// Learned time per token in microseconds; `None` before enough samples.
+    /// Average time per token in microseconds; `None` until there are enough samples.
     pub fn time_per_token(&self) -> Option<f64> {
         (self.time_per_token.samples() >= MIN_TIMING_SAMPLES).then(|| self.time_per_token.mean())
     }
 
-    /// Learned time to first token in microseconds; `None` before enough samples.
+    /// Average time to first token in microseconds; `None` until there are enough
+    /// samples.
     pub fn time_to_first_token(&self) -> Option<f64> {
         (self.time_to_first_token.samples() >= MIN_TIMING_SAMPLES)
             .then(|| self.time_to_first_token.mean())
     }
 
-    /// Whether a request that reserves `kv_tokens` fits now.
+    /// Whether a request that reserves `kv_tokens` can be placed here now. An idle
+    /// back end accepts a request of any size.
     pub fn has_capacity(&self, now: Timestamp, kv_tokens: u64) -> bool {
         let fits_kv_cache =
             self.running == 0 || self.reserved_kv_tokens + kv_tokens <= self.kv_token_capacity;
         self.is_available(now) && self.running() < self.usable_slots() && fits_kv_cache
     }
 
-    /// Cost of placing `ask` here: smaller is better.
+    /// Cost of placing `ask` here; the back end with the lowest cost is chosen.
     ///
-    /// The unit is the work of prefilling one prompt token on an idle back end of
-    /// ordinary speed.
+    /// One unit is the work of prefilling one prompt token on an idle back end that
+    /// is not slow.
     pub fn placement_cost(&self, ask: &Ask, policy: &CellPolicy) -> f64 {
         let cached = if policy.prefix_affinity {
             self.prefixes
@@ -186,7 +194,7 @@
         (prefill + occupancy_cost) * self.slowness
     }
 
-    /// Takes a slot.
+    /// Occupies a slot and reserves KV cache tokens.
     pub fn take_slot(&mut self, now: Timestamp, kv_tokens: u64) {
         self.running += 1;
         self.reserved_kv_tokens += kv_tokens;
@@ -201,13 +209,13 @@
         self.lease_peaks[0] = self.lease_peaks[0].max(self.running);
     }
 
-    /// Gives a slot back.
+    /// Frees a slot and its reserved KV cache tokens.
     pub fn free_slot(&mut self, kv_tokens: u64) {
         self.running = self.running.saturating_sub(1);
         self.reserved_kv_tokens = self.reserved_kv_tokens.saturating_sub(kv_tokens);
     }
 
-    /// Learns from what an entry node saw.
+    /// Updates latency averages and health from an entry node's observation.
     pub fn observe(&mut self, now: Timestamp, observation: &Observation) {
         if let Some(span) = observation.first_token {
             self.time_to_first_token.record(span.0 as f64);
@@ -232,7 +240,8 @@
         self.suspended_until = now + suspension;
     }
 
-    /// Takes in a load report: what exceeds the own leases was placed by others.
+    /// Applies a load report: requests in excess of this cell's leases were placed by
+    /// other holders.
     pub fn apply_load_report(&mut self, now: Timestamp, report: &LoadReport) {
         let reported_requests = report.running + report.waiting;
         self.unanswered_polls = 0;
@@ -241,12 +250,12 @@
         self.external_requests = reported_requests.saturating_sub(own_peak);
     }
 
-    /// A lease that was counted as foreign has been registered by its owner.
+    /// Uncounts an external request whose lease the entry node has now registered here.
     pub fn remove_external_request(&mut self) {
         self.external_requests = self.external_requests.saturating_sub(1);
     }
 
-    /// Compares the speed with the median of the cell.
+    /// Updates the slowness from the cell's median time per token in microseconds.
     pub fn update_slowness(&mut self, median_time_per_token: f64) {
         let Some(own_time_per_token) = self.time_per_token() else {
             return;
@@ -259,9 +268,9 @@
         };
     }
 
-    /// Adapts the slots in use to the time per token seen: a batch that makes
-    /// tokens come later than `target` is made smaller at once, and grows again
-    /// slot by slot.
+    /// Adapts the slot limit to the observed time per token: it shrinks in one step
+    /// when tokens come close to or exceed the `target` interval, and grows back by
+    /// one slot at a time.
     pub fn adapt_slots(&mut self, target: Span) {
         let new_samples = self.time_per_token.samples() - self.samples_at_adaptation;
         if new_samples < MIN_TIMING_SAMPLES {
@@ -280,6 +289,6 @@
     }
 }
 
-/// Cost of a full batch, in prefilled tokens: how much cached prefix outweighs
-/// a busy back end.
+/// Cost of a fully occupied back end, in prefilled tokens; weighs occupancy against
+/// the prefill that a cached prefix saves.
 const OCCUPANCY_COST_TOKENS: f64 = 4_000.0;
--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -1,4 +1,4 @@
-//! The admission queue itself.
+//! The admission queue and the state of its leases.
 
 mod grants;
 mod refusal;
@@ -18,14 +18,15 @@
 pub use crate::tenant_usage::Allowance;
 use refusal::MIN_RETRY_DELAY;
 
-/// Weight of one lease in the learned holding time.
+/// Weight of one lease in the moving averages of lease duration and time to first
+/// token.
 const LEASE_SAMPLE_WEIGHT: f64 = 0.05;
-/// Holding time assumed before any lease has ended, in microseconds.
+/// Lease duration assumed before any lease has completed, in microseconds.
 const INITIAL_LEASE_DURATION_US: f64 = 4_000_000.0;
-/// Time to first token assumed before any was seen, in microseconds.
+/// Time to first token assumed before any was observed, in microseconds.
 const INITIAL_TIME_TO_FIRST_TOKEN_US: f64 = 200_000.0;
 
-/// A slot handed out.
+/// The lease of one slot.
 #[derive(Clone, Debug)]
 struct Lease {
     class: ClassId,
@@ -39,33 +40,33 @@
 /// A decision of the cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEvent {
-    /// A slot was leased.
+    /// A slot was granted.
     Granted {
-        /// Name of the lease.
+        /// Identifies the lease.
         ticket: Ticket,
-        /// Where the request may run.
+        /// The back end on which the request may run.
         back_end: BackEndId,
         /// Class of the request.
         class: ClassId,
-        /// Whether it was served for its class's minimum share.
+        /// Whether the slot was granted from the minimum share of the class.
         by_share: bool,
-        /// Time it waited here.
+        /// Time that the request waited in the queue.
         waited: Span,
     },
-    /// The request won't get a slot.
+    /// The request was refused a slot.
     Refused {
-        /// The attempt.
+        /// The refused attempt.
         ticket: Ticket,
         /// Class of the request.
         class: ClassId,
-        /// When it came here.
+        /// When the request reached the holder.
         arrived: Timestamp,
-        /// Why, and when to come back.
+        /// The reason, and when to retry.
         refusal: Refusal,
     },
 }
 
-/// Figures of one class in a cell.
+/// State of one class in a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSnapshot {
     /// The class.
@@ -76,16 +77,16 @@
     pub running: u32,
 }
 
-/// Figures of a cell for operators and experiments.
+/// State of a cell for operators and experiments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellSnapshot {
     /// Usable slots of all available back ends.
     pub total_slots: u32,
-    /// Leases now.
+    /// Current leases.
     pub leases: usize,
-    /// Per class.
+    /// State of each class.
     pub classes: Vec<ClassSnapshot>,
-    /// Back end, requests running, slowness, leaving.
+    /// For each back end: id, running requests, slowness, whether it is leaving.
     pub back_ends: Vec<(BackEndId, u32, f64, bool)>,
 }
 
@@ -102,19 +103,20 @@
     response_lengths: ResponseLengths<(ClassId, TenantId)>,
     lease_duration: MovingAverage,
     time_to_first_token: MovingAverage,
-    /// Last grant outside minimum shares, per tier.
+    /// Time of the last grant outside the minimum shares, for each tier.
     last_grant_outside_shares: BTreeMap<Tier, Timestamp>,
-    /// Until then a new holder waits for load reports before it hands out slots.
+    /// Until this time a new holder grants no slots unless all back ends have reported
+    /// their load.
     report_wait_until: Timestamp,
-    /// Until then a new holder collects what owners ask for again.
+    /// Until this time a new holder collects repeated requests without granting any.
     collection_until: Timestamp,
-    /// Back ends that have not reported since the holder took over.
+    /// Back ends that have not reported their load since this holder took over.
     unreported: BTreeSet<BackEndId>,
     events: Vec<CellEvent>,
 }
 
 impl Cell {
-    /// A cell with no back ends and no classes.
+    /// Creates a cell without back ends and classes.
     pub fn new(id: CellId, policy: CellPolicy) -> Self {
         Self {
             id,
@@ -137,9 +139,9 @@
         }
     }
 
-    /// Begins to learn what earlier holders placed: no slot is handed out until
-    /// every back end has reported its load, or the learning time is over, and owners
-    /// have had the time to ask again.
+    /// Starts the takeover from an earlier holder, whose leases are not known yet: no
+    /// slot is granted before the collection wait is over, nor before every back end
+    /// has reported its load or the report wait is over.
     pub fn start_learning(&mut self, now: Timestamp) {
         self.report_wait_until = now + self.policy.report_wait;
         self.collection_until = now + self.policy.collection_wait;
@@ -151,7 +153,7 @@
         awaits_reports || now < self.collection_until
     }
 
-    /// Applies a configuration. Requests of classes that are gone are refused.
+    /// Applies a configuration. Waiting requests of removed classes are refused.
     pub fn configure(&mut self, now: Timestamp, configuration: &Configuration) {
         let listed_ids: BTreeSet<ClassId> =
             configuration.classes.iter().map(|class| class.id).collect();
@@ -196,14 +198,15 @@
         }
     }
 
-    /// Sets what one tenant may use of this cell.
+    /// Sets the part of a tenant's limits that this cell may grant.
     pub fn set_allowance(&mut self, tenant: TenantId, allowance: Allowance) {
         self.tenant_usage.set_allowance(tenant, allowance);
     }
 
-    /// Sets the back ends of this cell: number, slots, KV tokens, leaving.
+    /// Sets the back ends of this cell: id, slots, KV cache tokens, whether it is leaving.
     ///
-    /// Leases on a back end that is gone stay until their owners release them.
+    /// Leases on a removed back end stay until the entry nodes that own them release
+    /// them.
     pub fn set_back_ends(&mut self, listed: &[(BackEndId, u32, u64, bool)]) {
         let listed_ids: BTreeSet<BackEndId> = listed.iter().map(|entry| entry.0).collect();
         self.back_ends.retain(|id, _| listed_ids.contains(id));
@@ -221,7 +224,8 @@
         self.back_ends.values()
     }
 
-    /// Takes in a request for a slot. Asking again with the same ticket is harmless.
+    /// Handles a request for a slot. A repeat with the same ticket takes no second
+    /// slot; if the slot is already leased, the grant is sent again.
     pub fn ask(&mut self, now: Timestamp, ask: Ask) {
         if let Some(lease) = self.leases.get(&ask.ticket) {
             let event = CellEvent::Granted {
@@ -261,14 +265,14 @@
         self.grant_free_slots(now);
     }
 
-    /// Whether an attempt waits here.
+    /// Whether an attempt waits in the queue.
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
         self.classes
             .values()
             .any(|state| state.queue.contains(ticket))
     }
 
-    /// Nodes that hold leases or wait here.
+    /// Entry nodes that own leases or waiting requests.
     pub fn owners(&self) -> BTreeSet<NodeId> {
         let waiting = self
             .classes
@@ -280,7 +284,7 @@
             .collect()
     }
 
-    /// Takes a waiting request out; its caller went away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn withdraw(&mut self, ticket: &Ticket) {
         for state in self.classes.values_mut() {
             if state.queue.remove(ticket).is_some() {
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Takes a slot back and learns from its use.
+    /// Releases a slot and updates the averages from its use.
     pub fn release(&mut self, now: Timestamp, ticket: &Ticket, observation: &Observation) {
         self.withdraw(ticket);
         let Some(lease) = self.leases.remove(ticket) else {
@@ -322,7 +326,7 @@
             .finish(lease.tenant, now, lease.expected_tokens, used_tokens);
     }
 
-    /// Learns of a lease that an earlier holder granted.
+    /// Registers a lease that an earlier holder granted.
     pub fn register(&mut self, now: Timestamp, ask: &Ask, back_end: BackEndId) {
         if self.leases.contains_key(&ask.ticket) {
             return;
@@ -334,7 +338,7 @@
         self.lease(now, ask, back_end);
     }
 
-    /// Drops everything that a node asked for in runs other than `current`.
+    /// Drops the requests and leases of a node's incarnations other than `current`.
     pub fn forget_node(&mut self, now: Timestamp, node: NodeId, current: Option<Incarnation>) {
         let is_lost = |ticket: &Ticket| {
             ticket.request.node == node && Some(ticket.request.incarnation) != current
@@ -351,7 +355,7 @@
         self.grant_free_slots(now);
     }
 
-    /// Takes in a back end's load report.
+    /// Applies a back end's load report.
     pub fn report(&mut self, now: Timestamp, back_end: BackEndId, report: &LoadReport) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
             state.apply_load_report(now, report);
@@ -360,15 +364,16 @@
         self.grant_free_slots(now);
     }
 
-    /// Notes that a back end is asked for its load: one that does not answer
-    /// several times gets nothing until it does.
+    /// Records that a back end is polled for its load: after several unanswered polls
+    /// it gets no new requests until it responds.
     pub fn note_poll(&mut self, back_end: BackEndId) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
             state.record_poll();
         }
     }
 
-    /// Leases older than `age`, so that the holder can ask their owners about them.
+    /// Leases at least as old as `age`, so that the holder can ask the entry nodes
+    /// whether they are still in use.
     pub fn leases_older_than(&self, now: Timestamp, age: Span) -> Vec<Ticket> {
         self.leases
             .iter()
@@ -377,7 +382,7 @@
             .collect()
     }
 
-    /// Takes in a speed seen in the middle of an answer.
+    /// Records the time per token observed while a response is still streaming.
     pub fn observe_speed(&mut self, now: Timestamp, back_end: BackEndId, per_token: Span) {
         let observation = Observation {
             per_token: Some(per_token),
@@ -388,7 +393,8 @@
         }
     }
 
-    /// Takes in cache events of a back end; `gap` says that some were missed.
+    /// Applies cache events of a back end; `gap` means that some were lost, so that
+    /// earlier knowledge of its cache is discarded.
     pub fn cache_events(
         &mut self,
         back_end: BackEndId,
@@ -410,7 +416,8 @@
         }
     }
 
-    /// Regular work: refuses what can no longer be served in time, compares speeds.
+    /// Periodic work: updates slowness and slot limits, and refuses waiting requests
+    /// that would miss their deadline.
     pub fn tick(&mut self, now: Timestamp) {
         self.update_slowness();
         self.adapt_slots();
@@ -418,12 +425,13 @@
         self.grant_free_slots(now);
     }
 
-    /// Decisions made since the last call.
+    /// Drains the decisions made since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Gives up everything that waits, so that the owners ask the next holder.
+    /// Removes all waiting requests and returns their tickets, so that the entry nodes
+    /// can send them to the next holder.
     pub fn abandon(&mut self) -> Vec<Ticket> {
         let mut abandoned = Vec::new();
         for state in self.classes.values_mut() {
@@ -433,22 +441,23 @@
         abandoned
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.classes.values().map(|state| state.queue.len()).sum()
     }
 
-    /// Leases now.
+    /// Number of current leases.
     pub fn leases(&self) -> usize {
         self.leases.len()
     }
 
-    /// Requests each tenant runs here.
+    /// Running requests of each tenant. Tenants without running requests may be
+    /// included with zero.
     pub fn tenants_running(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
         self.tenant_usage.running_by_tenant()
     }
 
-    /// Usable slots of all back ends that take work.
+    /// Usable slots of all available back ends.
     pub fn total_slots(&self, now: Timestamp) -> u32 {
         self.back_ends
             .values()
@@ -457,7 +466,7 @@
             .sum()
     }
 
-    /// Figures for operators and experiments.
+    /// The state of the cell for operators and experiments.
     pub fn snapshot(&self, now: Timestamp) -> CellSnapshot {
         let classes = self.classes.iter().map(|(class, state)| ClassSnapshot {
             class: *class,
--- a/crates/coordination/admission/src/cell/grants.rs
+++ b/crates/coordination/admission/src/cell/grants.rs
@@ -1,4 +1,4 @@
-//! Slots: adapted to the speeds of back ends, and handed out.
+//! Adapts slots to the latency of back ends, and grants them to waiting requests.
 
 use super::{Cell, CellEvent, Lease};
 use crate::Ask;
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Adapts batch sizes to the tightest target among the classes that run here.
+    /// Adapts slot limits to the tightest time-per-token target among the classes with
+    /// running requests, or among all classes if nothing runs.
     pub(super) fn adapt_slots(&mut self) {
         if !self.policy.slow_detection {
             return;
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Hands out free slots until none is left or nothing that waits fits.
+    /// Grants free slots until none is left or the next waiting request fits on no back
+    /// end.
     pub(super) fn grant_free_slots(&mut self, now: Timestamp) {
         if self.is_taking_over(now) {
             return;
@@ -66,8 +68,8 @@
         let tenants = &self.tenant_usage;
         let is_eligible = |tenant: TenantId| tenants.exhausted(tenant, now).is_none();
         let fair = self.policy.tenant_fairness;
-        // Until the owners of running requests have registered, every class seems to
-        // run less than its share: then tiers alone decide.
+        // After a takeover, before entry nodes have registered their running requests,
+        // every class seems to be below its minimum share, so only tiers decide.
         let mut policy = self.policy.clone();
         policy.minimum_shares &= now >= self.report_wait_until;
         let selected = select_class(&self.classes, &policy, total_slots, |state| {
--- a/crates/coordination/admission/src/cell/refusal.rs
+++ b/crates/coordination/admission/src/cell/refusal.rs
@@ -1,4 +1,4 @@
-//! How long a request would wait, and which requests are refused for that.
+//! Estimated waiting times, and refusals of requests that can't be served in time.
 
 use super::{Cell, CellEvent};
 use crate::Ask;
@@ -6,19 +6,21 @@
 use crate::tenant_usage::ExhaustedLimit;
 use eiderferry_types::{ClassId, Reason, Refusal, Span, Tier, Timestamp};
 
-/// The learned first-token delay never takes more than this part of a budget:
-/// otherwise one slow spell would refuse everything and never be unlearned.
+/// Largest fraction of the time to the target that the average time to first token
+/// may take up. Without this cap, one slow period could cause every request to be
+/// refused, and the average would never be updated again.
 const MAX_FIRST_TOKEN_SHARE: f64 = 0.5;
-/// While a lower tier got slots outside its share this recently, a higher tier
-/// waits instead of being refused early: there is room.
+/// If a lower tier got a slot outside its minimum share within this time, requests
+/// of higher tiers are queued instead of refused early, since slots are available
+/// to them.
 const LOWER_TIER_GRANT_WINDOW: Span = Span::from_milliseconds(200);
-/// Shortest time a refused caller is told to wait.
+/// Shortest delay that a refused caller is asked to wait before it retries.
 pub(super) const MIN_RETRY_DELAY: Span = Span::from_milliseconds(500);
-/// Longest time a refused caller is told to wait.
+/// Longest delay that a refused caller is asked to wait before it retries.
 const MAX_RETRY_DELAY: Span = Span::from_milliseconds(30_000);
 
 impl Cell {
-    /// Estimated time a new request of `class` would wait for a slot.
+    /// Estimates how long a new request of `class` would wait for a slot.
     pub fn estimated_wait(&self, now: Timestamp, class: ClassId) -> Span {
         let Some(state) = self.classes.get(&class) else {
             return Span::ZERO;
@@ -60,7 +62,7 @@
         learned.min(cap)
     }
 
-    /// Time a request may still wait for its slot.
+    /// Time that a request may still wait for a slot and get its first token when due.
     fn wait_budget(&self, now: Timestamp, ask: &Ask) -> Span {
         let target = ask.arrived.until(ask.first_token_due);
         let remaining = now.until(ask.first_token_due);
@@ -83,7 +85,8 @@
         Some(Refusal::not_run(Reason::DeadlineUnreachable, Some(retry)))
     }
 
-    /// Whether a lower tier lately got slots that the class could have had.
+    /// Whether a lower tier than that of `class` recently got slots outside its minimum
+    /// share.
     fn lower_tier_got_slots(&self, now: Timestamp, class: ClassId) -> bool {
         let Some(state) = self.classes.get(&class) else {
             return false;
@@ -98,7 +101,8 @@
             .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
-    /// Makes room in a full queue by refusing a request of a lower tier.
+    /// Makes room in a full queue by refusing the newest request of the lowest tier
+    /// below that of `ask`. Returns whether there was one.
     pub(super) fn displace_lower_tier(&mut self, ask: &Ask) -> bool {
         let Some(tier) = self.classes.get(&ask.class).map(|state| state.tier) else {
             return false;
@@ -160,7 +164,7 @@
     }
 }
 
-/// Whether a request could not get its first token in time even with a slot now.
+/// Whether the first token would be late even if the request got a slot now.
 fn will_miss_deadline(now: Timestamp, ask: &Ask, first_token_delay: Span) -> bool {
     let target = ask.arrived.until(ask.first_token_due);
     let cap = span_from_microseconds(target.0 as f64 * MAX_FIRST_TOKEN_SHARE);
--- a/crates/coordination/admission/src/class_queue.rs
+++ b/crates/coordination/admission/src/class_queue.rs
@@ -1,14 +1,14 @@
-//! Waiting requests of one class, fair among its tenants.
+//! Waiting requests of one class, with fair queueing among its tenants.
 
 use crate::{Ask, Ticket};
 use eiderferry_types::{TenantId, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The queue of one tenant within a class.
+/// Waiting requests of one tenant within a class.
 #[derive(Clone, Debug, Default)]
 struct TenantQueue {
     waiting: VecDeque<Ask>,
-    /// Work served so far, in tokens: the tenant with the least goes next.
+    /// Work served so far, in tokens; the tenant with the least is served next.
     served_tokens: f64,
 }
 
@@ -16,35 +16,37 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClassQueue {
     tenants: BTreeMap<TenantId, TenantQueue>,
-    /// Work served to the tenant that went last; late-comers start from here.
+    /// Virtual time of fair queueing, in tokens: the highest served work of a tenant at
+    /// the time it was served. A tenant without waiting requests resumes from here, so
+    /// that it can't save up credit while idle.
     virtual_time: f64,
     arrival_count: u64,
     arrival_order: BTreeMap<Ticket, u64>,
 }
 
 impl ClassQueue {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.arrival_order.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.arrival_order.is_empty()
     }
 
-    /// Whether this attempt waits here.
+    /// Whether this attempt waits in the queue.
     pub fn contains(&self, ticket: &Ticket) -> bool {
         self.arrival_order.contains_key(ticket)
     }
 
-    /// The attempts that wait.
+    /// The waiting attempts.
     pub fn tickets(&self) -> impl Iterator<Item = &Ticket> {
         self.arrival_order.keys()
     }
 
-    /// Adds a request to its tenant's queue, in the order of due times; a further
-    /// attempt goes in front, because work has already been spent on it.
+    /// Adds a request to its tenant's queue, ordered by due time. Retries are placed
+    /// before first attempts, because work has already been spent on them.
     pub fn push(&mut self, ask: Ask) {
         self.arrival_count += 1;
         self.arrival_order.insert(ask.ticket, self.arrival_count);
@@ -71,7 +73,9 @@
         None
     }
 
-    /// The tenant to serve next among those for which `is_eligible` holds.
+    /// The tenant to serve next among those for which `is_eligible` returns true: with
+    /// `fair` the one with the least work served, otherwise the one whose front request
+    /// arrived first.
     pub fn next_tenant(
         &self,
         fair: bool,
@@ -96,7 +100,8 @@
         self.tenants.get(&tenant)?.waiting.front()
     }
 
-    /// Takes the first waiting request of a tenant, charging it `work` tokens.
+    /// Removes the first waiting request of a tenant and charges the tenant `work`
+    /// tokens.
     pub fn pop(&mut self, tenant: TenantId, work: f64) -> Option<Ask> {
         let queue = self.tenants.get_mut(&tenant)?;
         let ask = queue.waiting.pop_front()?;
@@ -106,7 +111,7 @@
         Some(ask)
     }
 
-    /// Removes the request that came last: the one that lost least by waiting.
+    /// Removes the request that arrived last, which has lost the least time by waiting.
     pub fn pop_newest(&mut self) -> Option<Ask> {
         let ticket = *self
             .arrival_order
@@ -116,7 +121,7 @@
         self.remove(&ticket)
     }
 
-    /// Removes every request for which `is_lost` holds.
+    /// Removes every request for which `should_remove` returns true.
     pub fn remove_where(&mut self, mut should_remove: impl FnMut(&Ask) -> bool) -> Vec<Ask> {
         let mut removed = Vec::new();
         for queue in self.tenants.values_mut() {
@@ -136,14 +141,15 @@
         removed
     }
 
-    /// Forgets tenants that no longer wait and are not ahead of the others.
+    /// Drops tenants without waiting requests whose served work is not ahead of the
+    /// virtual time.
     fn remove_idle_tenants(&mut self) {
         let virtual_time = self.virtual_time;
         self.tenants
             .retain(|_, queue| !queue.waiting.is_empty() || queue.served_tokens > virtual_time);
     }
 
-    /// When the request that waits longest arrived.
+    /// Earliest arrival among the requests at the front of the tenants' queues.
     pub fn earliest_front_arrival(&self) -> Option<Timestamp> {
         self.tenants
             .values()
--- a/crates/coordination/admission/src/estimate.rs
+++ b/crates/coordination/admission/src/estimate.rs
@@ -1,9 +1,9 @@
-//! Learned averages.
+//! Moving averages of observed quantities.
 
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-/// Exponentially weighted mean and mean deviation of a quantity.
+/// Exponentially weighted mean and mean absolute deviation of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MovingAverage {
     mean: f64,
@@ -13,7 +13,8 @@
 }
 
 impl MovingAverage {
-    /// An average that starts at `assumed`; each sample counts with `weight`.
+    /// Creates an average with the mean `initial`; each sample has the given `weight`,
+    /// 0 to 1.
     pub fn new(initial: f64, weight: f64) -> Self {
         Self {
             mean: initial,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Takes in one sample. The first one replaces the assumption.
+    /// Adds a sample. The first one replaces the initial mean.
     pub fn record(&mut self, sample: f64) {
         if self.samples == 0 {
             self.mean = sample;
@@ -34,34 +35,34 @@
         self.deviation += self.weight * (difference.abs() - self.deviation);
     }
 
-    /// The mean.
+    /// The current mean.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// A value that most samples stay below.
+    /// A value that most samples are expected to stay below: mean plus mean deviation.
     pub fn upper_estimate(&self) -> f64 {
         self.mean + self.deviation
     }
 
-    /// Samples taken in.
+    /// Number of samples added.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 }
 
-/// Events a second, averaged over a sliding time constant.
+/// Events per second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug)]
 pub struct EventRate {
     per_second: f64,
     updated_at: Timestamp,
 }
 
-/// Time constant of [`Rate`].
+/// Time constant of [`EventRate`].
 const RATE_TIME_CONSTANT_SECONDS: f64 = 2.0;
 
 impl EventRate {
-    /// A rate of zero.
+    /// Creates a rate of zero.
     pub fn new(now: Timestamp) -> Self {
         Self {
             per_second: 0.0,
@@ -69,35 +70,36 @@
         }
     }
 
-    /// Counts one event.
+    /// Adds one event.
     pub fn record(&mut self, now: Timestamp) {
         self.per_second = self.per_second(now) + 1.0 / RATE_TIME_CONSTANT_SECONDS;
         self.updated_at = now;
     }
 
-    /// The rate as of now.
+    /// The rate at the time `now`.
     pub fn per_second(&self, now: Timestamp) -> f64 {
         let elapsed = now.since(self.updated_at).seconds();
         self.per_second * (-elapsed / RATE_TIME_CONSTANT_SECONDS).exp()
     }
 }
 
-/// Weight of one answer in a learned answer length.
+/// Weight of one response in an average response length.
 const LENGTH_SAMPLE_WEIGHT: f64 = 0.05;
-/// Learned lengths kept at the most; past that, new keys use the assumption.
+/// Maximum number of keys with an average length; further keys use the initial
+/// length.
 const MAX_LENGTH_KEYS: usize = 20_000;
 
-/// Learned answer lengths per key.
+/// Average response lengths, in tokens, for each key.
 ///
-/// Nobody knows the length of an answer beforehand: these feed reservations and
-/// fairness, never a promise.
+/// The length of a response is not known in advance: these estimates are used for
+/// reservations and fairness, and no guarantee depends on them.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseLengths<Key: Ord> {
     lengths: BTreeMap<Key, MovingAverage>,
 }
 
 impl<Key: Ord> ResponseLengths<Key> {
-    /// Takes in the length of one complete answer.
+    /// Adds the length of one complete response.
     pub fn record(&mut self, key: Key, tokens: u32) {
         if self.lengths.len() >= MAX_LENGTH_KEYS && !self.lengths.contains_key(&key) {
             return;
@@ -108,7 +110,8 @@
             .record(f64::from(tokens));
     }
 
-    /// A length that most answers of this key stay below.
+    /// A length that most responses of this key are expected to stay below; `initial` if
+    /// none was recorded.
     pub fn upper_estimate(&self, key: &Key, initial: u32) -> u32 {
         self.lengths
             .get(key)
@@ -116,7 +119,7 @@
     }
 }
 
-/// Converts a mean in microseconds to a span.
+/// Converts microseconds to a span; negative values become zero.
 pub fn span_from_microseconds(microseconds: f64) -> Span {
     Span(microseconds.max(0.0) as u64)
 }
--- a/crates/coordination/admission/src/lib.rs
+++ b/crates/coordination/admission/src/lib.rs
@@ -1,10 +1,10 @@
 //! Admission queue of one cell of back ends.
 //!
-//! A [`Cell`] stands on exactly one node of its zone (the holder). Every entry
-//! node asks it for a slot, so that tier order, minimum shares, fairness among
-//! tenants and the choice of back end are decided in one place with exact
-//! knowledge of what was handed out. It does no I/O and reads no clock: time and
-//! messages come in as arguments, decisions go out as [`CellEvent`]s.
+//! A [`Cell`] runs on one node of its zone, called the holder. Every entry node
+//! requests slots from it, so that tier order, minimum shares, fairness among
+//! tenants and the choice of back end are decided in one place that knows every
+//! lease it has granted. It does no I/O and reads no clock: time and messages are
+//! passed in as arguments, and decisions are returned as [`CellEvent`]s.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/admission/src/policy.rs
+++ b/crates/coordination/admission/src/policy.rs
@@ -1,34 +1,34 @@
-//! Which rules a cell applies.
+//! Scheduling rules of a cell.
 
 use eiderferry_types::Span;
 
-/// Rules and constants of a cell.
+/// Scheduling rules and parameters of a cell.
 ///
-/// Everything is on in production. Experiments switch single rules off to
-/// measure what each is worth, and tests switch them off to show that the
-/// invariant checker notices.
+/// All rules are on in production. Experiments switch off single rules to measure
+/// their effect, and tests do so to show that the invariant checker detects it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellPolicy {
-    /// Higher tiers go first.
+    /// Higher tiers are served first.
     pub tier_order: bool,
-    /// Classes below their minimum share go before all others.
+    /// Classes below their minimum share are served before all others.
     pub minimum_shares: bool,
-    /// Requests that can't meet their target are refused at once.
+    /// Requests that can't meet their deadline are refused on arrival.
     pub early_refusal: bool,
-    /// Back ends that hold the prompt's prefix are preferred.
+    /// Back ends that have the prompt's prefix in their cache are preferred.
     pub prefix_affinity: bool,
     /// Slow back ends get fewer slots.
     pub slow_detection: bool,
-    /// Tenants of a class take turns by tokens served.
+    /// Within a class, the tenant with the fewest tokens served goes first.
     pub tenant_fairness: bool,
-    /// Waiting requests at the most.
+    /// Maximum number of waiting requests.
     pub maximum_waiting: usize,
-    /// Part of the time to the target that the estimated wait may fill.
+    /// Fraction of the remaining wait budget that the estimated wait may fill.
     pub wait_safety_factor: f64,
-    /// How long a new holder trusts load reports over its own empty table.
+    /// How long a new holder waits for the load reports of all back ends, because its
+    /// own lease table is still empty.
     pub report_wait: Span,
-    /// How long a new holder collects asks before it grants any, so that the order of
-    /// their arrival does not decide between tiers.
+    /// How long a new holder collects requests before it grants any, so that their
+    /// order of arrival does not decide between tiers.
     pub collection_wait: Span,
 }
 
--- a/crates/coordination/admission/src/prefix.rs
+++ b/crates/coordination/admission/src/prefix.rs
@@ -1,15 +1,15 @@
-//! Which prompt prefixes a back end probably holds in its cache.
+//! The prompt prefixes that a back end probably has in its cache.
 
 use crate::PrefixMark;
 use std::collections::BTreeMap;
 
-/// Prefixes remembered per back end; the cache itself is limited too.
+/// Maximum number of prefixes tracked per back end, whose cache is limited too.
 const MAX_PREFIXES: usize = 512;
 
 /// A least-recently-used set of prefix hashes.
 ///
-/// It is fed by the holder's own grants and corrected by the back end's cache
-/// events, which come late and with gaps: a hit is a hint, never a promise.
+/// It is updated by the holder's grants and corrected by the back end's cache
+/// events. These arrive late and with gaps, so a hit is only a hint.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     use_by_hash: BTreeMap<u32, u64>,
@@ -18,14 +18,14 @@
 }
 
 impl PrefixIndex {
-    /// Notes that these prefixes were just used.
+    /// Records that these prefixes were just used.
     pub fn record_use(&mut self, prefixes: &[PrefixMark]) {
         for mark in prefixes {
             self.insert(mark.hash);
         }
     }
 
-    /// Notes that the back end stored a prefix.
+    /// Records that the back end stored or used a prefix.
     pub fn insert(&mut self, hash: u32) {
         self.use_counter += 1;
         if let Some(previous) = self.use_by_hash.insert(hash, self.use_counter) {
@@ -40,20 +40,21 @@
         }
     }
 
-    /// Notes that the back end dropped a prefix.
+    /// Records that the back end evicted a prefix.
     pub fn remove(&mut self, hash: u32) {
         if let Some(last_used) = self.use_by_hash.remove(&hash) {
             self.hash_by_use.remove(&last_used);
         }
     }
 
-    /// Forgets everything: the back end restarted or its events had a gap.
+    /// Removes all prefixes, because cache events of the back end were lost.
     pub fn clear(&mut self) {
         self.use_by_hash.clear();
         self.hash_by_use.clear();
     }
 
-    /// Tokens of the longest known prefix; `prefixes` are shortest first.
+    /// Length in tokens of the longest known prefix, 0 if none is known; `prefixes` are
+    /// ordered from shortest to longest.
     pub fn cached_tokens(&self, prefixes: &[PrefixMark]) -> u32 {
         prefixes
             .iter()
--- a/crates/coordination/admission/src/selection.rs
+++ b/crates/coordination/admission/src/selection.rs
@@ -1,15 +1,15 @@
-//! Which class goes next, and on which back end.
+//! Selects the class to serve next, and the back end for its request.
 //!
-//! The two rules and how they live together:
+//! Two rules decide on the class:
 //!
-//! 1. *Minimum shares.* A class with work whose running requests fill less than
-//!    its share of the usable slots goes before all others; among several such
-//!    classes the higher tier goes first.
-//! 2. *Tier order.* All capacity outside the minimum shares belongs to the
-//!    highest tier that has work.
+//! 1. *Minimum shares.* A class with waiting requests whose running requests fill
+//!    less than its share of the usable slots is served before all others; among
+//!    several such classes the higher tier is served first.
+//! 2. *Tier order.* All capacity outside the minimum shares goes to the highest tier
+//!    with waiting requests.
 //!
-//! A minimum share is capacity that no higher tier ever owned, so serving it
-//! does not shed a higher tier "to make room".
+//! A minimum share is never part of the capacity of higher tiers, so serving it takes
+//! nothing away from them.
 
 use crate::back_end::BackEndState;
 use crate::class_queue::ClassQueue;
@@ -17,7 +17,7 @@
 use eiderferry_types::{BackEndId, ClassId, Span, Tier, Timestamp};
 use std::collections::BTreeMap;
 
-/// What selection needs to know of one class.
+/// The state of one class that selection depends on.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassState {
     pub tier: Tier,
@@ -33,11 +33,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SelectedClass {
     pub class: ClassId,
-    /// Whether the class was chosen for its minimum share.
+    /// Whether the class was selected because it is below its minimum share.
     pub by_share: bool,
 }
 
-/// Slots a class is guaranteed out of `total`.
+/// Slots out of `total` that are guaranteed to a class; at least one if it has a
+/// minimum share.
 pub(crate) fn guaranteed_slots(minimum_share: f64, total: u32) -> u32 {
     if minimum_share <= 0.0 {
         return 0;
@@ -51,7 +52,7 @@
     }
 }
 
-/// Picks the class to serve next among those for which `has_work` holds.
+/// Selects the class to serve next among those for which `has_work` returns true.
 pub(crate) fn select_class(
     classes: &BTreeMap<ClassId, ClassState>,
     policy: &CellPolicy,
@@ -80,7 +81,8 @@
     })
 }
 
-/// Picks the cheapest back end with room for `ask`.
+/// Selects the back end with the lowest placement cost among those with capacity for
+/// `ask`.
 pub(crate) fn select_back_end(
     back_ends: &BTreeMap<BackEndId, BackEndState>,
     policy: &CellPolicy,
--- a/crates/coordination/admission/src/tenant_usage.rs
+++ b/crates/coordination/admission/src/tenant_usage.rs
@@ -1,65 +1,66 @@
-//! What each tenant uses of a cell, against its allowance there.
+//! Usage of a cell by each tenant, and the tenants' allowances.
 
 use eiderferry_types::{TenantId, Timestamp};
 use std::collections::BTreeMap;
 
-/// Seconds of token rate that a tenant may use at once.
+/// Capacity of a tenant's token bucket, in seconds of its token rate.
 const BURST_SECONDS: f64 = 5.0;
 
-/// A tenant's part of its limits that this cell may hand out.
+/// The part of a tenant's limits that this cell may grant.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct Allowance {
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: Option<u32>,
-    /// Answer tokens a second.
+    /// Response tokens per second.
     pub tokens_per_second: Option<f64>,
 }
 
-/// Why a tenant may not start another request now.
+/// The limit that keeps a tenant from starting another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExhaustedLimit {
-    /// Too many requests at once.
+    /// Too many concurrent requests.
     Concurrency,
-    /// Too many tokens lately.
+    /// Too many tokens recently.
     TokenRate,
 }
 
 #[derive(Clone, Debug)]
 struct Usage {
     running: u32,
-    /// Tokens it may still use; negative after an answer longer than expected.
+    /// Tokens in the bucket; negative if expected or used tokens exceed it.
     token_balance: f64,
     refilled_at: Timestamp,
 }
 
-/// Use and allowances of all tenants seen here.
+/// Usage and allowances of all tenants of a cell.
 #[derive(Clone, Debug, Default)]
 pub struct TenantUsage {
     usage: BTreeMap<TenantId, Usage>,
-    /// When each tenant last was at a limit, and at which.
+    /// When each tenant last reached a limit, and which one.
     last_exhausted: BTreeMap<TenantId, (Timestamp, ExhaustedLimit)>,
     allowances: BTreeMap<TenantId, Allowance>,
 }
 
 impl TenantUsage {
-    /// Sets a tenant's allowance; it holds from the next grant on.
+    /// Sets a tenant's allowance; it applies from the next grant on.
     pub fn set_allowance(&mut self, tenant: TenantId, allowance: Allowance) {
         self.allowances.insert(tenant, allowance);
     }
 
-    /// Drops all allowances: the configuration changed.
+    /// Removes all allowances, because the configuration changed.
     pub fn clear_allowances(&mut self) {
         self.allowances.clear();
     }
 
-    /// Tenants with anything running, and how much.
+    /// Running requests of each tenant. Tenants whose token bucket was not full when
+    /// their last request ended are included with zero.
     pub fn running_by_tenant(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
         self.usage
             .iter()
             .map(|(tenant, usage)| (*tenant, usage.running))
     }
 
-    /// Why the tenant may not start another request, if so.
+    /// The limit that keeps the tenant from starting another request now, if any.
     pub fn exhausted(&self, tenant: TenantId, now: Timestamp) -> Option<ExhaustedLimit> {
         let allowance = self.allowances.get(&tenant)?;
         let usage = self.usage.get(&tenant);
@@ -74,7 +75,8 @@
         (token_balance <= 0.0).then_some(ExhaustedLimit::TokenRate)
     }
 
-    /// The limit that held the tenant back at some time since `since`, if any.
+    /// The limit that the tenant is at now, or the last one it reached since `since`, if
+    /// any.
     pub fn exhausted_since(
         &self,
         tenant: TenantId,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Counts a request that starts and the tokens it is expected to use.
+    /// Adds a running request and charges the tokens that it is expected to use.
     pub fn start(&mut self, tenant: TenantId, now: Timestamp, expected_tokens: u32) {
         let rate = self.rate(tenant);
         let usage = self.usage.entry(tenant).or_insert(Usage {
@@ -109,7 +111,7 @@
         self.record_exhausted(tenant, now);
     }
 
-    /// Counts a request that ended, and corrects the tokens it was expected to use.
+    /// Removes a running request and replaces its expected tokens by those used.
     pub fn finish(&mut self, tenant: TenantId, now: Timestamp, expected: u32, used: u32) {
         let rate = self.rate(tenant);
         self.record_exhausted(tenant, now);
--- a/crates/coordination/admission/tests/cell.rs
+++ b/crates/coordination/admission/tests/cell.rs
@@ -1,4 +1,4 @@
-//! Tier order, minimum shares, fairness and limits of one cell.
+//! Tier order, minimum shares, fairness, limits, refusals and takeover of one cell.
 
 use eiderferry_admission::{
     Allowance, Ask, Cell, CellEvent, CellPolicy, LoadReport, Observation, Outcome, Ticket,
@@ -101,7 +101,7 @@
         .collect()
 }
 
-/// Fills the cell with batch requests numbered from 100.
+/// Occupies `slots` slots with batch requests numbered from 100.
 fn fill_with_batch(cell: &mut Cell, slots: u64) {
     for sequence in 100..100 + slots {
         cell.ask(at(0), ask(sequence, BATCH, 1, at(0)));
@@ -224,7 +224,7 @@
             }
         }
     }
-    // 60 s at 100 tokens/s, 5 s of burst, one answer of overshoot.
+    // 60 s at 100 tokens/s, a burst of 5 s, and overshoot by one response.
     assert!(
         (5_500..=6_700).contains(&served_tokens),
         "served {served_tokens} tokens"
