--- a/crates/coordination/once/src/history.rs
+++ b/crates/coordination/once/src/history.rs
@@ -7,21 +7,21 @@
 /// The lists of nodes this run has seen within the repeat window.
 #[derive(Clone, Debug)]
 pub struct OwnershipHistory {
-    own: NodeId,
+    own_node: NodeId,
     window: Span,
     started: Timestamp,
     /// Lists with the time from which each held, oldest first.
-    lists: VecDeque<(Timestamp, Vec<NodeId>)>,
+    node_lists: VecDeque<(Timestamp, Vec<NodeId>)>,
 }
 
 impl OwnershipHistory {
     /// A history that begins now.
-    pub fn new(own: NodeId, window: Span, started: Timestamp) -> Self {
+    pub fn new(own_node: NodeId, window: Span, started: Timestamp) -> Self {
         Self {
-            own,
+            own_node,
             window,
             started,
-            lists: VecDeque::new(),
+            node_lists: VecDeque::new(),
         }
     }
 
@@ -33,46 +33,52 @@
     /// Notes a new list of nodes.
     pub fn record(&mut self, now: Timestamp, mut nodes: Vec<NodeId>) {
         nodes.sort();
-        if self.lists.back().is_some_and(|(_, known)| *known == nodes) {
+        if self
+            .node_lists
+            .back()
+            .is_some_and(|(_, newest)| *newest == nodes)
+        {
             return;
         }
-        self.lists.push_back((now, nodes));
-        self.forget_old(now);
+        self.node_lists.push_back((now, nodes));
+        self.remove_expired(now);
     }
 
     /// The home of a key by the newest list.
     pub fn home(&self, name: &KeyName) -> Option<NodeId> {
-        owner(name, &self.lists.back()?.1)
+        key_owner(name, &self.node_lists.back()?.1)
     }
 
     /// Whether this run has been the key's home for the whole repeat window.
     pub fn vouches_for(&self, now: Timestamp, name: &KeyName) -> bool {
         let window_start = now - self.window;
-        if now.since(self.started) < self.window || self.lists.is_empty() {
+        if now.since(self.started) < self.window || self.node_lists.is_empty() {
             return false;
         }
-        let mut ends = self.lists.iter().skip(1).map(|(since, _)| *since);
-        self.lists.iter().all(|(_, nodes)| {
-            let still_matters = ends.next().is_none_or(|end| end >= window_start);
-            !still_matters || owner(name, nodes) == Some(self.own)
+        let mut list_ends = self.node_lists.iter().skip(1).map(|(since, _)| *since);
+        self.node_lists.iter().all(|(_, nodes)| {
+            let overlaps_window = list_ends
+                .next()
+                .is_none_or(|list_end| list_end >= window_start);
+            !overlaps_window || key_owner(name, nodes) == Some(self.own_node)
         })
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let window_start = now - self.window;
-        while self.lists.len() > 1 && self.lists[1].0 < window_start {
-            self.lists.pop_front();
+        while self.node_lists.len() > 1 && self.node_lists[1].0 < window_start {
+            self.node_lists.pop_front();
         }
     }
 }
 
-fn owner(name: &KeyName, nodes: &[NodeId]) -> Option<NodeId> {
-    let key = match name {
+fn key_owner(name: &KeyName, nodes: &[NodeId]) -> Option<NodeId> {
+    let key_hash = match name {
         KeyName::Ticket { node, .. } => return Some(*node),
         KeyName::Caller(high, low) => high ^ low,
     };
     nodes
         .iter()
         .copied()
-        .max_by_key(|node| (rendezvous_score(key, *node), *node))
+        .max_by_key(|node| (rendezvous_score(key_hash, *node), *node))
 }
--- a/crates/coordination/once/src/table.rs
+++ b/crates/coordination/once/src/table.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     state: KeyState,
-    touched: Timestamp,
+    last_used: Timestamp,
 }
 
 /// Keys of which this run of this node is the home.
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub struct KeyTable {
     entries: BTreeMap<KeyName, Entry>,
-    by_age: VecDeque<(Timestamp, KeyName)>,
+    expiry_queue: VecDeque<(Timestamp, KeyName)>,
     capacity: usize,
     window: Span,
     next_ticket: u64,
@@ -79,7 +79,7 @@
     pub fn new(capacity: usize, window: Span) -> Self {
         Self {
             entries: BTreeMap::new(),
-            by_age: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             capacity,
             window,
             next_ticket: 0,
@@ -124,11 +124,16 @@
     }
 
     /// Decides a claim of a ticket of this run.
-    pub fn claim_ticket(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
+    pub fn claim_ticket(
+        &mut self,
+        now: Timestamp,
+        name: &KeyName,
+        request: RequestId,
+    ) -> ClaimAnswer {
         if !self.entries.contains_key(name) {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
-        self.claim_known(now, name, by)
+        self.claim_existing(now, name, request)
     }
 
     /// Decides a claim of a caller's key. `vouched` says that no other home can
@@ -137,33 +142,38 @@
         &mut self,
         now: Timestamp,
         name: &KeyName,
-        by: RequestId,
-        vouched: bool,
+        request: RequestId,
+        owned_whole_window: bool,
     ) -> ClaimAnswer {
         if self.entries.contains_key(name) {
-            return self.claim_known(now, name, by);
+            return self.claim_existing(now, name, request);
         }
-        if !vouched {
+        if !owned_whole_window {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
-        match self.insert(now, name.clone(), KeyState::Granted(by)) {
+        match self.insert(now, name.clone(), KeyState::Granted(request)) {
             Ok(()) => ClaimAnswer::Granted,
             Err(KeyTableFull) => ClaimAnswer::denied(Verdict::NotRun, Reason::KeyTableFull),
         }
     }
 
-    fn claim_known(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
+    fn claim_existing(
+        &mut self,
+        now: Timestamp,
+        name: &KeyName,
+        request: RequestId,
+    ) -> ClaimAnswer {
         let Some(entry) = self.entries.get_mut(name) else {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         };
-        entry.touched = now;
+        entry.last_used = now;
         match entry.state {
             KeyState::Open => {
-                entry.state = KeyState::Granted(by);
+                entry.state = KeyState::Granted(request);
                 ClaimAnswer::Granted
             }
             // The answer to an earlier copy of this very claim got lost.
-            KeyState::Granted(holder) if holder == by => ClaimAnswer::Granted,
+            KeyState::Granted(granted_to) if granted_to == request => ClaimAnswer::Granted,
             KeyState::Granted(_) => ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyInProgress),
             KeyState::Finished(verdict) => ClaimAnswer::denied(verdict, Reason::KeyFinished),
         }
@@ -172,14 +182,14 @@
     /// Notes how the request that was granted the key ended.
     ///
     /// Only `NotRun` opens the key again, and only from the claimant itself.
-    pub fn settle(&mut self, now: Timestamp, name: &KeyName, by: RequestId, verdict: Verdict) {
+    pub fn settle(&mut self, now: Timestamp, name: &KeyName, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        if entry.state != KeyState::Granted(by) {
+        if entry.state != KeyState::Granted(request) {
             return;
         }
-        entry.touched = now;
+        entry.last_used = now;
         entry.state = match verdict {
             Verdict::NotRun => KeyState::Open,
             Verdict::MayHaveRun | Verdict::Ran => KeyState::Finished(verdict),
@@ -188,23 +198,23 @@
 
     /// Drops what is older than the repeat window.
     pub fn tick(&mut self, now: Timestamp) {
-        while let Some((queued, name)) = self.by_age.front().cloned() {
-            if now.since(queued) < self.window {
+        while let Some((queued_at, name)) = self.expiry_queue.front().cloned() {
+            if now.since(queued_at) < self.window {
                 return;
             }
-            self.by_age.pop_front();
-            self.drop_or_requeue(now, name);
+            self.expiry_queue.pop_front();
+            self.expire_or_requeue(now, name);
         }
     }
 
-    fn drop_or_requeue(&mut self, now: Timestamp, name: KeyName) {
+    fn expire_or_requeue(&mut self, now: Timestamp, name: KeyName) {
         let Some(entry) = self.entries.get(&name) else {
             return;
         };
-        let running = matches!(entry.state, KeyState::Granted(_));
-        let young = now.since(entry.touched) < self.window;
-        if running || young {
-            self.by_age.push_back((now, name));
+        let in_progress = matches!(entry.state, KeyState::Granted(_));
+        let recently_used = now.since(entry.last_used) < self.window;
+        if in_progress || recently_used {
+            self.expiry_queue.push_back((now, name));
             return;
         }
         self.entries.remove(&name);
@@ -220,12 +230,12 @@
         if self.entries.len() >= self.capacity {
             return Err(KeyTableFull);
         }
-        self.by_age.push_back((now, name.clone()));
+        self.expiry_queue.push_back((now, name.clone()));
         self.entries.insert(
             name,
             Entry {
                 state,
-                touched: now,
+                last_used: now,
             },
         );
         Ok(())
--- a/crates/coordination/once/tests/keys.rs
+++ b/crates/coordination/once/tests/keys.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn only_the_claimant_opens_a_ticket_again() {
+fn only_the_claimant_can_reopen_a_ticket() {
     let (mut table, ticket) = table_with_ticket();
     table.claim_ticket(at(1), &ticket, request(1));
     table.settle(at(2), &ticket, request(7), Verdict::NotRun);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_finished_ticket_stays_finished() {
+fn a_finished_ticket_is_never_granted_again() {
     let (mut table, ticket) = table_with_ticket();
     table.claim_ticket(at(1), &ticket, request(1));
     table.settle(at(2), &ticket, request(1), Verdict::Ran);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_forgotten_ticket_is_never_granted() {
+fn an_expired_ticket_is_never_granted() {
     let (mut table, ticket) = table_with_ticket();
     table.tick(at(200));
     assert!(table.is_empty());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_full_table_refuses_and_forgets_nothing() {
+fn a_full_table_refuses_new_keys_and_keeps_existing_ones() {
     let (mut table, ticket) = table_with_ticket();
     table.issue(at(1), NodeId(1), Incarnation(9)).expect("room");
     assert!(table.issue(at(2), NodeId(1), Incarnation(9)).is_err());
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_home_vouches_only_after_a_whole_window() {
+fn a_node_vouches_for_a_key_only_after_a_whole_window() {
     let name = KeyName::Caller(1, 2);
     let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
     history.record(at(0), vec![NodeId(1)]);
@@ -97,19 +97,19 @@
 }
 
 #[test]
-fn a_home_that_took_over_does_not_vouch_at_once() {
-    let owned_by_two = (0..100)
+fn a_new_owner_vouches_for_a_key_only_after_a_whole_window() {
+    let key_of_node_two = (0..100)
         .map(|number| KeyName::Caller(number, 0))
         .find(|name| {
-            let mut both = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
-            both.record(at(0), vec![NodeId(1), NodeId(2)]);
-            both.home(name) == Some(NodeId(2))
+            let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
+            history.record(at(0), vec![NodeId(1), NodeId(2)]);
+            history.home(name) == Some(NodeId(2))
         })
         .expect("half of the keys");
     let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
     history.record(at(0), vec![NodeId(1), NodeId(2)]);
     history.record(at(100), vec![NodeId(1)]);
-    assert_eq!(history.home(&owned_by_two), Some(NodeId(1)));
-    assert!(!history.vouches_for(at(101), &owned_by_two));
-    assert!(history.vouches_for(at(161), &owned_by_two));
+    assert_eq!(history.home(&key_of_node_two), Some(NodeId(1)));
+    assert!(!history.vouches_for(at(101), &key_of_node_two));
+    assert!(history.vouches_for(at(161), &key_of_node_two));
 }
