--- a/crates/coordination/membership/src/detector.rs
+++ b/crates/coordination/membership/src/detector.rs
@@ -9,9 +9,9 @@
 const MISSES_TO_SUSPECT: u32 = 2;
 /// Time without any message after which a node counts as silent: on a network that
 /// loses messages, answers go missing from nodes that are well.
-const SILENCE: Span = Span::from_milliseconds(600);
+const SILENCE_THRESHOLD: Span = Span::from_milliseconds(600);
 /// Time after which a suspected node is tried again even without a sign of life.
-const SUSPICION_TIME: Span = Span::from_milliseconds(5_000);
+const SUSPICION_DURATION: Span = Span::from_milliseconds(5_000);
 
 /// What is known of a peer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,16 +25,17 @@
 #[derive(Clone, Debug, Default)]
 struct Peer {
     incarnation: Option<Incarnation>,
-    misses: u32,
-    heard: Timestamp,
-    probe_sent: Option<Timestamp>,
+    consecutive_misses: u32,
+    last_heard: Timestamp,
+    probe_sent_at: Option<Timestamp>,
     suspected_at: Option<Timestamp>,
     draining: bool,
 }
 
 impl Peer {
-    fn is_suspicious(&self, now: Timestamp) -> bool {
-        self.misses >= MISSES_TO_SUSPECT && now.since(self.heard) >= SILENCE
+    fn should_suspect(&self, now: Timestamp) -> bool {
+        self.consecutive_misses >= MISSES_TO_SUSPECT
+            && now.since(self.last_heard) >= SILENCE_THRESHOLD
     }
 }
 
@@ -54,21 +55,21 @@
     ) -> Option<Incarnation> {
         let peer = self.peers.entry(node).or_default();
         let previous = peer.incarnation;
-        if previous.is_some_and(|known| known > incarnation) {
+        if previous.is_some_and(|newest| newest > incarnation) {
             return None;
         }
         peer.incarnation = Some(incarnation);
-        peer.misses = 0;
-        peer.heard = now;
-        peer.probe_sent = None;
+        peer.consecutive_misses = 0;
+        peer.last_heard = now;
+        peer.probe_sent_at = None;
         peer.suspected_at = None;
-        previous.filter(|known| *known != incarnation)
+        previous.filter(|newest| *newest != incarnation)
     }
 
     /// Whether a message comes from a run of the node that has been replaced.
     pub fn is_outdated(&self, node: NodeId, incarnation: Incarnation) -> bool {
-        let known = self.peers.get(&node).and_then(|peer| peer.incarnation);
-        known.is_some_and(|known| known > incarnation)
+        let newest = self.peers.get(&node).and_then(|peer| peer.incarnation);
+        newest.is_some_and(|newest| newest > incarnation)
     }
 
     /// The run of the node last heard from.
@@ -79,14 +80,14 @@
     /// Notes that a probe was sent.
     pub fn probed(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
-        peer.probe_sent.get_or_insert(now);
+        peer.probe_sent_at.get_or_insert(now);
     }
 
     /// Notes that a message that wanted an answer got none.
     pub fn missed(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
-        peer.misses += 1;
-        if peer.is_suspicious(now) {
+        peer.consecutive_misses += 1;
+        if peer.should_suspect(now) {
             peer.suspected_at.get_or_insert(now);
         }
     }
@@ -98,28 +99,28 @@
 
     /// Counts probes that stayed unanswered; returns the peers newly suspected.
     pub fn tick(&mut self, now: Timestamp) -> Vec<NodeId> {
-        let mut newly = Vec::new();
+        let mut newly_suspected = Vec::new();
         for (node, peer) in &mut self.peers {
             if peer
-                .probe_sent
-                .is_some_and(|sent| now.since(sent) >= PROBE_TIMEOUT)
+                .probe_sent_at
+                .is_some_and(|sent_at| now.since(sent_at) >= PROBE_TIMEOUT)
             {
-                peer.probe_sent = None;
-                peer.misses += 1;
+                peer.probe_sent_at = None;
+                peer.consecutive_misses += 1;
             }
-            if peer.is_suspicious(now) && peer.suspected_at.is_none() {
+            if peer.should_suspect(now) && peer.suspected_at.is_none() {
                 peer.suspected_at = Some(now);
-                newly.push(*node);
+                newly_suspected.push(*node);
             }
         }
-        newly
+        newly_suspected
     }
 
     /// What is known of a peer.
     pub fn health(&self, node: NodeId, now: Timestamp) -> Health {
         let suspected = self.peers.get(&node).and_then(|peer| peer.suspected_at);
         match suspected {
-            Some(since) if now.since(since) < SUSPICION_TIME => Health::Suspected,
+            Some(since) if now.since(since) < SUSPICION_DURATION => Health::Suspected,
             _ => Health::Reachable,
         }
     }
@@ -132,14 +133,14 @@
     /// Whether a message came from a peer within `span`.
     pub fn heard_within(&self, node: NodeId, now: Timestamp, span: Span) -> bool {
         let peer = self.peers.get(&node);
-        peer.is_some_and(|peer| peer.incarnation.is_some() && now.since(peer.heard) < span)
+        peer.is_some_and(|peer| peer.incarnation.is_some() && now.since(peer.last_heard) < span)
     }
 
     /// A third node has heard from a suspected peer: it gets another chance.
     pub fn pardon(&mut self, node: NodeId) {
         if let Some(peer) = self.peers.get_mut(&node) {
-            peer.misses = 0;
-            peer.probe_sent = None;
+            peer.consecutive_misses = 0;
+            peer.probe_sent_at = None;
             peer.suspected_at = None;
         }
     }
@@ -147,8 +148,8 @@
     /// After a pause nothing of the past counts against anyone.
     pub fn pardon_all(&mut self) {
         for peer in self.peers.values_mut() {
-            peer.misses = 0;
-            peer.probe_sent = None;
+            peer.consecutive_misses = 0;
+            peer.probe_sent_at = None;
             peer.suspected_at = None;
         }
     }
--- a/crates/coordination/membership/src/fleet.rs
+++ b/crates/coordination/membership/src/fleet.rs
@@ -18,7 +18,7 @@
 /// The listed nodes together with what probes say of them.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    own: NodeId,
+    own_node: NodeId,
     own_zone: ZoneId,
     own_draining: bool,
     members: BTreeMap<NodeId, Member>,
@@ -28,9 +28,9 @@
 
 impl Fleet {
     /// A fleet in which only this node is known.
-    pub fn new(own: NodeId, own_zone: ZoneId) -> Self {
+    pub fn new(own_node: NodeId, own_zone: ZoneId) -> Self {
         Self {
-            own,
+            own_node,
             own_zone,
             own_draining: false,
             members: BTreeMap::new(),
@@ -68,51 +68,52 @@
 
     /// Peers in this node's zone.
     pub fn zone_peers(&self) -> Vec<NodeId> {
-        self.peers_where(|member| member.zone == self.own_zone)
+        self.peers_matching(|member| member.zone == self.own_zone)
     }
 
     /// Peers in other zones.
     pub fn remote_peers(&self) -> Vec<NodeId> {
-        self.peers_where(|member| member.zone != self.own_zone)
+        self.peers_matching(|member| member.zone != self.own_zone)
     }
 
-    fn peers_where(&self, fits: impl Fn(&Member) -> bool) -> Vec<NodeId> {
+    fn peers_matching(&self, matches: impl Fn(&Member) -> bool) -> Vec<NodeId> {
         self.members
             .values()
-            .filter(|member| member.node != self.own && fits(member))
+            .filter(|member| member.node != self.own_node && matches(member))
             .map(|member| member.node)
             .collect()
     }
 
     /// The node that holds the admission queue of a cell, as seen from here.
     pub fn holder(&self, cell: CellId, now: Timestamp) -> Option<NodeId> {
-        cell.owner(self.usable(cell.zone, now))
+        cell.owner(self.eligible_nodes(cell.zone, now))
     }
 
     /// The nodes of this zone in the order in which they read for the others.
     pub fn readers(&self, document: &str, now: Timestamp) -> Vec<NodeId> {
         let key = document.rendezvous_key();
-        let mut readers: Vec<NodeId> = self.usable(self.own_zone, now).collect();
+        let mut readers: Vec<NodeId> = self.eligible_nodes(self.own_zone, now).collect();
         readers
             .sort_by_key(|node| std::cmp::Reverse(eiderferry_types::rendezvous_score(key, *node)));
         readers
     }
 
-    fn usable(&self, zone: ZoneId, now: Timestamp) -> impl Iterator<Item = NodeId> + '_ {
+    fn eligible_nodes(&self, zone: ZoneId, now: Timestamp) -> impl Iterator<Item = NodeId> + '_ {
         let listed = self
             .members
             .values()
             .filter(move |member| member.zone == zone)
-            .filter(move |member| self.is_usable(member, now))
+            .filter(move |member| self.is_eligible(member, now))
             .map(|member| member.node);
-        let unlisted_self =
-            (zone == self.own_zone && !self.own_draining && !self.members.contains_key(&self.own))
-                .then_some(self.own);
-        listed.chain(unlisted_self)
+        let unlisted_own_node = (zone == self.own_zone
+            && !self.own_draining
+            && !self.members.contains_key(&self.own_node))
+        .then_some(self.own_node);
+        listed.chain(unlisted_own_node)
     }
 
-    fn is_usable(&self, member: &Member, now: Timestamp) -> bool {
-        if member.node == self.own {
+    fn is_eligible(&self, member: &Member, now: Timestamp) -> bool {
+        if member.node == self.own_node {
             return !self.own_draining && !member.leaving;
         }
         !member.leaving
--- a/crates/coordination/membership/tests/detector.rs
+++ b/crates/coordination/membership/tests/detector.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn missed_answers_alone_make_no_suspect() {
+fn missed_replies_alone_do_not_make_a_peer_suspected() {
     let mut detector = Detector::default();
     detector.heard(PEER, Incarnation(1), at(1_000));
     for _ in 0..5 {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_restart_is_told_from_a_late_message() {
+fn a_restart_is_distinguished_from_a_late_message() {
     let mut detector = Detector::default();
     assert_eq!(detector.heard(PEER, Incarnation(4), at(1)), None);
     assert_eq!(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_cell_moves_only_when_its_holder_goes() {
+fn a_cell_keeps_its_holder_while_that_node_is_listed() {
     let mut fleet = Fleet::new(NodeId(1), ZoneId(1));
     let member = |node| Member {
         node: NodeId(node),
@@ -52,12 +52,12 @@
             shard,
         })
         .collect();
-    let before: Vec<_> = cells
+    let holders_before: Vec<_> = cells
         .iter()
         .map(|cell| fleet.holder(*cell, at(0)))
         .collect();
     fleet.set_members((1..=4).map(member));
-    for (cell, holder) in cells.iter().zip(before) {
+    for (cell, holder) in cells.iter().zip(holders_before) {
         if holder != Some(NodeId(5)) {
             assert_eq!(fleet.holder(*cell, at(0)), holder);
         }
