--- a/crates/coordination/dissemination/src/reading.rs
+++ b/crates/coordination/dissemination/src/reading.rs
@@ -11,9 +11,9 @@
 /// Time between two reads of the second reader, which stands in if the first fails.
 const SECOND_READER_INTERVAL: Span = Span::from_milliseconds(4_000);
 /// Shortest time between two reads after the platform failed.
-const FIRST_BACK_OFF: Span = Span::from_milliseconds(1_000);
+const BACK_OFF_BASE: Span = Span::from_milliseconds(1_000);
 /// Longest time between two reads while the platform fails.
-const LONGEST_BACK_OFF: Span = Span::from_milliseconds(8_000);
+const MAX_BACK_OFF: Span = Span::from_milliseconds(8_000);
 
 /// A node's place among the readers of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,9 +40,9 @@
 /// When this node reads one document next.
 #[derive(Clone, Debug, Default)]
 pub struct ReadPlan {
-    last_start: Option<Timestamp>,
+    last_started: Option<Timestamp>,
     in_flight: bool,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 /// Time after which a read that was never answered counts as failed.
@@ -54,13 +54,13 @@
         let Some(interval) = self.interval(rank, urgent) else {
             return false;
         };
-        if let Some(last) = self.last_start {
-            let waiting = self.in_flight && now.since(last) < READ_TIMEOUT;
-            if waiting || now.since(last) < interval {
+        if let Some(started) = self.last_started {
+            let awaits_response = self.in_flight && now.since(started) < READ_TIMEOUT;
+            if awaits_response || now.since(started) < interval {
                 return false;
             }
         }
-        self.last_start = Some(now);
+        self.last_started = Some(now);
         self.in_flight = true;
         true
     }
@@ -74,26 +74,30 @@
     /// Notes how a read ended.
     pub fn finished(&mut self, succeeded: bool) {
         self.in_flight = false;
-        self.failures = if succeeded { 0 } else { self.failures + 1 };
+        self.consecutive_failures = if succeeded {
+            0
+        } else {
+            self.consecutive_failures + 1
+        };
     }
 
     /// Makes the next read due at once.
     pub fn hurry(&mut self) {
-        self.last_start = None;
+        self.last_started = None;
         self.in_flight = false;
     }
 
     fn interval(&self, rank: ReaderRank, urgent: bool) -> Option<Span> {
-        let regular = match (rank, urgent) {
+        let regular_interval = match (rank, urgent) {
             (ReaderRank::First, _) | (_, true) => FIRST_READER_INTERVAL,
             (ReaderRank::Second, _) => SECOND_READER_INTERVAL,
             (ReaderRank::None, false) => return None,
         };
-        if self.failures == 0 {
-            return Some(regular);
+        if self.consecutive_failures == 0 {
+            return Some(regular_interval);
         }
-        let doublings = self.failures.min(6);
-        let back_off = Span(FIRST_BACK_OFF.0 << doublings).min(LONGEST_BACK_OFF);
-        Some(regular.max(back_off))
+        let doublings = self.consecutive_failures.min(6);
+        let back_off = Span(BACK_OFF_BASE.0 << doublings).min(MAX_BACK_OFF);
+        Some(regular_interval.max(back_off))
     }
 }
--- a/crates/coordination/dissemination/src/replica.rs
+++ b/crates/coordination/dissemination/src/replica.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// Deltas kept for peers that are a few versions behind.
-const KEPT_DELTAS: usize = 32;
+const MAX_DELTAS: usize = 32;
 
 /// What brings a peer up to date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
         if let Some(current) = &self.current {
             self.deltas.push_back(current.delta_to(&document));
         }
-        while self.deltas.len() > KEPT_DELTAS {
+        while self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
         }
         self.current = Some(Arc::new(document));
@@ -102,15 +102,15 @@
     }
 
     /// What a peer that has version `have` needs; `None` if it needs nothing.
-    pub fn update_for(&self, have: u64) -> Option<Update<Document, Document::Delta>> {
+    pub fn update_for(&self, peer_version: u64) -> Option<Update<Document, Document::Delta>> {
         let current = self.current.as_ref()?;
-        if have >= current.version() {
+        if peer_version >= current.version() {
             return None;
         }
         let start = self
             .deltas
             .iter()
-            .position(|delta| Document::base_of(delta) == have);
+            .position(|delta| Document::base_of(delta) == peer_version);
         let update = match start {
             Some(start) => Update::Deltas(self.deltas.iter().skip(start).cloned().collect()),
             None => Update::Whole(Document::clone(current)),
--- a/crates/coordination/dissemination/tests/replica.rs
+++ b/crates/coordination/dissemination/tests/replica.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn an_older_version_is_never_taken() {
+fn an_older_or_equal_version_is_never_accepted() {
     let mut replica = Replica::default();
     assert_eq!(replica.offer(directory(5)), Acceptance::Accepted);
     assert_eq!(replica.offer(directory(4)), Acceptance::NotNewer);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_peer_that_is_close_gets_deltas_and_a_distant_one_the_whole() {
+fn a_peer_slightly_behind_gets_deltas_and_one_far_behind_the_whole_document() {
     let mut source = Replica::default();
     for version in 1..=50 {
         source.offer(directory(version));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn deltas_from_another_version_show_a_gap() {
+fn deltas_that_start_at_another_version_are_a_gap() {
     let mut source = Replica::default();
     source.offer(directory(1));
     source.offer(directory(2));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_readers_read_and_failures_make_them_slower() {
+fn only_readers_read_and_a_failure_delays_the_next_read() {
     let mut plan = ReadPlan::default();
     let at = |seconds: u64| Timestamp(0) + Span::from_milliseconds(seconds * 1_000);
     assert!(!plan.start_if_due(at(1), ReaderRank::None, false));
