--- a/crates/coordination/once/src/history.rs
+++ b/crates/coordination/once/src/history.rs
@@ -1,21 +1,21 @@
-//! Who was the home of a caller's key, by every list of the repeat window.
+//! The owners of callers' keys according to every node list of the repeat window.
 
 use crate::KeyName;
 use eiderferry_types::{NodeId, Span, Timestamp, rendezvous_score};
 use std::collections::VecDeque;
 
-/// The lists of nodes this run has seen within the repeat window.
+/// The node lists that this incarnation has seen within the repeat window.
 #[derive(Clone, Debug)]
 pub struct OwnershipHistory {
     own_node: NodeId,
     window: Span,
     started: Timestamp,
-    /// Lists with the time from which each held, oldest first.
+    /// Node lists with the time from which each applied, oldest first.
     node_lists: VecDeque<(Timestamp, Vec<NodeId>)>,
 }
 
 impl OwnershipHistory {
-    /// A history that begins now.
+    /// Creates a history that begins at `started`.
     pub fn new(own_node: NodeId, window: Span, started: Timestamp) -> Self {
         Self {
             own_node,
@@ -30,7 +30,7 @@
         self.window = window;
     }
 
-    /// Notes a new list of nodes.
+    /// Records a new node list.
     pub fn record(&mut self, now: Timestamp, mut nodes: Vec<NodeId>) {
         nodes.sort();
         if self
@@ -44,12 +44,12 @@
         self.remove_expired(now);
     }
 
-    /// The home of a key by the newest list.
+    /// The owner of a key according to the newest list.
     pub fn home(&self, name: &KeyName) -> Option<NodeId> {
         key_owner(name, &self.node_lists.back()?.1)
     }
 
-    /// Whether this run has been the key's home for the whole repeat window.
+    /// Whether this incarnation has owned the key for the whole repeat window.
     pub fn vouches_for(&self, now: Timestamp, name: &KeyName) -> bool {
         let window_start = now - self.window;
         if now.since(self.started) < self.window || self.node_lists.is_empty() {
--- a/crates/coordination/once/src/lib.rs
+++ b/crates/coordination/once/src/lib.rs
@@ -1,15 +1,16 @@
-//! At-most-once execution of requests that may not be repeated.
+//! At-most-once execution of requests that must not be repeated.
 //!
-//! A key is decided by one run of one node, its *home*, from memory alone. A
-//! home never grants a key twice, whatever the time. Two kinds of key differ in
-//! how the home is found:
+//! Claims of a key are decided by one incarnation of one node, the key's *owner*,
+//! from memory alone. The owner grants a ticket at most once, however much time
+//! passes, and a caller's key at most once while it was last used within the repeat
+//! window. The two kinds of key differ in how the owner is found:
 //!
-//! * A *ticket* is issued by a node and names it and its incarnation. No other
-//!   run of any node will ever grant it: when that run is gone, the answer is
-//!   "may have run". This needs no list, no clock and no peers.
-//! * A *caller's key* has its home by rendezvous hashing over the listed nodes.
-//!   A node vouches for such a key only if it has been its home, by every list it
-//!   knew, for the whole repeat window; otherwise an earlier home may have
+//! * A *ticket* is issued by a node and contains the node's id and incarnation. No
+//!   other incarnation or node ever grants it: once that incarnation is gone, a claim
+//!   is denied with "may have run". This needs no node list, no clock and no peers.
+//! * The owner of a *caller's key* is chosen by rendezvous hashing over the listed
+//!   nodes. A node vouches for such a key only if it has been its owner, by every
+//!   list it knew, for the whole repeat window; otherwise an earlier owner may have
 //!   granted it.
 
 #![forbid(unsafe_code)]
--- a/crates/coordination/once/src/table.rs
+++ b/crates/coordination/once/src/table.rs
@@ -1,22 +1,22 @@
-//! Keys this node decides.
+//! The keys that this node owns.
 
 use eiderferry_types::{Incarnation, NodeId, Reason, RequestId, Span, Timestamp, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Name of one non-repeatable request.
+/// Idempotency key of one non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum KeyName {
-    /// A ticket issued by one run of one node.
+    /// A ticket issued by one incarnation of one node.
     Ticket {
         /// The issuing node.
         node: NodeId,
-        /// Its run.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number within the run.
+        /// Sequence number within the incarnation.
         number: u64,
     },
-    /// A key chosen by the caller, by its 128-bit hash with the tenant.
+    /// A key chosen by the caller: the 128-bit hash of the key and its tenant.
     Caller(u64, u64),
 }
 
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTableFull;
 
-/// What a home says to a claim.
+/// An owner's response to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claimant, and nobody else, may dispatch the request once.
+    /// Only the claimant may dispatch the request, and only once.
     Granted,
-    /// It won't run on behalf of this claim.
+    /// The claimant must not dispatch the request.
     Denied {
-        /// What may be concluded of the request.
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// Why.
+        /// Reason for the denial.
         reason: Reason,
     },
 }
 
 impl ClaimAnswer {
-    /// A denial.
+    /// Creates a denial.
     pub const fn denied(verdict: Verdict, reason: Reason) -> Self {
         Self::Denied { verdict, reason }
     }
@@ -47,11 +47,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// Nobody has claimed it, or the claimant said that it did not run.
+    /// Not claimed yet, or the claimant reported that the request did not run.
     Open,
-    /// Granted to this request.
+    /// Granted to this request, which has not ended yet.
     Granted(RequestId),
-    /// Its request has ended; this is what may be concluded.
+    /// The request has ended with this verdict.
     Finished(Verdict),
 }
 
@@ -61,10 +61,10 @@
     last_used: Timestamp,
 }
 
-/// Keys of which this run of this node is the home.
+/// Keys that this incarnation of this node owns.
 ///
-/// Memory is bounded: entries are dropped when older than the repeat window, and
-/// when the table is full of younger ones new keys are refused.
+/// Memory is bounded: entries that were not used within the repeat window are
+/// dropped unless their request is in progress, and a full table refuses new keys.
 #[derive(Clone, Debug)]
 pub struct KeyTable {
     entries: BTreeMap<KeyName, Entry>,
@@ -75,7 +75,7 @@
 }
 
 impl KeyTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(capacity: usize, window: Span) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -86,27 +86,27 @@
         }
     }
 
-    /// How long a key is remembered after its last use.
+    /// How long a key is kept after its last use.
     pub fn window(&self) -> Span {
         self.window
     }
 
-    /// Changes how long keys are remembered.
+    /// Sets how long keys are kept after their last use.
     pub fn set_window(&mut self, window: Span) {
         self.window = window;
     }
 
-    /// Keys remembered now.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table contains no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Issues a ticket of this run.
+    /// Issues a ticket of this incarnation.
     pub fn issue(
         &mut self,
         now: Timestamp,
@@ -123,7 +123,7 @@
         Ok(name)
     }
 
-    /// Decides a claim of a ticket of this run.
+    /// Decides a claim of a ticket that this incarnation issued.
     pub fn claim_ticket(
         &mut self,
         now: Timestamp,
@@ -136,8 +136,8 @@
         self.claim_existing(now, name, request)
     }
 
-    /// Decides a claim of a caller's key. `vouched` says that no other home can
-    /// have granted it within the repeat window.
+    /// Decides a claim of a caller's key. `owned_whole_window` means that no other
+    /// owner can have granted it within the repeat window.
     pub fn claim_caller_key(
         &mut self,
         now: Timestamp,
@@ -172,16 +172,17 @@
                 entry.state = KeyState::Granted(request);
                 ClaimAnswer::Granted
             }
-            // The answer to an earlier copy of this very claim got lost.
+            // A repeat of the claim that was granted: the response to it was lost.
             KeyState::Granted(granted_to) if granted_to == request => ClaimAnswer::Granted,
             KeyState::Granted(_) => ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyInProgress),
             KeyState::Finished(verdict) => ClaimAnswer::denied(verdict, Reason::KeyFinished),
         }
     }
 
-    /// Notes how the request that was granted the key ended.
+    /// Records how the request that was granted the key ended.
     ///
-    /// Only `NotRun` opens the key again, and only from the claimant itself.
+    /// Only `NotRun` makes the key available again, and only if the claimant itself
+    /// reports it.
     pub fn settle(&mut self, now: Timestamp, name: &KeyName, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -196,7 +197,7 @@
         };
     }
 
-    /// Drops what is older than the repeat window.
+    /// Drops keys that were not used within the repeat window.
     pub fn tick(&mut self, now: Timestamp) {
         while let Some((queued_at, name)) = self.expiry_queue.front().cloned() {
             if now.since(queued_at) < self.window {
--- a/crates/coordination/once/tests/keys.rs
+++ b/crates/coordination/once/tests/keys.rs
@@ -1,4 +1,5 @@
-//! A key is granted once, whatever is repeated, lost or forgotten.
+//! A key is granted at most once, also after repeated claims, expiry and changes of
+//! the owner.
 
 use eiderferry_once::{ClaimAnswer, KeyName, KeyTable, OwnershipHistory};
 use eiderferry_types::{Incarnation, NodeId, Reason, RequestId, Span, Timestamp, Verdict};
