--- a/crates/coordination/membership/src/detector.rs
+++ b/crates/coordination/membership/src/detector.rs
@@ -1,24 +1,26 @@
-//! Failure detection by probes and unanswered messages.
+//! Failure detector based on probes and unanswered messages.
 
 use eiderferry_types::{Incarnation, NodeId, Span, Timestamp};
 use std::collections::BTreeMap;
 
 /// Time after which an unanswered probe counts as missed.
 pub const PROBE_TIMEOUT: Span = Span::from_milliseconds(400);
-/// Missed answers in a row that make a silent node suspected.
+/// Consecutive missed replies after which a silent node is suspected.
 const MISSES_TO_SUSPECT: u32 = 2;
-/// Time without any message after which a node counts as silent: on a network that
-/// loses messages, answers go missing from nodes that are well.
+/// Time without any message after which a node counts as silent. Missed replies alone
+/// don't make a node suspected, since a lossy network also loses replies of healthy
+/// nodes.
 const SILENCE_THRESHOLD: Span = Span::from_milliseconds(600);
-/// Time after which a suspected node is tried again even without a sign of life.
+/// Time after which a suspected node is treated as reachable again even if it sent no
+/// message.
 const SUSPICION_DURATION: Span = Span::from_milliseconds(5_000);
 
-/// What is known of a peer's process.
+/// Health of a peer as seen by this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Answers, or nothing speaks against it.
+    /// Responds, or there is no evidence of a failure.
     Reachable,
-    /// Did not answer lately.
+    /// Did not respond recently.
     Suspected,
 }
 
@@ -39,14 +41,14 @@
     }
 }
 
-/// Signs of life of all peers.
+/// Failure detector for all peers.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     peers: BTreeMap<NodeId, Peer>,
 }
 
 impl Detector {
-    /// Notes a message from a peer. Returns its previous incarnation if it restarted.
+    /// Records a message from a peer. Returns its previous incarnation if it restarted.
     pub fn heard(
         &mut self,
         node: NodeId,
@@ -66,24 +68,24 @@
         previous.filter(|newest| *newest != incarnation)
     }
 
-    /// Whether a message comes from a run of the node that has been replaced.
+    /// Whether `incarnation` is older than the newest known one of the node.
     pub fn is_outdated(&self, node: NodeId, incarnation: Incarnation) -> bool {
         let newest = self.peers.get(&node).and_then(|peer| peer.incarnation);
         newest.is_some_and(|newest| newest > incarnation)
     }
 
-    /// The run of the node last heard from.
+    /// The newest known incarnation of the node.
     pub fn incarnation(&self, node: NodeId) -> Option<Incarnation> {
         self.peers.get(&node)?.incarnation
     }
 
-    /// Notes that a probe was sent.
+    /// Records that a probe was sent.
     pub fn probed(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
         peer.probe_sent_at.get_or_insert(now);
     }
 
-    /// Notes that a message that wanted an answer got none.
+    /// Records that a message other than a probe got no reply.
     pub fn missed(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
         peer.consecutive_misses += 1;
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Notes what a peer says of its own draining.
+    /// Records whether a peer reports that it is draining.
     pub fn set_draining(&mut self, node: NodeId, draining: bool) {
         self.peers.entry(node).or_default().draining = draining;
     }
 
-    /// Counts probes that stayed unanswered; returns the peers newly suspected.
+    /// Counts unanswered probes and returns the peers that became suspected by this call.
     pub fn tick(&mut self, now: Timestamp) -> Vec<NodeId> {
         let mut newly_suspected = Vec::new();
         for (node, peer) in &mut self.peers {
@@ -116,7 +118,7 @@
         newly_suspected
     }
 
-    /// What is known of a peer.
+    /// Health of a peer; reachable if it is unknown.
     pub fn health(&self, node: NodeId, now: Timestamp) -> Health {
         let suspected = self.peers.get(&node).and_then(|peer| peer.suspected_at);
         match suspected {
@@ -125,18 +127,18 @@
         }
     }
 
-    /// Whether the peer said that it is draining.
+    /// Whether the peer reported that it is draining.
     pub fn is_draining(&self, node: NodeId) -> bool {
         self.peers.get(&node).is_some_and(|peer| peer.draining)
     }
 
-    /// Whether a message came from a peer within `span`.
+    /// Whether a message from the peer was received within the last `span`.
     pub fn heard_within(&self, node: NodeId, now: Timestamp, span: Span) -> bool {
         let peer = self.peers.get(&node);
         peer.is_some_and(|peer| peer.incarnation.is_some() && now.since(peer.last_heard) < span)
     }
 
-    /// A third node has heard from a suspected peer: it gets another chance.
+    /// Clears the suspicion of a peer that another node has heard from.
     pub fn pardon(&mut self, node: NodeId) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.consecutive_misses = 0;
@@ -145,7 +147,8 @@
         }
     }
 
-    /// After a pause nothing of the past counts against anyone.
+    /// Clears all suspicions after this process was paused, since missed replies may be
+    /// due to the pause.
     pub fn pardon_all(&mut self) {
         for peer in self.peers.values_mut() {
             peer.consecutive_misses = 0;
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Forgets peers that are no longer listed.
+    /// Removes peers that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(NodeId) -> bool) {
         self.peers.retain(|node, _| is_listed(*node));
     }
--- a/crates/coordination/membership/src/fleet.rs
+++ b/crates/coordination/membership/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The listed nodes, by zone, and who holds which cell.
+//! The listed nodes by zone, and the holders of cells among them.
 
 use crate::{Detector, Health};
 use eiderferry_types::{CellId, NodeId, Rendezvous, Timestamp, ZoneId};
@@ -11,23 +11,23 @@
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Whether the list says that it is leaving.
+    /// Whether it is listed as leaving.
     pub leaving: bool,
 }
 
-/// The listed nodes together with what probes say of them.
+/// The listed nodes together with their health.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     own_node: NodeId,
     own_zone: ZoneId,
     own_draining: bool,
     members: BTreeMap<NodeId, Member>,
-    /// Signs of life.
+    /// Failure detector for the peers.
     pub detector: Detector,
 }
 
 impl Fleet {
-    /// A fleet in which only this node is known.
+    /// Creates a fleet in which only this node is known.
     pub fn new(own_node: NodeId, own_zone: ZoneId) -> Self {
         Self {
             own_node,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes over a new list.
+    /// Replaces the list of nodes.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>) {
         self.members = members
             .into_iter()
@@ -48,7 +48,7 @@
         self.detector.retain(|node| listed.contains_key(&node));
     }
 
-    /// Notes that this node itself drains: it holds nothing any more.
+    /// Sets whether this node is draining; a draining node holds no cells.
     pub fn set_own_draining(&mut self, draining: bool) {
         self.own_draining = draining;
     }
@@ -58,7 +58,7 @@
         self.members.contains_key(&node)
     }
 
-    /// Listed nodes, this one included, that are not leaving.
+    /// Listed nodes that are not leaving; includes this node if it is listed.
     pub fn listed(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members
             .values()
@@ -84,12 +84,13 @@
             .collect()
     }
 
-    /// The node that holds the admission queue of a cell, as seen from here.
+    /// The node that holds the admission queue of a cell, as seen by this node.
     pub fn holder(&self, cell: CellId, now: Timestamp) -> Option<NodeId> {
         cell.owner(self.eligible_nodes(cell.zone, now))
     }
 
-    /// The nodes of this zone in the order in which they read for the others.
+    /// The eligible nodes of this zone in the order in which they are chosen to read
+    /// `document` for the others.
     pub fn readers(&self, document: &str, now: Timestamp) -> Vec<NodeId> {
         let key = document.rendezvous_key();
         let mut readers: Vec<NodeId> = self.eligible_nodes(self.own_zone, now).collect();
--- a/crates/coordination/membership/src/lib.rs
+++ b/crates/coordination/membership/src/lib.rs
@@ -1,8 +1,9 @@
-//! Which nodes of the fleet can be reached, and who holds what.
+//! The reachable nodes of the fleet, and the holders of cells among them.
 //!
-//! The platform's lagging list says which nodes exist; probes say which of them
-//! answer. Nothing here is agreed between nodes: two nodes may briefly name
-//! different holders of a cell. That costs efficiency, never a promise.
+//! The platform's list of nodes, which lags behind, gives the nodes that exist;
+//! probes show which of them respond. There is no consensus between nodes: two nodes
+//! may briefly consider different nodes the holder of a cell. This costs efficiency
+//! but violates no guarantee.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/membership/tests/detector.rs
+++ b/crates/coordination/membership/tests/detector.rs
@@ -1,4 +1,4 @@
-//! Suspicion and pardon.
+//! Suspicion of peers, restarts, and stable holders of cells.
 
 use eiderferry_membership::{Detector, Fleet, Health, Member};
 use eiderferry_types::{CellId, Incarnation, NodeId, PoolId, Span, Timestamp, ZoneId};
