--- a/crates/coordination/dissemination/src/lib.rs
+++ b/crates/coordination/dissemination/src/lib.rs
@@ -1,9 +1,9 @@
-//! Versions of the shared documents on one node, and how they spread.
+//! Versions of the shared documents on one node, and their distribution to peers.
 //!
-//! A [`Replica`] holds the newest version this node knows and the last few
-//! deltas. Versions only grow: an older one, from a stale platform or a peer, is
-//! never taken over. Peers pass on deltas; a whole document travels only to a
-//! node that has fallen too far behind.
+//! A [`Replica`] contains the newest version that this node knows and the most recent
+//! deltas. Versions only increase: an older one, from a stale platform or a peer, is
+//! never accepted. Peers send each other deltas; a whole document is sent only to a
+//! node that is too far behind.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/dissemination/src/reading.rs
+++ b/crates/coordination/dissemination/src/reading.rs
@@ -1,28 +1,31 @@
-//! Who reads the platform, and how often.
+//! Which nodes read documents from the platform, and how often.
 //!
-//! Two nodes of each zone read regularly; the others hear of changes from them.
-//! The platform's load therefore grows with the number of zones. A node that
-//! knows nothing yet, or hears of no peer in its zone, reads for itself.
+//! Two nodes of each zone read periodically; the others get changes from them. The
+//! platform's load therefore grows with the number of zones, not of nodes. A node
+//! that has no document yet reads for itself, and so does one that sees no reachable
+//! peer in its zone, since it is then the first reader.
 
 use eiderferry_types::{Span, Timestamp};
 
-/// Time between two reads of the first reader of a zone.
+/// Time between two reads of the first reader of a zone, and of any node with an
+/// urgent read.
 const FIRST_READER_INTERVAL: Span = Span::from_milliseconds(1_000);
-/// Time between two reads of the second reader, which stands in if the first fails.
+/// Time between two reads of the second reader, which covers a failure of the first.
 const SECOND_READER_INTERVAL: Span = Span::from_milliseconds(4_000);
-/// Shortest time between two reads after the platform failed.
+/// Base of the exponential back-off between failed reads. It is doubled with every
+/// consecutive failure, the first included, so that the shortest back-off is 2 s.
 const BACK_OFF_BASE: Span = Span::from_milliseconds(1_000);
-/// Longest time between two reads while the platform fails.
+/// Upper bound of the back-off between failed reads.
 const MAX_BACK_OFF: Span = Span::from_milliseconds(8_000);
 
-/// A node's place among the readers of its zone.
+/// Rank of a node among the readers of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderRank {
-    /// Reads for the zone.
+    /// Reads at the shorter interval.
     First,
-    /// Stands in for the first.
+    /// Reads at the longer interval, in case the first reader fails.
     Second,
-    /// Does not read.
+    /// Does not read unless a read is urgent.
     None,
 }
 
@@ -37,7 +40,7 @@
     }
 }
 
-/// When this node reads one document next.
+/// Schedule of this node's reads of one document.
 #[derive(Clone, Debug, Default)]
 pub struct ReadPlan {
     last_started: Option<Timestamp>,
@@ -45,11 +48,11 @@
     consecutive_failures: u32,
 }
 
-/// Time after which a read that was never answered counts as failed.
+/// Time after which an unanswered read no longer delays the next one.
 const READ_TIMEOUT: Span = Span::from_milliseconds(3_000);
 
 impl ReadPlan {
-    /// Whether to read now; if so, the read counts as started.
+    /// Whether a read is due; if so, it is recorded as started.
     pub fn start_if_due(&mut self, now: Timestamp, rank: ReaderRank, urgent: bool) -> bool {
         let Some(interval) = self.interval(rank, urgent) else {
             return false;
@@ -65,13 +68,13 @@
         true
     }
 
-    /// Whether a read is under way: an answer that comes while none is belongs to
-    /// one from before a pause.
+    /// Whether a read is in flight. A response that arrives while none is belongs to a
+    /// read started before the process was paused.
     pub fn is_reading(&self) -> bool {
         self.in_flight
     }
 
-    /// Notes how a read ended.
+    /// Records the result of a read.
     pub fn finished(&mut self, succeeded: bool) {
         self.in_flight = false;
         self.consecutive_failures = if succeeded {
@@ -81,7 +84,7 @@
         };
     }
 
-    /// Makes the next read due at once.
+    /// Discards a read in flight and makes the next one due immediately.
     pub fn hurry(&mut self) {
         self.last_started = None;
         self.in_flight = false;
--- a/crates/coordination/dissemination/src/replica.rs
+++ b/crates/coordination/dissemination/src/replica.rs
@@ -5,30 +5,30 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Deltas kept for peers that are a few versions behind.
+/// Maximum number of deltas kept for peers that are a few versions behind.
 const MAX_DELTAS: usize = 32;
 
-/// What brings a peer up to date.
+/// The data that brings a peer up to date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Update<Document, Delta> {
     /// The whole document.
     Whole(Document),
-    /// Changes to be applied in order.
+    /// Deltas to be applied in order.
     Deltas(Vec<Delta>),
 }
 
-/// What became of an offered version.
+/// Result of offering a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It is newer and in force now.
+    /// The version is newer and now current.
     Accepted,
-    /// It is not newer than what is known.
+    /// The version is not newer than the current one.
     NotNewer,
-    /// Deltas that don't start from the known version: the whole is needed.
+    /// The deltas don't start from the current version, so the whole document is needed.
     Gap,
 }
 
-/// The newest version of a document known to this node.
+/// The newest version of a document that is known to this node.
 #[derive(Clone, Debug)]
 pub struct Replica<Document: Versioned> {
     current: Option<Arc<Document>>,
@@ -45,19 +45,19 @@
 }
 
 impl<Document: Versioned> Replica<Document> {
-    /// The document in force, if any.
+    /// The current document, if any.
     pub fn current(&self) -> Option<&Arc<Document>> {
         self.current.as_ref()
     }
 
-    /// The version in force; zero stands for none.
+    /// The current version; zero if there is no document.
     pub fn version(&self) -> u64 {
         self.current
             .as_ref()
             .map_or(0, |document| document.version())
     }
 
-    /// Takes over a whole document if it is newer.
+    /// Replaces the document if the offered one is newer.
     pub fn offer(&mut self, document: Document) -> Acceptance {
         if document.version() <= self.version() {
             return Acceptance::NotNewer;
@@ -72,7 +72,7 @@
         Acceptance::Accepted
     }
 
-    /// The document that `update` leads to, without taking it over.
+    /// The document that results from `update`; the current one stays unchanged.
     pub fn preview(
         &self,
         update: &Update<Document, Document::Delta>,
@@ -101,7 +101,8 @@
         Ok(document)
     }
 
-    /// What a peer that has version `have` needs; `None` if it needs nothing.
+    /// The update for a peer that has `peer_version`; `None` if that is not older than the
+    /// current version.
     pub fn update_for(&self, peer_version: u64) -> Option<Update<Document, Document::Delta>> {
         let current = self.current.as_ref()?;
         if peer_version >= current.version() {
--- a/crates/coordination/dissemination/tests/replica.rs
+++ b/crates/coordination/dissemination/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Versions only grow, and peers pass on no more than is needed.
+//! Versions only increase, peers get no more than they need, and only readers read.
 
 use eiderferry_config::Directory;
 use eiderferry_dissemination::{Acceptance, ReadPlan, ReaderRank, Replica, Update};
