--- a/crates/state/config/src/delta.rs
+++ b/crates/state/config/src/delta.rs
@@ -36,30 +36,34 @@
 }
 
 impl<Id: Ord + Copy, Entry: Clone + PartialEq> ListDelta<Id, Entry> {
-    fn between(old: &[Entry], new: &[Entry], id: impl Fn(&Entry) -> Id) -> Self {
-        let old_by_id: BTreeMap<Id, &Entry> = old.iter().map(|entry| (id(entry), entry)).collect();
-        let new_by_id: BTreeMap<Id, &Entry> = new.iter().map(|entry| (id(entry), entry)).collect();
+    fn between(old: &[Entry], new: &[Entry], id_of: impl Fn(&Entry) -> Id) -> Self {
+        let old_by_id: BTreeMap<Id, &Entry> =
+            old.iter().map(|entry| (id_of(entry), entry)).collect();
+        let new_by_id: BTreeMap<Id, &Entry> =
+            new.iter().map(|entry| (id_of(entry), entry)).collect();
         let changed = new
             .iter()
-            .filter(|entry| old_by_id.get(&id(entry)) != Some(entry))
+            .filter(|entry| old_by_id.get(&id_of(entry)) != Some(entry))
             .cloned()
             .collect();
         let removed = old_by_id
             .keys()
-            .filter(|key| !new_by_id.contains_key(key))
+            .filter(|entry_id| !new_by_id.contains_key(entry_id))
             .copied()
             .collect();
         Self { changed, removed }
     }
 
-    fn apply(&self, old: &[Entry], id: impl Fn(&Entry) -> Id) -> Vec<Entry> {
-        let mut entries: BTreeMap<Id, Entry> =
-            old.iter().map(|entry| (id(entry), entry.clone())).collect();
-        for key in &self.removed {
-            entries.remove(key);
+    fn apply(&self, old: &[Entry], id_of: impl Fn(&Entry) -> Id) -> Vec<Entry> {
+        let mut entries: BTreeMap<Id, Entry> = old
+            .iter()
+            .map(|entry| (id_of(entry), entry.clone()))
+            .collect();
+        for entry_id in &self.removed {
+            entries.remove(entry_id);
         }
         for entry in &self.changed {
-            entries.insert(id(entry), entry.clone());
+            entries.insert(id_of(entry), entry.clone());
         }
         entries.into_values().collect()
     }
@@ -80,7 +84,7 @@
     tenants: ListDelta<TenantId, Tenant>,
 }
 
-fn changed<T: Clone + PartialEq>(old: &[T], new: &[T]) -> Option<Vec<T>> {
+fn if_changed<T: Clone + PartialEq>(old: &[T], new: &[T]) -> Option<Vec<T>> {
     (old != new).then(|| new.to_vec())
 }
 
@@ -95,9 +99,9 @@
         ConfigurationDelta {
             base: self.version,
             target: newer.version,
-            zones: changed(&self.zones, &newer.zones),
-            pools: changed(&self.pools, &newer.pools),
-            classes: changed(&self.classes, &newer.classes),
+            zones: if_changed(&self.zones, &newer.zones),
+            pools: if_changed(&self.pools, &newer.pools),
+            classes: if_changed(&self.classes, &newer.classes),
             repeat_window_ms: newer.repeat_window_ms,
             tenants: ListDelta::between(&self.tenants, &newer.tenants, |tenant| tenant.id),
         }
--- a/crates/state/config/src/error.rs
+++ b/crates/state/config/src/error.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn join(problems: &[Problem]) -> String {
+fn format_problems(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems
         .iter()
         .map(|problem| format!("  {problem}"))
@@ -46,7 +46,7 @@
         }
         /// The text has the right shape but its values don't fit together.
         Invalid(document: String, problems: Vec<Problem>) {
-            display("{document}: {} problem(s)\n{}", problems.len(), join(problems))
+            display("{document}: {} problem(s)\n{}", problems.len(), format_problems(problems))
         }
     }
 }
--- a/crates/state/config/src/published.rs
+++ b/crates/state/config/src/published.rs
@@ -192,7 +192,7 @@
 
     /// Checks that all values fit together.
     pub fn check(&self, document: &str) -> Result<(), ConfigurationError> {
-        let problems = validate::problems(self);
+        let problems = validate::find_problems(self);
         if problems.is_empty() {
             return Ok(());
         }
@@ -244,15 +244,15 @@
     /// Every digest is compared, so that the time taken says nothing of the key.
     pub fn tenant_for_key(&self, key: &str) -> Option<&Tenant> {
         let digest = KeyDigest::of(key);
-        let mut found = None;
+        let mut matching = None;
         for tenant in &self.tenants {
-            for candidate in &tenant.key_digests {
-                if candidate.matches(&digest) {
-                    found = Some(tenant);
+            for key_digest in &tenant.key_digests {
+                if key_digest.matches(&digest) {
+                    matching = Some(tenant);
                 }
             }
         }
-        found
+        matching
     }
 }
 
--- a/crates/state/config/src/validate.rs
+++ b/crates/state/config/src/validate.rs
@@ -6,21 +6,21 @@
 use std::fmt::Display;
 
 /// Number of service tiers: 1 is the highest.
-const TIERS: u8 = 7;
+const TIER_COUNT: u8 = 7;
 /// Largest request and answer budget that an engine may be given.
-const MAXIMUM_SLOTS: u32 = 4_096;
+const MAX_SLOTS_PER_BACK_END: u32 = 4_096;
 /// Length of a SHA-256 digest in hexadecimal.
-const DIGEST_LENGTH: usize = 64;
+const SHA256_HEX_LENGTH: usize = 64;
 
 /// Collects problems with their paths.
 #[derive(Default)]
-struct Report {
+struct Validator {
     problems: Vec<Problem>,
 }
 
-impl Report {
-    fn require(&mut self, holds: bool, path: String, value: impl Display, allowed: &str) {
-        if holds {
+impl Validator {
+    fn require(&mut self, is_valid: bool, path: String, value: impl Display, allowed: &str) {
+        if is_valid {
             return;
         }
         self.problems.push(Problem {
@@ -30,7 +30,7 @@
         });
     }
 
-    fn unique<T: Ord + Display + Copy>(&mut self, list: &str, field: &str, values: &[T]) {
+    fn require_unique<T: Ord + Display + Copy>(&mut self, list: &str, field: &str, values: &[T]) {
         let mut seen = BTreeSet::new();
         for (index, value) in values.iter().enumerate() {
             let path = format!("{list}[{index}].{field}");
@@ -40,24 +40,24 @@
 }
 
 /// Everything wrong with `configuration`, in the order of the document.
-pub fn problems(configuration: &Configuration) -> Vec<Problem> {
-    let mut report = Report::default();
-    check_identity(&mut report, configuration);
+pub fn find_problems(configuration: &Configuration) -> Vec<Problem> {
+    let mut validator = Validator::default();
+    check_top_level(&mut validator, configuration);
     for (index, pool) in configuration.pools.iter().enumerate() {
-        check_pool(&mut report, index, pool);
+        check_pool(&mut validator, index, pool);
     }
     for (index, class) in configuration.classes.iter().enumerate() {
-        check_class(&mut report, index, class);
+        check_class(&mut validator, index, class);
     }
-    check_shares(&mut report, configuration);
+    check_shares(&mut validator, configuration);
     for (index, tenant) in configuration.tenants.iter().enumerate() {
-        check_tenant(&mut report, configuration, index, tenant);
+        check_tenant(&mut validator, configuration, index, tenant);
     }
-    report.problems
+    validator.problems
 }
 
-fn check_identity(report: &mut Report, configuration: &Configuration) {
-    report.require(
+fn check_top_level(validator: &mut Validator, configuration: &Configuration) {
+    validator.require(
         configuration.version > 0,
         "version".into(),
         configuration.version,
@@ -67,54 +67,54 @@
     let pools = &configuration.pools;
     let classes = &configuration.classes;
     let tenants = &configuration.tenants;
-    report.require(
+    validator.require(
         !zones.is_empty(),
         "zones".into(),
         "none",
         "at least one zone",
     );
-    report.require(
+    validator.require(
         !classes.is_empty(),
         "classes".into(),
         "none",
         "at least one class",
     );
-    report.unique(
+    validator.require_unique(
         "zones",
         "id",
         &zones.iter().map(|zone| zone.id).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "pools",
         "id",
         &pools.iter().map(|pool| pool.id).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "classes",
         "id",
         &classes.iter().map(|class| class.id).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "tenants",
         "id",
         &tenants.iter().map(|tenant| tenant.id).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "zones",
         "name",
         &zones.iter().map(|zone| &*zone.name).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "pools",
         "name",
         &pools.iter().map(|pool| &*pool.name).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "classes",
         "name",
         &classes.iter().map(|class| &*class.name).collect::<Vec<_>>(),
     );
-    report.unique(
+    validator.require_unique(
         "tenants",
         "name",
         &tenants
@@ -124,22 +124,22 @@
     );
 }
 
-fn check_pool(report: &mut Report, index: usize, pool: &Pool) {
+fn check_pool(validator: &mut Validator, index: usize, pool: &Pool) {
     let path = |field: &str| format!("pools[{index}].{field}");
-    report.require(
-        (1..=MAXIMUM_SLOTS).contains(&pool.slots_per_back_end),
+    validator.require(
+        (1..=MAX_SLOTS_PER_BACK_END).contains(&pool.slots_per_back_end),
         path("slots_per_back_end"),
         pool.slots_per_back_end,
         "1 to 4096",
     );
-    report.require(
+    validator.require(
         pool.back_ends_per_cell > 0,
         path("back_ends_per_cell"),
         pool.back_ends_per_cell,
         "1 or more",
     );
     match pool.kind {
-        PoolKind::Engine => report.require(
+        PoolKind::Engine => validator.require(
             pool.model.as_ref().is_some_and(|model| !model.is_empty()),
             path("model"),
             "nothing",
@@ -147,9 +147,10 @@
         ),
         PoolKind::Service => {
             let prefix = pool.path_prefix.as_deref().unwrap_or("");
-            let fits = prefix.starts_with('/') && prefix.len() > 1 && !prefix.starts_with("/v1");
-            report.require(
-                fits,
+            let is_valid_prefix =
+                prefix.starts_with('/') && prefix.len() > 1 && !prefix.starts_with("/v1");
+            validator.require(
+                is_valid_prefix,
                 path("path_prefix"),
                 format!("{prefix:?}"),
                 "a path such as /library, not under /v1",
@@ -158,27 +159,27 @@
     }
 }
 
-fn check_class(report: &mut Report, index: usize, class: &Class) {
+fn check_class(validator: &mut Validator, index: usize, class: &Class) {
     let path = |field: &str| format!("classes[{index}].{field}");
-    report.require(
-        (1..=TIERS).contains(&class.tier.0),
+    validator.require(
+        (1..=TIER_COUNT).contains(&class.tier.0),
         path("tier"),
         class.tier,
         "1 (highest) to 7 (lowest)",
     );
-    report.require(
+    validator.require(
         class.time_to_first_token_ms > 0,
         path("time_to_first_token_ms"),
         class.time_to_first_token_ms,
         "1 or more",
     );
-    report.require(
+    validator.require(
         class.time_per_token_ms > 0,
         path("time_per_token_ms"),
         class.time_per_token_ms,
         "1 or more",
     );
-    report.require(
+    validator.require(
         (0.0..=1.0).contains(&class.minimum_share),
         path("minimum_share"),
         class.minimum_share,
@@ -186,30 +187,35 @@
     );
 }
 
-fn check_shares(report: &mut Report, configuration: &Configuration) {
-    let total: f64 = configuration
+fn check_shares(validator: &mut Validator, configuration: &Configuration) {
+    let share_sum: f64 = configuration
         .classes
         .iter()
         .map(|class| class.minimum_share)
         .sum();
-    report.require(
-        total <= 1.0 + f64::EPSILON,
+    validator.require(
+        share_sum <= 1.0 + f64::EPSILON,
         "classes[].minimum_share".into(),
-        format!("a sum of {total}"),
+        format!("a sum of {share_sum}"),
         "a sum of at most 1",
     );
 }
 
-fn check_tenant(report: &mut Report, configuration: &Configuration, index: usize, tenant: &Tenant) {
+fn check_tenant(
+    validator: &mut Validator,
+    configuration: &Configuration,
+    index: usize,
+    tenant: &Tenant,
+) {
     let path = |field: &str| format!("tenants[{index}].{field}");
-    report.require(
+    validator.require(
         !tenant.classes.is_empty(),
         path("classes"),
         "none",
         "at least one class; the first is the default",
     );
     for (position, name) in tenant.classes.iter().enumerate() {
-        report.require(
+        validator.require(
             configuration.class_named(name).is_some(),
             path(&format!("classes[{position}]")),
             name,
@@ -217,7 +223,7 @@
         );
     }
     for (position, name) in tenant.pools.iter().enumerate() {
-        report.require(
+        validator.require(
             configuration.pool_named(name).is_some(),
             path(&format!("pools[{position}]")),
             name,
@@ -225,16 +231,16 @@
         );
     }
     for (position, digest) in tenant.key_digests.iter().enumerate() {
-        let hexadecimal = digest.0.bytes().all(|byte| byte.is_ascii_hexdigit());
-        report.require(
-            digest.0.len() == DIGEST_LENGTH && hexadecimal,
+        let is_hexadecimal = digest.0.bytes().all(|byte| byte.is_ascii_hexdigit());
+        validator.require(
+            digest.0.len() == SHA256_HEX_LENGTH && is_hexadecimal,
             path(&format!("key_digests[{position}]")),
             "a text of another form",
             "SHA-256 of the key in 64 hexadecimal digits",
         );
     }
     for (position, limit) in tenant.limits.iter().enumerate() {
-        report.require(
+        validator.require(
             configuration.pool_named(&limit.pool).is_some(),
             path(&format!("limits[{position}].pool")),
             &limit.pool,
--- a/crates/state/config/tests/documents.rs
+++ b/crates/state/config/tests/documents.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn the_example_documents_are_valid() {
     assert_eq!(quetzal().tenants.len(), 10);
     assert!(Configuration::from_yaml("consortium", CONSORTIUM).is_ok());
     assert!(Settings::from_yaml("settings", SETTINGS).is_ok());
@@ -32,12 +32,12 @@
     "name: digest-engines",
     "a value used only once"
 )]
-fn errors_name_path_value_and_what_is_allowed(
-    #[case] from: &str,
-    #[case] to: &str,
+fn errors_state_the_path_the_value_and_what_is_allowed(
+    #[case] original: &str,
+    #[case] replacement: &str,
     #[case] expected: &str,
 ) {
-    let text = QUETZAL.replace(from, to);
+    let text = QUETZAL.replace(original, replacement);
     assert_ne!(text, QUETZAL, "the case changes nothing");
     let error = Configuration::from_yaml("file.yaml", &text)
         .expect_err("invalid")
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_delta_leads_to_the_newer_version_and_from_nowhere_else() {
+fn a_delta_applies_only_to_its_base_version() {
     let old = quetzal();
     let mut new = old.clone();
     new.version = 2;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn keys_are_found_by_their_digest_only() {
+fn a_tenant_is_found_by_the_digest_of_its_key() {
     let configuration = quetzal();
     let tenant = configuration
         .tenant_for_key("demo-key-onda-maya")
@@ -72,19 +72,19 @@
 #[test]
 fn the_longest_path_prefix_wins() {
     let mut configuration = quetzal();
-    let mut deeper = configuration.pools[1].clone();
-    deeper.path_prefix = Some("/playback/library".into());
-    deeper.name = "library".into();
-    configuration.pools.push(deeper);
-    let name = |path: &str| {
+    let mut nested_pool = configuration.pools[1].clone();
+    nested_pool.path_prefix = Some("/playback/library".into());
+    nested_pool.name = "library".into();
+    configuration.pools.push(nested_pool);
+    let pool_name = |path: &str| {
         configuration
             .pool_for_path(path)
             .map(|pool| pool.name.clone())
     };
     assert_eq!(
-        name("/playback/resume").as_deref(),
+        pool_name("/playback/resume").as_deref(),
         Some("playback-service")
     );
-    assert_eq!(name("/playback/library/1").as_deref(), Some("library"));
-    assert_eq!(name("/playbackx"), None);
+    assert_eq!(pool_name("/playback/library/1").as_deref(), Some("library"));
+    assert_eq!(pool_name("/playbackx"), None);
 }
