--- a/crates/state/config/src/delta.rs
+++ b/crates/state/config/src/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between two versions of a document, small enough to pass on.
+//! Deltas between two versions of a document, which peers send instead of the whole.
 
 use crate::{
     Class, Configuration, Directory, DirectoryEntry, Pool, Tenant, Zone, pack_directory_version,
@@ -9,29 +9,29 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// A document with versions that only grow.
+/// A document whose version increases with every change.
 pub trait Versioned: Clone + Debug + PartialEq {
-    /// The difference between two versions.
+    /// The changes between two versions.
     type Delta: Clone + Debug + PartialEq;
 
-    /// The version.
+    /// The version of this document.
     fn version(&self) -> u64;
-    /// What changes this version into `newer`.
+    /// The delta from this version to `newer`.
     fn delta_to(&self, newer: &Self) -> Self::Delta;
-    /// The version a delta starts from.
+    /// The version to which a delta applies.
     fn base_of(delta: &Self::Delta) -> u64;
-    /// The version a delta leads to.
+    /// The version that results from a delta.
     fn target_of(delta: &Self::Delta) -> u64;
-    /// Applies a delta; `None` if it does not start from this version.
+    /// Applies a delta; returns `None` if its base is another version.
     fn apply(&self, delta: &Self::Delta) -> Option<Self>;
 }
 
-/// Entries added or replaced, and entries removed, of a list with unique numbers.
+/// Changes to a list whose entries have unique ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta<Id, Entry> {
-    /// Added or replaced.
+    /// Entries that were added or replaced.
     pub changed: Vec<Entry>,
-    /// Removed.
+    /// Ids of entries that were removed.
     pub removed: Vec<Id>,
 }
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// Difference between two configurations.
+/// Delta between two configurations.
 ///
-/// The short lists travel whole when they change; tenants, of which there are
-/// thousands, travel one by one.
+/// A short list is included as a whole if it changed. Of the tenants, which number in
+/// the thousands, only those that changed are included.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
     base: u64,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Difference between two directories.
+/// Delta between two directories.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
     base: u64,
--- a/crates/state/config/src/error.rs
+++ b/crates/state/config/src/error.rs
@@ -1,16 +1,16 @@
-//! Errors of reading a document.
+//! Errors in reading and validating a document.
 
 use quick_error::quick_error;
 use std::fmt;
 
-/// One thing wrong in a document.
+/// One invalid value in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where: a path such as `classes[2].tier`.
+    /// Path of the value, such as `classes[2].tier`.
     pub path: String,
-    /// The value found there.
+    /// The value found, or a description of it.
     pub value: String,
-    /// What would be accepted.
+    /// The values that are allowed.
     pub allowed: String,
 }
 
@@ -33,18 +33,18 @@
 }
 
 quick_error! {
-    /// A document that can't be used. Nothing of it has been applied.
+    /// Why a document can't be used. No part of it has been applied.
     #[derive(Debug)]
     pub enum ConfigurationError {
         /// The file can't be read.
         Read(document: String, cause: std::io::Error) {
             display("{document}: can't be read: {cause}")
         }
-        /// The text is no YAML of the expected shape: unknown field, wrong type.
+        /// The text is not YAML, or does not match the schema: unknown field, wrong type.
         Syntax(document: String, cause: String) {
             display("{document}: {cause}")
         }
-        /// The text has the right shape but its values don't fit together.
+        /// The text matches the schema but has invalid or inconsistent values.
         Invalid(document: String, problems: Vec<Problem>) {
             display("{document}: {} problem(s)\n{}", problems.len(), format_problems(problems))
         }
--- a/crates/state/config/src/lib.rs
+++ b/crates/state/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The two documents a process reads: its own *settings* and the *published
-//! configuration* shared by the fleet.
+//! The documents that a process reads: its own *settings*, and the *published
+//! configuration* and the platform's *directory*, which the fleet shares.
 //!
-//! Both are YAML, typed, and checked as a whole before anything uses them. An
-//! error names the document, the path in it, the value found and what is allowed.
+//! Settings and configuration are YAML documents with a fixed schema. A configuration
+//! is validated as a whole before it is used; an error states the document, the path
+//! in it, the value found and what is allowed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/state/config/src/published.rs
+++ b/crates/state/config/src/published.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators publish, and the platform's directory.
+//! The published configuration and the platform's directory.
 
 use crate::ConfigurationError;
 use crate::validate;
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use subtle::ConstantTimeEq;
 
-/// Everything operators decide, in one version.
+/// The configuration that operators publish for the whole deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Version: each published change has a larger one.
+    /// Version; increases with every published change.
     pub version: u64,
-    /// How long an idempotency key stays valid after its last use, in milliseconds.
+    /// How long an idempotency key is kept after its last use, in milliseconds.
     #[serde(default = "default_repeat_window_ms")]
     pub repeat_window_ms: u64,
     /// Zones of the deployment.
@@ -35,17 +35,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Number used on the wire.
+    /// Number that identifies the zone on the wire.
     pub id: ZoneId,
-    /// Name used by people.
+    /// Human-readable name.
     pub name: String,
 }
 
-/// What the back ends of a pool are.
+/// Kind of the back ends of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Model engines that stream tokens.
+    /// Inference engines that stream tokens.
     Engine,
     /// Plain HTTP services.
     Service,
@@ -55,30 +55,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Number used on the wire.
+    /// Number that identifies the pool on the wire.
     pub id: PoolId,
-    /// Name used by people.
+    /// Human-readable name.
     pub name: String,
-    /// What the back ends are.
+    /// Kind of the back ends.
     pub kind: PoolKind,
-    /// Model name that callers ask for (engines).
+    /// Model name that callers request (engines only).
     #[serde(default)]
     pub model: Option<String>,
-    /// Path prefix routed here (services), such as `/library`.
+    /// Prefix of the paths that are routed to this pool (services only), such as
+    /// `/library`.
     #[serde(default)]
     pub path_prefix: Option<String>,
-    /// Requests one back end runs at once.
+    /// Maximum number of concurrent requests on one back end.
     pub slots_per_back_end: u32,
-    /// Tokens of context one engine holds in its KV cache.
+    /// Capacity of one engine's KV cache, in tokens.
     #[serde(default = "default_kv_tokens")]
     pub kv_tokens_per_back_end: u64,
-    /// Back ends in one admission queue at the most.
+    /// Maximum number of back ends in one cell, that is, in one admission queue.
     #[serde(default = "default_cell_size")]
     pub back_ends_per_cell: u32,
-    /// HTTP methods that may not be repeated (services), such as `POST`.
+    /// HTTP methods that must not be repeated (services only), such as `POST`.
     #[serde(default)]
     pub not_repeatable_methods: Vec<String>,
-    /// Whether the back ends refuse orders with an old fencing number.
+    /// Whether the back ends reject requests with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
 }
@@ -91,24 +92,25 @@
     24
 }
 
-/// A request class: its service level and its priority.
+/// A request class with its priority and latency targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Number used on the wire.
+    /// Number that identifies the class on the wire.
     pub id: ClassId,
-    /// Name callers give in the `eiderferry-class` header.
+    /// Name that callers send in the `eiderferry-class` header.
     pub name: String,
-    /// Priority; 1 is the highest.
+    /// Priority, 1 (highest) to 7 (lowest).
     pub tier: Tier,
     /// Target for the time from arrival to the first token, in milliseconds.
     pub time_to_first_token_ms: u64,
     /// Target for the mean time between tokens, in milliseconds.
     pub time_per_token_ms: u64,
-    /// Part of each pool's slots guaranteed to the class while it has work, 0 to 1.
+    /// Fraction of each pool's slots, 0 to 1, that is guaranteed to the class while it
+    /// has waiting requests.
     #[serde(default)]
     pub minimum_share: f64,
-    /// Answer length assumed until one has been learned, in tokens.
+    /// Response length in tokens that is assumed until one was observed.
     #[serde(default = "default_answer_tokens")]
     pub assumed_answer_tokens: u32,
 }
@@ -118,12 +120,12 @@
 }
 
 impl Class {
-    /// Target for the first token as a span.
+    /// Target for the time to the first token.
     pub fn first_token_target(&self) -> Span {
         Span::from_milliseconds(self.time_to_first_token_ms)
     }
 
-    /// Target between tokens as a span.
+    /// Target for the mean time between tokens.
     pub fn per_token_target(&self) -> Span {
         Span::from_milliseconds(self.time_per_token_ms)
     }
@@ -135,7 +137,7 @@
 pub struct KeyDigest(pub String);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         let digest = Sha256::digest(key.as_bytes());
         let text = digest.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -148,41 +150,42 @@
     }
 }
 
-/// One customer of the fleet.
+/// One tenant of the deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Number used on the wire.
+    /// Number that identifies the tenant on the wire.
     pub id: TenantId,
-    /// Name used by people.
+    /// Human-readable name.
     pub name: String,
     /// Digests of the bearer keys that identify the tenant.
     pub key_digests: Vec<KeyDigest>,
-    /// Names of the classes it may use; the first is the default.
+    /// Names of the classes that it may use; the first is the default.
     pub classes: Vec<String>,
-    /// Names of the pools it may use.
+    /// Names of the pools that it may use.
     pub pools: Vec<String>,
-    /// Limits for the whole deployment, per pool.
+    /// Limits on single pools.
     #[serde(default)]
     pub limits: Vec<TenantLimit>,
 }
 
-/// A tenant's limits on one pool, over all zones together.
+/// A tenant's limits on one pool, for the sum of all zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimit {
     /// Name of the pool.
     pub pool: String,
-    /// Requests running at once.
+    /// Maximum number of concurrent requests; no limit if absent.
     #[serde(default)]
     pub concurrency: Option<u32>,
-    /// Answer tokens a second, averaged over a few seconds.
+    /// Maximum response tokens per second, with bursts of a few seconds; no limit if
+    /// absent.
     #[serde(default)]
     pub tokens_per_second: Option<u32>,
 }
 
 impl Configuration {
-    /// Reads and checks a configuration; `document` names it in errors.
+    /// Parses and validates a configuration; `document` is its name in errors.
     pub fn from_yaml(document: &str, text: &str) -> Result<Self, ConfigurationError> {
         let configuration: Self = serde_saphyr::from_str(text)
             .map_err(|cause| ConfigurationError::Syntax(document.to_owned(), cause.to_string()))?;
@@ -190,7 +193,7 @@
         Ok(configuration)
     }
 
-    /// Checks that all values fit together.
+    /// Validates all values; `document` is the name in errors.
     pub fn check(&self, document: &str) -> Result<(), ConfigurationError> {
         let problems = validate::find_problems(self);
         if problems.is_empty() {
@@ -199,7 +202,7 @@
         Err(ConfigurationError::Invalid(document.to_owned(), problems))
     }
 
-    /// The class with this number.
+    /// The class with this id.
     pub fn class(&self, id: ClassId) -> Option<&Class> {
         self.classes.iter().find(|class| class.id == id)
     }
@@ -209,7 +212,7 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The pool with this number.
+    /// The pool with this id.
     pub fn pool(&self, id: PoolId) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.id == id)
     }
@@ -219,14 +222,14 @@
         self.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// The engine pool that serves `model`.
+    /// The pool that serves `model`.
     pub fn pool_for_model(&self, model: &str) -> Option<&Pool> {
         self.pools
             .iter()
             .find(|pool| pool.model.as_deref() == Some(model))
     }
 
-    /// The service pool whose path prefix fits `path`; the longest prefix wins.
+    /// The service pool with the longest path prefix that matches `path`.
     pub fn pool_for_path(&self, path: &str) -> Option<&Pool> {
         self.pools
             .iter()
@@ -234,14 +237,15 @@
             .max_by_key(|pool| pool.path_prefix.as_ref().map_or(0, String::len))
     }
 
-    /// The tenant with this number.
+    /// The tenant with this id.
     pub fn tenant(&self, id: TenantId) -> Option<&Tenant> {
         self.tenants.iter().find(|tenant| tenant.id == id)
     }
 
-    /// The tenant that holds a bearer key.
+    /// The tenant that a bearer key identifies.
     ///
-    /// Every digest is compared, so that the time taken says nothing of the key.
+    /// Every digest is compared, so that the time taken does not depend on which one
+    /// matches.
     pub fn tenant_for_key(&self, key: &str) -> Option<&Tenant> {
         let digest = KeyDigest::of(key);
         let mut matching = None;
@@ -257,7 +261,7 @@
 }
 
 impl Pool {
-    /// Whether `path` lies under this pool's prefix.
+    /// Whether `path` is under this pool's prefix, at a path segment boundary.
     pub fn serves_path(&self, path: &str) -> bool {
         let Some(prefix) = &self.path_prefix else {
             return false;
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Whether a call with this method may be sent twice.
+    /// Whether a request with this method may be sent more than once.
     pub fn is_repeatable(&self, method: &str) -> bool {
         !self
             .not_repeatable_methods
@@ -277,53 +281,55 @@
     }
 }
 
-/// Whether a machine takes new work.
+/// Whether a node or back end accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryState {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its running work and accepts no new work.
     Leaving,
 }
 
-/// One machine in the directory.
+/// One node or back end in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectoryEntry<Id, Role> {
-    /// Number of the machine.
+    /// Identifies the node or back end.
     pub id: Id,
     /// Its zone.
     pub zone: ZoneId,
-    /// What it does.
+    /// The pool of a back end; empty for a node.
     pub role: Role,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: EntryState,
 }
 
-/// The platform's lagging list of machines.
+/// The platform's list of nodes and back ends, which lags behind their actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Directory {
-    /// Epoch, 0 if absent: the platform raises it with each restore of the list from an older copy.
+    /// Epoch, 0 if absent. The platform increments it whenever it restores the list from an
+    /// older copy.
     #[serde(default)]
     pub epoch: u16,
-    /// Version, below 2^48: each change of the list within an epoch has a larger one. Versions
+    /// Version, below 2^48; increases with every change of the list within an epoch. Versions
     /// lost in a restore are reused in the next epoch.
     pub version: u64,
-    /// Entry nodes; the address is the one for messages between nodes.
+    /// Entry nodes with their addresses for messages between nodes.
     pub nodes: Vec<DirectoryEntry<NodeId, ()>>,
-    /// Back ends and the pool each belongs to.
+    /// Back ends with their pools.
     pub back_ends: Vec<DirectoryEntry<BackEndId, PoolId>>,
 }
 
-/// Width of the version in a packed directory version; the epoch is in the bits above.
+/// Width of the version in a packed directory version, in bits; the epoch is in the bits
+/// above.
 const VERSION_BITS: u32 = 48;
 
-/// Packs an epoch and a version into one number that orders directories by epoch, then by version.
-/// Versions of 2^48 and above are clamped to 2^48 - 1.
+/// Packs an epoch and a version into one number that orders directories by epoch, then by
+/// version. Versions of 2^48 and above are clamped to 2^48 - 1.
 pub fn pack_directory_version(epoch: u16, version: u64) -> u64 {
     let version = version.min((1 << VERSION_BITS) - 1);
     u64::from(epoch) << VERSION_BITS | version
@@ -336,12 +342,12 @@
 }
 
 impl Directory {
-    /// The back end with this number.
+    /// The back end with this id.
     pub fn back_end(&self, id: BackEndId) -> Option<&DirectoryEntry<BackEndId, PoolId>> {
         self.back_ends.iter().find(|entry| entry.id == id)
     }
 
-    /// The node with this number.
+    /// The node with this id.
     pub fn node(&self, id: NodeId) -> Option<&DirectoryEntry<NodeId, ()>> {
         self.nodes.iter().find(|entry| entry.id == id)
     }
--- a/crates/state/config/src/settings.rs
+++ b/crates/state/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, read from a file at its start.
+//! Settings of one process, which it reads from a file when it starts.
 
 use crate::{ConfigurationError, KeyDigest};
 use eiderferry_types::{NodeId, ZoneId};
@@ -6,70 +6,71 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// For machines.
+    /// One JSON object per line.
     Json,
 }
 
-/// How a node talks to its peers.
+/// Communication of a node with its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// UDP address for control messages; its TCP port of the same number serves documents.
+    /// UDP address for control messages; documents are served on the TCP port of the same
+    /// number.
     pub listen: SocketAddr,
-    /// Peers asked for their documents at start, before the directory is known.
+    /// Peers from which documents are requested at startup, before the directory is known.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// The operators' interface of a node.
+/// Operator interface of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Address of the interface.
+    /// Address on which the interface listens.
     pub listen: SocketAddr,
-    /// Digests of the tokens that operators may use. Without any, the interface is
-    /// open, and allowed on loopback addresses only.
+    /// Digests of the tokens that operators may use. Without any, the interface requires no
+    /// token and is allowed only on loopback addresses.
     #[serde(default)]
     pub token_digests: Vec<KeyDigest>,
 }
 
-/// Everything one entry node is told at its start.
+/// Settings of one entry node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Number of this node; unique in the deployment.
+    /// Id of this node; unique in the deployment.
     pub node: NodeId,
-    /// Zone this node stands in.
+    /// Zone in which this node runs.
     pub zone: ZoneId,
-    /// Address for callers.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Messages between nodes.
+    /// Communication with peers.
     pub peer: PeerSettings,
     /// Address of the platform's read-only service.
     pub platform: SocketAddr,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub maximum_body_bytes: usize,
-    /// Longest time a planned stop waits for running requests, in milliseconds.
+    /// Maximum time that a graceful shutdown waits for running requests, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_limit_ms: u64,
-    /// Idempotency keys and tickets remembered at once.
+    /// Maximum number of idempotency keys and tickets kept in memory.
     #[serde(default = "default_key_table_entries")]
     pub key_table_entries: usize,
-    /// Decisions remembered for explanations.
+    /// Maximum number of decisions kept to explain requests to operators.
     #[serde(default = "default_decision_log_entries")]
     pub decision_log_entries: usize,
-    /// The operators' interface, if any.
+    /// Operator interface; disabled if absent.
     #[serde(default)]
     pub operator: Option<OperatorSettings>,
-    /// Form of the log.
+    /// Format of the log lines.
     #[serde(default)]
     pub log_format: LogFormat,
 }
@@ -91,13 +92,13 @@
 }
 
 impl Settings {
-    /// Reads settings from text; `document` names it in errors.
+    /// Parses settings; `document` is their name in errors.
     pub fn from_yaml(document: &str, text: &str) -> Result<Self, ConfigurationError> {
         serde_saphyr::from_str(text)
             .map_err(|cause| ConfigurationError::Syntax(document.to_owned(), cause.to_string()))
     }
 
-    /// Reads settings from a file.
+    /// Reads and parses a settings file.
     pub fn from_file(path: &Path) -> Result<Self, ConfigurationError> {
         let document = path.display().to_string();
         let text = std::fs::read_to_string(path)
--- a/crates/state/config/src/validate.rs
+++ b/crates/state/config/src/validate.rs
@@ -1,18 +1,18 @@
-//! Checks that the values of a configuration fit together.
+//! Validates the values of a configuration.
 
 use crate::Problem;
 use crate::published::{Class, Configuration, Pool, PoolKind, Tenant};
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
-/// Number of service tiers: 1 is the highest.
+/// Number of priority tiers; tier 1 is the highest.
 const TIER_COUNT: u8 = 7;
-/// Largest request and answer budget that an engine may be given.
+/// Maximum number of slots of one back end.
 const MAX_SLOTS_PER_BACK_END: u32 = 4_096;
-/// Length of a SHA-256 digest in hexadecimal.
+/// Length of a SHA-256 digest in hexadecimal digits.
 const SHA256_HEX_LENGTH: usize = 64;
 
-/// Collects problems with their paths.
+/// Collects the problems found in a configuration.
 #[derive(Default)]
 struct Validator {
     problems: Vec<Problem>,
@@ -39,7 +39,8 @@
     }
 }
 
-/// Everything wrong with `configuration`, in the order of the document.
+/// Returns all problems of `configuration`: of the document as a whole, then of pools,
+/// classes and tenants.
 pub fn find_problems(configuration: &Configuration) -> Vec<Problem> {
     let mut validator = Validator::default();
     check_top_level(&mut validator, configuration);
@@ -235,7 +236,7 @@
         validator.require(
             digest.0.len() == SHA256_HEX_LENGTH && is_hexadecimal,
             path(&format!("key_digests[{position}]")),
-            "a text of another form",
+            "a value of another format",
             "SHA-256 of the key in 64 hexadecimal digits",
         );
     }
--- a/crates/state/config/tests/documents.rs
+++ b/crates/state/config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents are taken whole or refused with one clear error.
+//! Parsing, validation, deltas and look-ups of configuration and settings.
 
 use eiderferry_config::{Configuration, Settings, Versioned};
 use rstest::rstest;
