--- a/crates/coordination/membership/src/fleet.rs
+++ b/crates/coordination/membership/src/fleet.rs
@@ -76,10 +76,10 @@
         self.peers_matching(|member| member.zone != self.own_zone)
     }
 
-    fn peers_matching(&self, matches: impl Fn(&Member) -> bool) -> Vec<NodeId> {
+    fn peers_matching(&self, predicate: impl Fn(&Member) -> bool) -> Vec<NodeId> {
         self.members
             .values()
-            .filter(|member| member.node != self.own_node && matches(member))
+            .filter(|member| member.node != self.own_node && predicate(member))
             .map(|member| member.node)
             .collect()
     }
