--- a/crates/coordination/admission/src/cell/grants.rs
+++ b/crates/coordination/admission/src/cell/grants.rs
@@ -11,16 +11,16 @@
         if !self.policy.slow_detection {
             return;
         }
-        let mut speeds: Vec<f64> = self
+        let mut times_per_token: Vec<f64> = self
             .back_ends
             .values()
             .filter_map(BackEndState::time_per_token)
             .collect();
-        if speeds.len() < 2 {
+        if times_per_token.len() < 2 {
             return;
         }
-        speeds.sort_by(f64::total_cmp);
-        let median = speeds[(speeds.len() - 1) / 2];
+        times_per_token.sort_by(f64::total_cmp);
+        let median = times_per_token[(times_per_token.len() - 1) / 2];
         for back_end in self.back_ends.values_mut() {
             back_end.update_slowness(median);
         }
@@ -32,8 +32,8 @@
         if !self.policy.slow_detection {
             return;
         }
-        let running = self.classes.values().filter(|state| state.running > 0);
-        let tightest_running = running.map(|state| state.per_token_target).min();
+        let running_classes = self.classes.values().filter(|state| state.running > 0);
+        let tightest_running = running_classes.map(|state| state.per_token_target).min();
         let tightest_overall = self
             .classes
             .values()
@@ -53,8 +53,8 @@
         if self.is_taking_over(now) {
             return;
         }
-        let total = self.total_slots(now);
-        while self.grant_next(now, total) {}
+        let total_slots = self.total_slots(now);
+        while self.grant_next(now, total_slots) {}
     }
 
     fn grant_next(&mut self, now: Timestamp, total_slots: u32) -> bool {
@@ -78,11 +78,11 @@
         let Some(selected) = selected else {
             return false;
         };
-        let next = self.classes.get(&selected.class).and_then(|state| {
+        let next_ask = self.classes.get(&selected.class).and_then(|state| {
             let tenant = state.queue.next_tenant(fair, is_eligible)?;
             state.queue.front(tenant)
         });
-        let Some(ask) = next.cloned() else {
+        let Some(ask) = next_ask.cloned() else {
             return false;
         };
         let kv_tokens = self.kv_token_reservation(&ask);
--- a/crates/coordination/admission/src/cell/refusal.rs
+++ b/crates/coordination/admission/src/cell/refusal.rs
@@ -57,9 +57,9 @@
     }
 
     fn first_token_delay(&self, target: Span) -> Span {
-        let learned = span_from_microseconds(self.time_to_first_token.mean());
+        let average = span_from_microseconds(self.time_to_first_token.mean());
         let cap = span_from_microseconds(target.0 as f64 * MAX_FIRST_TOKEN_SHARE);
-        learned.min(cap)
+        average.min(cap)
     }
 
     /// Time that a request may still wait for a slot and get its first token when due.
@@ -81,8 +81,11 @@
         if wait.0 as f64 <= budget {
             return None;
         }
-        let retry = self.retry_after(now, ask.class);
-        Some(Refusal::not_run(Reason::DeadlineUnreachable, Some(retry)))
+        let retry_delay = self.retry_after(now, ask.class);
+        Some(Refusal::not_run(
+            Reason::DeadlineUnreachable,
+            Some(retry_delay),
+        ))
     }
 
     /// Whether a lower tier than that of `class` recently got slots outside its minimum
@@ -93,7 +96,7 @@
         };
         self.last_grant_outside_shares
             .range(Tier(state.tier.0 + 1)..)
-            .any(|(_, granted)| now.since(*granted) < LOWER_TIER_GRANT_WINDOW)
+            .any(|(_, granted_at)| now.since(*granted_at) < LOWER_TIER_GRANT_WINDOW)
     }
 
     pub(super) fn retry_after(&self, now: Timestamp, class: ClassId) -> Span {
@@ -107,13 +110,13 @@
         let Some(tier) = self.classes.get(&ask.class).map(|state| state.tier) else {
             return false;
         };
-        let lowest = self
+        let lowest_class = self
             .classes
             .iter()
             .filter(|(_, state)| state.tier > tier && !state.queue.is_empty())
             .max_by_key(|(class, state)| (state.tier, **class))
             .map(|(class, _)| *class);
-        let Some(class) = lowest else {
+        let Some(class) = lowest_class else {
             return false;
         };
         let displaced = self
@@ -157,8 +160,8 @@
                     Some(ExhaustedLimit::TokenRate) => Reason::TenantTokenRate,
                     None => Reason::DeadlinePassed,
                 };
-                let retry = self.retry_after(now, class);
-                self.refuse(&ask, Refusal::not_run(reason, Some(retry)));
+                let retry_delay = self.retry_after(now, class);
+                self.refuse(&ask, Refusal::not_run(reason, Some(retry_delay)));
             }
         }
     }
