--- a/crates/coordination/admission/src/back_end.rs
+++ b/crates/coordination/admission/src/back_end.rs
@@ -250,7 +250,7 @@
         self.external_requests = reported_requests.saturating_sub(own_peak);
     }
 
-    /// Uncounts an external request whose lease the entry node has now registered here.
+    /// Removes one external request, because its entry node has registered the lease here.
     pub fn remove_external_request(&mut self) {
         self.external_requests = self.external_requests.saturating_sub(1);
     }
--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -71,9 +71,9 @@
 pub struct ClassSnapshot {
     /// The class.
     pub class: ClassId,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
 }
 
@@ -93,7 +93,7 @@
 /// The admission queue of one cell of back ends.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Which cell.
+    /// Identifies the cell.
     pub id: CellId,
     policy: CellPolicy,
     classes: BTreeMap<ClassId, ClassState>,
--- a/crates/coordination/admission/src/cell/grants.rs
+++ b/crates/coordination/admission/src/cell/grants.rs
@@ -95,6 +95,7 @@
     }
 
     fn grant(&mut self, now: Timestamp, selected: SelectedClass, ask: Ask, back_end: BackEndId) {
+        // In response tokens; ten prompt tokens count as one.
         let work = f64::from(ask.prompt_tokens) / 10.0 + f64::from(self.expected_tokens(&ask));
         if let Some(state) = self.classes.get_mut(&selected.class) {
             state.queue.pop(ask.tenant, work);
--- a/crates/coordination/admission/src/policy.rs
+++ b/crates/coordination/admission/src/policy.rs
@@ -16,7 +16,7 @@
     pub early_refusal: bool,
     /// Back ends that have the prompt's prefix in their cache are preferred.
     pub prefix_affinity: bool,
-    /// Slow back ends get fewer slots.
+    /// Slow back ends get fewer slots and a higher placement cost.
     pub slow_detection: bool,
     /// Within a class, the tenant with the fewest tokens served goes first.
     pub tenant_fairness: bool,
