--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -1,12 +1,12 @@
-//! The admission queue itself.
+//! The admission queue and the state of its leases.
 
+mod grants;
 mod refusal;
-mod serving;
 
 use crate::back_end::{BackEndState, LoadReport};
-use crate::estimate::{AnswerLengths, Average, Rate};
+use crate::estimate::{EventRate, MovingAverage, ResponseLengths};
 use crate::selection::ClassState;
-use crate::tenant_use::TenantUse;
+use crate::tenant_usage::TenantUsage;
 use crate::{Ask, CellPolicy, Observation, Outcome, Ticket};
 use eiderferry_config::Configuration;
 use eiderferry_types::{
@@ -15,17 +15,18 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use crate::tenant_use::Allowance;
-use refusal::SHORTEST_RETRY;
+pub use crate::tenant_usage::Allowance;
+use refusal::MIN_RETRY_DELAY;
 
-/// Weight of one lease in the learned holding time.
-const HOLDING_WEIGHT: f64 = 0.05;
-/// Holding time assumed before any lease has ended, in microseconds.
-const ASSUMED_HOLDING: f64 = 4_000_000.0;
-/// Time to first token assumed before any was seen, in microseconds.
-const ASSUMED_FIRST_TOKEN: f64 = 200_000.0;
+/// Weight of one lease in the moving averages of lease duration and time to first
+/// token.
+const LEASE_SAMPLE_WEIGHT: f64 = 0.05;
+/// Lease duration assumed before any lease has completed, in microseconds.
+const INITIAL_LEASE_DURATION_US: f64 = 4_000_000.0;
+/// Time to first token assumed before any was observed, in microseconds.
+const INITIAL_TIME_TO_FIRST_TOKEN_US: f64 = 200_000.0;
 
-/// A slot handed out.
+/// The lease of one slot.
 #[derive(Clone, Debug)]
 struct Lease {
     class: ClassId,
@@ -33,88 +34,89 @@
     back_end: BackEndId,
     kv_tokens: u64,
     expected_tokens: u32,
-    granted: Timestamp,
+    granted_at: Timestamp,
 }
 
 /// A decision of the cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEvent {
-    /// A slot was leased.
+    /// A slot was granted.
     Granted {
-        /// Name of the lease.
+        /// Identifies the lease.
         ticket: Ticket,
-        /// Where the request may run.
+        /// The back end on which the request may run.
         back_end: BackEndId,
         /// Class of the request.
         class: ClassId,
-        /// Whether it was served for its class's minimum share.
+        /// Whether the slot was granted from the minimum share of the class.
         by_share: bool,
-        /// Time it waited here.
+        /// Time that the request waited in the queue.
         waited: Span,
     },
-    /// The request won't get a slot.
+    /// The request was refused a slot.
     Refused {
-        /// The attempt.
+        /// The refused attempt.
         ticket: Ticket,
         /// Class of the request.
         class: ClassId,
-        /// When it came here.
+        /// When the request reached the holder.
         arrived: Timestamp,
-        /// Why, and when to come back.
+        /// The reason, and when to retry.
         refusal: Refusal,
     },
 }
 
-/// Figures of one class in a cell.
+/// State of one class in a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSnapshot {
     /// The class.
     pub class: ClassId,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: usize,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// Figures of a cell for operators and experiments.
+/// State of a cell for operators and experiments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellSnapshot {
     /// Usable slots of all available back ends.
     pub total_slots: u32,
-    /// Leases now.
+    /// Current leases.
     pub leases: usize,
-    /// Per class.
+    /// State of each class.
     pub classes: Vec<ClassSnapshot>,
-    /// Back end, requests running, slowness, leaving.
+    /// For each back end: id, running requests, slowness, whether it is leaving.
     pub back_ends: Vec<(BackEndId, u32, f64, bool)>,
 }
 
 /// The admission queue of one cell of back ends.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Which cell.
+    /// Identifies the cell.
     pub id: CellId,
     policy: CellPolicy,
     classes: BTreeMap<ClassId, ClassState>,
     back_ends: BTreeMap<BackEndId, BackEndState>,
     leases: BTreeMap<Ticket, Lease>,
-    tenants: TenantUse,
-    lengths: AnswerLengths<(ClassId, TenantId)>,
-    holding: Average,
-    first_token: Average,
-    /// Last grant outside minimum shares, per tier.
-    last_open_grant: BTreeMap<Tier, Timestamp>,
-    /// Until then a new holder waits for load reports before it hands out slots.
-    learning_until: Timestamp,
-    /// Until then a new holder collects what owners ask for again.
-    collecting_until: Timestamp,
-    /// Back ends that have not reported since the holder took over.
+    tenant_usage: TenantUsage,
+    response_lengths: ResponseLengths<(ClassId, TenantId)>,
+    lease_duration: MovingAverage,
+    time_to_first_token: MovingAverage,
+    /// Time of the last grant outside the minimum shares, for each tier.
+    last_grant_outside_shares: BTreeMap<Tier, Timestamp>,
+    /// Until this time a new holder grants no slots unless all back ends have reported
+    /// their load.
+    report_wait_until: Timestamp,
+    /// Until this time a new holder collects repeated requests without granting any.
+    collection_until: Timestamp,
+    /// Back ends that have not reported their load since this holder took over.
     unreported: BTreeSet<BackEndId>,
     events: Vec<CellEvent>,
 }
 
 impl Cell {
-    /// A cell with no back ends and no classes.
+    /// Creates a cell without back ends and classes.
     pub fn new(id: CellId, policy: CellPolicy) -> Self {
         Self {
             id,
@@ -122,42 +124,46 @@
             classes: BTreeMap::new(),
             back_ends: BTreeMap::new(),
             leases: BTreeMap::new(),
-            tenants: TenantUse::default(),
-            lengths: AnswerLengths::default(),
-            holding: Average::new(ASSUMED_HOLDING, HOLDING_WEIGHT),
-            first_token: Average::new(ASSUMED_FIRST_TOKEN, HOLDING_WEIGHT),
-            last_open_grant: BTreeMap::new(),
-            learning_until: Timestamp::default(),
-            collecting_until: Timestamp::default(),
+            tenant_usage: TenantUsage::default(),
+            response_lengths: ResponseLengths::default(),
+            lease_duration: MovingAverage::new(INITIAL_LEASE_DURATION_US, LEASE_SAMPLE_WEIGHT),
+            time_to_first_token: MovingAverage::new(
+                INITIAL_TIME_TO_FIRST_TOKEN_US,
+                LEASE_SAMPLE_WEIGHT,
+            ),
+            last_grant_outside_shares: BTreeMap::new(),
+            report_wait_until: Timestamp::default(),
+            collection_until: Timestamp::default(),
             unreported: BTreeSet::new(),
             events: Vec::new(),
         }
     }
 
-    /// Begins to learn what earlier holders placed: no slot is handed out until
-    /// every back end has reported its load, or the learning time is over, and owners
-    /// have had the time to ask again.
+    /// Starts the takeover from an earlier holder, whose leases are not known yet: no
+    /// slot is granted before the collection wait is over, nor before every back end
+    /// has reported its load or the report wait is over.
     pub fn start_learning(&mut self, now: Timestamp) {
-        self.learning_until = now + self.policy.learning_time;
-        self.collecting_until = now + self.policy.collecting_time;
+        self.report_wait_until = now + self.policy.report_wait;
+        self.collection_until = now + self.policy.collection_wait;
         self.unreported = self.back_ends.keys().copied().collect();
     }
 
-    fn is_learning(&self, now: Timestamp) -> bool {
-        let is_unreported = now < self.learning_until && !self.unreported.is_empty();
-        is_unreported || now < self.collecting_until
+    fn is_taking_over(&self, now: Timestamp) -> bool {
+        let awaits_reports = now < self.report_wait_until && !self.unreported.is_empty();
+        awaits_reports || now < self.collection_until
     }
 
-    /// Applies a configuration. Requests of classes that are gone are refused.
+    /// Applies a configuration. Waiting requests of removed classes are refused.
     pub fn configure(&mut self, now: Timestamp, configuration: &Configuration) {
-        let kept: BTreeSet<ClassId> = configuration.classes.iter().map(|class| class.id).collect();
-        let gone: Vec<ClassId> = self
+        let listed_ids: BTreeSet<ClassId> =
+            configuration.classes.iter().map(|class| class.id).collect();
+        let removed_classes: Vec<ClassId> = self
             .classes
             .keys()
             .copied()
-            .filter(|id| !kept.contains(id))
+            .filter(|id| !listed_ids.contains(id))
             .collect();
-        for class in gone {
+        for class in removed_classes {
             self.refuse_class(class);
         }
         for class in &configuration.classes {
@@ -168,7 +174,7 @@
                 assumed_answer_tokens: class.assumed_answer_tokens,
                 queue: Default::default(),
                 running: 0,
-                arrivals: Rate::new(now),
+                arrival_rate: EventRate::new(now),
             });
             state.tier = class.tier;
             state.minimum_share = class.minimum_share;
@@ -180,7 +186,7 @@
                 back_end.set_limits(pool.slots_per_back_end, pool.kv_tokens_per_back_end);
             }
         }
-        self.tenants.clear_allowances();
+        self.tenant_usage.clear_allowances();
     }
 
     fn refuse_class(&mut self, class: ClassId) {
@@ -192,17 +198,18 @@
         }
     }
 
-    /// Sets what one tenant may use of this cell.
+    /// Sets the part of a tenant's limits that this cell may grant.
     pub fn set_allowance(&mut self, tenant: TenantId, allowance: Allowance) {
-        self.tenants.set_allowance(tenant, allowance);
+        self.tenant_usage.set_allowance(tenant, allowance);
     }
 
-    /// Sets the back ends of this cell: number, slots, KV tokens, leaving.
+    /// Sets the back ends of this cell: id, slots, KV cache tokens, whether it is leaving.
     ///
-    /// Leases on a back end that is gone stay until their owners release them.
+    /// Leases on a removed back end stay until the entry nodes that own them release
+    /// them.
     pub fn set_back_ends(&mut self, listed: &[(BackEndId, u32, u64, bool)]) {
-        let kept: BTreeSet<BackEndId> = listed.iter().map(|entry| entry.0).collect();
-        self.back_ends.retain(|id, _| kept.contains(id));
+        let listed_ids: BTreeSet<BackEndId> = listed.iter().map(|entry| entry.0).collect();
+        self.back_ends.retain(|id, _| listed_ids.contains(id));
         for (id, slots, kv_tokens, leaving) in listed {
             let back_end = self
                 .back_ends
@@ -217,7 +224,8 @@
         self.back_ends.values()
     }
 
-    /// Takes in a request for a slot. Asking again with the same ticket is harmless.
+    /// Handles a request for a slot. A repeat with the same ticket takes no second
+    /// slot; if the slot is already leased, the grant is sent again.
     pub fn ask(&mut self, now: Timestamp, ask: Ask) {
         if let Some(lease) = self.leases.get(&ask.ticket) {
             let event = CellEvent::Granted {
@@ -233,19 +241,19 @@
         let Some(state) = self.classes.get_mut(&ask.class) else {
             self.refuse(
                 &ask,
-                Refusal::not_run(Reason::NotReady, Some(SHORTEST_RETRY)),
+                Refusal::not_run(Reason::NotReady, Some(MIN_RETRY_DELAY)),
             );
             return;
         };
         if state.queue.contains(&ask.ticket) {
             return;
         }
-        state.arrivals.record(now);
+        state.arrival_rate.record(now);
         if let Some(refusal) = self.early_refusal(now, &ask) {
             self.refuse(&ask, refusal);
             return;
         }
-        if self.waiting() >= self.policy.maximum_waiting && !self.displace(&ask) {
+        if self.waiting() >= self.policy.maximum_waiting && !self.displace_lower_tier(&ask) {
             let refusal =
                 Refusal::not_run(Reason::QueueFull, Some(self.retry_after(now, ask.class)));
             self.refuse(&ask, refusal);
@@ -254,17 +262,17 @@
         if let Some(state) = self.classes.get_mut(&ask.class) {
             state.queue.push(ask);
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    /// Whether an attempt waits here.
+    /// Whether an attempt waits in the queue.
     pub fn is_waiting(&self, ticket: &Ticket) -> bool {
         self.classes
             .values()
             .any(|state| state.queue.contains(ticket))
     }
 
-    /// Nodes that hold leases or wait here.
+    /// Entry nodes that own leases or waiting requests.
     pub fn owners(&self) -> BTreeSet<NodeId> {
         let waiting = self
             .classes
@@ -276,7 +284,7 @@
             .collect()
     }
 
-    /// Takes a waiting request out; its caller went away.
+    /// Removes a waiting request whose caller disconnected.
     pub fn withdraw(&mut self, ticket: &Ticket) {
         for state in self.classes.values_mut() {
             if state.queue.remove(ticket).is_some() {
@@ -285,51 +293,52 @@
         }
     }
 
-    /// Takes a slot back and learns from its use.
+    /// Releases a slot and updates the averages from its use.
     pub fn release(&mut self, now: Timestamp, ticket: &Ticket, observation: &Observation) {
         self.withdraw(ticket);
         let Some(lease) = self.leases.remove(ticket) else {
             return;
         };
-        self.vacate(now, &lease, observation.tokens);
+        self.free_lease(now, &lease, observation.tokens);
         if let Some(span) = observation.first_token {
-            self.first_token.record(span.0 as f64);
+            self.time_to_first_token.record(span.0 as f64);
         }
         if observation.outcome == Outcome::Completed {
-            self.holding.record(now.since(lease.granted).0 as f64);
-            self.lengths
+            self.lease_duration
+                .record(now.since(lease.granted_at).0 as f64);
+            self.response_lengths
                 .record((lease.class, lease.tenant), observation.tokens);
         }
         if let Some(back_end) = self.back_ends.get_mut(&lease.back_end) {
             back_end.observe(now, observation);
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    fn vacate(&mut self, now: Timestamp, lease: &Lease, used_tokens: u32) {
+    fn free_lease(&mut self, now: Timestamp, lease: &Lease, used_tokens: u32) {
         if let Some(state) = self.classes.get_mut(&lease.class) {
             state.running = state.running.saturating_sub(1);
         }
         if let Some(back_end) = self.back_ends.get_mut(&lease.back_end) {
-            back_end.vacate(lease.kv_tokens);
+            back_end.free_slot(lease.kv_tokens);
         }
-        self.tenants
+        self.tenant_usage
             .finish(lease.tenant, now, lease.expected_tokens, used_tokens);
     }
 
-    /// Learns of a lease that an earlier holder granted.
+    /// Registers a lease that an earlier holder granted.
     pub fn register(&mut self, now: Timestamp, ask: &Ask, back_end: BackEndId) {
         if self.leases.contains_key(&ask.ticket) {
             return;
         }
         self.withdraw(&ask.ticket);
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.recognise();
+            state.remove_external_request();
         }
         self.lease(now, ask, back_end);
     }
 
-    /// Drops everything that a node asked for in runs other than `current`.
+    /// Drops the requests and leases of a node's incarnations other than `current`.
     pub fn forget_node(&mut self, now: Timestamp, node: NodeId, current: Option<Incarnation>) {
         let is_lost = |ticket: &Ticket| {
             ticket.request.node == node && Some(ticket.request.incarnation) != current
@@ -340,39 +349,40 @@
         let lost: Vec<Ticket> = self.leases.keys().copied().filter(is_lost).collect();
         for ticket in lost {
             if let Some(lease) = self.leases.remove(&ticket) {
-                self.vacate(now, &lease, lease.expected_tokens);
+                self.free_lease(now, &lease, lease.expected_tokens);
             }
         }
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    /// Takes in a back end's load report.
+    /// Applies a back end's load report.
     pub fn report(&mut self, now: Timestamp, back_end: BackEndId, report: &LoadReport) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.report(now, report);
+            state.apply_load_report(now, report);
         }
         self.unreported.remove(&back_end);
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    /// Notes that a back end is asked for its load: one that does not answer
-    /// several times gets nothing until it does.
+    /// Records that a back end is polled for its load: after several unanswered polls
+    /// it gets no new requests until it responds.
     pub fn note_poll(&mut self, back_end: BackEndId) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
-            state.note_poll();
+            state.record_poll();
         }
     }
 
-    /// Leases older than `age`, so that the holder can ask their owners about them.
+    /// Leases at least as old as `age`, so that the holder can ask the entry nodes
+    /// whether they are still in use.
     pub fn leases_older_than(&self, now: Timestamp, age: Span) -> Vec<Ticket> {
         self.leases
             .iter()
-            .filter(|(_, lease)| now.since(lease.granted) >= age)
+            .filter(|(_, lease)| now.since(lease.granted_at) >= age)
             .map(|(ticket, _)| *ticket)
             .collect()
     }
 
-    /// Takes in a speed seen in the middle of an answer.
+    /// Records the time per token observed while a response is still streaming.
     pub fn observe_speed(&mut self, now: Timestamp, back_end: BackEndId, per_token: Span) {
         let observation = Observation {
             per_token: Some(per_token),
@@ -383,7 +393,8 @@
         }
     }
 
-    /// Takes in cache events of a back end; `gap` says that some were missed.
+    /// Applies cache events of a back end; `gap` means that some were lost, so that
+    /// earlier knowledge of its cache is discarded.
     pub fn cache_events(
         &mut self,
         back_end: BackEndId,
@@ -405,20 +416,22 @@
         }
     }
 
-    /// Regular work: refuses what can no longer be served in time, compares speeds.
+    /// Periodic work: updates slowness and slot limits, and refuses waiting requests
+    /// that would miss their deadline.
     pub fn tick(&mut self, now: Timestamp) {
-        self.judge_speeds();
+        self.update_slowness();
         self.adapt_slots();
         self.refuse_expired(now);
-        self.serve(now);
+        self.grant_free_slots(now);
     }
 
-    /// Decisions made since the last call.
+    /// Drains the decisions made since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Gives up everything that waits, so that the owners ask the next holder.
+    /// Removes all waiting requests and returns their tickets, so that the entry nodes
+    /// can send them to the next holder.
     pub fn abandon(&mut self) -> Vec<Ticket> {
         let mut abandoned = Vec::new();
         for state in self.classes.values_mut() {
@@ -428,22 +441,23 @@
         abandoned
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.classes.values().map(|state| state.queue.len()).sum()
     }
 
-    /// Leases now.
+    /// Number of current leases.
     pub fn leases(&self) -> usize {
         self.leases.len()
     }
 
-    /// Requests each tenant runs here.
+    /// Running requests of each tenant. Tenants without running requests may be
+    /// included with zero.
     pub fn tenants_running(&self) -> impl Iterator<Item = (TenantId, u32)> + '_ {
-        self.tenants.iter()
+        self.tenant_usage.running_by_tenant()
     }
 
-    /// Usable slots of all back ends that take work.
+    /// Usable slots of all available back ends.
     pub fn total_slots(&self, now: Timestamp) -> u32 {
         self.back_ends
             .values()
@@ -452,7 +466,7 @@
             .sum()
     }
 
-    /// Figures for operators and experiments.
+    /// The state of the cell for operators and experiments.
     pub fn snapshot(&self, now: Timestamp) -> CellSnapshot {
         let classes = self.classes.iter().map(|(class, state)| ClassSnapshot {
             class: *class,
--- a/crates/coordination/admission/src/estimate.rs
+++ b/crates/coordination/admission/src/estimate.rs
@@ -1,29 +1,30 @@
-//! Learned averages.
+//! Moving averages of observed quantities.
 
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeMap;
 
-/// Exponentially weighted mean and mean deviation of a quantity.
+/// Exponentially weighted mean and mean absolute deviation of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Average {
+pub struct MovingAverage {
     mean: f64,
     deviation: f64,
     weight: f64,
     samples: u64,
 }
 
-impl Average {
-    /// An average that starts at `assumed`; each sample counts with `weight`.
-    pub fn new(assumed: f64, weight: f64) -> Self {
+impl MovingAverage {
+    /// Creates an average with the mean `initial`; each sample has the given `weight`,
+    /// 0 to 1.
+    pub fn new(initial: f64, weight: f64) -> Self {
         Self {
-            mean: assumed,
-            deviation: assumed / 2.0,
+            mean: initial,
+            deviation: initial / 2.0,
             weight,
             samples: 0,
         }
     }
 
-    /// Takes in one sample. The first one replaces the assumption.
+    /// Adds a sample. The first one replaces the initial mean.
     pub fn record(&mut self, sample: f64) {
         if self.samples == 0 {
             self.mean = sample;
@@ -34,89 +35,91 @@
         self.deviation += self.weight * (difference.abs() - self.deviation);
     }
 
-    /// The mean.
+    /// The current mean.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// A value that most samples stay below.
-    pub fn high(&self) -> f64 {
+    /// A value that most samples are expected to stay below: mean plus mean deviation.
+    pub fn upper_estimate(&self) -> f64 {
         self.mean + self.deviation
     }
 
-    /// Samples taken in.
+    /// Number of samples added.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 }
 
-/// Events a second, averaged over a sliding time constant.
+/// Events per second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub struct EventRate {
     per_second: f64,
-    last: Timestamp,
+    updated_at: Timestamp,
 }
 
-/// Time constant of [`Rate`].
-const RATE_WINDOW_SECONDS: f64 = 2.0;
+/// Time constant of [`EventRate`].
+const RATE_TIME_CONSTANT_SECONDS: f64 = 2.0;
 
-impl Rate {
-    /// A rate of zero.
+impl EventRate {
+    /// Creates a rate of zero.
     pub fn new(now: Timestamp) -> Self {
         Self {
             per_second: 0.0,
-            last: now,
+            updated_at: now,
         }
     }
 
-    /// Counts one event.
+    /// Adds one event.
     pub fn record(&mut self, now: Timestamp) {
-        self.per_second = self.per_second(now) + 1.0 / RATE_WINDOW_SECONDS;
-        self.last = now;
+        self.per_second = self.per_second(now) + 1.0 / RATE_TIME_CONSTANT_SECONDS;
+        self.updated_at = now;
     }
 
-    /// The rate as of now.
+    /// The rate at the time `now`.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.last).seconds();
-        self.per_second * (-age / RATE_WINDOW_SECONDS).exp()
+        let elapsed = now.since(self.updated_at).seconds();
+        self.per_second * (-elapsed / RATE_TIME_CONSTANT_SECONDS).exp()
     }
 }
 
-/// Weight of one answer in a learned answer length.
-const LENGTH_WEIGHT: f64 = 0.05;
-/// Learned lengths kept at the most; past that, new keys use the assumption.
-const MAXIMUM_LENGTHS: usize = 20_000;
+/// Weight of one response in an average response length.
+const LENGTH_SAMPLE_WEIGHT: f64 = 0.05;
+/// Maximum number of keys with an average length; further keys use the initial
+/// length.
+const MAX_LENGTH_KEYS: usize = 20_000;
 
-/// Learned answer lengths per key.
+/// Average response lengths, in tokens, for each key.
 ///
-/// Nobody knows the length of an answer beforehand: these feed reservations and
-/// fairness, never a promise.
+/// The length of a response is not known in advance: these estimates are used for
+/// reservations and fairness, and no guarantee depends on them.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerLengths<Key: Ord> {
-    lengths: BTreeMap<Key, Average>,
+pub struct ResponseLengths<Key: Ord> {
+    lengths: BTreeMap<Key, MovingAverage>,
 }
 
-impl<Key: Ord> AnswerLengths<Key> {
-    /// Takes in the length of one complete answer.
+impl<Key: Ord> ResponseLengths<Key> {
+    /// Adds the length of one complete response.
     pub fn record(&mut self, key: Key, tokens: u32) {
-        if self.lengths.len() >= MAXIMUM_LENGTHS && !self.lengths.contains_key(&key) {
+        if self.lengths.len() >= MAX_LENGTH_KEYS && !self.lengths.contains_key(&key) {
             return;
         }
         self.lengths
             .entry(key)
-            .or_insert_with(|| Average::new(f64::from(tokens), LENGTH_WEIGHT))
+            .or_insert_with(|| MovingAverage::new(f64::from(tokens), LENGTH_SAMPLE_WEIGHT))
             .record(f64::from(tokens));
     }
 
-    /// A length that most answers of this key stay below.
-    pub fn high(&self, key: &Key, assumed: u32) -> u32 {
+    /// A length that most responses of this key are expected to stay below; `initial` if
+    /// none was recorded.
+    pub fn upper_estimate(&self, key: &Key, initial: u32) -> u32 {
         self.lengths
             .get(key)
-            .map_or(assumed, |average| average.high() as u32)
+            .map_or(initial, |average| average.upper_estimate() as u32)
     }
 }
 
-/// Converts a mean in microseconds to a span.
-pub fn span_of(microseconds: f64) -> Span {
+/// Converts microseconds to a span; negative values become zero.
+pub fn span_from_microseconds(microseconds: f64) -> Span {
     Span(microseconds.max(0.0) as u64)
 }
--- a/crates/coordination/once/src/table.rs
+++ b/crates/coordination/once/src/table.rs
@@ -1,22 +1,22 @@
-//! Keys this node decides.
+//! The keys that this node owns.
 
 use eiderferry_types::{Incarnation, NodeId, Reason, RequestId, Span, Timestamp, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Name of one non-repeatable request.
+/// Idempotency key of one non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum KeyName {
-    /// A ticket issued by one run of one node.
+    /// A ticket issued by one incarnation of one node.
     Ticket {
         /// The issuing node.
         node: NodeId,
-        /// Its run.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number within the run.
+        /// Sequence number within the incarnation.
         number: u64,
     },
-    /// A key chosen by the caller, by its 128-bit hash with the tenant.
+    /// A key chosen by the caller: the 128-bit hash of the key and its tenant.
     Caller(u64, u64),
 }
 
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTableFull;
 
-/// What a home says to a claim.
+/// An owner's response to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claimant, and nobody else, may dispatch the request once.
+    /// Only the claimant may dispatch the request, and only once.
     Granted,
-    /// It won't run on behalf of this claim.
+    /// The claimant must not dispatch the request.
     Denied {
-        /// What may be concluded of the request.
+        /// Whether the request may have run.
         verdict: Verdict,
-        /// Why.
+        /// Reason for the denial.
         reason: Reason,
     },
 }
 
 impl ClaimAnswer {
-    /// A denial.
+    /// Creates a denial.
     pub const fn denied(verdict: Verdict, reason: Reason) -> Self {
         Self::Denied { verdict, reason }
     }
@@ -47,66 +47,66 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// Nobody has claimed it, or the claimant said that it did not run.
+    /// Not claimed yet, or the claimant reported that the request did not run.
     Open,
-    /// Granted to this request.
+    /// Granted to this request, which has not ended yet.
     Granted(RequestId),
-    /// Its request has ended; this is what may be concluded.
+    /// The request has ended with this verdict.
     Finished(Verdict),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     state: KeyState,
-    touched: Timestamp,
+    last_used: Timestamp,
 }
 
-/// Keys of which this run of this node is the home.
+/// Keys that this incarnation of this node owns.
 ///
-/// Memory is bounded: entries are dropped when older than the repeat window, and
-/// when the table is full of younger ones new keys are refused.
+/// Memory is bounded: entries that were not used within the repeat window are
+/// dropped unless their request is in progress, and a full table refuses new keys.
 #[derive(Clone, Debug)]
 pub struct KeyTable {
     entries: BTreeMap<KeyName, Entry>,
-    by_age: VecDeque<(Timestamp, KeyName)>,
+    expiry_queue: VecDeque<(Timestamp, KeyName)>,
     capacity: usize,
     window: Span,
     next_ticket: u64,
 }
 
 impl KeyTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(capacity: usize, window: Span) -> Self {
         Self {
             entries: BTreeMap::new(),
-            by_age: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             capacity,
             window,
             next_ticket: 0,
         }
     }
 
-    /// How long a key is remembered after its last use.
+    /// How long a key is kept after its last use.
     pub fn window(&self) -> Span {
         self.window
     }
 
-    /// Changes how long keys are remembered.
+    /// Sets how long keys are kept after their last use.
     pub fn set_window(&mut self, window: Span) {
         self.window = window;
     }
 
-    /// Keys remembered now.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table contains no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Issues a ticket of this run.
+    /// Issues a ticket of this incarnation.
     pub fn issue(
         &mut self,
         now: Timestamp,
@@ -123,88 +123,99 @@
         Ok(name)
     }
 
-    /// Decides a claim of a ticket of this run.
-    pub fn claim_ticket(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
+    /// Decides a claim of a ticket that this incarnation issued.
+    pub fn claim_ticket(
+        &mut self,
+        now: Timestamp,
+        name: &KeyName,
+        request: RequestId,
+    ) -> ClaimAnswer {
         if !self.entries.contains_key(name) {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
-        self.claim_known(now, name, by)
+        self.claim_existing(now, name, request)
     }
 
-    /// Decides a claim of a caller's key. `vouched` says that no other home can
-    /// have granted it within the repeat window.
+    /// Decides a claim of a caller's key. `owned_whole_window` means that no other
+    /// owner can have granted it within the repeat window.
     pub fn claim_caller_key(
         &mut self,
         now: Timestamp,
         name: &KeyName,
-        by: RequestId,
-        vouched: bool,
+        request: RequestId,
+        owned_whole_window: bool,
     ) -> ClaimAnswer {
         if self.entries.contains_key(name) {
-            return self.claim_known(now, name, by);
+            return self.claim_existing(now, name, request);
         }
-        if !vouched {
+        if !owned_whole_window {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
-        match self.insert(now, name.clone(), KeyState::Granted(by)) {
+        match self.insert(now, name.clone(), KeyState::Granted(request)) {
             Ok(()) => ClaimAnswer::Granted,
             Err(KeyTableFull) => ClaimAnswer::denied(Verdict::NotRun, Reason::KeyTableFull),
         }
     }
 
-    fn claim_known(&mut self, now: Timestamp, name: &KeyName, by: RequestId) -> ClaimAnswer {
+    fn claim_existing(
+        &mut self,
+        now: Timestamp,
+        name: &KeyName,
+        request: RequestId,
+    ) -> ClaimAnswer {
         let Some(entry) = self.entries.get_mut(name) else {
             return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         };
-        entry.touched = now;
+        entry.last_used = now;
         match entry.state {
             KeyState::Open => {
-                entry.state = KeyState::Granted(by);
+                entry.state = KeyState::Granted(request);
                 ClaimAnswer::Granted
             }
-            // The answer to an earlier copy of this very claim got lost.
-            KeyState::Granted(holder) if holder == by => ClaimAnswer::Granted,
+            // A repeat of the claim that was granted: the response to it was lost.
+            KeyState::Granted(granted_to) if granted_to == request => ClaimAnswer::Granted,
             KeyState::Granted(_) => ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyInProgress),
             KeyState::Finished(verdict) => ClaimAnswer::denied(verdict, Reason::KeyFinished),
         }
     }
 
-    /// Notes how the request that was granted the key ended.
+    /// Records how the request that was granted the key ended.
     ///
-    /// Only `NotRun` opens the key again, and only from the claimant itself.
-    pub fn settle(&mut self, now: Timestamp, name: &KeyName, by: RequestId, verdict: Verdict) {
+    /// Only `NotRun` makes the key available again, and only if the claimant itself
+    /// reports it.
+    pub fn settle(&mut self, now: Timestamp, name: &KeyName, request: RequestId, verdict: Verdict) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        if entry.state != KeyState::Granted(by) {
+        if entry.state != KeyState::Granted(request) {
             return;
         }
-        entry.touched = now;
+        entry.last_used = now;
         entry.state = match verdict {
             Verdict::NotRun => KeyState::Open,
             Verdict::MayHaveRun | Verdict::Ran => KeyState::Finished(verdict),
         };
     }
 
-    /// Drops what is older than the repeat window.
+    /// Drops keys that were not used within the repeat window.
     pub fn tick(&mut self, now: Timestamp) {
-        while let Some((queued, name)) = self.by_age.front().cloned() {
-            if now.since(queued) < self.window {
+        while let Some((queued_at, name)) = self.expiry_queue.front().cloned() {
+            if now.since(queued_at) < self.window {
                 return;
             }
-            self.by_age.pop_front();
-            self.drop_or_requeue(now, name);
+            self.expiry_queue.pop_front();
+            self.expire_or_requeue(now, name);
         }
     }
 
-    fn drop_or_requeue(&mut self, now: Timestamp, name: KeyName) {
+    fn expire_or_requeue(&mut self, now: Timestamp, name: KeyName) {
         let Some(entry) = self.entries.get(&name) else {
             return;
         };
-        let running = matches!(entry.state, KeyState::Granted(_));
-        let young = now.since(entry.touched) < self.window;
-        if running || young {
-            self.by_age.push_back((now, name));
+        let in_progress = matches!(entry.state, KeyState::Granted(_));
+        let recently_used = now.since(entry.last_used) < self.window;
+        if in_progress || recently_used {
+            self.expiry_queue.push_back((now, name));
             return;
         }
         self.entries.remove(&name);
@@ -220,12 +231,12 @@
         if self.entries.len() >= self.capacity {
             return Err(KeyTableFull);
         }
-        self.by_age.push_back((now, name.clone()));
+        self.expiry_queue.push_back((now, name.clone()));
         self.entries.insert(
             name,
             Entry {
                 state,
-                touched: now,
+                last_used: now,
             },
         );
         Ok(())
--- a/crates/state/config/src/delta.rs
+++ b/crates/state/config/src/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between two versions of a document, small enough to pass on.
+//! Deltas between two versions of a document, which peers send instead of the whole.
 
 use crate::{
     Class, Configuration, Directory, DirectoryEntry, Pool, Tenant, Zone, pack_directory_version,
@@ -9,66 +9,70 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// A document with versions that only grow.
+/// A document whose version increases with every change.
 pub trait Versioned: Clone + Debug + PartialEq {
-    /// The difference between two versions.
+    /// The changes between two versions.
     type Delta: Clone + Debug + PartialEq;
 
-    /// The version.
+    /// The version of this document.
     fn version(&self) -> u64;
-    /// What changes this version into `newer`.
+    /// The delta from this version to `newer`.
     fn delta_to(&self, newer: &Self) -> Self::Delta;
-    /// The version a delta starts from.
+    /// The version to which a delta applies.
     fn base_of(delta: &Self::Delta) -> u64;
-    /// The version a delta leads to.
+    /// The version that results from a delta.
     fn target_of(delta: &Self::Delta) -> u64;
-    /// Applies a delta; `None` if it does not start from this version.
+    /// Applies a delta; returns `None` if its base is another version.
     fn apply(&self, delta: &Self::Delta) -> Option<Self>;
 }
 
-/// Entries added or replaced, and entries removed, of a list with unique numbers.
+/// Changes to a list whose entries have unique ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListDelta<Id, Entry> {
-    /// Added or replaced.
+    /// Entries that were added or replaced.
     pub changed: Vec<Entry>,
-    /// Removed.
+    /// Ids of entries that were removed.
     pub removed: Vec<Id>,
 }
 
 impl<Id: Ord + Copy, Entry: Clone + PartialEq> ListDelta<Id, Entry> {
-    fn between(old: &[Entry], new: &[Entry], id: impl Fn(&Entry) -> Id) -> Self {
-        let old_by_id: BTreeMap<Id, &Entry> = old.iter().map(|entry| (id(entry), entry)).collect();
-        let new_by_id: BTreeMap<Id, &Entry> = new.iter().map(|entry| (id(entry), entry)).collect();
+    fn between(old: &[Entry], new: &[Entry], id_of: impl Fn(&Entry) -> Id) -> Self {
+        let old_by_id: BTreeMap<Id, &Entry> =
+            old.iter().map(|entry| (id_of(entry), entry)).collect();
+        let new_by_id: BTreeMap<Id, &Entry> =
+            new.iter().map(|entry| (id_of(entry), entry)).collect();
         let changed = new
             .iter()
-            .filter(|entry| old_by_id.get(&id(entry)) != Some(entry))
+            .filter(|entry| old_by_id.get(&id_of(entry)) != Some(entry))
             .cloned()
             .collect();
         let removed = old_by_id
             .keys()
-            .filter(|key| !new_by_id.contains_key(key))
+            .filter(|entry_id| !new_by_id.contains_key(entry_id))
             .copied()
             .collect();
         Self { changed, removed }
     }
 
-    fn apply(&self, old: &[Entry], id: impl Fn(&Entry) -> Id) -> Vec<Entry> {
-        let mut entries: BTreeMap<Id, Entry> =
-            old.iter().map(|entry| (id(entry), entry.clone())).collect();
-        for key in &self.removed {
-            entries.remove(key);
+    fn apply(&self, old: &[Entry], id_of: impl Fn(&Entry) -> Id) -> Vec<Entry> {
+        let mut entries: BTreeMap<Id, Entry> = old
+            .iter()
+            .map(|entry| (id_of(entry), entry.clone()))
+            .collect();
+        for entry_id in &self.removed {
+            entries.remove(entry_id);
         }
         for entry in &self.changed {
-            entries.insert(id(entry), entry.clone());
+            entries.insert(id_of(entry), entry.clone());
         }
         entries.into_values().collect()
     }
 }
 
-/// Difference between two configurations.
+/// Delta between two configurations.
 ///
-/// The short lists travel whole when they change; tenants, of which there are
-/// thousands, travel one by one.
+/// A short list is included as a whole if it changed. Of the tenants, which number in
+/// the thousands, only those that changed are included.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
     base: u64,
@@ -80,7 +84,7 @@
     tenants: ListDelta<TenantId, Tenant>,
 }
 
-fn changed<T: Clone + PartialEq>(old: &[T], new: &[T]) -> Option<Vec<T>> {
+fn if_changed<T: Clone + PartialEq>(old: &[T], new: &[T]) -> Option<Vec<T>> {
     (old != new).then(|| new.to_vec())
 }
 
@@ -95,9 +99,9 @@
         ConfigurationDelta {
             base: self.version,
             target: newer.version,
-            zones: changed(&self.zones, &newer.zones),
-            pools: changed(&self.pools, &newer.pools),
-            classes: changed(&self.classes, &newer.classes),
+            zones: if_changed(&self.zones, &newer.zones),
+            pools: if_changed(&self.pools, &newer.pools),
+            classes: if_changed(&self.classes, &newer.classes),
             repeat_window_ms: newer.repeat_window_ms,
             tenants: ListDelta::between(&self.tenants, &newer.tenants, |tenant| tenant.id),
         }
@@ -129,7 +133,7 @@
     }
 }
 
-/// Difference between two directories.
+/// Delta between two directories.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
     base: u64,
