--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -11,13 +11,13 @@
 /// Time after which an unanswered claim is sent again.
 pub(crate) const CLAIM_RESEND: Span = Span::from_milliseconds(150);
 /// Claims sent before the home counts as unreachable.
-pub(crate) const MAXIMUM_CLAIMS: u32 = 6;
+pub(crate) const MAX_CLAIM_SENDS: u32 = 6;
 /// Time after which an unacknowledged settlement is sent again.
 const SETTLEMENT_RESEND: Span = Span::from_milliseconds(300);
 /// Settlements sent before the home counts as gone.
-const MAXIMUM_SETTLEMENTS: u32 = 10;
+const MAX_SETTLEMENT_RESENDS: u32 = 10;
 /// When a caller may ask again about a key that can't be decided now.
-const RETRY_UNDECIDED: Span = Span::from_milliseconds(2_000);
+const UNDECIDED_RETRY_AFTER: Span = Span::from_milliseconds(2_000);
 
 #[derive(Clone, Debug)]
 struct Settlement {
@@ -31,12 +31,12 @@
 /// Settlements that their homes have not acknowledged yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Settlements {
-    waiting: BTreeMap<u64, Settlement>,
+    pending: BTreeMap<u64, Settlement>,
 }
 
 impl Settlements {
     pub fn acknowledge(&mut self, sequence: u64) {
-        self.waiting.remove(&sequence);
+        self.pending.remove(&sequence);
     }
 }
 
@@ -65,7 +65,7 @@
     }
 
     /// Asks the home of a request's key whether the request may run.
-    pub(crate) fn claim(&mut self, sequence: u64, tries: u32) {
+    pub(crate) fn claim(&mut self, sequence: u64, resends: u32) {
         let Some(key) = self
             .requests
             .get(&sequence)
@@ -74,13 +74,13 @@
             return;
         };
         if self.is_issuer_gone(&key) {
-            let refusal = undecided(Reason::KeyOwnerGone, None);
+            let refusal = undecided_refusal(Reason::KeyOwnerGone, None);
             self.reject(sequence, refusal);
             return;
         }
         let home = self.key_home(&key);
-        let Some(home) = home.filter(|_| tries < MAXIMUM_CLAIMS) else {
-            let refusal = undecided(Reason::HolderUnreachable, Some(RETRY_UNDECIDED));
+        let Some(home) = home.filter(|_| resends < MAX_CLAIM_SENDS) else {
+            let refusal = undecided_refusal(Reason::HolderUnreachable, Some(UNDECIDED_RETRY_AFTER));
             self.reject(sequence, refusal);
             return;
         };
@@ -88,7 +88,7 @@
             request.phase = Phase::Claiming {
                 home,
                 sent: self.now,
-                tries,
+                resends,
             };
         }
         self.send(home, Message::Claim { key, sequence });
@@ -101,19 +101,19 @@
         key: KeyName,
         sequence: u64,
     ) {
-        let by = RequestId {
+        let claimant = RequestId {
             node: from,
             incarnation,
             sequence,
         };
-        let answer = match &key {
+        let reply = match &key {
             KeyName::Ticket {
                 node, incarnation, ..
             } => {
                 let issued_here =
                     *node == self.identity.node && *incarnation == self.identity.incarnation;
                 if issued_here {
-                    self.keys.claim_ticket(self.now, &key, by)
+                    self.keys.claim_ticket(self.now, &key, claimant)
                 } else {
                     ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone)
                 }
@@ -125,13 +125,14 @@
                     return;
                 }
                 let vouched = !self.is_unverified() && self.key_history.vouches_for(self.now, &key);
-                self.keys.claim_caller_key(self.now, &key, by, vouched)
+                self.keys
+                    .claim_caller_key(self.now, &key, claimant, vouched)
             }
         };
-        self.send(from, Message::ClaimAnswer { sequence, answer });
+        self.send(from, Message::ClaimReply { sequence, reply });
     }
 
-    pub(crate) fn handle_claim_answer(&mut self, from: NodeId, sequence: u64, answer: ClaimAnswer) {
+    pub(crate) fn handle_claim_reply(&mut self, from: NodeId, sequence: u64, reply: ClaimAnswer) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -141,14 +142,14 @@
         if home != from {
             return;
         }
-        match answer {
+        match reply {
             ClaimAnswer::Granted => {
                 request.key_granted_by = Some(home);
-                self.note_step(sequence, Step::Claimed { home });
-                self.ask(sequence);
+                self.record_step(sequence, Step::Claimed { home });
+                self.request_slot(sequence);
             }
             ClaimAnswer::Denied { verdict, reason } => {
-                let retry_after = (reason != Reason::KeyFinished).then_some(RETRY_UNDECIDED);
+                let retry_after = (reason != Reason::KeyFinished).then_some(UNDECIDED_RETRY_AFTER);
                 self.reject(
                     sequence,
                     Refusal {
@@ -182,13 +183,13 @@
             next_send: self.now + SETTLEMENT_RESEND,
             sends: 1,
         };
-        self.settlements.waiting.insert(sequence, settlement);
+        self.settlements.pending.insert(sequence, settlement);
     }
 
     pub(crate) fn resend_settlements(&mut self) {
         let now = self.now;
         let mut messages = Vec::new();
-        self.settlements.waiting.retain(|sequence, settlement| {
+        self.settlements.pending.retain(|sequence, settlement| {
             if now < settlement.next_send {
                 return true;
             }
@@ -200,7 +201,7 @@
                 verdict: settlement.verdict,
             };
             messages.push((settlement.home, message));
-            settlement.sends <= MAXIMUM_SETTLEMENTS
+            settlement.sends <= MAX_SETTLEMENT_RESENDS
         });
         for (home, message) in messages {
             self.send(home, message);
@@ -215,19 +216,19 @@
         sequence: u64,
         verdict: Verdict,
     ) {
-        let by = RequestId {
+        let claimant = RequestId {
             node: from,
             incarnation,
             sequence,
         };
-        self.keys.settle(self.now, &key, by, verdict);
+        self.keys.settle(self.now, &key, claimant, verdict);
         self.send(from, Message::Settled { sequence });
     }
 }
 
 /// A refusal of a request whose key can't be decided: an earlier copy of it may
 /// have run.
-const fn undecided(reason: Reason, retry_after: Option<Span>) -> Refusal {
+const fn undecided_refusal(reason: Reason, retry_after: Option<Span>) -> Refusal {
     Refusal {
         verdict: Verdict::MayHaveRun,
         reason,
--- a/crates/coordination/node/src/counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -73,13 +73,14 @@
         let targets = self
             .configuration
             .current()
-            .and_then(|known| known.class(class));
+            .and_then(|configuration| configuration.class(class));
         let attained = targets.is_some_and(|targets| {
-            let first = first_token.is_some_and(|span| span <= targets.first_token_target());
-            let rest = observation
+            let meets_first_token_target =
+                first_token.is_some_and(|span| span <= targets.first_token_target());
+            let meets_per_token_target = observation
                 .per_token
                 .is_none_or(|span| span <= targets.per_token_target());
-            first && rest
+            meets_first_token_target && meets_per_token_target
         });
         let counts = self.counts.entry(class).or_default();
         counts.completed += 1;
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing_requests.rs
@@ -13,7 +13,7 @@
 impl Node {
     /// The refusal of a request under which back ends crash, if it is one. Coming again does not
     /// help.
-    pub(crate) fn refusal_of_crashing(&self, request: RequestDigest) -> Option<Refusal> {
+    pub(crate) fn crash_refusal(&self, request: RequestDigest) -> Option<Refusal> {
         self.quarantine.status(request, self.now)?;
         Some(Refusal {
             verdict: Verdict::NotRun,
@@ -25,29 +25,29 @@
     /// Notes that a back end crashed under a request, and tells some nodes at once.
     pub(crate) fn record_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
         let change = self.quarantine.record_crash(request, back_end.0, self.now);
-        self.note_quarantine_change(change);
-        for peer in self.peers_told_of_crashes() {
-            self.tell_crashing_requests(peer);
+        self.emit_quarantine_change(change);
+        for peer in self.sample_crash_report_peers() {
+            self.send_crash_reports(peer);
         }
     }
 
     /// Notes that a request ended well.
-    pub(crate) fn note_ended_well(&mut self, request: RequestDigest) {
+    pub(crate) fn record_success(&mut self, request: RequestDigest) {
         let change = self.quarantine.record_completed(request, self.now);
-        self.note_quarantine_change(change);
+        self.emit_quarantine_change(change);
     }
 
-    fn peers_told_of_crashes(&mut self) -> Vec<NodeId> {
+    fn sample_crash_report_peers(&mut self) -> Vec<NodeId> {
         let (zone, remote) = (self.fleet.zone_peers(), self.fleet.remote_peers());
         let random = &mut self.random;
-        let near = zone.choose_multiple(random, ZONE_FANOUT).copied();
-        let mut peers: Vec<NodeId> = near.collect();
+        let chosen = zone.choose_multiple(random, ZONE_FANOUT).copied();
+        let mut peers: Vec<NodeId> = chosen.collect();
         peers.extend(remote.choose_multiple(random, REMOTE_FANOUT));
         peers
     }
 
     /// Tells a node what is known of such requests, if anything is.
-    pub(crate) fn tell_crashing_requests(&mut self, peer: NodeId) {
+    pub(crate) fn send_crash_reports(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports(self.now);
         if !reports.is_empty() {
             self.send(peer, Message::CrashingRequests { reports });
@@ -55,7 +55,7 @@
     }
 
     /// A node that has just started knows of none.
-    pub(crate) fn tell_crashing_requests_at_start(&mut self, peer: NodeId) {
+    pub(crate) fn send_crash_reports_at_start(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports_at_start(self.now);
         if !reports.is_empty() {
             self.send(peer, Message::CrashingRequests { reports });
@@ -64,18 +64,18 @@
 
     pub(crate) fn handle_crashing_requests(&mut self, reports: &[RequestReport]) {
         for change in self.quarantine.merge_reports(reports, self.now) {
-            self.note_quarantine_change(Some(change));
+            self.emit_quarantine_change(Some(change));
         }
     }
 
     /// Forgets what is too old.
     pub(crate) fn tick_quarantine(&mut self) {
         for change in self.quarantine.expire(self.now) {
-            self.note_quarantine_change(Some(change));
+            self.emit_quarantine_change(Some(change));
         }
     }
 
-    fn note_quarantine_change(&mut self, change: Option<QuarantineChange>) {
+    fn emit_quarantine_change(&mut self, change: Option<QuarantineChange>) {
         if let Some(change) = change {
             self.emit(crate::Output::QuarantineChanged(change));
         }
--- a/crates/coordination/node/src/decision.rs
+++ b/crates/coordination/node/src/decision.rs
@@ -162,7 +162,7 @@
     decisions: VecDeque<Decision>,
     capacity: usize,
     /// Decisions made since the start.
-    made: u64,
+    total: u64,
 }
 
 impl DecisionLog {
@@ -171,13 +171,13 @@
         Self {
             decisions: VecDeque::new(),
             capacity,
-            made: 0,
+            total: 0,
         }
     }
 
     /// Adds a decision, dropping the oldest when full.
     pub fn push(&mut self, decision: Decision) {
-        self.made += 1;
+        self.total += 1;
         if self.capacity == 0 {
             return;
         }
@@ -198,17 +198,17 @@
     /// Decisions made after number `after`, and the number of the last one. Those
     /// that have been dropped meanwhile are missing.
     pub fn after(&self, after: u64) -> (u64, Vec<&Decision>) {
-        let wanted = self.made.saturating_sub(after) as usize;
+        let wanted = self.total.saturating_sub(after) as usize;
         let skipped = self.decisions.len().saturating_sub(wanted);
-        (self.made, self.decisions.iter().skip(skipped).collect())
+        (self.total, self.decisions.iter().skip(skipped).collect())
     }
 
     /// The last `count` decisions for which `fits` holds, newest first.
-    pub fn latest(&self, count: usize, fits: impl Fn(&Decision) -> bool) -> Vec<&Decision> {
+    pub fn latest(&self, count: usize, is_match: impl Fn(&Decision) -> bool) -> Vec<&Decision> {
         self.decisions
             .iter()
             .rev()
-            .filter(|decision| fits(decision))
+            .filter(|decision| is_match(decision))
             .take(count)
             .collect()
     }
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -11,7 +11,7 @@
 use rand::seq::IndexedRandom;
 
 /// Zone peers told at once of a new version; they tell others in turn.
-const FAN_OUT: usize = 3;
+const ANNOUNCEMENT_FANOUT: usize = 3;
 /// Name under which the readers of a zone are chosen.
 const READER_KEY: &str = "platform-reader";
 
@@ -44,11 +44,11 @@
             });
         }
         if configuration_missing || directory_missing {
-            self.ask_seeds();
+            self.fetch_from_seeds();
         }
     }
 
-    fn ask_seeds(&mut self) {
+    fn fetch_from_seeds(&mut self) {
         for address in self.limits.seeds.clone() {
             for kind in [DocumentKind::Directory, DocumentKind::Configuration] {
                 let message = Message::Fetch { kind, have: 0 };
@@ -63,26 +63,26 @@
         &mut self,
         now: Timestamp,
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     ) {
-        self.enter(now);
+        self.advance_clock(now);
         let plan = match kind {
             DocumentKind::Configuration => &mut self.configuration_reads,
             DocumentKind::Directory => &mut self.directory_reads,
         };
         let expected = plan.is_reading();
-        plan.finished(answer.is_ok());
-        if kind == DocumentKind::Directory && answer.is_ok() && expected {
+        plan.finished(response.is_ok());
+        if kind == DocumentKind::Directory && response.is_ok() && expected {
             self.confirm_directory();
         }
-        match answer {
+        match response {
             Ok(Some(PlatformDocument::Configuration(document))) => {
                 self.accept_configuration(document);
             }
             Ok(Some(PlatformDocument::Directory(document))) => self.accept_directory(document),
             Ok(None) | Err(()) => {}
         }
-        self.leave();
+        self.process_inbox();
     }
 
     pub(crate) fn fetch(&mut self, from: NodeId, kind: DocumentKind) {
@@ -166,8 +166,8 @@
         self.apply_members();
         self.rebuild_catalog();
         self.refresh_cell_members();
-        self.rehome_running();
-        self.hand_over_foreign_cells();
+        self.move_leases_to_current_holders();
+        self.abandon_queues_held_elsewhere();
         self.announce_version();
     }
 
@@ -207,12 +207,12 @@
     fn announce_version(&mut self) {
         let zone_peers = self.fleet.zone_peers();
         let remote_peers = self.fleet.remote_peers();
-        let mut told: Vec<NodeId> = zone_peers
-            .choose_multiple(&mut self.random, FAN_OUT)
+        let mut recipients: Vec<NodeId> = zone_peers
+            .choose_multiple(&mut self.random, ANNOUNCEMENT_FANOUT)
             .copied()
             .collect();
-        told.extend(remote_peers.choose(&mut self.random).copied());
-        for peer in told {
+        recipients.extend(remote_peers.choose(&mut self.random).copied());
+        for peer in recipients {
             self.ping(peer);
         }
     }
--- a/crates/coordination/node/src/holding.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -1,6 +1,6 @@
 //! The cells whose admission queues stand on this node.
 
-use crate::message::{AttemptName, Message};
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use crate::output::Output;
 use eiderferry_admission::{Ask, Cell, CellEvent, LoadReport, Observation, Ticket};
@@ -12,37 +12,42 @@
 use std::collections::BTreeMap;
 
 /// Age up to which a sign of life speaks against another node's suspicion.
-const RECENTLY: Span = Span::from_milliseconds(700);
+const RECENTLY_HEARD: Span = Span::from_milliseconds(700);
 /// Time between two polls of a back end's load.
 const POLL_INTERVAL: Span = Span::from_milliseconds(500);
 /// Time between two words on free slots to nodes elsewhere.
-const HINT_INTERVAL: Span = Span::from_milliseconds(500);
+const FREE_SLOTS_INTERVAL: Span = Span::from_milliseconds(500);
 /// Nodes elsewhere that get a word on free slots each time.
-const HINT_FAN_OUT: usize = 3;
+const FREE_SLOTS_FANOUT: usize = 3;
 /// Time between two rounds of lease checks.
 pub(crate) const LEASE_CHECK_INTERVAL: Span = Span::from_milliseconds(10_000);
 /// Time after which a cell that this node does not hold and nobody uses is dropped.
-const IDLE_TIME: Span = Span::from_milliseconds(3_000);
+const IDLE_TIMEOUT: Span = Span::from_milliseconds(3_000);
 
 /// A cell held here.
 pub(crate) struct HeldCell {
     pub cell: Cell,
-    pub last_use: Timestamp,
+    pub last_used: Timestamp,
     pub next_poll: Timestamp,
-    next_hint: Timestamp,
-    pub next_tenant_use: Timestamp,
+    next_free_slots: Timestamp,
+    pub next_tenant_usage: Timestamp,
     pub next_lease_check: Timestamp,
     cache_cursors: BTreeMap<BackEndId, u64>,
     /// What tenants with limits use in the other cells of the pool.
-    pub use_elsewhere: BTreeMap<CellId, (Timestamp, BTreeMap<TenantId, u32>)>,
+    pub usage_elsewhere: BTreeMap<CellId, (Timestamp, BTreeMap<TenantId, u32>)>,
 }
 
 impl Node {
     /// An ask or a registration from an entry node.
-    pub(crate) fn handle_ask(&mut self, from: NodeId, incarnation: Incarnation, message: Message) {
+    pub(crate) fn handle_slot_request(
+        &mut self,
+        from: NodeId,
+        incarnation: Incarnation,
+        message: Message,
+    ) {
         match message {
-            Message::Ask {
-                name,
+            Message::RequestSlot {
+                attempt_id,
                 cell,
                 class,
                 tenant,
@@ -52,7 +57,7 @@
                 may_wait,
             } => {
                 let ask = Ask {
-                    ticket: ticket(from, incarnation, name),
+                    ticket: ticket(from, incarnation, attempt_id),
                     class,
                     tenant,
                     prompt_tokens,
@@ -60,10 +65,10 @@
                     first_token_due: self.now + Span::from_milliseconds(u64::from(due_in_ms)),
                     arrived: self.now,
                 };
-                self.admit(from, name, cell, ask, may_wait);
+                self.admit(from, attempt_id, cell, ask, may_wait);
             }
             Message::Register {
-                name,
+                attempt_id,
                 cell,
                 class,
                 tenant,
@@ -71,7 +76,7 @@
                 back_end,
             } => {
                 let ask = Ask {
-                    ticket: ticket(from, incarnation, name),
+                    ticket: ticket(from, incarnation, attempt_id),
                     class,
                     tenant,
                     prompt_tokens,
@@ -80,7 +85,7 @@
                     arrived: self.now,
                 };
                 let now = self.now;
-                if let Some(held) = self.hold(cell) {
+                if let Some(held) = self.ensure_held(cell) {
                     held.cell.register(now, &ask, back_end);
                 }
             }
@@ -88,21 +93,32 @@
         }
     }
 
-    fn admit(&mut self, from: NodeId, name: AttemptName, cell: CellId, ask: Ask, may_wait: bool) {
-        let living_holder = self.other_living_holder(cell);
-        let refuses = self.draining || self.is_unverified() || living_holder.is_some();
+    fn admit(
+        &mut self,
+        from: NodeId,
+        attempt_id: AttemptId,
+        cell: CellId,
+        ask: Ask,
+        may_wait: bool,
+    ) {
+        let live_holder = self.other_live_holder(cell);
+        let refuses = self.draining || self.is_unverified() || live_holder.is_some();
         let directory = self.directory.version();
         let ticket = ask.ticket;
         let class = ask.class;
         let now = self.now;
-        let held = if refuses { None } else { self.hold(cell) };
+        let held = if refuses {
+            None
+        } else {
+            self.ensure_held(cell)
+        };
         let Some(held) = held else {
             self.send(
                 from,
-                Message::AskAgain {
-                    name,
+                Message::Resubmit {
+                    attempt_id,
                     directory,
-                    living_holder,
+                    live_holder,
                 },
             );
             if self.draining {
@@ -121,55 +137,61 @@
             return;
         }
         let wait_ms = wait.milliseconds().min(u64::from(u32::MAX)) as u32;
-        let answer = if may_wait {
-            Message::Queued { name, wait_ms }
+        let reply = if may_wait {
+            Message::Queued {
+                attempt_id,
+                wait_ms,
+            }
         } else {
             Message::Refuse {
-                name,
+                attempt_id,
                 reason: Reason::QueueFull,
                 retry_after_ms: wait_ms,
             }
         };
-        self.send(from, answer);
+        self.send(from, reply);
     }
 
     /// The node that holds a cell in place of this one, if this node has just heard
     /// from it: a node that suspects it is told so.
-    fn other_living_holder(&self, cell: CellId) -> Option<NodeId> {
+    fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
-        let lives = self.fleet.detector.heard_within(holder, self.now, RECENTLY);
+        let lives = self
+            .fleet
+            .detector
+            .heard_within(holder, self.now, RECENTLY_HEARD);
         (holder != self.identity.node && lives).then_some(holder)
     }
 
     /// The cell, taken up now if this node does not hold it yet.
-    fn hold(&mut self, cell: CellId) -> Option<&mut HeldCell> {
+    fn ensure_held(&mut self, cell: CellId) -> Option<&mut HeldCell> {
         let known = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
         if !known {
             return None;
         }
         if !self.cells.contains_key(&cell) {
-            self.take_up(cell)?;
+            self.create_cell(cell)?;
         }
         let held = self.cells.get_mut(&cell)?;
-        held.last_use = self.now;
+        held.last_used = self.now;
         Some(held)
     }
 
-    fn take_up(&mut self, cell: CellId) -> Option<()> {
+    fn create_cell(&mut self, cell: CellId) -> Option<()> {
         let configuration = self.configuration.current()?.clone();
         let now = self.now;
         let mut held = HeldCell {
             cell: Cell::new(cell, self.limits.cell_policy.clone()),
-            last_use: now,
+            last_used: now,
             next_poll: now,
-            next_hint: now,
-            next_tenant_use: now,
+            next_free_slots: now,
+            next_tenant_usage: now,
             next_lease_check: now + LEASE_CHECK_INTERVAL,
             cache_cursors: BTreeMap::new(),
-            use_elsewhere: BTreeMap::new(),
+            usage_elsewhere: BTreeMap::new(),
         };
         held.cell
-            .set_back_ends(&self.members_with_limits(cell, &configuration));
+            .set_back_ends(&self.member_capacities(cell, &configuration));
         held.cell.configure(now, &configuration);
         if self.catalog.is_engine_pool(cell.pool) {
             held.cell.start_learning(now);
@@ -180,7 +202,7 @@
         Some(())
     }
 
-    fn members_with_limits(
+    fn member_capacities(
         &self,
         cell: CellId,
         configuration: &Configuration,
@@ -208,22 +230,22 @@
         &mut self,
         from: NodeId,
         incarnation: Incarnation,
-        name: AttemptName,
+        attempt_id: AttemptId,
         cell: CellId,
         observation: &Observation,
     ) {
         // Places that come free because their requests went to another holder are no
         // room for what waits here.
-        self.yield_to_living_holder(cell);
+        self.yield_to_live_holder(cell);
         let now = self.now;
         if let Some(held) = self.cells.get_mut(&cell) {
-            held.last_use = now;
+            held.last_used = now;
             held.cell
-                .release(now, &ticket(from, incarnation, name), observation);
+                .release(now, &ticket(from, incarnation, attempt_id), observation);
             self.flush_cell(cell);
         }
         if from != self.identity.node {
-            self.send(from, Message::Released { name });
+            self.send(from, Message::Released { attempt_id });
         }
     }
 
@@ -247,7 +269,7 @@
         report: &LoadReport,
         cache: &CacheUpdate,
     ) {
-        self.enter(now);
+        self.advance_clock(now);
         let cell = self.catalog.back_end(back_end).map(|entry| entry.cell);
         if let Some(cell) = cell
             && let Some(held) = self.cells.get_mut(&cell)
@@ -258,7 +280,7 @@
             held.cache_cursors.insert(back_end, cache.cursor);
             self.flush_cell(cell);
         }
-        self.leave();
+        self.process_inbox();
     }
 
     /// Sends out what a cell has decided.
@@ -297,10 +319,10 @@
                 held.cell.tick(now);
             }
             self.flush_cell(cell);
-            self.yield_to_living_holder(cell);
+            self.yield_to_live_holder(cell);
             self.poll_if_due(cell);
-            self.spread_hint_if_due(cell);
-            self.exchange_tenant_use_if_due(cell);
+            self.send_free_slots_if_due(cell);
+            self.exchange_tenant_usage_if_due(cell);
             self.check_leases_if_due(cell);
             self.drop_if_idle(cell);
         }
@@ -308,9 +330,9 @@
 
     /// A node that stood in for a silent holder gives the queue back when the
     /// holder is heard again: two queues for the same slots know no common order.
-    fn yield_to_living_holder(&mut self, cell: CellId) {
+    fn yield_to_live_holder(&mut self, cell: CellId) {
         let waiting = self.cells.get(&cell).map_or(0, |held| held.cell.waiting());
-        if waiting > 0 && self.other_living_holder(cell).is_some() {
+        if waiting > 0 && self.other_live_holder(cell).is_some() {
             self.abandon_queue(cell);
         }
     }
@@ -349,15 +371,15 @@
         }
     }
 
-    fn spread_hint_if_due(&mut self, cell: CellId) {
+    fn send_free_slots_if_due(&mut self, cell: CellId) {
         let now = self.now;
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        if now < held.next_hint {
+        if now < held.next_free_slots {
             return;
         }
-        held.next_hint = now + HINT_INTERVAL;
+        held.next_free_slots = now + FREE_SLOTS_INTERVAL;
         let free = held.free_slots(now);
         let mut peers = self.fleet.remote_peers();
         if self
@@ -367,11 +389,11 @@
         {
             peers.extend(self.fleet.zone_peers());
         }
-        let told: Vec<NodeId> = peers
-            .choose_multiple(&mut self.random, HINT_FAN_OUT)
+        let recipients: Vec<NodeId> = peers
+            .choose_multiple(&mut self.random, FREE_SLOTS_FANOUT)
             .copied()
             .collect();
-        for peer in told {
+        for peer in recipients {
             self.send(peer, Message::FreeSlots { cell, free });
         }
     }
@@ -382,7 +404,7 @@
             return;
         };
         let used = held.cell.leases() + held.cell.waiting() > 0;
-        let idle = self.now.since(held.last_use) >= IDLE_TIME;
+        let idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
         if !holds && !used && idle {
             self.cells.remove(&cell);
         }
@@ -416,7 +438,7 @@
         };
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            let members = self.members_with_limits(cell, &configuration);
+            let members = self.member_capacities(cell, &configuration);
             if let Some(held) = self.cells.get_mut(&cell) {
                 held.cell.set_back_ends(&members);
             }
@@ -438,7 +460,7 @@
     }
 
     /// Gives the queues of cells that another node holds now back to their owners.
-    pub(crate) fn hand_over_foreign_cells(&mut self) {
+    pub(crate) fn abandon_queues_held_elsewhere(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             if self.fleet.holder(cell, self.now) != Some(self.identity.node) {
@@ -448,16 +470,16 @@
     }
 
     /// Gives all queues back to their owners, who will ask the next holder.
-    pub(crate) fn hand_over_cells(&mut self) {
+    pub(crate) fn abandon_all_queues(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             self.abandon_queue(cell);
         }
-        self.rehome_running();
+        self.move_leases_to_current_holders();
     }
 
     /// After a pause: the queues are old, and so may be the leases.
-    pub(crate) fn distrust_cells(&mut self) {
+    pub(crate) fn revalidate_cells(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             self.abandon_queue(cell);
@@ -466,7 +488,7 @@
                 continue;
             };
             held.next_poll = now;
-            held.use_elsewhere.clear();
+            held.usage_elsewhere.clear();
             if self.catalog.is_engine_pool(cell.pool) {
                 held.cell.start_learning(now);
             }
@@ -481,16 +503,16 @@
             return;
         };
         for ticket in held.cell.abandon() {
-            let name = AttemptName {
+            let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
             };
             self.send(
                 ticket.request.node,
-                Message::AskAgain {
-                    name,
+                Message::Resubmit {
+                    attempt_id,
                     directory,
-                    living_holder: None,
+                    live_holder: None,
                 },
             );
         }
@@ -518,14 +540,14 @@
     pub removed: Vec<u32>,
 }
 
-fn ticket(node: NodeId, incarnation: Incarnation, name: AttemptName) -> Ticket {
+fn ticket(node: NodeId, incarnation: Incarnation, attempt_id: AttemptId) -> Ticket {
     Ticket {
         request: RequestId {
             node,
             incarnation,
-            sequence: name.sequence,
+            sequence: attempt_id.sequence,
         },
-        attempt: name.attempt,
+        attempt: attempt_id.attempt,
     }
 }
 
@@ -534,11 +556,11 @@
         CellEvent::Granted {
             ticket, back_end, ..
         } => {
-            let name = name_of(&ticket);
+            let attempt_id = attempt_id_of(&ticket);
             (
                 ticket,
                 Message::Grant {
-                    name,
+                    attempt_id,
                     back_end,
                     free,
                 },
@@ -551,7 +573,7 @@
                 .retry_after
                 .map_or(0, |span| span.milliseconds() as u32);
             let message = Message::Refuse {
-                name: name_of(&ticket),
+                attempt_id: attempt_id_of(&ticket),
                 reason: refusal.reason,
                 retry_after_ms,
             };
@@ -560,8 +582,8 @@
     }
 }
 
-fn name_of(ticket: &Ticket) -> AttemptName {
-    AttemptName {
+fn attempt_id_of(ticket: &Ticket) -> AttemptId {
+    AttemptId {
         sequence: ticket.request.sequence,
         attempt: ticket.attempt,
     }
--- a/crates/coordination/node/src/leases.rs
+++ b/crates/coordination/node/src/leases.rs
@@ -1,7 +1,7 @@
 //! Leases over time: asking owners about old ones, moving them to other holders.
 
-use crate::holding::LEASE_CHECK_INTERVAL;
-use crate::message::{AttemptName, Message};
+use crate::held_cells::LEASE_CHECK_INTERVAL;
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use crate::request::Phase;
 use eiderferry_admission::{Observation, Ticket};
@@ -29,18 +29,21 @@
     }
 
     pub(crate) fn send_lease_checks(&mut self, cell: CellId, tickets: &[Ticket]) {
-        let mut by_owner: BTreeMap<NodeId, Vec<AttemptName>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<NodeId, Vec<AttemptId>> = BTreeMap::new();
         for ticket in tickets {
-            let name = AttemptName {
+            let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
             };
-            by_owner.entry(ticket.request.node).or_default().push(name);
+            by_owner
+                .entry(ticket.request.node)
+                .or_default()
+                .push(attempt_id);
         }
-        for (owner, names) in by_owner {
-            for chunk in names.chunks(LEASES_PER_CHECK) {
-                let names = chunk.to_vec();
-                self.send(owner, Message::CheckLeases { cell, names });
+        for (owner, attempt_ids) in by_owner {
+            for chunk in attempt_ids.chunks(LEASES_PER_CHECK) {
+                let attempt_ids = chunk.to_vec();
+                self.send(owner, Message::CheckLeases { cell, attempt_ids });
             }
         }
     }
@@ -52,50 +55,53 @@
         &mut self,
         from: NodeId,
         cell: CellId,
-        names: Vec<AttemptName>,
+        attempt_ids: Vec<AttemptId>,
     ) {
-        self.rehome_running();
-        for name in names {
-            let in_use = self.requests.get(&name.sequence).is_some_and(|request| {
-                let uses_holder = matches!(
-                    &request.phase,
-                    Phase::Running { holder, .. } if *holder == from
-                );
-                request.attempt == name.attempt && uses_holder
-            });
+        self.move_leases_to_current_holders();
+        for attempt_id in attempt_ids {
+            let in_use = self
+                .requests
+                .get(&attempt_id.sequence)
+                .is_some_and(|request| {
+                    let uses_holder = matches!(
+                        &request.phase,
+                        Phase::Running { holder, .. } if *holder == from
+                    );
+                    request.attempt == attempt_id.attempt && uses_holder
+                });
             if !in_use {
-                self.release(from, cell, name, Observation::UNUSED);
+                self.release(from, cell, attempt_id, Observation::UNUSED);
             }
         }
     }
 
     /// Moves the leases of requests that run here to the present holders.
-    pub(crate) fn rehome_running(&mut self) {
+    pub(crate) fn move_leases_to_current_holders(&mut self) {
         let mut moves = Vec::new();
         for (sequence, request) in &self.requests {
             let Phase::Running { cell, holder, .. } = &request.phase else {
                 continue;
             };
-            let present = self.fleet.holder(*cell, self.now);
-            if let Some(present) = present.filter(|present| present != holder) {
-                moves.push((*sequence, *cell, *holder, present));
+            let current = self.fleet.holder(*cell, self.now);
+            if let Some(current) = current.filter(|current| current != holder) {
+                moves.push((*sequence, *cell, *holder, current));
             }
         }
-        for (sequence, cell, previous, present) in moves {
-            self.register_with(sequence, present);
+        for (sequence, cell, previous, current) in moves {
+            self.register_with(sequence, current);
             let attempt = self.requests[&sequence].attempt;
-            let name = AttemptName { sequence, attempt };
+            let attempt_id = AttemptId { sequence, attempt };
             // A holder that is only silent may come back and still be the holder:
             // its lease stays, and is found again or checked later.
             let silent = self.fleet.detector.health(previous, self.now) == Health::Suspected;
             if !silent {
-                self.release(previous, cell, name, Observation::UNUSED);
+                self.release(previous, cell, attempt_id, Observation::UNUSED);
             }
         }
     }
 
     /// Tells a holder that restarted about the requests that run by its leave.
-    pub(crate) fn register_running_with(&mut self, node: NodeId) {
+    pub(crate) fn register_all_with(&mut self, node: NodeId) {
         let sequences: Vec<u64> = self
             .requests
             .iter()
@@ -113,7 +119,7 @@
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let name = AttemptName {
+        let attempt_id = AttemptId {
             sequence,
             attempt: request.attempt,
         };
@@ -127,7 +133,7 @@
         };
         *holder = node;
         let message = Message::Register {
-            name,
+            attempt_id,
             cell: *cell,
             class: request.submission.class,
             tenant: request.submission.tenant,
--- a/crates/coordination/node/src/lib.rs
+++ b/crates/coordination/node/src/lib.rs
@@ -7,14 +7,13 @@
 
 #![forbid(unsafe_code)]
 
-mod answer;
 mod catalog;
 mod claims;
-mod counts;
-mod crashing;
+mod class_counts;
+mod crashing_requests;
 mod decision;
 mod documents;
-mod holding;
+mod held_cells;
 mod leases;
 mod message;
 mod node;
@@ -24,16 +23,17 @@
 mod releases;
 mod request;
 mod request_flow;
+mod response_progress;
 mod restored_directory;
-mod retry;
+mod retry_budget;
 mod tenant_exchange;
 
-pub use answer::{AnswerProgress, TokenVerdict};
 pub use catalog::Catalog;
-pub use counts::ClassCounts;
+pub use class_counts::ClassCounts;
 pub use decision::{Decision, DecisionLog, Step};
-pub use holding::CacheUpdate;
-pub use message::{AttemptName, DocumentKind, Envelope, Message};
+pub use held_cells::CacheUpdate;
+pub use message::{AttemptId, DocumentKind, Envelope, Message};
 pub use node::{Identity, Node, NodeLimits};
 pub use output::{Dispatch, Output, PlatformDocument};
 pub use request::{AttemptEnd, NotRepeatable, Submission};
+pub use response_progress::{AnswerProgress, TokenVerdict};
--- a/crates/coordination/node/src/message.rs
+++ b/crates/coordination/node/src/message.rs
@@ -25,7 +25,7 @@
 /// One attempt, as named between its entry node and a holder; the envelope names
 /// the node and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AttemptName {
+pub struct AttemptId {
     /// Number of the request within the entry node's run.
     pub sequence: u64,
     /// Attempts before this one.
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Entry node to holder: wants a slot.
-    Ask {
+    RequestSlot {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Cell asked for.
         cell: CellId,
         /// Class of the request.
@@ -57,7 +57,7 @@
     /// Holder to entry node: run on this back end.
     Grant {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Where.
         back_end: BackEndId,
         /// Slots of the cell that are still free.
@@ -66,14 +66,14 @@
     /// Holder to entry node: waits in the queue.
     Queued {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Estimated wait in milliseconds.
         wait_ms: u32,
     },
     /// Holder to entry node: no slot.
     Refuse {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Why.
         reason: Reason,
         /// When to come back, in milliseconds; zero where waiting does not help.
@@ -81,18 +81,18 @@
     },
     /// Asked node to entry node: ask the holder again; it is not this node, or
     /// this node forgot its queue.
-    AskAgain {
+    Resubmit {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Version of the directory by which this node judges.
         directory: u64,
         /// The holder that this node has heard from just now, if it is another.
-        living_holder: Option<NodeId>,
+        live_holder: Option<NodeId>,
     },
     /// Entry node to holder: the slot is free, or the wait is over.
     Release {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Cell of the slot.
         cell: CellId,
         /// What was seen.
@@ -101,12 +101,12 @@
     /// Holder to entry node: release noted.
     Released {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
     },
     /// Entry node to a new holder: runs by leave of an earlier holder.
     Register {
         /// The attempt.
-        name: AttemptName,
+        attempt_id: AttemptId,
         /// Cell of the slot.
         cell: CellId,
         /// Class of the request.
@@ -123,7 +123,7 @@
         /// Cell of the slots.
         cell: CellId,
         /// The attempts.
-        names: Vec<AttemptName>,
+        attempt_ids: Vec<AttemptId>,
     },
     /// Entry node to holder: a stream is slower than it should be.
     SlowStream {
@@ -143,7 +143,7 @@
     },
     /// Holder to the holders of the same pool in other zones: what tenants with
     /// limits use here.
-    TenantUse {
+    TenantUsage {
         /// The cell.
         cell: CellId,
         /// Requests running, per tenant.
@@ -157,11 +157,11 @@
         sequence: u64,
     },
     /// Home to entry node.
-    ClaimAnswer {
+    ClaimReply {
         /// The request.
         sequence: u64,
         /// The answer.
-        answer: ClaimAnswer,
+        reply: ClaimAnswer,
     },
     /// Entry node to home: how the request ended.
     Settle {
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -2,16 +2,16 @@
 
 use crate::catalog::Catalog;
 use crate::claims::Settlements;
-use crate::counts::ClassCounts;
+use crate::class_counts::ClassCounts;
 use crate::decision::{Decision, DecisionLog, Step};
-use crate::holding::HeldCell;
+use crate::held_cells::HeldCell;
 use crate::message::{Envelope, Message};
 use crate::output::Output;
 use crate::probes::ProbeSchedule;
 use crate::releases::Releases;
 use crate::request::{LocalRequest, Phase};
 use crate::restored_directory::LeavingOverrides;
-use crate::retry::RetryBudget;
+use crate::retry_budget::RetryBudget;
 use eiderferry_admission::{CellPolicy, CellSnapshot};
 use eiderferry_config::{Configuration, Directory};
 use eiderferry_dissemination::{ReadPlan, Replica};
@@ -28,9 +28,9 @@
 /// How often [`Node::tick`] wants to be called.
 pub(crate) const TICK_INTERVAL: Span = Span::from_milliseconds(50);
 /// Repeat window until a configuration says otherwise.
-const ASSUMED_REPEAT_WINDOW: Span = Span::from_milliseconds(60_000);
+const DEFAULT_REPEAT_WINDOW: Span = Span::from_milliseconds(60_000);
 /// Time a new node listens for newer versions before it calls itself ready.
-const READY_AFTER: Span = Span::from_milliseconds(1_500);
+const READY_DELAY: Span = Span::from_milliseconds(1_500);
 
 /// Who a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +116,7 @@
     /// A node that knows nothing yet. `seed` feeds its random choices.
     pub fn new(identity: Identity, limits: NodeLimits, now: Timestamp, seed: u64) -> Self {
         let decisions = DecisionLog::new(limits.decision_log_entries);
-        let keys = KeyTable::new(limits.key_table_entries, ASSUMED_REPEAT_WINDOW);
+        let keys = KeyTable::new(limits.key_table_entries, DEFAULT_REPEAT_WINDOW);
         Self {
             identity,
             started: now,
@@ -134,7 +134,7 @@
             next_sequence: 0,
             releases: Releases::default(),
             keys,
-            key_history: OwnershipHistory::new(identity.node, ASSUMED_REPEAT_WINDOW, now),
+            key_history: OwnershipHistory::new(identity.node, DEFAULT_REPEAT_WINDOW, now),
             settlements: Settlements::default(),
             free_slots: BTreeMap::new(),
             saturated: BTreeMap::new(),
@@ -171,7 +171,7 @@
 
     /// Takes in messages from a peer.
     pub fn receive(&mut self, now: Timestamp, envelope: Envelope) {
-        self.enter(now);
+        self.advance_clock(now);
         let outdated = self
             .fleet
             .detector
@@ -183,19 +183,19 @@
             return;
         }
         self.heard_any_peer = true;
-        self.note_sign_of_life(envelope.from, envelope.incarnation);
+        self.record_heard(envelope.from, envelope.incarnation);
         for message in envelope.messages {
-            if misdirected && message.answers_a_request() {
+            if misdirected && message.is_reply() {
                 continue;
             }
             self.handle(envelope.from, envelope.incarnation, message);
         }
-        self.leave();
+        self.process_inbox();
     }
 
     /// Regular work; to be called every [`Node::tick_interval`].
     pub fn tick(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.probe();
         self.read_documents();
         self.clear_expired_overrides();
@@ -205,12 +205,12 @@
         self.resend_settlements();
         self.keys.tick(self.now);
         self.tick_quarantine();
-        self.leave();
+        self.process_inbox();
     }
 
     /// Issues a ticket for one non-repeatable request.
     pub fn issue_ticket(&mut self, now: Timestamp) -> Result<KeyName, KeyTableFull> {
-        self.enter(now);
+        self.advance_clock(now);
         let Identity {
             node, incarnation, ..
         } = self.identity;
@@ -220,21 +220,21 @@
     /// Begins a planned stop: takes nothing new, hands its queues on, finishes
     /// what it has.
     pub fn drain(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.draining = true;
         self.fleet.set_own_draining(true);
-        self.announce_to_all();
-        self.hand_over_cells();
-        self.leave();
+        self.announce_to_zone();
+        self.abandon_all_queues();
+        self.process_inbox();
     }
 
     /// Ends a planned stop before the process has ended: takes work again.
     pub fn undrain(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.draining = false;
         self.fleet.set_own_draining(false);
-        self.announce_to_all();
-        self.leave();
+        self.announce_to_zone();
+        self.process_inbox();
     }
 
     /// Whether the node is stopping.
@@ -250,9 +250,10 @@
     /// Whether the node can decide on requests. A new node first listens whether a
     /// peer knows a newer configuration than the platform shows.
     pub fn is_ready(&self) -> bool {
-        let informed = self.configuration.current().is_some() && self.directory.current().is_some();
-        let settled = self.heard_any_peer || self.now.since(self.started) >= READY_AFTER;
-        informed && settled
+        let has_documents =
+            self.configuration.current().is_some() && self.directory.current().is_some();
+        let has_listened = self.heard_any_peer || self.now.since(self.started) >= READY_DELAY;
+        has_documents && has_listened
     }
 
     /// The configuration in force.
@@ -315,14 +316,14 @@
     }
 
     /// Sets the clock and notices a pause.
-    pub(crate) fn enter(&mut self, now: Timestamp) {
+    pub(crate) fn advance_clock(&mut self, now: Timestamp) {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.check_for_pause(gap);
     }
 
     /// Handles what the node sent to itself.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn process_inbox(&mut self) {
         let Identity {
             node, incarnation, ..
         } = self.identity;
@@ -351,7 +352,7 @@
         }
     }
 
-    pub(crate) fn note_step(&mut self, sequence: u64, step: Step) {
+    pub(crate) fn record_step(&mut self, sequence: u64, step: Step) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -370,40 +371,45 @@
 
     fn handle(&mut self, from: NodeId, incarnation: Incarnation, message: Message) {
         match message {
-            Message::Ask { .. } | Message::Register { .. } => {
-                self.handle_ask(from, incarnation, message);
+            Message::RequestSlot { .. } | Message::Register { .. } => {
+                self.handle_slot_request(from, incarnation, message);
             }
             Message::Release {
-                name,
+                attempt_id,
                 cell,
                 observation,
             } => {
-                self.handle_release(from, incarnation, name, cell, &observation);
+                self.handle_release(from, incarnation, attempt_id, cell, &observation);
             }
             Message::Grant {
-                name,
+                attempt_id,
                 back_end,
                 free,
             } => {
-                self.handle_grant(from, name, back_end, free);
+                self.handle_grant(from, attempt_id, back_end, free);
             }
-            Message::Queued { name, wait_ms } => self.handle_queued(from, name, wait_ms),
+            Message::Queued {
+                attempt_id,
+                wait_ms,
+            } => self.handle_queued(from, attempt_id, wait_ms),
             Message::Refuse {
-                name,
+                attempt_id,
                 reason,
                 retry_after_ms,
             } => {
-                self.handle_refuse(from, name, reason, retry_after_ms);
+                self.handle_refuse(from, attempt_id, reason, retry_after_ms);
             }
-            Message::AskAgain {
-                name,
+            Message::Resubmit {
+                attempt_id,
                 directory,
-                living_holder,
+                live_holder,
             } => {
-                self.handle_ask_again(from, name, directory, living_holder);
+                self.handle_resubmit(from, attempt_id, directory, live_holder);
+            }
+            Message::Released { attempt_id } => self.releases.acknowledge(from, attempt_id),
+            Message::CheckLeases { cell, attempt_ids } => {
+                self.handle_check_leases(from, cell, attempt_ids);
             }
-            Message::Released { name } => self.releases.acknowledge(from, name),
-            Message::CheckLeases { cell, names } => self.handle_check_leases(from, cell, names),
             Message::SlowStream {
                 cell,
                 back_end,
@@ -414,12 +420,12 @@
             Message::FreeSlots { cell, free } => {
                 self.free_slots.insert(cell, (free, self.now));
             }
-            Message::TenantUse { cell, running } => self.handle_tenant_use(cell, running),
+            Message::TenantUsage { cell, running } => self.handle_tenant_usage(cell, running),
             Message::Claim { key, sequence } => {
                 self.handle_claim(from, incarnation, key, sequence);
             }
-            Message::ClaimAnswer { sequence, answer } => {
-                self.handle_claim_answer(from, sequence, answer);
+            Message::ClaimReply { sequence, reply } => {
+                self.handle_claim_reply(from, sequence, reply);
             }
             Message::Settle {
                 key,
@@ -457,16 +463,16 @@
 
 impl Message {
     /// Whether the message answers something a particular run asked for.
-    fn answers_a_request(&self) -> bool {
+    fn is_reply(&self) -> bool {
         matches!(
             self,
             Message::Grant { .. }
                 | Message::Queued { .. }
                 | Message::Refuse { .. }
-                | Message::AskAgain { .. }
+                | Message::Resubmit { .. }
                 | Message::Released { .. }
                 | Message::CheckLeases { .. }
-                | Message::ClaimAnswer { .. }
+                | Message::ClaimReply { .. }
                 | Message::Settled { .. }
         )
     }
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -30,9 +30,9 @@
         self.unverified_until = Some(self.now + VERIFICATION_GRACE);
         self.directory_reads.hurry();
         self.configuration_reads.hurry();
-        self.ask_peers_for_versions();
-        self.distrust_cells();
-        self.ask_again_for_all();
+        self.ping_zone_for_versions();
+        self.revalidate_cells();
+        self.resubmit_waiting();
     }
 
     /// Whether a woken node still waits for a confirmation.
@@ -51,7 +51,7 @@
         self.unverified_until = None;
     }
 
-    fn ask_peers_for_versions(&mut self) {
+    fn ping_zone_for_versions(&mut self) {
         self.verification_echo = self.random.random_range(1..=u16::MAX);
         for peer in self.fleet.zone_peers() {
             self.ping_with_echo(peer, self.verification_echo);
@@ -60,22 +60,22 @@
 
     /// Requests whose time ran out while the process stood still end with that
     /// reason; the others ask anew.
-    fn ask_again_for_all(&mut self) {
+    fn resubmit_waiting(&mut self) {
         let now = self.now;
-        let waits = |phase: &Phase| !matches!(phase, Phase::Running { .. });
-        let late: Vec<u64> = self
+        let is_waiting = |phase: &Phase| !matches!(phase, Phase::Running { .. });
+        let expired: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, request)| now >= request.due && waits(&request.phase))
+            .filter(|(_, request)| now >= request.due && is_waiting(&request.phase))
             .map(|(sequence, _)| *sequence)
             .collect();
-        for sequence in late {
+        for sequence in expired {
             let refusal = Refusal::not_run(Reason::Paused, Some(RETRY_AFTER_PAUSE));
-            self.leave_queue(sequence);
+            self.cancel_slot_request(sequence);
             self.reject(sequence, refusal);
         }
         for request in self.requests.values_mut() {
-            if matches!(request.phase, Phase::Asking(_)) {
+            if matches!(request.phase, Phase::RequestingSlot(_)) {
                 request.phase = Phase::BackingOff { until: self.now };
             }
         }
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -18,7 +18,7 @@
 pub(crate) struct ProbeSchedule {
     next_zone: Timestamp,
     next_remote: Timestamp,
-    position: usize,
+    next_peer: usize,
 }
 
 impl Node {
@@ -26,7 +26,7 @@
     pub(crate) fn probe(&mut self) {
         let suspected = self.fleet.detector.tick(self.now);
         if !suspected.is_empty() {
-            self.rehome_running();
+            self.move_leases_to_current_holders();
         }
         if self.now >= self.probes.next_zone {
             self.probes.next_zone = self.now + ZONE_INTERVAL;
@@ -34,7 +34,7 @@
         }
         if self.now >= self.probes.next_remote {
             self.probes.next_remote = self.now + REMOTE_INTERVAL;
-            self.probe_elsewhere();
+            self.probe_remote();
         }
     }
 
@@ -42,14 +42,14 @@
         let peers = self.fleet.zone_peers();
         let count = peers.len().min(PROBES_PER_ROUND);
         for offset in 0..count {
-            let peer = peers[(self.probes.position + offset) % peers.len()];
+            let peer = peers[(self.probes.next_peer + offset) % peers.len()];
             self.fleet.detector.probed(peer, self.now);
             self.ping(peer);
         }
-        self.probes.position = self.probes.position.wrapping_add(count);
+        self.probes.next_peer = self.probes.next_peer.wrapping_add(count);
     }
 
-    fn probe_elsewhere(&mut self) {
+    fn probe_remote(&mut self) {
         let peers = self.fleet.remote_peers();
         let chosen = peers.choose(&mut self.random).copied();
         if let Some(peer) = chosen {
@@ -71,32 +71,32 @@
             echo,
         };
         self.send(peer, message);
-        self.tell_crashing_requests(peer);
+        self.send_crash_reports(peer);
     }
 
     /// Tells every node of the zone about a change of this node's own state.
-    pub(crate) fn announce_to_all(&mut self) {
+    pub(crate) fn announce_to_zone(&mut self) {
         for peer in self.fleet.zone_peers() {
             self.ping(peer);
         }
     }
 
     /// Notes that a peer lives; what it forgot by restarting is told again.
-    pub(crate) fn note_sign_of_life(&mut self, from: NodeId, incarnation: Incarnation) {
+    pub(crate) fn record_heard(&mut self, from: NodeId, incarnation: Incarnation) {
         let Some(_previous) = self.fleet.detector.heard(from, incarnation, self.now) else {
             return;
         };
         self.releases.forget_node(from);
-        self.tell_crashing_requests_at_start(from);
+        self.send_crash_reports_at_start(from);
         let now = self.now;
         for held in self.cells.values_mut() {
             held.cell.forget_node(now, from, Some(incarnation));
         }
         self.flush_all_cells();
-        self.register_running_with(from);
+        self.register_all_with(from);
         for request in self.requests.values_mut() {
-            let asked_it = matches!(&request.phase, Phase::Asking(asking) if asking.holder == from);
-            if asked_it {
+            let requested_from_peer = matches!(&request.phase, Phase::RequestingSlot(slot_request) if slot_request.holder == from);
+            if requested_from_peer {
                 request.phase = Phase::BackingOff { until: now };
             }
         }
@@ -110,17 +110,17 @@
         draining: bool,
         echo: u16,
     ) {
-        let answer = Message::Pong {
+        let reply = Message::Pong {
             configuration: self.configuration.version(),
             directory: self.directory.version(),
             draining: self.draining,
             echo,
         };
-        self.send(from, answer);
-        self.note_peer_state(from, configuration, directory, draining);
+        self.send(from, reply);
+        self.record_peer_state(from, configuration, directory, draining);
     }
 
-    pub(crate) fn note_peer_state(
+    pub(crate) fn record_peer_state(
         &mut self,
         from: NodeId,
         configuration: u64,
@@ -130,7 +130,7 @@
         let was_draining = self.fleet.detector.is_draining(from);
         self.fleet.detector.set_draining(from, draining);
         if was_draining != draining {
-            self.rehome_running();
+            self.move_leases_to_current_holders();
         }
         if configuration > self.configuration.version() {
             self.fetch(from, DocumentKind::Configuration);
@@ -150,7 +150,7 @@
         draining: bool,
         echo: u16,
     ) {
-        self.note_peer_state(from, configuration, directory, draining);
+        self.record_peer_state(from, configuration, directory, draining);
         if echo != 0 && echo == self.verification_echo && directory <= self.directory.version() {
             self.confirm_directory();
         }
--- a/crates/coordination/node/src/releases.rs
+++ b/crates/coordination/node/src/releases.rs
@@ -1,18 +1,18 @@
 //! Slots given back, repeated until the holder has noted them.
 
-use crate::message::{AttemptName, Message};
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use eiderferry_admission::Observation;
 use eiderferry_types::{CellId, NodeId, Span, Timestamp};
 use std::collections::BTreeMap;
 
 /// Time after which an unacknowledged release is sent again; doubles each time.
-const FIRST_RESEND: Span = Span::from_milliseconds(200);
+const FIRST_RESEND_DELAY: Span = Span::from_milliseconds(200);
 /// Attempts before the holder is left to find out by its own lease check.
-const MAXIMUM_SENDS: u32 = 6;
+const MAX_SENDS: u32 = 6;
 
 #[derive(Clone, Debug)]
-struct Unacknowledged {
+struct PendingRelease {
     cell: CellId,
     observation: Observation,
     next_send: Timestamp,
@@ -22,36 +22,36 @@
 /// Releases that no holder has acknowledged yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Releases {
-    waiting: BTreeMap<(NodeId, AttemptName), Unacknowledged>,
+    pending: BTreeMap<(NodeId, AttemptId), PendingRelease>,
 }
 
 impl Releases {
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    pub fn acknowledge(&mut self, holder: NodeId, name: AttemptName) {
-        self.waiting.remove(&(holder, name));
+    pub fn acknowledge(&mut self, holder: NodeId, attempt_id: AttemptId) {
+        self.pending.remove(&(holder, attempt_id));
     }
 
     /// The holder restarted or is gone: it has forgotten the leases.
     pub fn forget_node(&mut self, holder: NodeId) {
-        self.waiting.retain(|(node, _), _| *node != holder);
+        self.pending.retain(|(node, _), _| *node != holder);
     }
 
-    fn due(&mut self, now: Timestamp) -> Vec<(NodeId, Message)> {
+    fn take_due(&mut self, now: Timestamp) -> Vec<(NodeId, Message)> {
         let mut messages = Vec::new();
-        self.waiting.retain(|(holder, name), release| {
+        self.pending.retain(|(holder, attempt_id), release| {
             if now < release.next_send {
                 return true;
             }
-            if release.sends >= MAXIMUM_SENDS {
+            if release.sends >= MAX_SENDS {
                 return false;
             }
-            release.next_send = now + Span(FIRST_RESEND.0 << release.sends);
+            release.next_send = now + Span(FIRST_RESEND_DELAY.0 << release.sends);
             release.sends += 1;
             let message = Message::Release {
-                name: *name,
+                attempt_id: *attempt_id,
                 cell: release.cell,
                 observation: release.observation,
             };
@@ -68,13 +68,13 @@
         &mut self,
         holder: NodeId,
         cell: CellId,
-        name: AttemptName,
+        attempt_id: AttemptId,
         observation: Observation,
     ) {
         self.send(
             holder,
             Message::Release {
-                name,
+                attempt_id,
                 cell,
                 observation,
             },
@@ -82,17 +82,19 @@
         if holder == self.identity.node {
             return;
         }
-        let unacknowledged = Unacknowledged {
+        let pending_release = PendingRelease {
             cell,
             observation,
-            next_send: self.now + FIRST_RESEND,
+            next_send: self.now + FIRST_RESEND_DELAY,
             sends: 1,
         };
-        self.releases.waiting.insert((holder, name), unacknowledged);
+        self.releases
+            .pending
+            .insert((holder, attempt_id), pending_release);
     }
 
     pub(crate) fn resend_releases(&mut self) {
-        for (holder, message) in self.releases.due(self.now) {
+        for (holder, message) in self.releases.take_due(self.now) {
             self.send(holder, message);
         }
     }
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -62,10 +62,10 @@
     Claiming {
         home: NodeId,
         sent: Timestamp,
-        tries: u32,
+        resends: u32,
     },
     /// A slot has been asked for.
-    Asking(Asking),
+    RequestingSlot(SlotRequest),
     /// It stands between two cells, until the time given.
     BackingOff { until: Timestamp },
     /// It runs.
@@ -78,19 +78,19 @@
 
 /// A slot that has been asked for.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Asking {
+pub(crate) struct SlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
     pub sent: Timestamp,
     pub unanswered: u32,
     pub queued: bool,
     /// A slot elsewhere that has been asked for while the place in the queue is kept.
-    pub elsewhere: Option<AskedElsewhere>,
+    pub alternative: Option<AlternativeSlotRequest>,
 }
 
 /// A slot asked for in another cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct AskedElsewhere {
+pub(crate) struct AlternativeSlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
     pub sent: Timestamp,
@@ -127,7 +127,7 @@
     }
 
     /// Whether another attempt is harmless after one that ended with `verdict`.
-    pub fn may_repeat_after(&self, verdict: Verdict) -> bool {
+    pub fn may_retry_after(&self, verdict: Verdict) -> bool {
         verdict == Verdict::NotRun || self.submission.not_repeatable.is_none()
     }
 }
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -1,26 +1,26 @@
 //! A request's way from its arrival to its end, on its entry node.
 
-mod asking;
 mod replies;
+mod slot_requests;
 
 use crate::claims::CLAIM_RESEND;
 use crate::decision::Step;
-use crate::message::{AttemptName, Message};
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use crate::request::{AttemptEnd, LocalRequest, NotRepeatable, Phase, Submission};
 use eiderferry_admission::Observation;
 use eiderferry_types::{BackEndId, Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 
 /// Attempts of one request at the most.
-const MAXIMUM_ATTEMPTS: u8 = 4;
+const MAX_ATTEMPTS: u8 = 4;
 /// When a caller may come back to a node that is not ready or stopping.
-const RETRY_ELSEWHERE: Span = Span::from_milliseconds(500);
+const RETRY_ELSEWHERE_AFTER: Span = Span::from_milliseconds(500);
 
 impl Node {
     /// Takes in a request. Its fate comes out as outputs that carry the returned
     /// identifier.
     pub fn submit(&mut self, now: Timestamp, submission: Submission) -> RequestId {
-        self.enter(now);
+        self.advance_clock(now);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let due = submission.first_token_due;
@@ -41,14 +41,14 @@
         let class = request.submission.class;
         self.counts.entry(class).or_default().requests += 1;
         self.requests.insert(sequence, request);
-        self.note_step(sequence, Step::Arrived);
-        if let Some(reason) = self.reason_to_turn_away() {
+        self.record_step(sequence, Step::Arrived);
+        if let Some(reason) = self.rejection_reason() {
             let verdict = if has_key {
                 Verdict::MayHaveRun
             } else {
                 Verdict::NotRun
             };
-            let retry_after = Some(RETRY_ELSEWHERE);
+            let retry_after = Some(RETRY_ELSEWHERE_AFTER);
             self.reject(
                 sequence,
                 Refusal {
@@ -57,20 +57,20 @@
                     retry_after,
                 },
             );
-        } else if let Some(refusal) = self.refusal_of_crashing(digest) {
+        } else if let Some(refusal) = self.crash_refusal(digest) {
             self.reject(sequence, refusal);
         } else if has_key {
-            self.retry_budget.earn();
+            self.retry_budget.record_request();
             self.claim(sequence, 0);
         } else {
-            self.retry_budget.earn();
-            self.ask(sequence);
+            self.retry_budget.record_request();
+            self.request_slot(sequence);
         }
-        self.leave();
+        self.process_inbox();
         self.request_id(sequence)
     }
 
-    fn reason_to_turn_away(&self) -> Option<Reason> {
+    fn rejection_reason(&self) -> Option<Reason> {
         if self.draining {
             return Some(Reason::Draining);
         }
@@ -79,34 +79,34 @@
 
     /// Takes in how an attempt ended.
     pub fn attempt_ended(&mut self, now: Timestamp, id: RequestId, attempt: u8, end: AttemptEnd) {
-        self.enter(now);
+        self.advance_clock(now);
         let is_current = self
             .requests
             .get(&id.sequence)
             .is_some_and(|request| request.attempt == attempt);
         if is_current && id.incarnation == self.identity.incarnation {
-            self.end_attempt(id.sequence, end);
+            self.finish_attempt(id.sequence, end);
         }
-        self.leave();
+        self.process_inbox();
     }
 
     /// Takes in that the caller of a request that does not run yet went away.
     pub fn caller_gone(&mut self, now: Timestamp, id: RequestId) {
-        self.enter(now);
+        self.advance_clock(now);
         let sequence = id.sequence;
-        self.leave_queue(sequence);
+        self.cancel_slot_request(sequence);
         if self.requests.contains_key(&sequence) {
-            self.note_step(sequence, Step::Abandoned);
+            self.record_step(sequence, Step::Abandoned);
             let verdict = self.requests[&sequence].verdict;
             self.settle_key(sequence, verdict);
             self.requests.remove(&sequence);
         }
-        self.leave();
+        self.process_inbox();
     }
 
     /// Takes in that a stream runs slower than its class's target.
     pub fn stream_is_slow(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
-        self.enter(now);
+        self.advance_clock(now);
         let phase = self
             .requests
             .get(&id.sequence)
@@ -126,10 +126,10 @@
                 },
             );
         }
-        self.leave();
+        self.process_inbox();
     }
 
-    fn end_attempt(&mut self, sequence: u64, end: AttemptEnd) {
+    fn finish_attempt(&mut self, sequence: u64, end: AttemptEnd) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -141,7 +141,7 @@
         else {
             return;
         };
-        let name = AttemptName {
+        let attempt_id = AttemptId {
             sequence,
             attempt: request.attempt,
         };
@@ -150,16 +150,16 @@
         match end {
             AttemptEnd::Completed(observation) => {
                 let tokens = request.delivered_tokens + observation.tokens;
-                self.release(holder, cell, name, observation);
-                self.note_ended_well(digest);
+                self.release(holder, cell, attempt_id, observation);
+                self.record_success(digest);
                 self.count_completed(sequence, tokens, &observation);
-                self.note_step(sequence, Step::Completed { tokens, after });
+                self.record_step(sequence, Step::Completed { tokens, after });
                 self.settle_key(sequence, Verdict::Ran);
                 self.requests.remove(&sequence);
             }
             AttemptEnd::CallerGone(observation) => {
-                self.release(holder, cell, name, observation);
-                self.note_step(sequence, Step::Abandoned);
+                self.release(holder, cell, attempt_id, observation);
+                self.record_step(sequence, Step::Abandoned);
                 self.settle_key(sequence, Verdict::MayHaveRun);
                 self.requests.remove(&sequence);
             }
@@ -168,17 +168,17 @@
                 observation,
                 has_crashed,
             } => {
-                self.release(holder, cell, name, observation);
+                self.release(holder, cell, attempt_id, observation);
                 if has_crashed {
                     self.record_crash(digest, back_end);
                 }
-                self.after_failure(sequence, back_end, verdict, observation);
+                self.retry_or_reject(sequence, back_end, verdict, observation);
             }
         }
     }
 
     /// Tries again if that is harmless and affordable; else ends the request.
-    fn after_failure(
+    fn retry_or_reject(
         &mut self,
         sequence: u64,
         back_end: BackEndId,
@@ -190,7 +190,7 @@
         };
         request.verdict = request.verdict.max(verdict);
         request.delivered_tokens += observation.tokens;
-        let may_retry = request.may_repeat_after(verdict) && request.attempt + 1 < MAXIMUM_ATTEMPTS;
+        let may_retry = request.may_retry_after(verdict) && request.attempt + 1 < MAX_ATTEMPTS;
         if !may_retry {
             self.reject(
                 sequence,
@@ -199,11 +199,11 @@
             return;
         }
         let digest = request.submission.digest;
-        if let Some(refusal) = self.refusal_of_crashing(digest) {
+        if let Some(refusal) = self.crash_refusal(digest) {
             self.reject(sequence, refusal);
             return;
         }
-        if !self.retry_budget.spend() {
+        if !self.retry_budget.try_spend() {
             self.reject(sequence, refusal_for_failure(verdict, Reason::RetryBudget));
             return;
         }
@@ -216,7 +216,7 @@
         request.refused_by.clear();
         request.due = request.due.max(now + target);
         let delivered_tokens = request.delivered_tokens;
-        self.note_step(
+        self.record_step(
             sequence,
             Step::Retried {
                 back_end,
@@ -224,7 +224,7 @@
                 delivered_tokens,
             },
         );
-        self.ask(sequence);
+        self.request_slot(sequence);
     }
 
     fn first_token_target(&self, sequence: u64) -> Span {
@@ -246,15 +246,17 @@
                 Phase::Running { .. } => {}
                 Phase::BackingOff { until } => {
                     if self.now >= until {
-                        self.ask(sequence);
+                        self.request_slot(sequence);
                     }
                 }
-                Phase::Claiming { sent, tries, .. } => {
+                Phase::Claiming { sent, resends, .. } => {
                     if self.now.since(sent) >= CLAIM_RESEND {
-                        self.claim(sequence, tries + 1);
+                        self.claim(sequence, resends + 1);
                     }
                 }
-                Phase::Asking(asking) => self.tick_asking(sequence, &asking),
+                Phase::RequestingSlot(slot_request) => {
+                    self.tick_slot_request(sequence, &slot_request);
+                }
             }
         }
         let now = self.now;
@@ -266,14 +268,14 @@
     Refusal {
         verdict,
         reason,
-        retry_after: Some(RETRY_ELSEWHERE),
+        retry_after: Some(RETRY_ELSEWHERE_AFTER),
     }
 }
 
 /// The word to the caller: the first cell's refusal, which is the own zone's.
-fn final_refusal(request: &LocalRequest, otherwise: Reason) -> Refusal {
+fn final_refusal(request: &LocalRequest, fallback: Reason) -> Refusal {
     request.refused_by.first().map_or(
-        Refusal::not_run(otherwise, Some(RETRY_ELSEWHERE)),
+        Refusal::not_run(fallback, Some(RETRY_ELSEWHERE_AFTER)),
         |(_, refusal)| *refusal,
     )
 }
--- a/crates/coordination/node/src/request_flow/replies.rs
+++ b/crates/coordination/node/src/request_flow/replies.rs
@@ -1,16 +1,16 @@
 //! What holders answer: grants, places in a queue, refusals.
 
-use super::{RETRY_ELSEWHERE, final_refusal};
+use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
 use crate::decision::Step;
-use crate::message::{AttemptName, DocumentKind};
+use crate::message::{AttemptId, DocumentKind};
 use crate::node::Node;
 use crate::output::{Dispatch, Output};
-use crate::request::{AskedElsewhere, Asking, Phase};
+use crate::request::{AlternativeSlotRequest, Phase, SlotRequest};
 use eiderferry_admission::Observation;
 use eiderferry_types::{BackEndId, CellId, NodeId, Reason, Refusal, Span};
 
 /// Pause before asking again when the holder is not clear.
-const BACK_OFF: Span = Span::from_milliseconds(20);
+const RESUBMIT_DELAY: Span = Span::from_milliseconds(20);
 /// An order to dispatch is void after this long.
 const DISPATCH_VALIDITY: Span = Span::from_milliseconds(1_000);
 /// Estimated wait from which a free slot elsewhere is worth the way.
@@ -22,26 +22,26 @@
     pub(crate) fn handle_grant(
         &mut self,
         from: NodeId,
-        name: AttemptName,
+        attempt_id: AttemptId,
         back_end: BackEndId,
         free: u32,
     ) {
-        let sequence = name.sequence;
+        let sequence = attempt_id.sequence;
         let entry = self.catalog.back_end(back_end).copied();
         if let Some(entry) = entry {
             self.free_slots.insert(entry.cell, (free, self.now));
         }
-        let Some(asking) = self.take_granted_asking(from, name) else {
-            self.refuse_stale_grant(from, name, back_end);
+        let Some(slot_request) = self.resolve_grant(from, attempt_id) else {
+            self.release_stale_grant(from, attempt_id, back_end);
             return;
         };
         let usable =
             entry.filter(|entry| !entry.leaving && self.now < self.requests[&sequence].due);
         let Some(entry) = usable else {
-            self.release(from, asking.cell, name, Observation::UNUSED);
+            self.release(from, slot_request.cell, attempt_id, Observation::UNUSED);
             self.ping(from);
-            let refusal = Refusal::not_run(Reason::NoBackEnd, Some(RETRY_ELSEWHERE));
-            self.try_elsewhere(sequence, asking.cell, refusal);
+            let refusal = Refusal::not_run(Reason::NoBackEnd, Some(RETRY_ELSEWHERE_AFTER));
+            self.try_next_cell(sequence, slot_request.cell, refusal);
             return;
         };
         let now = self.now;
@@ -49,17 +49,17 @@
             return;
         };
         request.phase = Phase::Running {
-            cell: asking.cell,
+            cell: slot_request.cell,
             holder: from,
             back_end,
         };
         request.dispatched = now;
         let after = now.since(request.arrived);
         let delivered_tokens = request.delivered_tokens;
-        self.note_step(
+        self.record_step(
             sequence,
             Step::Dispatched {
-                cell: asking.cell,
+                cell: slot_request.cell,
                 back_end,
                 after,
             },
@@ -67,7 +67,7 @@
         let request = self.request_id(sequence);
         self.emit(Output::Dispatch(Dispatch {
             request,
-            attempt: name.attempt,
+            attempt: attempt_id.attempt,
             back_end,
             address: entry.address,
             dispatch_by: now + DISPATCH_VALIDITY,
@@ -77,108 +77,119 @@
 
     /// The ask that a grant from this node answers. If there are two, at home and
     /// elsewhere, the other one is taken back.
-    pub(super) fn take_granted_asking(
+    pub(super) fn resolve_grant(
         &mut self,
         from: NodeId,
-        name: AttemptName,
-    ) -> Option<Asking> {
-        let asking = self.open_asking(name)?;
-        if asking.holder == from {
-            if let Some(other) = asking.elsewhere {
-                self.release(other.holder, other.cell, name, Observation::UNUSED);
+        attempt_id: AttemptId,
+    ) -> Option<SlotRequest> {
+        let slot_request = self.open_slot_request(attempt_id)?;
+        if slot_request.holder == from {
+            if let Some(other) = slot_request.alternative {
+                self.release(other.holder, other.cell, attempt_id, Observation::UNUSED);
             }
-            return Some(asking);
+            return Some(slot_request);
         }
-        let elsewhere = asking
-            .elsewhere
-            .filter(|elsewhere| elsewhere.holder == from)?;
-        self.release(asking.holder, asking.cell, name, Observation::UNUSED);
-        let refusal = Refusal::not_run(Reason::DeadlineUnreachable, Some(RETRY_ELSEWHERE));
-        self.note_step(
-            name.sequence,
+        let alternative = slot_request
+            .alternative
+            .filter(|alternative| alternative.holder == from)?;
+        self.release(
+            slot_request.holder,
+            slot_request.cell,
+            attempt_id,
+            Observation::UNUSED,
+        );
+        let refusal = Refusal::not_run(Reason::DeadlineUnreachable, Some(RETRY_ELSEWHERE_AFTER));
+        self.record_step(
+            attempt_id.sequence,
             Step::Spilled {
-                from: asking.cell,
+                from: slot_request.cell,
                 refusal,
             },
         );
-        Some(Asking {
-            cell: elsewhere.cell,
+        Some(SlotRequest {
+            cell: alternative.cell,
             holder: from,
-            elsewhere: None,
-            ..asking
+            alternative: None,
+            ..slot_request
         })
     }
 
     /// Gives back a slot that came too late, unless it is the one in use.
-    pub(super) fn refuse_stale_grant(
+    pub(super) fn release_stale_grant(
         &mut self,
         from: NodeId,
-        name: AttemptName,
+        attempt_id: AttemptId,
         back_end: BackEndId,
     ) {
-        let running = self.requests.get(&name.sequence).is_some_and(|request| {
-            let same_attempt = request.attempt == name.attempt;
-            let same_place = matches!(
+        let running = self.requests.get(&attempt_id.sequence).is_some_and(|request| {
+            let same_attempt = request.attempt == attempt_id.attempt;
+            let same_lease = matches!(
                 &request.phase,
                 Phase::Running { holder, back_end: used, .. } if *holder == from && *used == back_end
             );
-            same_attempt && same_place
+            same_attempt && same_lease
         });
         if running {
             return;
         }
         if let Some(entry) = self.catalog.back_end(back_end).copied() {
-            self.release(from, entry.cell, name, Observation::UNUSED);
+            self.release(from, entry.cell, attempt_id, Observation::UNUSED);
         }
     }
 
-    pub(super) fn open_asking(&self, name: AttemptName) -> Option<Asking> {
-        let request = self.requests.get(&name.sequence)?;
+    pub(super) fn open_slot_request(&self, attempt_id: AttemptId) -> Option<SlotRequest> {
+        let request = self.requests.get(&attempt_id.sequence)?;
         match &request.phase {
-            Phase::Asking(asking) if request.attempt == name.attempt => Some(asking.clone()),
+            Phase::RequestingSlot(slot_request) if request.attempt == attempt_id.attempt => {
+                Some(slot_request.clone())
+            }
             _ => None,
         }
     }
 
-    pub(super) fn current_asking(&self, from: NodeId, name: AttemptName) -> Option<Asking> {
-        self.open_asking(name)
-            .filter(|asking| asking.holder == from)
+    pub(super) fn open_slot_request_to(
+        &self,
+        from: NodeId,
+        attempt_id: AttemptId,
+    ) -> Option<SlotRequest> {
+        self.open_slot_request(attempt_id)
+            .filter(|slot_request| slot_request.holder == from)
     }
 
-    pub(crate) fn handle_queued(&mut self, from: NodeId, name: AttemptName, wait_ms: u32) {
-        let Some(asking) = self.current_asking(from, name) else {
+    pub(crate) fn handle_queued(&mut self, from: NodeId, attempt_id: AttemptId, wait_ms: u32) {
+        let Some(slot_request) = self.open_slot_request_to(from, attempt_id) else {
             return;
         };
-        let sequence = name.sequence;
-        self.free_slots.insert(asking.cell, (0, self.now));
-        if !asking.queued {
+        let sequence = attempt_id.sequence;
+        self.free_slots.insert(slot_request.cell, (0, self.now));
+        if !slot_request.queued {
             let estimate = Span::from_milliseconds(u64::from(wait_ms));
-            self.note_step(
+            self.record_step(
                 sequence,
                 Step::Waiting {
-                    cell: asking.cell,
+                    cell: slot_request.cell,
                     estimate,
                 },
             );
         }
         if let Some(request) = self.requests.get_mut(&sequence)
-            && let Phase::Asking(current) = &mut request.phase
+            && let Phase::RequestingSlot(current) = &mut request.phase
         {
             current.queued = true;
             current.unanswered = 0;
         }
-        if wait_ms >= SPILL_WAIT_MS && asking.cell.zone == self.identity.zone {
-            self.look_elsewhere(sequence, &asking);
+        if wait_ms >= SPILL_WAIT_MS && slot_request.cell.zone == self.identity.zone {
+            self.request_alternative(sequence, &slot_request);
         }
     }
 
     /// Asks for a slot in a cell that lately had some that nobody waited for, while
     /// keeping the place in the queue at home.
-    pub(super) fn look_elsewhere(&mut self, sequence: u64, asking: &Asking) {
-        let asked_lately = asking
-            .elsewhere
-            .is_some_and(|elsewhere| self.now.since(elsewhere.sent) < SATURATION_TIME);
-        if asked_lately {
+    pub(super) fn request_alternative(&mut self, sequence: u64, slot_request: &SlotRequest) {
+        let was_sent_recently = slot_request
+            .alternative
+            .is_some_and(|alternative| self.now.since(alternative.sent) < SATURATION_TIME);
+        if was_sent_recently {
             return;
         }
         let request = &self.requests[&sequence];
@@ -186,12 +197,12 @@
             .catalog
             .cells_of_pool(request.submission.pool)
             .flat_map(|(_, cells)| cells.iter().copied())
-            .filter(|cell| *cell != asking.cell && self.catalog.is_served(*cell))
+            .filter(|cell| *cell != slot_request.cell && self.catalog.is_served(*cell))
             .filter(|cell| !self.is_saturated(*cell, request));
-        let Some(cell) = candidates.max_by_key(|cell| self.believed_free_slots(*cell)) else {
+        let Some(cell) = candidates.max_by_key(|cell| self.known_free_slots(*cell)) else {
             return;
         };
-        let free = self.believed_free_slots(cell);
+        let free = self.known_free_slots(cell);
         let Some(holder) = self.fleet.holder(cell, self.now).filter(|_| free > 0) else {
             return;
         };
@@ -200,44 +211,44 @@
         }
         let sent = self.now;
         if let Some(request) = self.requests.get_mut(&sequence)
-            && let Phase::Asking(current) = &mut request.phase
+            && let Phase::RequestingSlot(current) = &mut request.phase
         {
-            current.elsewhere = Some(AskedElsewhere { cell, holder, sent });
+            current.alternative = Some(AlternativeSlotRequest { cell, holder, sent });
         }
-        let message = self.ask_message(sequence, cell, false);
+        let message = self.slot_request_message(sequence, cell, false);
         self.send(holder, message);
     }
 
     pub(crate) fn handle_refuse(
         &mut self,
         from: NodeId,
-        name: AttemptName,
+        attempt_id: AttemptId,
         reason: Reason,
         retry_after_ms: u32,
     ) {
-        let Some(asking) = self.open_asking(name) else {
+        let Some(slot_request) = self.open_slot_request(attempt_id) else {
             return;
         };
-        if let Some(elsewhere) = asking
-            .elsewhere
-            .filter(|elsewhere| elsewhere.holder == from)
+        if let Some(alternative) = slot_request
+            .alternative
+            .filter(|alternative| alternative.holder == from)
         {
-            self.note_saturated(elsewhere.cell, name.sequence);
-            if asking.holder != from {
+            self.record_saturated(alternative.cell, attempt_id.sequence);
+            if slot_request.holder != from {
                 return;
             }
         }
-        if asking.holder != from {
+        if slot_request.holder != from {
             return;
         }
         let retry_after =
             (retry_after_ms > 0).then(|| Span::from_milliseconds(u64::from(retry_after_ms)));
         let refusal = Refusal::not_run(reason, retry_after);
-        self.note_saturated(asking.cell, name.sequence);
-        self.try_elsewhere(name.sequence, asking.cell, refusal);
+        self.record_saturated(slot_request.cell, attempt_id.sequence);
+        self.try_next_cell(attempt_id.sequence, slot_request.cell, refusal);
     }
 
-    pub(super) fn note_saturated(&mut self, cell: CellId, sequence: u64) {
+    pub(super) fn record_saturated(&mut self, cell: CellId, sequence: u64) {
         let class = self.requests[&sequence].submission.class;
         let until = self.now + SATURATION_TIME;
         self.saturated.insert((cell, class), until);
@@ -245,61 +256,66 @@
     }
 
     /// Notes that a cell can't serve the request and asks the next one.
-    pub(super) fn try_elsewhere(&mut self, sequence: u64, cell: CellId, refusal: Refusal) {
+    pub(super) fn try_next_cell(&mut self, sequence: u64, cell: CellId, refusal: Refusal) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         request.refused_by.push((cell, refusal));
-        if worth_asking_elsewhere(refusal.reason) {
-            self.note_step(
+        if may_other_cell_serve(refusal.reason) {
+            self.record_step(
                 sequence,
                 Step::Spilled {
                     from: cell,
                     refusal,
                 },
             );
-            self.ask(sequence);
+            self.request_slot(sequence);
             return;
         }
         let refusal = final_refusal(&self.requests[&sequence], refusal.reason);
         self.reject(sequence, refusal);
     }
 
-    pub(crate) fn handle_ask_again(
+    pub(crate) fn handle_resubmit(
         &mut self,
         from: NodeId,
-        name: AttemptName,
+        attempt_id: AttemptId,
         directory: u64,
-        living_holder: Option<NodeId>,
+        live_holder: Option<NodeId>,
     ) {
-        if let Some(holder) = living_holder {
+        if let Some(holder) = live_holder {
             self.fleet.detector.pardon(holder);
         }
         if directory > self.directory.version() {
             self.fetch(from, DocumentKind::Directory);
         }
-        if self.current_asking(from, name).is_none() {
+        if self.open_slot_request_to(from, attempt_id).is_none() {
             return;
         }
-        let until = self.now + BACK_OFF;
-        if let Some(request) = self.requests.get_mut(&name.sequence) {
+        let until = self.now + RESUBMIT_DELAY;
+        if let Some(request) = self.requests.get_mut(&attempt_id.sequence) {
             request.phase = Phase::BackingOff { until };
         }
     }
 
     /// Gives up a place in a queue, if the request has one.
-    pub(crate) fn leave_queue(&mut self, sequence: u64) {
+    pub(crate) fn cancel_slot_request(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let name = AttemptName {
+        let attempt_id = AttemptId {
             sequence,
             attempt: request.attempt,
         };
-        if let Phase::Asking(asking) = request.phase.clone() {
-            self.release(asking.holder, asking.cell, name, Observation::UNUSED);
-            if let Some(other) = asking.elsewhere {
-                self.release(other.holder, other.cell, name, Observation::UNUSED);
+        if let Phase::RequestingSlot(slot_request) = request.phase.clone() {
+            self.release(
+                slot_request.holder,
+                slot_request.cell,
+                attempt_id,
+                Observation::UNUSED,
+            );
+            if let Some(other) = slot_request.alternative {
+                self.release(other.holder, other.cell, attempt_id, Observation::UNUSED);
             }
         }
     }
@@ -317,7 +333,7 @@
         };
         let class = request.submission.class;
         self.counts.entry(class).or_default().refused += 1;
-        self.note_step(sequence, Step::Refused { refusal });
+        self.record_step(sequence, Step::Refused { refusal });
         self.settle_key(sequence, own_verdict);
         self.requests.remove(&sequence);
         let request = self.request_id(sequence);
@@ -326,7 +342,7 @@
 }
 
 /// Whether another cell may be able to serve what one refused.
-fn worth_asking_elsewhere(reason: Reason) -> bool {
+fn may_other_cell_serve(reason: Reason) -> bool {
     !matches!(
         reason,
         Reason::TenantConcurrency | Reason::TenantTokenRate | Reason::DeadlinePassed
--- a/crates/coordination/node/src/request_flow/asking.rs
+++ b/crates/coordination/node/src/request_flow/slot_requests.rs
@@ -1,32 +1,32 @@
 //! Asking the holder of a cell for a place, and which cell is asked.
 
-use super::{RETRY_ELSEWHERE, final_refusal};
+use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
 use crate::decision::Step;
-use crate::message::{AttemptName, Message};
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
-use crate::request::{Asking, LocalRequest, Phase};
+use crate::request::{LocalRequest, Phase, SlotRequest};
 use eiderferry_membership::Health;
 use eiderferry_types::{CellId, NodeId, Reason, Refusal, Span};
 use rand::seq::{IndexedRandom, SliceRandom};
 
 /// Time after which an ask that got no answer at all is sent again.
-const ASK_RESEND: Span = Span::from_milliseconds(120);
+const SLOT_REQUEST_RESEND: Span = Span::from_milliseconds(120);
 /// Unanswered asks after which the holder is suspected.
-const MAXIMUM_UNANSWERED_ASKS: u32 = 2;
+const MAX_UNANSWERED_RESENDS: u32 = 2;
 /// Shortest time between two asks for a place in a queue.
-const SHORTEST_KEEPALIVE: Span = Span::from_milliseconds(150);
+const MIN_KEEPALIVE_INTERVAL: Span = Span::from_milliseconds(150);
 /// Longest time between two asks for a place in a queue.
-const LONGEST_KEEPALIVE: Span = Span::from_milliseconds(3_000);
+const MAX_KEEPALIVE_INTERVAL: Span = Span::from_milliseconds(3_000);
 /// Age up to which word of free slots elsewhere is believed.
-const HINT_LIFETIME: Span = Span::from_milliseconds(1_500);
+const FREE_SLOTS_LIFETIME: Span = Span::from_milliseconds(1_500);
 /// Cells asked for one attempt at the most.
-const MAXIMUM_CELLS_PER_ATTEMPT: usize = 4;
+const MAX_CELLS_PER_ATTEMPT: usize = 4;
 /// Cells of the own zone drawn at random beside the preferred one.
-const RANDOM_CELLS: usize = 2;
+const RANDOM_CANDIDATES: usize = 2;
 
 impl Node {
     /// Asks the next suitable cell for a slot, or ends the request.
-    pub(crate) fn ask(&mut self, sequence: u64) {
+    pub(crate) fn request_slot(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -41,49 +41,50 @@
             return;
         };
         match self.fleet.holder(cell, self.now) {
-            Some(holder) => self.ask_holder(sequence, cell, holder),
+            Some(holder) => self.request_slot_from(sequence, cell, holder),
             None => {
-                let refusal = Refusal::not_run(Reason::HolderUnreachable, Some(RETRY_ELSEWHERE));
-                self.try_elsewhere(sequence, cell, refusal);
+                let refusal =
+                    Refusal::not_run(Reason::HolderUnreachable, Some(RETRY_ELSEWHERE_AFTER));
+                self.try_next_cell(sequence, cell, refusal);
             }
         }
     }
 
-    pub(super) fn ask_holder(&mut self, sequence: u64, cell: CellId, holder: NodeId) {
+    pub(super) fn request_slot_from(&mut self, sequence: u64, cell: CellId, holder: NodeId) {
         let now = self.now;
         if let Some(request) = self.requests.get_mut(&sequence) {
-            request.phase = Phase::Asking(Asking {
+            request.phase = Phase::RequestingSlot(SlotRequest {
                 cell,
                 holder,
                 sent: now,
                 unanswered: 0,
                 queued: false,
-                elsewhere: None,
+                alternative: None,
             });
         }
-        self.note_step(sequence, Step::Asked { cell, holder });
-        self.send_ask(sequence);
+        self.record_step(sequence, Step::Asked { cell, holder });
+        self.send_slot_request(sequence);
     }
 
-    pub(super) fn send_ask(&mut self, sequence: u64) {
+    pub(super) fn send_slot_request(&mut self, sequence: u64) {
         let now = self.now;
         let own_zone = self.identity.zone;
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let Phase::Asking(asking) = &mut request.phase else {
+        let Phase::RequestingSlot(slot_request) = &mut request.phase else {
             return;
         };
-        asking.sent = now;
-        let (holder, cell) = (asking.holder, asking.cell);
+        slot_request.sent = now;
+        let (holder, cell) = (slot_request.holder, slot_request.cell);
         // Only the own zone's queues are waited in: elsewhere a request wants a
         // slot at once, so that it never misses its turn at home.
-        let may_wait = cell.zone == own_zone || !self.is_served_at_home(sequence);
-        let message = self.ask_message(sequence, cell, may_wait);
+        let may_wait = cell.zone == own_zone || !self.is_served_in_own_zone(sequence);
+        let message = self.slot_request_message(sequence, cell, may_wait);
         self.send(holder, message);
     }
 
-    pub(super) fn is_served_at_home(&self, sequence: u64) -> bool {
+    pub(super) fn is_served_in_own_zone(&self, sequence: u64) -> bool {
         let pool = self.requests[&sequence].submission.pool;
         self.catalog
             .cells_of_pool(pool)
@@ -91,10 +92,15 @@
             .any(|(_, cells)| cells.iter().any(|cell| self.catalog.is_served(*cell)))
     }
 
-    pub(super) fn ask_message(&self, sequence: u64, cell: CellId, may_wait: bool) -> Message {
+    pub(super) fn slot_request_message(
+        &self,
+        sequence: u64,
+        cell: CellId,
+        may_wait: bool,
+    ) -> Message {
         let request = &self.requests[&sequence];
-        Message::Ask {
-            name: AttemptName {
+        Message::RequestSlot {
+            attempt_id: AttemptId {
                 sequence,
                 attempt: request.attempt,
             },
@@ -111,53 +117,53 @@
     /// The cell to ask next: one of the own zone's first, then others by free slots.
     pub(super) fn choose_cell(&mut self, sequence: u64) -> Option<CellId> {
         let request = &self.requests[&sequence];
-        if request.refused_by.len() >= MAXIMUM_CELLS_PER_ATTEMPT {
+        if request.refused_by.len() >= MAX_CELLS_PER_ATTEMPT {
             return None;
         }
-        let is_open = |cell: &CellId| {
+        let is_eligible = |cell: &CellId| {
             let refused = request.refused_by.iter().any(|(known, _)| known == cell);
             !refused && self.catalog.is_served(*cell)
         };
-        let mut own = Vec::new();
-        let mut remote = Vec::new();
+        let mut own_zone_cells = Vec::new();
+        let mut remote_cells = Vec::new();
         for (zone, cells) in self.catalog.cells_of_pool(request.submission.pool) {
-            let open = cells.iter().copied().filter(is_open);
+            let eligible = cells.iter().copied().filter(is_eligible);
             if zone == self.identity.zone {
-                own.extend(open);
+                own_zone_cells.extend(eligible);
             } else {
-                remote.extend(open.filter(|cell| !self.is_saturated(*cell, request)));
+                remote_cells.extend(eligible.filter(|cell| !self.is_saturated(*cell, request)));
             }
         }
-        if own.is_empty() {
-            remote.shuffle(&mut self.random);
-            return remote
+        if own_zone_cells.is_empty() {
+            remote_cells.shuffle(&mut self.random);
+            return remote_cells
                 .into_iter()
-                .max_by_key(|cell| self.believed_free_slots(*cell));
+                .max_by_key(|cell| self.known_free_slots(*cell));
         }
-        Some(self.choose_own_cell(sequence, &own))
+        Some(self.choose_own_zone_cell(sequence, &own_zone_cells))
     }
 
     /// Among several cells of the own zone: the one where the prompt's prefix is
     /// likely cached, unless another of two drawn at random is known to have more
     /// free slots and that one has none.
-    pub(super) fn choose_own_cell(&mut self, sequence: u64, cells: &[CellId]) -> CellId {
+    pub(super) fn choose_own_zone_cell(&mut self, sequence: u64, cells: &[CellId]) -> CellId {
         let request = &self.requests[&sequence];
-        let mut candidates: Vec<CellId> = Vec::with_capacity(1 + RANDOM_CELLS);
-        if let Some(mark) = request.submission.prefixes.first() {
-            candidates.push(cells[mark.hash as usize % cells.len()]);
+        let mut candidates: Vec<CellId> = Vec::with_capacity(1 + RANDOM_CANDIDATES);
+        if let Some(prefix) = request.submission.prefixes.first() {
+            candidates.push(cells[prefix.hash as usize % cells.len()]);
         }
-        let drawn = cells
-            .choose_multiple(&mut self.random, RANDOM_CELLS)
+        let random_cells = cells
+            .choose_multiple(&mut self.random, RANDOM_CANDIDATES)
             .copied();
-        candidates.extend(drawn);
+        candidates.extend(random_cells);
         let preferred = candidates[0];
-        let hint = |cell: CellId| self.free_slots.get(&cell).map(|(free, _)| *free);
-        if hint(preferred).is_none_or(|free| free > 0) {
+        let last_known_free = |cell: CellId| self.free_slots.get(&cell).map(|(free, _)| *free);
+        if last_known_free(preferred).is_none_or(|free| free > 0) {
             return preferred;
         }
         candidates
             .into_iter()
-            .max_by_key(|cell| hint(*cell).unwrap_or(1))
+            .max_by_key(|cell| last_known_free(*cell).unwrap_or(1))
             .unwrap_or(preferred)
     }
 
@@ -167,52 +173,53 @@
             .is_some_and(|until| self.now < *until)
     }
 
-    pub(super) fn believed_free_slots(&self, cell: CellId) -> u32 {
+    pub(super) fn known_free_slots(&self, cell: CellId) -> u32 {
         match self.free_slots.get(&cell) {
-            Some((free, heard)) if self.now.since(*heard) <= HINT_LIFETIME => *free,
+            Some((free, heard)) if self.now.since(*heard) <= FREE_SLOTS_LIFETIME => *free,
             _ => 0,
         }
     }
 
-    pub(super) fn tick_asking(&mut self, sequence: u64, asking: &Asking) {
+    pub(super) fn tick_slot_request(&mut self, sequence: u64, slot_request: &SlotRequest) {
         let request = &self.requests[&sequence];
         if self.now >= request.due {
             // The holder gives its word before the deadline: it has been lost.
-            self.leave_queue(sequence);
+            self.cancel_slot_request(sequence);
             let refusal = final_refusal(&self.requests[&sequence], Reason::HolderUnreachable);
             self.reject(sequence, refusal);
             return;
         }
-        let interval = if asking.queued && asking.unanswered == 0 {
-            Span(self.now.until(request.due).0 / 4).clamp(SHORTEST_KEEPALIVE, LONGEST_KEEPALIVE)
+        let interval = if slot_request.queued && slot_request.unanswered == 0 {
+            Span(self.now.until(request.due).0 / 4)
+                .clamp(MIN_KEEPALIVE_INTERVAL, MAX_KEEPALIVE_INTERVAL)
         } else {
-            ASK_RESEND
+            SLOT_REQUEST_RESEND
         };
-        if self.now.since(asking.sent) < interval {
+        if self.now.since(slot_request.sent) < interval {
             return;
         }
-        if asking.unanswered >= MAXIMUM_UNANSWERED_ASKS {
-            self.suspect_holder(sequence, asking);
+        if slot_request.unanswered >= MAX_UNANSWERED_RESENDS {
+            self.suspect_holder(sequence, slot_request);
             return;
         }
         if let Some(request) = self.requests.get_mut(&sequence)
-            && let Phase::Asking(current) = &mut request.phase
+            && let Phase::RequestingSlot(current) = &mut request.phase
         {
             current.unanswered += 1;
         }
-        self.send_ask(sequence);
+        self.send_slot_request(sequence);
     }
 
     /// The holder does not answer: if nothing else is heard of it either, the next
     /// node in order takes its place; else the ask is sent again.
-    pub(super) fn suspect_holder(&mut self, sequence: u64, asking: &Asking) {
-        self.fleet.detector.missed(asking.holder, self.now);
-        if self.fleet.detector.health(asking.holder, self.now) == Health::Reachable {
-            self.send_ask(sequence);
+    pub(super) fn suspect_holder(&mut self, sequence: u64, slot_request: &SlotRequest) {
+        self.fleet.detector.missed(slot_request.holder, self.now);
+        if self.fleet.detector.health(slot_request.holder, self.now) == Health::Reachable {
+            self.send_slot_request(sequence);
             return;
         }
-        self.leave_queue(sequence);
-        self.rehome_running();
-        self.ask(sequence);
+        self.cancel_slot_request(sequence);
+        self.move_leases_to_current_holders();
+        self.request_slot(sequence);
     }
 }
--- a/crates/coordination/node/src/tenant_exchange.rs
+++ b/crates/coordination/node/src/tenant_exchange.rs
@@ -1,6 +1,6 @@
 //! Tenants' limits over several cells: dividing them, and lending what is unused.
 
-use crate::holding::HeldCell;
+use crate::held_cells::HeldCell;
 use crate::message::Message;
 use crate::node::Node;
 use eiderferry_admission::Allowance;
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 
 /// Time between two exchanges of what tenants use.
-const TENANT_USE_INTERVAL: Span = Span::from_milliseconds(1_000);
+const TENANT_USAGE_INTERVAL: Span = Span::from_milliseconds(1_000);
 /// Age up to which word of tenants' use elsewhere is believed.
-const TENANT_USE_LIFETIME: Span = Span::from_milliseconds(3_000);
+const TENANT_USAGE_LIFETIME: Span = Span::from_milliseconds(3_000);
 
 impl Node {
     /// Tells the holders of the pool's other cells what tenants with limits use here.
-    pub(crate) fn exchange_tenant_use_if_due(&mut self, cell: CellId) {
+    pub(crate) fn exchange_tenant_usage_if_due(&mut self, cell: CellId) {
         let now = self.now;
         let due = self
             .cells
             .get(&cell)
-            .is_some_and(|held| now >= held.next_tenant_use);
+            .is_some_and(|held| now >= held.next_tenant_usage);
         if !due {
             return;
         }
@@ -28,7 +28,7 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        held.next_tenant_use = now + TENANT_USE_INTERVAL;
+        held.next_tenant_usage = now + TENANT_USAGE_INTERVAL;
         if limited.is_empty() {
             return;
         }
@@ -47,7 +47,7 @@
             if let Some(holder) = self.fleet.holder(other, now) {
                 self.send(
                     holder,
-                    Message::TenantUse {
+                    Message::TenantUsage {
                         cell,
                         running: running.clone(),
                     },
@@ -57,12 +57,12 @@
         self.set_allowances(cell);
     }
 
-    pub(crate) fn handle_tenant_use(&mut self, cell: CellId, running: Vec<(TenantId, u32)>) {
+    pub(crate) fn handle_tenant_usage(&mut self, cell: CellId, running: Vec<(TenantId, u32)>) {
         let now = self.now;
         let running: BTreeMap<TenantId, u32> = running.into_iter().collect();
         for (id, held) in &mut self.cells {
             if id.pool == cell.pool && *id != cell {
-                held.use_elsewhere.insert(cell, (now, running.clone()));
+                held.usage_elsewhere.insert(cell, (now, running.clone()));
             }
         }
     }
@@ -128,9 +128,9 @@
         let mut borrowers = 1;
         for other in cells.iter().filter(|cell| **cell != own) {
             let fresh = self
-                .use_elsewhere
+                .usage_elsewhere
                 .get(other)
-                .filter(|(heard, _)| now.since(*heard) <= TENANT_USE_LIFETIME);
+                .filter(|(heard, _)| now.since(*heard) <= TENANT_USAGE_LIFETIME);
             let Some((_, running)) = fresh else {
                 return base(own);
             };
