--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -220,9 +220,9 @@
 fn give(node: &mut Node, configuration: Configuration, directory: Directory) {
     let now = Timestamp(1_000);
     let document = PlatformDocument::Directory(directory);
-    node.platform_answered(now, DocumentKind::Directory, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Directory, Ok(Some(document)));
     let document = PlatformDocument::Configuration(configuration);
-    node.platform_answered(now, DocumentKind::Configuration, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Configuration, Ok(Some(document)));
     node.take_outputs();
 }
 
@@ -294,7 +294,7 @@
                 }
                 Output::PollBackEnd { back_end, .. } => {
                     let report = eiderferry_admission::LoadReport::default();
-                    node.back_end_reported(now, back_end, &report, &CacheUpdate::default());
+                    node.handle_load_report(now, back_end, &report, &CacheUpdate::default());
                 }
                 _ => {}
             }
--- a/crates/coordination/node/src/class_counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -43,7 +43,7 @@
     }
 
     /// Requests that tenants run in the cells held here.
-    pub fn tenant_use(&self) -> Vec<(CellId, TenantId, u32)> {
+    pub fn tenant_usage(&self) -> Vec<(CellId, TenantId, u32)> {
         let cells = self.cells.iter().flat_map(|(cell, held)| {
             let running = held.cell.tenants_running();
             running.map(|(tenant, running)| (*cell, tenant, running))
--- a/crates/coordination/node/src/decision.rs
+++ b/crates/coordination/node/src/decision.rs
@@ -188,7 +188,7 @@
     }
 
     /// All steps of one request that are still remembered.
-    pub fn of_request(&self, request: RequestId) -> Vec<&Decision> {
+    pub fn for_request(&self, request: RequestId) -> Vec<&Decision> {
         self.decisions
             .iter()
             .filter(|decision| decision.request == request)
@@ -197,8 +197,8 @@
 
     /// Decisions made after number `after`, and the number of the last one. Those
     /// that have been dropped meanwhile are missing.
-    pub fn after(&self, after: u64) -> (u64, Vec<&Decision>) {
-        let wanted = self.total.saturating_sub(after) as usize;
+    pub fn since(&self, number: u64) -> (u64, Vec<&Decision>) {
+        let wanted = self.total.saturating_sub(number) as usize;
         let skipped = self.decisions.len().saturating_sub(wanted);
         (self.total, self.decisions.iter().skip(skipped).collect())
     }
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -26,10 +26,10 @@
         let must_verify = self.is_unverified();
         let urgent = directory_missing || must_verify;
         if self.directory_reads.start_if_due(self.now, rank, urgent) {
-            let have = self.directory.version();
+            let known_version = self.directory.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Directory,
-                have,
+                known_version,
             });
         }
         let urgent = configuration_missing;
@@ -37,10 +37,10 @@
             .configuration_reads
             .start_if_due(self.now, rank, urgent)
         {
-            let have = self.configuration.version();
+            let known_version = self.configuration.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Configuration,
-                have,
+                known_version,
             });
         }
         if configuration_missing || directory_missing {
@@ -51,7 +51,10 @@
     fn fetch_from_seeds(&mut self) {
         for address in self.limits.seeds.clone() {
             for kind in [DocumentKind::Directory, DocumentKind::Configuration] {
-                let message = Message::Fetch { kind, have: 0 };
+                let message = Message::Fetch {
+                    kind,
+                    known_version: 0,
+                };
                 self.emit(Output::SendToAddress { address, message });
             }
         }
@@ -59,7 +62,7 @@
 
     /// Takes in what the platform said: a newer document, nothing newer, or that
     /// it could not be read (`Err`).
-    pub fn platform_answered(
+    pub fn handle_platform_response(
         &mut self,
         now: Timestamp,
         kind: DocumentKind,
@@ -86,22 +89,28 @@
     }
 
     pub(crate) fn fetch(&mut self, from: NodeId, kind: DocumentKind) {
-        let have = match kind {
+        let known_version = match kind {
             DocumentKind::Configuration => self.configuration.version(),
             DocumentKind::Directory => self.directory.version(),
         };
-        self.send(from, Message::Fetch { kind, have });
+        self.send(
+            from,
+            Message::Fetch {
+                kind,
+                known_version,
+            },
+        );
     }
 
-    pub(crate) fn handle_fetch(&mut self, from: NodeId, kind: DocumentKind, have: u64) {
+    pub(crate) fn handle_fetch(&mut self, from: NodeId, kind: DocumentKind, known_version: u64) {
         let message = match kind {
             DocumentKind::Configuration => self
                 .configuration
-                .update_for(have)
+                .update_for(known_version)
                 .map(Message::ConfigurationUpdate),
             DocumentKind::Directory => self
                 .directory
-                .update_for(have)
+                .update_for(known_version)
                 .map(Message::DirectoryUpdate),
         };
         if let Some(message) = message {
@@ -118,7 +127,13 @@
             Ok(document) => self.accept_configuration(document),
             Err(Acceptance::Gap) => {
                 let kind = DocumentKind::Configuration;
-                self.send(from, Message::Fetch { kind, have: 0 });
+                self.send(
+                    from,
+                    Message::Fetch {
+                        kind,
+                        known_version: 0,
+                    },
+                );
             }
             Err(_) => {}
         }
@@ -133,7 +148,13 @@
             Ok(document) => self.accept_directory(document),
             Err(Acceptance::Gap) => {
                 let kind = DocumentKind::Directory;
-                self.send(from, Message::Fetch { kind, have: 0 });
+                self.send(
+                    from,
+                    Message::Fetch {
+                        kind,
+                        known_version: 0,
+                    },
+                );
             }
             Err(_) => {}
         }
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -262,7 +262,7 @@
     }
 
     /// Takes in a back end's load report and cache events, or that it gave none.
-    pub fn back_end_reported(
+    pub fn handle_load_report(
         &mut self,
         now: Timestamp,
         back_end: BackEndId,
--- a/crates/coordination/node/src/lib.rs
+++ b/crates/coordination/node/src/lib.rs
@@ -36,4 +36,4 @@
 pub use node::{Identity, Node, NodeLimits};
 pub use output::{Dispatch, Output, PlatformDocument};
 pub use request::{AttemptEnd, NotRepeatable, Submission};
-pub use response_progress::{AnswerProgress, TokenVerdict};
+pub use response_progress::{ResponseProgress, TokenVerdict};
--- a/crates/coordination/node/src/message.rs
+++ b/crates/coordination/node/src/message.rs
@@ -209,7 +209,7 @@
         /// Which.
         kind: DocumentKind,
         /// Version known.
-        have: u64,
+        known_version: u64,
     },
     /// A newer configuration.
     ConfigurationUpdate(Update<Configuration, ConfigurationDelta>),
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -294,7 +294,7 @@
     }
 
     /// The moment of the last event.
-    pub fn present(&self) -> Timestamp {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
@@ -452,7 +452,10 @@
                 self.handle_pong(from, configuration, directory, draining, echo);
             }
             Message::CrashingRequests { reports } => self.handle_crashing_requests(&reports),
-            Message::Fetch { kind, have } => self.handle_fetch(from, kind, have),
+            Message::Fetch {
+                kind,
+                known_version,
+            } => self.handle_fetch(from, kind, known_version),
             Message::ConfigurationUpdate(update) => {
                 self.handle_configuration_update(from, &update);
             }
--- a/crates/coordination/node/src/output.rs
+++ b/crates/coordination/node/src/output.rs
@@ -55,7 +55,7 @@
         /// Which.
         kind: DocumentKind,
         /// Version known.
-        have: u64,
+        known_version: u64,
     },
     /// Ask a back end for its load and cache events.
     PollBackEnd {
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -43,7 +43,7 @@
     /// The whole answer was delivered.
     Completed(Observation),
     /// The back end failed.
-    Broken {
+    Failed {
         /// Whether it may have run.
         verdict: Verdict,
         /// What was seen before.
@@ -52,7 +52,7 @@
         has_crashed: bool,
     },
     /// The caller went away; the back end was told to cancel.
-    CallerGone(Observation),
+    CallerDisconnected(Observation),
 }
 
 /// Where a request stands.
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -91,7 +91,7 @@
     }
 
     /// Takes in that the caller of a request that does not run yet went away.
-    pub fn caller_gone(&mut self, now: Timestamp, id: RequestId) {
+    pub fn caller_disconnected(&mut self, now: Timestamp, id: RequestId) {
         self.advance_clock(now);
         let sequence = id.sequence;
         self.cancel_slot_request(sequence);
@@ -105,7 +105,7 @@
     }
 
     /// Takes in that a stream runs slower than its class's target.
-    pub fn stream_is_slow(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
+    pub fn report_slow_stream(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
         self.advance_clock(now);
         let phase = self
             .requests
@@ -157,13 +157,13 @@
                 self.settle_key(sequence, Verdict::Ran);
                 self.requests.remove(&sequence);
             }
-            AttemptEnd::CallerGone(observation) => {
+            AttemptEnd::CallerDisconnected(observation) => {
                 self.release(holder, cell, attempt_id, observation);
                 self.record_step(sequence, Step::Abandoned);
                 self.settle_key(sequence, Verdict::MayHaveRun);
                 self.requests.remove(&sequence);
             }
-            AttemptEnd::Broken {
+            AttemptEnd::Failed {
                 verdict,
                 observation,
                 has_crashed,
--- a/crates/coordination/node/src/response_progress.rs
+++ b/crates/coordination/node/src/response_progress.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenVerdict {
     /// It is the next one: pass it on.
-    PassOn,
+    Forward,
     /// It belongs to an attempt that has been given up: drop it.
     Stale,
     /// It is not the next one: the stream can't be trusted any more.
@@ -20,12 +20,12 @@
 /// current attempt's next token is passed on, so that no token is lost, doubled
 /// or foreign.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerProgress {
+pub struct ResponseProgress {
     attempt: u8,
     next_index: u32,
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     /// Begins an attempt; it must continue where the caller's part ends.
     pub fn begin_attempt(&mut self, attempt: u8) {
         self.attempt = attempt;
@@ -46,6 +46,6 @@
             return TokenVerdict::OutOfOrder { expected };
         }
         self.next_index += 1;
-        TokenVerdict::PassOn
+        TokenVerdict::Forward
     }
 }
--- a/crates/coordination/node/tests/crashing_requests.rs
+++ b/crates/coordination/node/tests/crashing_requests.rs
@@ -77,10 +77,10 @@
     };
     let mut node = Node::new(identity, NodeLimits::default(), now, u64::from(number));
     let document = PlatformDocument::Directory(directory());
-    node.platform_answered(now, DocumentKind::Directory, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Directory, Ok(Some(document)));
     let configuration = Configuration::from_yaml("test", CONFIGURATION).expect("valid");
     let document = PlatformDocument::Configuration(configuration);
-    node.platform_answered(now, DocumentKind::Configuration, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Configuration, Ok(Some(document)));
     node
 }
 
@@ -177,7 +177,7 @@
         } else {
             Verdict::MayHaveRun
         };
-        AttemptEnd::Broken {
+        AttemptEnd::Failed {
             verdict,
             observation: observation(Outcome::Failed),
             has_crashed: !is_down,
@@ -217,7 +217,7 @@
             Output::PollBackEnd { back_end, .. } => {
                 let report = eiderferry_admission::LoadReport::default();
                 let news = CacheUpdate::default();
-                self.nodes[index].back_end_reported(self.now, back_end, &report, &news);
+                self.nodes[index].handle_load_report(self.now, back_end, &report, &news);
             }
             _ => {}
         }
--- a/crates/coordination/node/tests/restored_directory.rs
+++ b/crates/coordination/node/tests/restored_directory.rs
@@ -43,7 +43,7 @@
 
 fn read(node: &mut Node, now: Timestamp, directory: Directory) {
     let document = PlatformDocument::Directory(directory);
-    node.platform_answered(now, DocumentKind::Directory, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Directory, Ok(Some(document)));
 }
 
 fn node(now: Timestamp) -> Node {
@@ -55,7 +55,7 @@
     let mut node = Node::new(identity, NodeLimits::default(), now, 1);
     let configuration = Configuration::from_yaml("test", CONFIGURATION).expect("valid");
     let document = PlatformDocument::Configuration(configuration);
-    node.platform_answered(now, DocumentKind::Configuration, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Configuration, Ok(Some(document)));
     node
 }
 
--- a/crates/lab/simulator/src/engines.rs
+++ b/crates/lab/simulator/src/engines.rs
@@ -287,7 +287,7 @@
             self.requests[request].progress.accept(attempt, Some(index))
         };
         match verdict {
-            TokenVerdict::PassOn => self.pass_on(request, attempt, index, last),
+            TokenVerdict::Forward => self.pass_on(request, attempt, index, last),
             TokenVerdict::Stale => {}
             TokenVerdict::OutOfOrder { .. } => self.attempt_broken(request, attempt, true),
         }
--- a/crates/lab/simulator/src/entry_logic.rs
+++ b/crates/lab/simulator/src/entry_logic.rs
@@ -209,7 +209,7 @@
 
     pub fn caller_gone(&mut self, now: Timestamp, id: RequestId) {
         match self {
-            Self::Node(node) => node.caller_gone(now, id),
+            Self::Node(node) => node.caller_disconnected(now, id),
             Self::Baseline(baseline) => {
                 baseline.requests.remove(&id.sequence);
             }
@@ -218,7 +218,7 @@
 
     pub fn stream_is_slow(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
         if let Self::Node(node) = self {
-            node.stream_is_slow(now, id, per_token);
+            node.report_slow_stream(now, id, per_token);
         }
     }
 
@@ -236,7 +236,7 @@
         answer: Result<Option<PlatformDocument>, ()>,
     ) {
         match self {
-            Self::Node(node) => node.platform_answered(now, kind, answer),
+            Self::Node(node) => node.handle_platform_response(now, kind, answer),
             Self::Baseline(baseline) => {
                 if let Ok(Some(PlatformDocument::Directory(directory))) = answer {
                     baseline.take_directory(&directory);
@@ -253,7 +253,7 @@
         cache: &CacheUpdate,
     ) {
         match self {
-            Self::Node(node) => node.back_end_reported(now, back_end, report, cache),
+            Self::Node(node) => node.handle_load_report(now, back_end, report, cache),
             Self::Baseline(baseline) => {
                 if let Some(entry) = baseline.back_ends.get_mut(&back_end) {
                     entry.reported_load = report.running + report.waiting;
@@ -387,7 +387,7 @@
         if *current != attempt {
             return;
         }
-        let AttemptEnd::Broken {
+        let AttemptEnd::Failed {
             verdict,
             observation,
             ..
@@ -420,7 +420,10 @@
             self.next_read = now + BASELINE_READ_INTERVAL;
             let have = self.directory_version;
             let kind = DocumentKind::Directory;
-            self.outputs.push(Output::ReadPlatform { kind, have });
+            self.outputs.push(Output::ReadPlatform {
+                kind,
+                known_version: have,
+            });
         }
         if now >= self.next_poll && self.policy == Policy::LeastLoaded {
             self.next_poll = now + BASELINE_POLL_INTERVAL;
--- a/crates/lab/simulator/src/nodes.rs
+++ b/crates/lab/simulator/src/nodes.rs
@@ -227,7 +227,10 @@
                     );
                 }
                 Output::Reject { request, refusal } => self.rejected(request, refusal),
-                Output::ReadPlatform { kind, have } => self.read_platform(index, kind, have),
+                Output::ReadPlatform {
+                    kind,
+                    known_version,
+                } => self.read_platform(index, kind, known_version),
                 Output::PollBackEnd {
                     back_end,
                     cache_cursor,
@@ -395,7 +398,7 @@
         self.tell_end(
             request,
             attempt,
-            AttemptEnd::Broken {
+            AttemptEnd::Failed {
                 verdict,
                 observation,
                 has_crashed: false,
--- a/crates/lab/simulator/src/oracle.rs
+++ b/crates/lab/simulator/src/oracle.rs
@@ -114,10 +114,10 @@
 
     pub fn oracle_attempt_ended(&mut self, request: usize, attempt: u8, end: AttemptEnd) {
         let (observation, verdict) = match end {
-            AttemptEnd::Completed(observation) | AttemptEnd::CallerGone(observation) => {
+            AttemptEnd::Completed(observation) | AttemptEnd::CallerDisconnected(observation) => {
                 (observation, None)
             }
-            AttemptEnd::Broken {
+            AttemptEnd::Failed {
                 verdict,
                 observation,
                 ..
--- a/crates/lab/simulator/src/requests.rs
+++ b/crates/lab/simulator/src/requests.rs
@@ -3,7 +3,7 @@
 use crate::scenario::CallKey;
 use eiderferry_admission::{Observation, Outcome, PrefixMark};
 use eiderferry_config::Class;
-use eiderferry_node::AnswerProgress;
+use eiderferry_node::ResponseProgress;
 use eiderferry_once::KeyName;
 use eiderferry_types::{ClassId, PoolId, RequestId, Span, TenantId, Timestamp, ZoneId};
 
@@ -88,7 +88,7 @@
     pub waiting_since: Timestamp,
     pub hand_ins: u32,
     pub attempt: Option<Attempt>,
-    pub progress: AnswerProgress,
+    pub progress: ResponseProgress,
     pub first_token: Option<Timestamp>,
     pub last_token: Timestamp,
     pub fate: Fate,
@@ -122,7 +122,7 @@
             waiting_since: now,
             hand_ins: 0,
             attempt: None,
-            progress: AnswerProgress::default(),
+            progress: ResponseProgress::default(),
             first_token: None,
             last_token: now,
             fate: Fate::Open,
--- a/crates/lab/simulator/src/workload.rs
+++ b/crates/lab/simulator/src/workload.rs
@@ -394,7 +394,11 @@
         self.end_request(request, Fate::HungUp);
         if let Some(attempt) = attempt {
             let observation = attempt.observation(Outcome::Cancelled);
-            self.tell_end(request, attempt.number, AttemptEnd::CallerGone(observation));
+            self.tell_end(
+                request,
+                attempt.number,
+                AttemptEnd::CallerDisconnected(observation),
+            );
             return;
         }
         if self.oracle.is_some() {
--- a/crates/protocol/operator/src/answers.rs
+++ b/crates/protocol/operator/src/answers.rs
@@ -100,7 +100,7 @@
         return schema::ListTenantsResponse::default();
     };
     let tenants = node
-        .tenant_use()
+        .tenant_usage()
         .into_iter()
         .map(|(cell, tenant, running)| {
             let pool = configuration.pool(cell.pool).map(|pool| pool.name.as_str());
@@ -125,7 +125,7 @@
 
 /// Every remembered decision on one request.
 pub fn explain(node: &Node, request: RequestId) -> Vec<schema::Decision> {
-    let decisions = node.decisions().of_request(request);
+    let decisions = node.decisions().for_request(request);
     decisions
         .into_iter()
         .map(|decision| to_message(node, decision))
@@ -151,7 +151,7 @@
 
 /// Decisions made after number `after`, and the number of the last one.
 pub fn decisions_after(node: &Node, after: u64) -> (u64, Vec<schema::Decision>) {
-    let (last, decisions) = node.decisions().after(after);
+    let (last, decisions) = node.decisions().since(after);
     let messages = decisions
         .into_iter()
         .map(|decision| to_message(node, decision));
--- a/crates/transport/entry/src/control_loop.rs
+++ b/crates/transport/entry/src/control_loop.rs
@@ -76,25 +76,25 @@
                 self.touched.push(request);
             }
             Command::CallerGone { request } => {
-                self.node.caller_gone(now, request);
+                self.node.caller_disconnected(now, request);
                 self.touched.push(request);
             }
             Command::SlowStream { request, per_token } => {
-                self.node.stream_is_slow(now, request, per_token);
+                self.node.report_slow_stream(now, request, per_token);
             }
             Command::IssueTicket { reply } => {
                 let _ = reply.try_send(self.node.issue_ticket(now));
             }
             Command::Frame { from, bytes } => self.handle_frame(from, &bytes),
             Command::PlatformAnswered { kind, answer } => {
-                self.node.platform_answered(now, kind, answer);
+                self.node.handle_platform_response(now, kind, answer);
             }
             Command::BackEndReported {
                 back_end,
                 report,
                 cache,
             } => {
-                self.node.back_end_reported(now, back_end, &report, &cache);
+                self.node.handle_load_report(now, back_end, &report, &cache);
             }
             // It only wakes the loop, which ticks when it is time.
             Command::Tick => {}
@@ -143,7 +143,10 @@
                         let _ = events.try_send(RequestEvent::Rejected(refusal));
                     }
                 }
-                Output::ReadPlatform { kind, have } => self.reads.read_platform(kind, have),
+                Output::ReadPlatform {
+                    kind,
+                    known_version,
+                } => self.reads.read_platform(kind, known_version),
                 Output::PollBackEnd {
                     back_end,
                     address,
--- a/crates/transport/entry/src/operators.rs
+++ b/crates/transport/entry/src/operators.rs
@@ -137,7 +137,7 @@
         _: DrainRequest,
     ) -> Result<DrainResponse, Status> {
         self.ask(|node| {
-            let now = node.present();
+            let now = node.now();
             node.drain(now);
             DrainResponse {
                 open_requests: node.open_requests() as u64,
@@ -152,7 +152,7 @@
         _: UndrainRequest,
     ) -> Result<UndrainResponse, Status> {
         self.ask(|node| {
-            let now = node.present();
+            let now = node.now();
             node.undrain(now);
             UndrainResponse {}
         })
--- a/crates/transport/entry/src/server.rs
+++ b/crates/transport/entry/src/server.rs
@@ -219,7 +219,7 @@
     pub async fn stop(mut self) -> Result<bool, ControlStopped> {
         let clock_start = std::time::Instant::now();
         let begin = |node: &mut Node| {
-            let now = node.present();
+            let now = node.now();
             node.drain(now);
         };
         self.control.with_node(begin).await?;
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -171,7 +171,7 @@
             };
             let has_crashed = state.upstream.has_crashed(dispatch.address, &error).await;
             (
-                AttemptEnd::Broken {
+                AttemptEnd::Failed {
                     verdict: error.verdict(),
                     observation,
                     has_crashed,
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -4,7 +4,7 @@
 use crate::control::{Command, ControlHandle, RequestEvent};
 use crate::upstream::{Answer, Upstream, UpstreamError, within};
 use eiderferry_admission::{Observation, Outcome};
-use eiderferry_node::{AnswerProgress, AttemptEnd, Dispatch, Submission, TokenVerdict};
+use eiderferry_node::{AttemptEnd, Dispatch, ResponseProgress, Submission, TokenVerdict};
 use eiderferry_openai::{Chunk, EngineRequest, Event, EventParser, Resume};
 use eiderferry_types::{Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 use futures_lite::AsyncReadExt;
@@ -71,7 +71,7 @@
     request: Option<RequestId>,
     stream: Option<Stream>,
     text: String,
-    progress: AnswerProgress,
+    progress: ResponseProgress,
     ended: bool,
     reported_slow: bool,
 }
@@ -103,7 +103,7 @@
             request: None,
             stream: None,
             text: String::new(),
-            progress: AnswerProgress::default(),
+            progress: ResponseProgress::default(),
             ended: false,
             reported_slow: false,
         }
@@ -218,7 +218,7 @@
                     "an engine could not be called: {error}"
                 );
                 let has_crashed = self.upstream.has_crashed(dispatch.address, &error).await;
-                let end = AttemptEnd::Broken {
+                let end = AttemptEnd::Failed {
                     verdict: error.verdict(),
                     observation: failed_observation(),
                     has_crashed,
@@ -261,7 +261,10 @@
             }
             status @ 400..=499 if status != 429 => {
                 self.ended = true;
-                self.tell_end(&dispatch, AttemptEnd::CallerGone(Observation::UNUSED));
+                self.tell_end(
+                    &dispatch,
+                    AttemptEnd::CallerDisconnected(Observation::UNUSED),
+                );
                 let body = answer
                     .body
                     .with_max_len(READ_BYTES as u64)
@@ -344,7 +347,7 @@
             .upstream
             .has_crashed(stream.dispatch.address, error)
             .await;
-        let end = AttemptEnd::Broken {
+        let end = AttemptEnd::Failed {
             verdict: Verdict::MayHaveRun,
             observation,
             has_crashed,
@@ -356,7 +359,7 @@
     fn tell_broken(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
         self.tell_end(
             dispatch,
-            AttemptEnd::Broken {
+            AttemptEnd::Failed {
                 verdict,
                 observation,
                 has_crashed: false,
@@ -381,7 +384,10 @@
         }
         if let Some(stream) = self.stream.take() {
             let observation = stream.observation(Outcome::Cancelled);
-            self.tell_end(&stream.dispatch, AttemptEnd::CallerGone(observation));
+            self.tell_end(
+                &stream.dispatch,
+                AttemptEnd::CallerDisconnected(observation),
+            );
         } else if let Some(request) = self.request {
             let _ = self.control.tell(Command::CallerGone { request });
         } else if let Ok(RequestEvent::Accepted(request)) = self.events.try_recv() {
@@ -420,7 +426,7 @@
     fn take_chunk(
         &mut self,
         data: &str,
-        progress: &mut AnswerProgress,
+        progress: &mut ResponseProgress,
     ) -> Result<Option<Chunk>, UpstreamError> {
         let chunk =
             Chunk::parse(data).map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
@@ -431,7 +437,7 @@
             return Ok(None);
         }
         match progress.accept(self.dispatch.attempt, chunk.token_index) {
-            TokenVerdict::PassOn => {}
+            TokenVerdict::Forward => {}
             TokenVerdict::Stale => return Ok(None),
             TokenVerdict::OutOfOrder { expected } => {
                 let found = chunk.token_index.unwrap_or_default();
