--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -87,7 +87,7 @@
         if let Some(request) = self.requests.get_mut(&sequence) {
             request.phase = Phase::Claiming {
                 home,
-                sent: self.now,
+                sent_at: self.now,
                 resends,
             };
         }
--- a/crates/coordination/node/src/class_counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -56,7 +56,7 @@
         self.invalid_configuration
     }
 
-    pub(crate) fn count_completed(
+    pub(crate) fn record_completed(
         &mut self,
         sequence: u64,
         tokens: u32,
@@ -66,7 +66,7 @@
             return;
         };
         let class = request.submission.class;
-        let before_dispatch = request.dispatched.since(request.arrived);
+        let before_dispatch = request.dispatched_at.since(request.arrived_at);
         let first_token = observation
             .first_token
             .map(|span| Span(before_dispatch.0 + span.0));
--- a/crates/coordination/node/src/decision.rs
+++ b/crates/coordination/node/src/decision.rs
@@ -19,7 +19,8 @@
         home: NodeId,
     },
     /// A slot was asked for.
-    Asked {
+    #[serde(rename = "asked")]
+    SlotRequested {
         /// The cell.
         cell: CellId,
         /// Who holds its queue.
@@ -79,7 +80,7 @@
         match self {
             Step::Arrived => "arrived",
             Step::Claimed { .. } => "claimed",
-            Step::Asked { .. } => "asked",
+            Step::SlotRequested { .. } => "asked",
             Step::Waiting { .. } => "waiting",
             Step::Dispatched { .. } => "dispatched",
             Step::Spilled { .. } => "spilled",
@@ -96,7 +97,7 @@
         match self {
             Step::Arrived => write!(formatter, "arrived"),
             Step::Claimed { home } => write!(formatter, "claimed its key at node {home}"),
-            Step::Asked { cell, holder } => {
+            Step::SlotRequested { cell, holder } => {
                 write!(formatter, "asked node {holder} for a slot in cell {cell}")
             }
             Step::Waiting { cell, estimate } => write!(
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -73,9 +73,9 @@
             DocumentKind::Configuration => &mut self.configuration_reads,
             DocumentKind::Directory => &mut self.directory_reads,
         };
-        let expected = plan.is_reading();
+        let was_reading = plan.is_reading();
         plan.finished(response.is_ok());
-        if kind == DocumentKind::Directory && response.is_ok() && expected {
+        if kind == DocumentKind::Directory && response.is_ok() && was_reading {
             self.confirm_directory();
         }
         match response {
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -102,12 +102,12 @@
         may_wait: bool,
     ) {
         let live_holder = self.other_live_holder(cell);
-        let refuses = self.draining || self.is_unverified() || live_holder.is_some();
+        let must_refuse = self.draining || self.is_unverified() || live_holder.is_some();
         let directory = self.directory.version();
         let ticket = ask.ticket;
         let class = ask.class;
         let now = self.now;
-        let held = if refuses {
+        let held = if must_refuse {
             None
         } else {
             self.ensure_held(cell)
@@ -127,13 +127,13 @@
             return;
         };
         held.cell.ask(now, ask);
-        let waits = held.cell.is_waiting(&ticket);
+        let is_waiting = held.cell.is_waiting(&ticket);
         let wait = held.cell.estimated_wait(now, class);
-        if waits && !may_wait {
+        if is_waiting && !may_wait {
             held.cell.withdraw(&ticket);
         }
         self.flush_cell(cell);
-        if !waits {
+        if !is_waiting {
             return;
         }
         let wait_ms = wait.milliseconds().min(u64::from(u32::MAX)) as u32;
@@ -156,17 +156,17 @@
     /// from it: a node that suspects it is told so.
     fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
-        let lives = self
+        let is_live = self
             .fleet
             .detector
             .heard_within(holder, self.now, RECENTLY_HEARD);
-        (holder != self.identity.node && lives).then_some(holder)
+        (holder != self.identity.node && is_live).then_some(holder)
     }
 
     /// The cell, taken up now if this node does not hold it yet.
     fn ensure_held(&mut self, cell: CellId) -> Option<&mut HeldCell> {
-        let known = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
-        if !known {
+        let exists = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
+        if !exists {
             return None;
         }
         if !self.cells.contains_key(&cell) {
@@ -210,7 +210,7 @@
         let Some(pool) = configuration.pool(cell.pool) else {
             return Vec::new();
         };
-        let describe = |id: &BackEndId| {
+        let capacity = |id: &BackEndId| {
             let leaving = self.catalog.back_end(*id).is_none_or(|entry| entry.leaving);
             (
                 *id,
@@ -222,7 +222,7 @@
         self.catalog
             .cell_members(cell)
             .iter()
-            .map(describe)
+            .map(capacity)
             .collect()
     }
 
@@ -309,12 +309,12 @@
 
     /// Regular work for the cells held here.
     pub(crate) fn tick_cells(&mut self) {
-        let unverified = self.is_unverified();
+        let is_unverified = self.is_unverified();
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             let now = self.now;
             if let Some(held) = self.cells.get_mut(&cell)
-                && !unverified
+                && !is_unverified
             {
                 held.cell.tick(now);
             }
@@ -399,13 +399,13 @@
     }
 
     fn drop_if_idle(&mut self, cell: CellId) {
-        let holds = self.fleet.holder(cell, self.now) == Some(self.identity.node);
+        let is_holder = self.fleet.holder(cell, self.now) == Some(self.identity.node);
         let Some(held) = self.cells.get(&cell) else {
             return;
         };
-        let used = held.cell.leases() + held.cell.waiting() > 0;
-        let idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
-        if !holds && !used && idle {
+        let is_used = held.cell.leases() + held.cell.waiting() > 0;
+        let is_idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
+        if !is_holder && !is_used && is_idle {
             self.cells.remove(&cell);
         }
     }
@@ -450,8 +450,8 @@
         let now = self.now;
         for held in self.cells.values_mut() {
             for node in held.cell.owners() {
-                let lost = node != self.identity.node && !self.fleet.is_listed(node);
-                if lost {
+                let is_lost = node != self.identity.node && !self.fleet.is_listed(node);
+                if is_lost {
                     held.cell.forget_node(now, node, None);
                 }
             }
--- a/crates/coordination/node/src/leases.rs
+++ b/crates/coordination/node/src/leases.rs
@@ -93,8 +93,8 @@
             let attempt_id = AttemptId { sequence, attempt };
             // A holder that is only silent may come back and still be the holder:
             // its lease stays, and is found again or checked later.
-            let silent = self.fleet.detector.health(previous, self.now) == Health::Suspected;
-            if !silent {
+            let is_suspected = self.fleet.detector.health(previous, self.now) == Health::Suspected;
+            if !is_suspected {
                 self.release(previous, cell, attempt_id, Observation::UNUSED);
             }
         }
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -95,7 +95,7 @@
     /// Free slots elsewhere, as last heard.
     pub(crate) free_slots: BTreeMap<CellId, (u32, Timestamp)>,
     /// Cells elsewhere that lately refused a class.
-    pub(crate) saturated: BTreeMap<(CellId, ClassId), Timestamp>,
+    pub(crate) saturated_until: BTreeMap<(CellId, ClassId), Timestamp>,
     pub(crate) counts: BTreeMap<ClassId, ClassCounts>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probes: ProbeSchedule,
@@ -137,7 +137,7 @@
             key_history: OwnershipHistory::new(identity.node, DEFAULT_REPEAT_WINDOW, now),
             settlements: Settlements::default(),
             free_slots: BTreeMap::new(),
-            saturated: BTreeMap::new(),
+            saturated_until: BTreeMap::new(),
             counts: BTreeMap::new(),
             retry_budget: RetryBudget::default(),
             probes: ProbeSchedule::default(),
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -26,7 +26,7 @@
         }
         self.fleet.detector.pardon_all();
         self.free_slots.clear();
-        self.saturated.clear();
+        self.saturated_until.clear();
         self.unverified_until = Some(self.now + VERIFICATION_GRACE);
         self.directory_reads.hurry();
         self.configuration_reads.hurry();
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -95,8 +95,11 @@
         self.flush_all_cells();
         self.register_all_with(from);
         for request in self.requests.values_mut() {
-            let requested_from_peer = matches!(&request.phase, Phase::RequestingSlot(slot_request) if slot_request.holder == from);
-            if requested_from_peer {
+            let is_requested_from_peer = matches!(
+                &request.phase,
+                Phase::RequestingSlot(slot_request) if slot_request.holder == from
+            );
+            if is_requested_from_peer {
                 request.phase = Phase::BackingOff { until: now };
             }
         }
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -61,7 +61,7 @@
     /// Its key is being claimed.
     Claiming {
         home: NodeId,
-        sent: Timestamp,
+        sent_at: Timestamp,
         resends: u32,
     },
     /// A slot has been asked for.
@@ -81,8 +81,8 @@
 pub(crate) struct SlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
-    pub sent: Timestamp,
-    pub unanswered: u32,
+    pub sent_at: Timestamp,
+    pub unanswered_resends: u32,
     pub queued: bool,
     /// A slot elsewhere that has been asked for while the place in the queue is kept.
     pub alternative: Option<AlternativeSlotRequest>,
@@ -93,16 +93,16 @@
 pub(crate) struct AlternativeSlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// A request and its state.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalRequest {
     pub submission: Submission,
-    pub arrived: Timestamp,
+    pub arrived_at: Timestamp,
     /// When it last was sent to a back end.
-    pub dispatched: Timestamp,
+    pub dispatched_at: Timestamp,
     pub attempt: u8,
     pub phase: Phase,
     /// Cells that refused the current attempt, and how.
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -28,8 +28,8 @@
         let has_key = matches!(submission.not_repeatable, Some(NotRepeatable::WithKey(_)));
         let request = LocalRequest {
             submission,
-            arrived: self.now,
-            dispatched: self.now,
+            arrived_at: self.now,
+            dispatched_at: self.now,
             attempt: 0,
             phase: Phase::BackingOff { until: self.now },
             refused_by: Vec::new(),
@@ -145,14 +145,14 @@
             sequence,
             attempt: request.attempt,
         };
-        let after = self.now.since(request.arrived);
+        let after = self.now.since(request.arrived_at);
         let digest = request.submission.digest;
         match end {
             AttemptEnd::Completed(observation) => {
                 let tokens = request.delivered_tokens + observation.tokens;
                 self.release(holder, cell, attempt_id, observation);
                 self.record_success(digest);
-                self.count_completed(sequence, tokens, &observation);
+                self.record_completed(sequence, tokens, &observation);
                 self.record_step(sequence, Step::Completed { tokens, after });
                 self.settle_key(sequence, Verdict::Ran);
                 self.requests.remove(&sequence);
@@ -249,8 +249,10 @@
                         self.request_slot(sequence);
                     }
                 }
-                Phase::Claiming { sent, resends, .. } => {
-                    if self.now.since(sent) >= CLAIM_RESEND {
+                Phase::Claiming {
+                    sent_at, resends, ..
+                } => {
+                    if self.now.since(sent_at) >= CLAIM_RESEND {
                         self.claim(sequence, resends + 1);
                     }
                 }
@@ -260,7 +262,7 @@
             }
         }
         let now = self.now;
-        self.saturated.retain(|_, until| now < *until);
+        self.saturated_until.retain(|_, until| now < *until);
     }
 }
 
--- a/crates/coordination/node/src/request_flow/replies.rs
+++ b/crates/coordination/node/src/request_flow/replies.rs
@@ -53,8 +53,8 @@
             holder: from,
             back_end,
         };
-        request.dispatched = now;
-        let after = now.since(request.arrived);
+        request.dispatched_at = now;
+        let after = now.since(request.arrived_at);
         let delivered_tokens = request.delivered_tokens;
         self.record_step(
             sequence,
@@ -121,7 +121,7 @@
         attempt_id: AttemptId,
         back_end: BackEndId,
     ) {
-        let running = self.requests.get(&attempt_id.sequence).is_some_and(|request| {
+        let is_in_use = self.requests.get(&attempt_id.sequence).is_some_and(|request| {
             let same_attempt = request.attempt == attempt_id.attempt;
             let same_lease = matches!(
                 &request.phase,
@@ -129,7 +129,7 @@
             );
             same_attempt && same_lease
         });
-        if running {
+        if is_in_use {
             return;
         }
         if let Some(entry) = self.catalog.back_end(back_end).copied() {
@@ -176,7 +176,7 @@
             && let Phase::RequestingSlot(current) = &mut request.phase
         {
             current.queued = true;
-            current.unanswered = 0;
+            current.unanswered_resends = 0;
         }
         if wait_ms >= SPILL_WAIT_MS && slot_request.cell.zone == self.identity.zone {
             self.request_alternative(sequence, &slot_request);
@@ -188,7 +188,7 @@
     pub(super) fn request_alternative(&mut self, sequence: u64, slot_request: &SlotRequest) {
         let was_sent_recently = slot_request
             .alternative
-            .is_some_and(|alternative| self.now.since(alternative.sent) < SATURATION_TIME);
+            .is_some_and(|alternative| self.now.since(alternative.sent_at) < SATURATION_TIME);
         if was_sent_recently {
             return;
         }
@@ -209,11 +209,15 @@
         if let Some((free, _)) = self.free_slots.get_mut(&cell) {
             *free = free.saturating_sub(1);
         }
-        let sent = self.now;
+        let sent_at = self.now;
         if let Some(request) = self.requests.get_mut(&sequence)
             && let Phase::RequestingSlot(current) = &mut request.phase
         {
-            current.alternative = Some(AlternativeSlotRequest { cell, holder, sent });
+            current.alternative = Some(AlternativeSlotRequest {
+                cell,
+                holder,
+                sent_at,
+            });
         }
         let message = self.slot_request_message(sequence, cell, false);
         self.send(holder, message);
@@ -251,7 +255,7 @@
     pub(super) fn record_saturated(&mut self, cell: CellId, sequence: u64) {
         let class = self.requests[&sequence].submission.class;
         let until = self.now + SATURATION_TIME;
-        self.saturated.insert((cell, class), until);
+        self.saturated_until.insert((cell, class), until);
         self.free_slots.insert(cell, (0, self.now));
     }
 
@@ -326,15 +330,15 @@
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let own_verdict = request.verdict;
+        let earlier_verdict = request.verdict;
         let refusal = Refusal {
-            verdict: refusal.verdict.max(own_verdict),
+            verdict: refusal.verdict.max(earlier_verdict),
             ..refusal
         };
         let class = request.submission.class;
         self.counts.entry(class).or_default().refused += 1;
         self.record_step(sequence, Step::Refused { refusal });
-        self.settle_key(sequence, own_verdict);
+        self.settle_key(sequence, earlier_verdict);
         self.requests.remove(&sequence);
         let request = self.request_id(sequence);
         self.emit(Output::Reject { request, refusal });
--- a/crates/coordination/node/src/request_flow/slot_requests.rs
+++ b/crates/coordination/node/src/request_flow/slot_requests.rs
@@ -56,13 +56,13 @@
             request.phase = Phase::RequestingSlot(SlotRequest {
                 cell,
                 holder,
-                sent: now,
-                unanswered: 0,
+                sent_at: now,
+                unanswered_resends: 0,
                 queued: false,
                 alternative: None,
             });
         }
-        self.record_step(sequence, Step::Asked { cell, holder });
+        self.record_step(sequence, Step::SlotRequested { cell, holder });
         self.send_slot_request(sequence);
     }
 
@@ -75,7 +75,7 @@
         let Phase::RequestingSlot(slot_request) = &mut request.phase else {
             return;
         };
-        slot_request.sent = now;
+        slot_request.sent_at = now;
         let (holder, cell) = (slot_request.holder, slot_request.cell);
         // Only the own zone's queues are waited in: elsewhere a request wants a
         // slot at once, so that it never misses its turn at home.
@@ -121,8 +121,11 @@
             return None;
         }
         let is_eligible = |cell: &CellId| {
-            let refused = request.refused_by.iter().any(|(known, _)| known == cell);
-            !refused && self.catalog.is_served(*cell)
+            let has_refused = request
+                .refused_by
+                .iter()
+                .any(|(refusing, _)| refusing == cell);
+            !has_refused && self.catalog.is_served(*cell)
         };
         let mut own_zone_cells = Vec::new();
         let mut remote_cells = Vec::new();
@@ -168,14 +171,16 @@
     }
 
     pub(super) fn is_saturated(&self, cell: CellId, request: &LocalRequest) -> bool {
-        self.saturated
+        self.saturated_until
             .get(&(cell, request.submission.class))
             .is_some_and(|until| self.now < *until)
     }
 
     pub(super) fn known_free_slots(&self, cell: CellId) -> u32 {
         match self.free_slots.get(&cell) {
-            Some((free, heard)) if self.now.since(*heard) <= FREE_SLOTS_LIFETIME => *free,
+            Some((free, reported_at)) if self.now.since(*reported_at) <= FREE_SLOTS_LIFETIME => {
+                *free
+            }
             _ => 0,
         }
     }
@@ -189,23 +194,23 @@
             self.reject(sequence, refusal);
             return;
         }
-        let interval = if slot_request.queued && slot_request.unanswered == 0 {
+        let interval = if slot_request.queued && slot_request.unanswered_resends == 0 {
             Span(self.now.until(request.due).0 / 4)
                 .clamp(MIN_KEEPALIVE_INTERVAL, MAX_KEEPALIVE_INTERVAL)
         } else {
             SLOT_REQUEST_RESEND
         };
-        if self.now.since(slot_request.sent) < interval {
+        if self.now.since(slot_request.sent_at) < interval {
             return;
         }
-        if slot_request.unanswered >= MAX_UNANSWERED_RESENDS {
+        if slot_request.unanswered_resends >= MAX_UNANSWERED_RESENDS {
             self.suspect_holder(sequence, slot_request);
             return;
         }
         if let Some(request) = self.requests.get_mut(&sequence)
             && let Phase::RequestingSlot(current) = &mut request.phase
         {
-            current.unanswered += 1;
+            current.unanswered_resends += 1;
         }
         self.send_slot_request(sequence);
     }
--- a/crates/coordination/node/src/tenant_exchange.rs
+++ b/crates/coordination/node/src/tenant_exchange.rs
@@ -24,26 +24,26 @@
         if !due {
             return;
         }
-        let limited = self.limited_tenants(cell);
+        let tenant_limits = self.tenant_limits(cell);
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
         held.next_tenant_usage = now + TENANT_USAGE_INTERVAL;
-        if limited.is_empty() {
+        if tenant_limits.is_empty() {
             return;
         }
         let running: Vec<(TenantId, u32)> = held
             .cell
             .tenants_running()
-            .filter(|(tenant, running)| *running > 0 && limited.contains_key(tenant))
+            .filter(|(tenant, running)| *running > 0 && tenant_limits.contains_key(tenant))
             .collect();
-        let others: Vec<CellId> = self
+        let other_cells: Vec<CellId> = self
             .catalog
             .cells_of_pool(cell.pool)
             .flat_map(|(_, cells)| cells.iter().copied())
             .filter(|other| *other != cell)
             .collect();
-        for other in others {
+        for other in other_cells {
             if let Some(holder) = self.fleet.holder(other, now) {
                 self.send(
                     holder,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn limited_tenants(&self, cell: CellId) -> BTreeMap<TenantId, TenantLimit> {
+    fn tenant_limits(&self, cell: CellId) -> BTreeMap<TenantId, TenantLimit> {
         let Some(configuration) = self.configuration.current() else {
             return BTreeMap::new();
         };
@@ -88,7 +88,7 @@
     /// unused is lent on, divided among the cells that have used up their part;
     /// without fresh reports nothing is lent.
     pub(crate) fn set_allowances(&mut self, cell: CellId) {
-        let limited = self.limited_tenants(cell);
+        let tenant_limits = self.tenant_limits(cell);
         let cells: Vec<CellId> = self
             .catalog
             .cells_of_pool(cell.pool)
@@ -98,7 +98,7 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        for (tenant, limit) in limited {
+        for (tenant, limit) in tenant_limits {
             let concurrency = limit
                 .concurrency
                 .map(|total| held.concurrency_allowance(now, tenant, total, cell, &cells));
@@ -123,15 +123,15 @@
         own: CellId,
         cells: &[CellId],
     ) -> u32 {
-        let base = |cell: CellId| even_part(total, cell, cells);
+        let base = |cell: CellId| even_share(total, cell, cells);
         let mut unused = 0;
         let mut borrowers = 1;
         for other in cells.iter().filter(|cell| **cell != own) {
-            let fresh = self
+            let fresh_report = self
                 .usage_elsewhere
                 .get(other)
-                .filter(|(heard, _)| now.since(*heard) <= TENANT_USAGE_LIFETIME);
-            let Some((_, running)) = fresh else {
+                .filter(|(reported_at, _)| now.since(*reported_at) <= TENANT_USAGE_LIFETIME);
+            let Some((_, running)) = fresh_report else {
                 return base(own);
             };
             let used = running.get(&tenant).copied().unwrap_or(0);
@@ -146,8 +146,8 @@
 }
 
 /// The part of `total` that one of `cells` gets when it is divided evenly.
-fn even_part(total: u32, cell: CellId, cells: &[CellId]) -> u32 {
+fn even_share(total: u32, cell: CellId, cells: &[CellId]) -> u32 {
     let count = cells.len().max(1) as u32;
-    let position = cells.iter().position(|known| *known == cell).unwrap_or(0) as u32;
+    let position = cells.iter().position(|listed| *listed == cell).unwrap_or(0) as u32;
     total / count + u32::from(position < total % count)
 }
--- a/crates/coordination/node/tests/crashing_requests.rs
+++ b/crates/coordination/node/tests/crashing_requests.rs
@@ -17,7 +17,7 @@
 const NODES: u32 = 3;
 const BACK_ENDS: u32 = 8;
 /// Time for which a back end is down.
-const DOWN: Span = Span::from_milliseconds(1_000);
+const DOWNTIME: Span = Span::from_milliseconds(1_000);
 const FATAL: RequestDigest = RequestDigest(666);
 const CONFIGURATION: &str = "version: 1
 zones:
@@ -88,7 +88,7 @@
 struct Fleet {
     now: Timestamp,
     nodes: Vec<Node>,
-    fatal: BTreeSet<RequestId>,
+    fatal_requests: BTreeSet<RequestId>,
     /// Back ends that crashed, and until when they are down.
     down: BTreeMap<BackEndId, Timestamp>,
     /// Times that a back end got the fatal request.
@@ -104,7 +104,7 @@
         let mut fleet = Self {
             now,
             nodes: nodes.collect(),
-            fatal: BTreeSet::new(),
+            fatal_requests: BTreeSet::new(),
             down: BTreeMap::new(),
             crashes: 0,
             completed: 0,
@@ -120,7 +120,7 @@
             for index in 0..self.nodes.len() {
                 self.nodes[index].tick(self.now);
             }
-            self.carry_out();
+            self.apply_outputs();
         }
     }
 
@@ -137,19 +137,19 @@
         };
         let request = self.nodes[index].submit(self.now, submission);
         if digest == FATAL {
-            self.fatal.insert(request);
+            self.fatal_requests.insert(request);
         }
-        self.carry_out();
+        self.apply_outputs();
         self.run(200);
     }
 
-    fn carry_out(&mut self) {
+    fn apply_outputs(&mut self) {
         loop {
             let mut is_idle = true;
             for index in 0..self.nodes.len() {
                 for output in self.nodes[index].take_outputs() {
                     is_idle = false;
-                    self.carry_out_one(index, output);
+                    self.apply_output(index, output);
                 }
             }
             if is_idle {
@@ -159,7 +159,7 @@
     }
 
     /// How an attempt ends at a back end, which is down for a while after a crash.
-    fn end_at(&mut self, back_end: BackEndId, is_fatal: bool) -> AttemptEnd {
+    fn run_attempt(&mut self, back_end: BackEndId, is_fatal: bool) -> AttemptEnd {
         let is_down = self
             .down
             .get(&back_end)
@@ -170,7 +170,7 @@
         }
         if !is_down {
             self.crashes += 1;
-            self.down.insert(back_end, self.now + DOWN);
+            self.down.insert(back_end, self.now + DOWNTIME);
         }
         let verdict = if is_down {
             Verdict::NotRun
@@ -185,7 +185,7 @@
     }
 
     /// Sends the fatal request by one node after the other until it has crashed three.
-    fn crash_three(&mut self) {
+    fn crash_three_back_ends(&mut self) {
         for number in 0..12 {
             if self.crashes == 3 {
                 return;
@@ -195,7 +195,7 @@
         panic!("{} crashes", self.crashes);
     }
 
-    fn carry_out_one(&mut self, index: usize, output: Output) {
+    fn apply_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
                 let identity = self.nodes[index].identity();
@@ -208,16 +208,16 @@
                 self.nodes[to.0 as usize - 1].receive(self.now, envelope);
             }
             Output::Dispatch(dispatch) => {
-                let is_fatal = self.fatal.contains(&dispatch.request);
-                let end = self.end_at(dispatch.back_end, is_fatal);
+                let is_fatal = self.fatal_requests.contains(&dispatch.request);
+                let end = self.run_attempt(dispatch.back_end, is_fatal);
                 let (request, attempt) = (dispatch.request, dispatch.attempt);
                 self.nodes[index].attempt_ended(self.now, request, attempt, end);
             }
             Output::Reject { refusal, .. } => self.refused.push((refusal.reason, refusal.verdict)),
             Output::PollBackEnd { back_end, .. } => {
                 let report = eiderferry_admission::LoadReport::default();
-                let news = CacheUpdate::default();
-                self.nodes[index].handle_load_report(self.now, back_end, &report, &news);
+                let update = CacheUpdate::default();
+                self.nodes[index].handle_load_report(self.now, back_end, &report, &update);
             }
             _ => {}
         }
@@ -226,9 +226,9 @@
 
 /// Without the quarantine each submission goes to as many back ends as it has attempts.
 #[test]
-fn all_nodes_refuse_it_from_the_third_crash() {
+fn all_nodes_refuse_a_request_after_its_third_crash() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     fleet.refused.clear();
     for number in 0..12 {
         fleet.submit(number % NODES as usize, FATAL);
@@ -241,18 +241,18 @@
 }
 
 #[test]
-fn the_request_under_way_ends_with_the_word_that_it_may_have_run() {
+fn a_request_quarantined_while_open_is_refused_as_may_have_run() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     let expected = (Reason::CrashesBackEnds, Verdict::MayHaveRun);
     assert_eq!(fleet.refused.last(), Some(&expected));
 }
 
 #[test]
-fn other_requests_are_served() {
+fn other_requests_complete_once_the_back_ends_are_up_again() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
-    fleet.run(DOWN.milliseconds());
+    fleet.crash_three_back_ends();
+    fleet.run(DOWNTIME.milliseconds());
     for number in 0..12 {
         fleet.submit(number % NODES as usize, RequestDigest(number as u64));
     }
@@ -260,9 +260,9 @@
 }
 
 #[test]
-fn a_node_that_starts_anew_hears_of_it() {
+fn a_restarted_node_learns_of_the_quarantined_request() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     fleet.nodes[2] = node(3, Incarnation(590_000_000), fleet.now);
     fleet.run(3_000);
     fleet.submit(2, FATAL);
