--- a/crates/coordination/node/src/catalog.rs
+++ b/crates/coordination/node/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The directory and the configuration, arranged for look-ups.
+//! Lookup tables built from the directory and the configuration.
 
 use crate::restored_directory::LeavingOverrides;
 use eiderferry_config::{Configuration, Directory, EntryState, PoolKind};
@@ -7,18 +7,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What is known of a back end.
+/// A listed back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackEndEntry {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its cell.
+    /// The cell to which it belongs.
     pub cell: CellId,
-    /// Whether it is leaving.
+    /// Whether it is leaving and gets no new requests.
     pub leaving: bool,
 }
 
-/// Look-ups over one directory and one configuration.
+/// Lookup tables for one version of the directory and of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     back_ends: BTreeMap<BackEndId, BackEndEntry>,
@@ -29,7 +29,8 @@
 }
 
 impl Catalog {
-    /// Arranges a directory by a configuration; back ends in `overrides` count as leaving.
+    /// Assigns the back ends of a directory to cells as configured; those in `overrides`
+    /// count as leaving, and those of unknown pools are left out.
     pub(crate) fn new(
         directory: &Directory,
         configuration: Arc<Configuration>,
@@ -82,17 +83,17 @@
         }
     }
 
-    /// The configuration it was arranged by.
+    /// The configuration that it was built from.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// A back end.
+    /// Looks up a back end.
     pub fn back_end(&self, id: BackEndId) -> Option<&BackEndEntry> {
         self.back_ends.get(&id)
     }
 
-    /// Address of a node.
+    /// Address of an entry node.
     pub fn node_address(&self, id: NodeId) -> Option<SocketAddr> {
         self.node_addresses.get(&id).copied()
     }
@@ -102,7 +103,7 @@
         self.cells.get(&cell).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a cell has a back end that is not leaving.
+    /// Whether a cell has a back end that isn't leaving.
     pub fn is_served(&self, cell: CellId) -> bool {
         self.cell_members(cell)
             .iter()
@@ -132,8 +133,9 @@
     }
 }
 
-/// Back ends are numbered one after the other, so that the remainder spreads them
-/// evenly; a hash would make cells of very unlike size.
+/// The index of a back end's cell among the `shards` cells of its zone and pool. Back
+/// ends are numbered consecutively, so the remainder distributes them evenly; a hash
+/// would make cells of very different sizes.
 fn shard_of(back_end: BackEndId, shards: u32) -> u8 {
     (back_end.0 % shards.max(1)) as u8
 }
--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -1,4 +1,8 @@
-//! Keys of non-repeatable requests: claiming them at their home, deciding them here.
+//! Idempotency keys of non-repeatable requests.
+//!
+//! Entry nodes claim a key at its home node before they dispatch the request, and settle
+//! it with the home when the request has ended. This node does both, and decides on the
+//! keys whose home it is.
 
 use crate::decision::Step;
 use crate::message::Message;
@@ -8,15 +12,15 @@
 use eiderferry_types::{Incarnation, NodeId, Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 use std::collections::BTreeMap;
 
-/// Time after which an unanswered claim is sent again.
+/// Time after which an unanswered claim is resent.
 pub(crate) const CLAIM_RESEND: Span = Span::from_milliseconds(150);
-/// Claims sent before the home counts as unreachable.
+/// Times that a claim is sent before the home counts as unreachable.
 pub(crate) const MAX_CLAIM_SENDS: u32 = 6;
-/// Time after which an unacknowledged settlement is sent again.
+/// Time after which an unacknowledged settlement is resent.
 const SETTLEMENT_RESEND: Span = Span::from_milliseconds(300);
-/// Settlements sent before the home counts as gone.
+/// Times that a settlement is resent before the home counts as gone.
 const MAX_SETTLEMENT_RESENDS: u32 = 10;
-/// When a caller may ask again about a key that can't be decided now.
+/// Time after which a caller may retry whose key can't be granted now.
 const UNDECIDED_RETRY_AFTER: Span = Span::from_milliseconds(2_000);
 
 #[derive(Clone, Debug)]
@@ -28,7 +32,8 @@
     sends: u32,
 }
 
-/// Settlements that their homes have not acknowledged yet.
+/// Settlements that their homes haven't acknowledged yet, by sequence number of the
+/// request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Settlements {
     pending: BTreeMap<u64, Settlement>,
@@ -48,7 +53,7 @@
         }
     }
 
-    /// Whether the run that issued a ticket is known to be gone.
+    /// Whether the run that issued a ticket is known to have ended.
     fn is_issuer_gone(&self, key: &KeyName) -> bool {
         let KeyName::Ticket {
             node, incarnation, ..
@@ -64,7 +69,8 @@
         current.is_some_and(|current| current != *incarnation)
     }
 
-    /// Asks the home of a request's key whether the request may run.
+    /// Claims a request's key at its home after `resends` earlier tries, or rejects the
+    /// request if the key can't be claimed.
     pub(crate) fn claim(&mut self, sequence: u64, resends: u32) {
         let Some(key) = self
             .requests
@@ -120,10 +126,13 @@
             }
             KeyName::Caller(..) => {
                 if self.key_history.home(&key) != Some(self.identity.node) {
-                    // The claimant goes by another list: let it compare versions.
+                    // The claimant uses another version of the directory; the ping
+                    // lets it compare versions.
                     self.ping(from);
                     return;
                 }
+                // A key that isn't in the table may be granted only if no other home can
+                // have granted it within the repeat window.
                 let vouched = !self.is_unverified() && self.key_history.vouches_for(self.now, &key);
                 self.keys
                     .claim_caller_key(self.now, &key, claimant, vouched)
@@ -162,7 +171,7 @@
         }
     }
 
-    /// Tells the home of a request's key how the request ended.
+    /// Reports to the home of a request's key how the request ended.
     pub(crate) fn settle_key(&mut self, sequence: u64, verdict: Verdict) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -226,8 +235,8 @@
     }
 }
 
-/// A refusal of a request whose key can't be decided: an earlier copy of it may
-/// have run.
+/// The refusal of a request whose key can't be granted or denied: an earlier request with
+/// the same key may have run.
 const fn undecided_refusal(reason: Reason, retry_after: Option<Span>) -> Refusal {
     Refusal {
         verdict: Verdict::MayHaveRun,
--- a/crates/coordination/node/src/class_counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -1,22 +1,22 @@
-//! What this node has counted, per class.
+//! Counters per class, and the node's figures for operators.
 
 use crate::node::Node;
 use eiderferry_admission::Observation;
 use eiderferry_membership::Health;
 use eiderferry_types::{CellId, ClassId, NodeId, Span, TenantId};
 
-/// Counters of one class since the node's start.
+/// Counters of one class since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests taken in.
+    /// Requests submitted.
     pub requests: u64,
-    /// Whole answers.
+    /// Requests whose whole response was delivered.
     pub completed: u64,
-    /// Requests that ended without an answer.
+    /// Requests that were refused, before or after an attempt.
     pub refused: u64,
-    /// Answers within both targets.
+    /// Completed requests that met both latency targets of the class.
     pub attained: u64,
-    /// Answer tokens of whole answers.
+    /// Response tokens of the completed requests.
     pub tokens: u64,
 }
 
@@ -26,7 +26,8 @@
         self.counts.get(&class).copied().unwrap_or_default()
     }
 
-    /// Peers with their health, and whether they are draining.
+    /// All listed peers with their health and whether they are draining, in order of
+    /// their identifiers.
     pub fn peers(&self) -> Vec<(NodeId, Health, bool)> {
         let mut peers = self.fleet.zone_peers();
         peers.extend(self.fleet.remote_peers());
@@ -42,7 +43,7 @@
         peers.into_iter().map(describe).collect()
     }
 
-    /// Requests that tenants run in the cells held here.
+    /// Number of running requests per cell held here and tenant, without zeros.
     pub fn tenant_usage(&self) -> Vec<(CellId, TenantId, u32)> {
         let cells = self.cells.iter().flat_map(|(cell, held)| {
             let running = held.cell.tenants_running();
@@ -51,7 +52,7 @@
         cells.filter(|(_, _, running)| *running > 0).collect()
     }
 
-    /// Version of the last configuration that was refused as invalid.
+    /// Version of the last configuration that was rejected as invalid; zero if none was.
     pub fn invalid_configuration(&self) -> u64 {
         self.invalid_configuration
     }
--- a/crates/coordination/node/src/crashing_requests.rs
+++ b/crates/coordination/node/src/crashing_requests.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends crash: noted here, told to other nodes, refused on all.
+//! Quarantine of requests that crash back ends: crashes are recorded, reported to other
+//! nodes, and the requests are refused on all nodes.
 
 use crate::message::Message;
 use crate::node::Node;
@@ -6,13 +7,15 @@
 use eiderferry_types::{BackEndId, NodeId, Reason, Refusal, RequestDigest, Verdict};
 use rand::seq::IndexedRandom;
 
-/// Nodes of the own zone, and elsewhere, that hear of a crash at once; from there it goes on.
+/// Peers in the own zone that get a report immediately after a crash; all others learn of
+/// it from the reports that accompany pings.
 const ZONE_FANOUT: usize = 8;
+/// Peers in other zones that get a report immediately after a crash.
 const REMOTE_FANOUT: usize = 2;
 
 impl Node {
-    /// The refusal of a request under which back ends crash, if it is one. Coming again does not
-    /// help.
+    /// The refusal of a request if it is quarantined. It names no time to retry after,
+    /// because retrying doesn't help.
     pub(crate) fn crash_refusal(&self, request: RequestDigest) -> Option<Refusal> {
         self.quarantine.status(request, self.now)?;
         Some(Refusal {
@@ -22,7 +25,8 @@
         })
     }
 
-    /// Notes that a back end crashed under a request, and tells some nodes at once.
+    /// Records that a back end crashed while it ran a request, and reports it to some
+    /// peers immediately.
     pub(crate) fn record_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
         let change = self.quarantine.record_crash(request, back_end.0, self.now);
         self.emit_quarantine_change(change);
@@ -31,7 +35,7 @@
         }
     }
 
-    /// Notes that a request ended well.
+    /// Records that a request completed, which counts against its quarantine.
     pub(crate) fn record_success(&mut self, request: RequestDigest) {
         let change = self.quarantine.record_completed(request, self.now);
         self.emit_quarantine_change(change);
@@ -46,7 +50,7 @@
         peers
     }
 
-    /// Tells a node what is known of such requests, if anything is.
+    /// Sends the known crash reports to a peer, if there are any.
     pub(crate) fn send_crash_reports(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports(self.now);
         if !reports.is_empty() {
@@ -54,7 +58,7 @@
         }
     }
 
-    /// A node that has just started knows of none.
+    /// Sends the crash reports that a peer needs after its start.
     pub(crate) fn send_crash_reports_at_start(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports_at_start(self.now);
         if !reports.is_empty() {
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Forgets what is too old.
+    /// Drops expired crash records.
     pub(crate) fn tick_quarantine(&mut self) {
         for change in self.quarantine.expire(self.now) {
             self.emit_quarantine_change(Some(change));
--- a/crates/coordination/node/src/decision.rs
+++ b/crates/coordination/node/src/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided for each request, and why.
+//! Log of the decisions made for each request.
 
 use eiderferry_types::{
     BackEndId, CellId, ClassId, NodeId, Refusal, RequestId, Span, TenantId, Timestamp, Verdict,
@@ -7,75 +7,75 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// One step in the life of a request.
+/// One step in the processing of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum Step {
-    /// Came in.
+    /// The request arrived.
     Arrived,
-    /// Its key was claimed at its home.
+    /// Its idempotency key was granted.
     Claimed {
-        /// The home.
+        /// Home node of the key.
         home: NodeId,
     },
-    /// A slot was asked for.
+    /// A slot was requested.
     #[serde(rename = "asked")]
     SlotRequested {
-        /// The cell.
+        /// Cell of the slot.
         cell: CellId,
-        /// Who holds its queue.
+        /// Node that holds the cell.
         holder: NodeId,
     },
-    /// It waits in a queue.
+    /// The request waits in a queue.
     Waiting {
-        /// The cell.
+        /// Cell of the queue.
         cell: CellId,
         /// Estimated wait.
         estimate: Span,
     },
-    /// It runs.
+    /// The request was dispatched to a back end.
     Dispatched {
-        /// The cell.
+        /// Cell of the back end.
         cell: CellId,
-        /// Where.
+        /// The back end.
         back_end: BackEndId,
         /// Time from arrival to dispatch.
         after: Span,
     },
-    /// It leaves a cell for another.
+    /// The request leaves a cell to try another.
     Spilled {
-        /// The cell left.
+        /// The cell that it leaves.
         from: CellId,
-        /// Why that cell could not serve it.
+        /// Reason why that cell couldn't serve it.
         refusal: Refusal,
     },
-    /// Its back end failed and it is tried again.
+    /// Its back end failed and the request is retried.
     Retried {
         /// The back end that failed.
         back_end: BackEndId,
-        /// What the failed attempt may have done.
+        /// Whether the failed attempt has run.
         verdict: Verdict,
-        /// Answer tokens the caller has already.
+        /// Number of response tokens that the caller already has.
         delivered_tokens: u32,
     },
-    /// It ended without an answer.
+    /// The request was refused.
     Refused {
-        /// Why.
+        /// The refusal sent to the caller.
         refusal: Refusal,
     },
-    /// The whole answer was delivered.
+    /// The whole response was delivered.
     Completed {
-        /// Answer tokens.
+        /// Number of response tokens.
         tokens: u32,
-        /// Time from arrival.
+        /// Time from arrival to completion.
         after: Span,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Abandoned,
 }
 
 impl Step {
-    /// Name of the step.
+    /// Name of the step, as serialized.
     pub const fn name(&self) -> &'static str {
         match self {
             Step::Arrived => "arrived",
@@ -98,11 +98,14 @@
             Step::Arrived => write!(formatter, "arrived"),
             Step::Claimed { home } => write!(formatter, "claimed its key at node {home}"),
             Step::SlotRequested { cell, holder } => {
-                write!(formatter, "asked node {holder} for a slot in cell {cell}")
+                write!(
+                    formatter,
+                    "requested a slot in cell {cell} from node {holder}"
+                )
             }
             Step::Waiting { cell, estimate } => write!(
                 formatter,
-                "waits in cell {cell}, estimated {} ms",
+                "waiting in cell {cell}, estimated {} ms",
                 estimate.milliseconds()
             ),
             Step::Dispatched {
@@ -111,7 +114,7 @@
                 after,
             } => write!(
                 formatter,
-                "runs on back end {back_end} of cell {cell}, {} ms after arrival",
+                "dispatched to back end {back_end} of cell {cell}, {} ms after arrival",
                 after.milliseconds()
             ),
             Step::Spilled { from, refusal } => write!(
@@ -125,7 +128,7 @@
                 delivered_tokens,
             } => write!(
                 formatter,
-                "back end {back_end} failed (verdict {verdict}) after {delivered_tokens} tokens; moving on"
+                "back end {back_end} failed (verdict {verdict}) after {delivered_tokens} tokens; retrying"
             ),
             Step::Refused { refusal } => write!(
                 formatter,
@@ -137,37 +140,37 @@
                 "completed with {tokens} tokens, {} ms after arrival",
                 after.milliseconds()
             ),
-            Step::Abandoned => write!(formatter, "the caller went away"),
+            Step::Abandoned => write!(formatter, "the caller disconnected"),
         }
     }
 }
 
-/// A step of one request, with what identifies it.
+/// A step of a request, with the identity of the request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
     /// The request.
     pub request: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: TenantId,
-    /// When, on this process's clock.
+    /// Time of the decision, on this process's clock.
     pub at: Timestamp,
-    /// What was decided.
+    /// The step.
     pub step: Step,
 }
 
-/// The last decisions, in bounded memory.
+/// A bounded log of the latest decisions.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     decisions: VecDeque<Decision>,
     capacity: usize,
-    /// Decisions made since the start.
+    /// Number of decisions since the start, including those no longer kept.
     total: u64,
 }
 
 impl DecisionLog {
-    /// An empty log that keeps `capacity` decisions.
+    /// Creates an empty log that keeps `capacity` decisions.
     pub fn new(capacity: usize) -> Self {
         Self {
             decisions: VecDeque::new(),
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Adds a decision, dropping the oldest when full.
+    /// Appends a decision and drops the oldest one if the log is full.
     pub fn push(&mut self, decision: Decision) {
         self.total += 1;
         if self.capacity == 0 {
@@ -188,7 +191,7 @@
         self.decisions.push_back(decision);
     }
 
-    /// All steps of one request that are still remembered.
+    /// The decisions on one request that are still kept, oldest first.
     pub fn for_request(&self, request: RequestId) -> Vec<&Decision> {
         self.decisions
             .iter()
@@ -196,15 +199,15 @@
             .collect()
     }
 
-    /// Decisions made after number `after`, and the number of the last one. Those
-    /// that have been dropped meanwhile are missing.
+    /// The number of the latest decision, and the decisions after `number` that are still
+    /// kept.
     pub fn since(&self, number: u64) -> (u64, Vec<&Decision>) {
         let wanted = self.total.saturating_sub(number) as usize;
         let skipped = self.decisions.len().saturating_sub(wanted);
         (self.total, self.decisions.iter().skip(skipped).collect())
     }
 
-    /// The last `count` decisions for which `fits` holds, newest first.
+    /// The latest `count` decisions for which `is_match` returns true, newest first.
     pub fn latest(&self, count: usize, is_match: impl Fn(&Decision) -> bool) -> Vec<&Decision> {
         self.decisions
             .iter()
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -1,4 +1,5 @@
-//! Taking over new versions of the shared documents and passing them on.
+//! Reads new versions of the shared documents, puts them in force and announces them to
+//! peers.
 
 use crate::catalog::Catalog;
 use crate::message::{DocumentKind, Message};
@@ -10,13 +11,15 @@
 use eiderferry_types::{NodeId, Timestamp};
 use rand::seq::IndexedRandom;
 
-/// Zone peers told at once of a new version; they tell others in turn.
+/// Peers in the own zone that are pinged when a new version is accepted; they fetch it and
+/// announce it in turn.
 const ANNOUNCEMENT_FANOUT: usize = 3;
-/// Name under which the readers of a zone are chosen.
+/// Key by which the readers of a zone are chosen.
 const READER_KEY: &str = "platform-reader";
 
 impl Node {
-    /// Starts the reads of the platform that are due.
+    /// Starts the platform reads that are due, and fetches missing documents from the
+    /// seeds.
     pub(crate) fn read_documents(&mut self) {
         let readers = self.fleet.readers(READER_KEY, self.now);
         let position = readers.iter().position(|node| *node == self.identity.node);
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Takes in what the platform said: a newer document, nothing newer, or that
-    /// it could not be read (`Err`).
+    /// Handles the result of a platform read: a newer document, `None` if there is none,
+    /// or `Err` if the read failed.
     pub fn handle_platform_response(
         &mut self,
         now: Timestamp,
@@ -160,7 +163,8 @@
         }
     }
 
-    /// Puts a newer valid configuration in force; an invalid one is refused whole.
+    /// Puts a newer configuration in force if it is valid; an invalid one is rejected as a
+    /// whole.
     fn accept_configuration(&mut self, document: Configuration) {
         if document.check("published configuration").is_err() {
             self.invalid_configuration = document.version;
@@ -224,7 +228,8 @@
         self.catalog = Catalog::new(directory, configuration.clone(), &self.leaving_overrides);
     }
 
-    /// Tells a few zone peers and one node elsewhere that there is a newer version.
+    /// Pings a few peers of the own zone and one in another zone, so that they fetch the
+    /// new version.
     fn announce_version(&mut self) {
         let zone_peers = self.fleet.zone_peers();
         let remote_peers = self.fleet.remote_peers();
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -1,4 +1,4 @@
-//! The cells whose admission queues stand on this node.
+//! The cells that this node holds, that is, whose admission queues it runs.
 
 use crate::message::{AttemptId, Message};
 use crate::node::Node;
@@ -11,20 +11,21 @@
 use rand::seq::IndexedRandom;
 use std::collections::BTreeMap;
 
-/// Age up to which a sign of life speaks against another node's suspicion.
+/// Time since the last message from a holder within which this node reports it as live to
+/// nodes that suspect it.
 const RECENTLY_HEARD: Span = Span::from_milliseconds(700);
 /// Time between two polls of a back end's load.
 const POLL_INTERVAL: Span = Span::from_milliseconds(500);
-/// Time between two words on free slots to nodes elsewhere.
+/// Time between two reports of a cell's free slots to other nodes.
 const FREE_SLOTS_INTERVAL: Span = Span::from_milliseconds(500);
-/// Nodes elsewhere that get a word on free slots each time.
+/// Nodes to which each report of free slots is sent.
 const FREE_SLOTS_FANOUT: usize = 3;
 /// Time between two rounds of lease checks.
 pub(crate) const LEASE_CHECK_INTERVAL: Span = Span::from_milliseconds(10_000);
-/// Time after which a cell that this node does not hold and nobody uses is dropped.
+/// Time after which an unused cell that another node holds is dropped.
 const IDLE_TIMEOUT: Span = Span::from_milliseconds(3_000);
 
-/// A cell held here.
+/// A cell held by this node.
 pub(crate) struct HeldCell {
     pub cell: Cell,
     pub last_used: Timestamp,
@@ -32,13 +33,15 @@
     next_free_slots: Timestamp,
     pub next_tenant_usage: Timestamp,
     pub next_lease_check: Timestamp,
+    /// Number of the last cache event received from each back end.
     cache_cursors: BTreeMap<BackEndId, u64>,
-    /// What tenants with limits use in the other cells of the pool.
+    /// Running requests of tenants with limits in the other cells of the pool, with the
+    /// time of the report.
     pub usage_elsewhere: BTreeMap<CellId, (Timestamp, BTreeMap<TenantId, u32>)>,
 }
 
 impl Node {
-    /// An ask or a registration from an entry node.
+    /// Handles a slot request or the registration of a running request.
     pub(crate) fn handle_slot_request(
         &mut self,
         from: NodeId,
@@ -152,8 +155,8 @@
         self.send(from, reply);
     }
 
-    /// The node that holds a cell in place of this one, if this node has just heard
-    /// from it: a node that suspects it is told so.
+    /// The node that holds a cell instead of this one, if this node has recently heard
+    /// from it. A requester that suspects that holder is told that it is live.
     fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
         let is_live = self
@@ -163,7 +166,8 @@
         (holder != self.identity.node && is_live).then_some(holder)
     }
 
-    /// The cell, taken up now if this node does not hold it yet.
+    /// Returns a cell, created if this node doesn't hold it yet; `None` if the cell isn't
+    /// in this zone, has no back ends, or there is no configuration.
     fn ensure_held(&mut self, cell: CellId) -> Option<&mut HeldCell> {
         let exists = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
         if !exists {
@@ -234,8 +238,8 @@
         cell: CellId,
         observation: &Observation,
     ) {
-        // Places that come free because their requests went to another holder are no
-        // room for what waits here.
+        // Slots released because their requests moved to another holder must not be
+        // granted to requests that wait here.
         self.yield_to_live_holder(cell);
         let now = self.now;
         if let Some(held) = self.cells.get_mut(&cell) {
@@ -261,7 +265,8 @@
         }
     }
 
-    /// Takes in a back end's load report and cache events, or that it gave none.
+    /// Handles the result of a poll: a back end's load report and cache events, or empty
+    /// ones if it returned none.
     pub fn handle_load_report(
         &mut self,
         now: Timestamp,
@@ -283,7 +288,7 @@
         self.process_inbox();
     }
 
-    /// Sends out what a cell has decided.
+    /// Sends the grants and refusals that a cell has decided.
     fn flush_cell(&mut self, cell: CellId) {
         let now = self.now;
         let Some(held) = self.cells.get_mut(&cell) else {
@@ -307,7 +312,7 @@
         }
     }
 
-    /// Regular work for the cells held here.
+    /// Runs periodic work for the cells held here.
     pub(crate) fn tick_cells(&mut self) {
         let is_unverified = self.is_unverified();
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
@@ -328,8 +333,8 @@
         }
     }
 
-    /// A node that stood in for a silent holder gives the queue back when the
-    /// holder is heard again: two queues for the same slots know no common order.
+    /// Hands the queue of a cell over to its holder if that is another node that is live
+    /// again, because two queues for the same slots can't keep a common order.
     fn yield_to_live_holder(&mut self, cell: CellId) {
         let waiting = self.cells.get(&cell).map_or(0, |held| held.cell.waiting());
         if waiting > 0 && self.other_live_holder(cell).is_some() {
@@ -410,7 +415,7 @@
         }
     }
 
-    /// A new configuration is in force.
+    /// Applies a new configuration to the keys and to the cells held here.
     pub(crate) fn reconfigure_cells(&mut self) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
@@ -431,7 +436,7 @@
         self.refresh_cell_members();
     }
 
-    /// The directory changed: back ends come, leave and go.
+    /// Updates the back ends of the cells held here from the catalog.
     pub(crate) fn refresh_cell_members(&mut self) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
@@ -445,7 +450,7 @@
         }
     }
 
-    /// Entry nodes that are no longer listed have lost their requests.
+    /// Drops the requests of entry nodes that are no longer listed.
     pub(crate) fn forget_unlisted_owners(&mut self) {
         let now = self.now;
         for held in self.cells.values_mut() {
@@ -459,7 +464,7 @@
         self.flush_all_cells();
     }
 
-    /// Gives the queues of cells that another node holds now back to their owners.
+    /// Abandons the queues of cells that another node holds now.
     pub(crate) fn abandon_queues_held_elsewhere(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
@@ -469,7 +474,8 @@
         }
     }
 
-    /// Gives all queues back to their owners, who will ask the next holder.
+    /// Abandons all queues, whose requests' owners then turn to the next holder, and moves
+    /// the leases of requests that run here.
     pub(crate) fn abandon_all_queues(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
@@ -478,7 +484,8 @@
         self.move_leases_to_current_holders();
     }
 
-    /// After a pause: the queues are old, and so may be the leases.
+    /// Abandons all queues and checks all leases after a pause, because both may be out of
+    /// date.
     pub(crate) fn revalidate_cells(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
@@ -497,6 +504,7 @@
         }
     }
 
+    /// Empties a queue and tells the entry nodes of its requests to resubmit them.
     pub(crate) fn abandon_queue(&mut self, cell: CellId) {
         let directory = self.directory.version();
         let Some(held) = self.cells.get_mut(&cell) else {
@@ -520,23 +528,23 @@
 }
 
 impl HeldCell {
-    /// Slots that nobody uses or waits for.
+    /// Number of slots that are neither leased nor waited for.
     fn free_slots(&self, now: Timestamp) -> u32 {
         let taken = self.cell.leases() + self.cell.waiting();
         self.cell.total_slots(now).saturating_sub(taken as u32)
     }
 }
 
-/// Cache events of a back end since the last poll.
+/// Prefix cache events of a back end since the last poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CacheUpdate {
-    /// Number of the last event.
+    /// Sequence number of the last event.
     pub cursor: u64,
-    /// Whether events were missed in between.
+    /// Whether events were missed since the last poll.
     pub gap: bool,
-    /// Hashes of prefixes now stored.
+    /// Hashes of the prefixes added to the cache.
     pub stored: Vec<u32>,
-    /// Hashes of prefixes now dropped.
+    /// Hashes of the prefixes removed from the cache.
     pub removed: Vec<u32>,
 }
 
--- a/crates/coordination/node/src/leases.rs
+++ b/crates/coordination/node/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases over time: asking owners about old ones, moving them to other holders.
+//! Checks of old leases with their owners, and the move of leases to other holders.
 
 use crate::held_cells::LEASE_CHECK_INTERVAL;
 use crate::message::{AttemptId, Message};
@@ -9,9 +9,9 @@
 use eiderferry_types::{CellId, NodeId, Span};
 use std::collections::BTreeMap;
 
-/// Age of a lease after which its owner is asked about it.
+/// Age from which on a lease is checked with its owner.
 const LEASE_CHECK_AGE: Span = Span::from_milliseconds(30_000);
-/// Leases named in one check.
+/// Maximum number of leases in one check message.
 const LEASES_PER_CHECK: usize = 64;
 
 impl Node {
@@ -48,9 +48,8 @@
         }
     }
 
-    /// A holder asks which of its leases are still in use: the others are released.
-    /// Requests that a stand-in took over while the holder stood still are in use, and
-    /// come back to it first.
+    /// Releases those of a holder's leases that are no longer in use. Leases that moved to
+    /// another holder while this one was paused are still in use, and are moved back first.
     pub(crate) fn handle_check_leases(
         &mut self,
         from: NodeId,
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Moves the leases of requests that run here to the present holders.
+    /// Moves the leases of this node's running requests to the cells' current holders.
     pub(crate) fn move_leases_to_current_holders(&mut self) {
         let mut moves = Vec::new();
         for (sequence, request) in &self.requests {
@@ -91,8 +90,8 @@
             self.register_with(sequence, current);
             let attempt = self.requests[&sequence].attempt;
             let attempt_id = AttemptId { sequence, attempt };
-            // A holder that is only silent may come back and still be the holder:
-            // its lease stays, and is found again or checked later.
+            // A suspected holder may come back and be the holder again. Its lease isn't
+            // released; it is moved back then or found by a lease check.
             let is_suspected = self.fleet.detector.health(previous, self.now) == Health::Suspected;
             if !is_suspected {
                 self.release(previous, cell, attempt_id, Observation::UNUSED);
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Tells a holder that restarted about the requests that run by its leave.
+    /// Registers the requests that run on a restarted holder's leases with it again.
     pub(crate) fn register_all_with(&mut self, node: NodeId) {
         let sequences: Vec<u64> = self
             .requests
--- a/crates/coordination/node/src/lib.rs
+++ b/crates/coordination/node/src/lib.rs
@@ -1,9 +1,9 @@
 //! The control state machine of one entry node.
 //!
-//! [`Node`] decides for every request whether it runs now, waits, moves or is
-//! refused, together with the other nodes of the fleet. It does no I/O, reads no
-//! clock and draws no randomness of its own: the same code runs in `serve`, in
-//! the demo and in the simulator.
+//! [`Node`] decides, together with the other nodes of the fleet, whether each request
+//! is dispatched, queued, moved to another cell or refused. It does no I/O, and its
+//! clock and random seed are passed in, so that the same code runs in `serve`, in the
+//! demo and in the simulator.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/node/src/message.rs
+++ b/crates/coordination/node/src/message.rs
@@ -1,7 +1,8 @@
 //! Messages between entry nodes.
 //!
-//! Every message may be lost, delayed, doubled or overtaken. Whatever matters is
-//! repeated by its sender until it is answered, and harmless when it comes twice.
+//! Any message may be lost, delayed, duplicated or reordered. Messages that must arrive
+//! are resent until they are acknowledged, for a limited number of times, and handling
+//! one twice is harmless.
 
 use eiderferry_admission::{Observation, PrefixMark};
 use eiderferry_config::{Configuration, ConfigurationDelta, Directory, DirectoryDelta};
@@ -13,33 +14,37 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Which shared document.
+/// One of the two documents that the platform publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DocumentKind {
     /// The published configuration.
     Configuration,
-    /// The list of machines.
+    /// The list of entry nodes and back ends.
     Directory,
 }
 
-/// One attempt, as named between its entry node and a holder; the envelope names
-/// the node and its incarnation.
+/// Identifies an attempt of a request among those of one run of its entry node, which
+/// the envelope identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Number of the request within the entry node's run.
+    /// Sequence number of the request within the entry node's run.
     pub sequence: u64,
-    /// Attempts before this one.
+    /// Number of earlier attempts.
     pub attempt: u8,
 }
 
-/// What one node tells another.
+/// A message between nodes.
+///
+/// The holder of a cell is the node that runs its admission queue; the entry node is
+/// the node that accepted the request; the home of an idempotency key is the node that
+/// decides who may use it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Entry node to holder: wants a slot.
+    /// Entry node to holder: requests a slot.
     RequestSlot {
         /// The attempt.
         attempt_id: AttemptId,
-        /// Cell asked for.
+        /// Cell of the slot.
         cell: CellId,
         /// Class of the request.
         class: ClassId,
@@ -51,59 +56,63 @@
         prefixes: Vec<PrefixMark>,
         /// Time until the first token is due, in milliseconds.
         due_in_ms: u32,
-        /// Whether it may wait; else it wants a slot at once or a refusal.
+        /// Whether the request may be queued; if not, it gets a slot immediately or is
+        /// refused.
         may_wait: bool,
     },
-    /// Holder to entry node: run on this back end.
+    /// Holder to entry node: grants a slot on a back end.
     Grant {
         /// The attempt.
         attempt_id: AttemptId,
-        /// Where.
+        /// Back end of the slot.
         back_end: BackEndId,
-        /// Slots of the cell that are still free.
+        /// Number of slots of the cell that are still free.
         free: u32,
     },
-    /// Holder to entry node: waits in the queue.
+    /// Holder to entry node: the attempt waits in the queue.
     Queued {
         /// The attempt.
         attempt_id: AttemptId,
         /// Estimated wait in milliseconds.
         wait_ms: u32,
     },
-    /// Holder to entry node: no slot.
+    /// Holder to entry node: refuses a slot.
     Refuse {
         /// The attempt.
         attempt_id: AttemptId,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When to come back, in milliseconds; zero where waiting does not help.
+        /// Time after which to retry, in milliseconds; zero if waiting doesn't help.
         retry_after_ms: u32,
     },
-    /// Asked node to entry node: ask the holder again; it is not this node, or
-    /// this node forgot its queue.
+    /// To the entry node: the slot request must be sent again to the current holder,
+    /// because the sender isn't the holder, can't verify that it is, or has emptied its
+    /// queue.
     Resubmit {
         /// The attempt.
         attempt_id: AttemptId,
-        /// Version of the directory by which this node judges.
+        /// Version of the sender's directory.
         directory: u64,
-        /// The holder that this node has heard from just now, if it is another.
+        /// The holder according to the sender, if that is another node and the sender
+        /// has recently heard from it.
         live_holder: Option<NodeId>,
     },
-    /// Entry node to holder: the slot is free, or the wait is over.
+    /// Entry node to holder: gives up a slot or a place in the queue.
     Release {
         /// The attempt.
         attempt_id: AttemptId,
         /// Cell of the slot.
         cell: CellId,
-        /// What was seen.
+        /// What the entry node observed while it used the slot.
         observation: Observation,
     },
-    /// Holder to entry node: release noted.
+    /// Holder to entry node: acknowledges a release.
     Released {
         /// The attempt.
         attempt_id: AttemptId,
     },
-    /// Entry node to a new holder: runs by leave of an earlier holder.
+    /// Entry node to a new or restarted holder: registers a running attempt whose slot
+    /// an earlier holder, or an earlier run of it, granted.
     Register {
         /// The attempt.
         attempt_id: AttemptId,
@@ -115,17 +124,17 @@
         tenant: TenantId,
         /// Prompt length in tokens.
         prompt_tokens: u32,
-        /// Where it runs.
+        /// Back end that the attempt runs on.
         back_end: BackEndId,
     },
-    /// Holder to entry node: do these attempts still use their slots?
+    /// Holder to entry node: asks which of these attempts still use their slots.
     CheckLeases {
         /// Cell of the slots.
         cell: CellId,
         /// The attempts.
         attempt_ids: Vec<AttemptId>,
     },
-    /// Entry node to holder: a stream is slower than it should be.
+    /// Entry node to holder: a stream is slower than its class's target.
     SlowStream {
         /// Cell of the slot.
         cell: CellId,
@@ -134,98 +143,99 @@
         /// Mean time between tokens.
         per_token: Span,
     },
-    /// Holder to nodes elsewhere: free slots in a cell.
+    /// Holder to other nodes: reports the free slots of a cell.
     FreeSlots {
         /// The cell.
         cell: CellId,
-        /// Slots that nobody waits for.
+        /// Number of slots that are neither leased nor waited for.
         free: u32,
     },
-    /// Holder to the holders of the same pool in other zones: what tenants with
-    /// limits use here.
+    /// Holder to the holders of the pool's other cells: reports the requests that tenants
+    /// with limits run in its cell.
     TenantUsage {
         /// The cell.
         cell: CellId,
-        /// Requests running, per tenant.
+        /// Number of running requests per tenant.
         running: Vec<(TenantId, u32)>,
     },
-    /// Entry node to the home of a key: may I dispatch it?
+    /// Entry node to the home of a key: claims the key for a request.
     Claim {
         /// The key.
         key: KeyName,
-        /// The request on whose behalf.
+        /// Sequence number of the request.
         sequence: u64,
     },
-    /// Home to entry node.
+    /// Home to entry node: grants or denies a claim.
     ClaimReply {
-        /// The request.
+        /// Sequence number of the request.
         sequence: u64,
-        /// The answer.
+        /// The decision.
         reply: ClaimAnswer,
     },
-    /// Entry node to home: how the request ended.
+    /// Entry node to home: reports how the request that claimed a key ended.
     Settle {
         /// The key.
         key: KeyName,
-        /// The request.
+        /// Sequence number of the request.
         sequence: u64,
-        /// What may be concluded.
+        /// Whether the request has run.
         verdict: Verdict,
     },
-    /// Home to entry node: settlement noted.
+    /// Home to entry node: acknowledges a settlement.
     Settled {
-        /// The request.
+        /// Sequence number of the request.
         sequence: u64,
     },
-    /// A sign of life, and the versions known.
+    /// Probes a peer and reports the sender's document versions.
     Ping {
         /// Version of the configuration in force.
         configuration: u64,
         /// Version of the directory.
         directory: u64,
-        /// Whether the sender drains.
+        /// Whether the sender is draining.
         draining: bool,
-        /// To be repeated in the answer; zero if nothing hangs on it.
+        /// Value that the reply returns; zero if the sender doesn't match replies.
         echo: u16,
     },
-    /// The answer to a ping.
+    /// The reply to a ping.
     Pong {
         /// Version of the configuration in force.
         configuration: u64,
         /// Version of the directory.
         directory: u64,
-        /// Whether the sender drains.
+        /// Whether the sender is draining.
         draining: bool,
-        /// The ping's own: tells answers to new pings from old ones.
+        /// The value from the ping, by which the receiver recognizes replies to its
+        /// latest pings.
         echo: u16,
     },
-    /// Requests under which back ends crashed.
+    /// Reports requests during which back ends crashed.
     CrashingRequests {
-        /// What the sender knows of them.
+        /// The sender's reports.
         reports: Vec<RequestReport>,
     },
-    /// Wants a newer version of a document.
+    /// Requests a newer version of a document.
     Fetch {
-        /// Which.
+        /// The document.
         kind: DocumentKind,
-        /// Version known.
+        /// Version that the sender has; zero requests the whole document.
         known_version: u64,
     },
-    /// A newer configuration.
+    /// A newer configuration, whole or as a delta.
     ConfigurationUpdate(Update<Configuration, ConfigurationDelta>),
-    /// A newer directory.
+    /// A newer directory, whole or as a delta.
     DirectoryUpdate(Update<Directory, DirectoryDelta>),
 }
 
-/// Messages from one node to another, sent together.
+/// A batch of messages from one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Sender.
+    /// The sender.
     pub from: NodeId,
-    /// Run of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Mark of the receiver's run as last heard of; `None` if unknown. A message
-    /// that answers an earlier run is dropped.
+    /// Mark of the receiver's last known incarnation; `None` if unknown. The receiver
+    /// drops replies that were meant for an earlier run.
     pub receiver: Option<u16>,
     /// The messages.
     pub messages: Vec<Message>,
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and the doors through which events come in.
+//! The node's state, the entry points for events, and the dispatch of peer messages.
 
 use crate::catalog::Catalog;
 use crate::claims::Settlements;
@@ -25,36 +25,37 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How often [`Node::tick`] wants to be called.
+/// Interval at which [`Node::tick`] must be called.
 pub(crate) const TICK_INTERVAL: Span = Span::from_milliseconds(50);
-/// Repeat window until a configuration says otherwise.
+/// Repeat window used until a configuration sets one.
 const DEFAULT_REPEAT_WINDOW: Span = Span::from_milliseconds(60_000);
-/// Time a new node listens for newer versions before it calls itself ready.
+/// Time for which a new node waits for newer document versions before it reports ready;
+/// it reports ready earlier once it has heard from a peer.
 const READY_DELAY: Span = Span::from_milliseconds(1_500);
 
-/// Who a node is.
+/// Identity of one run of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Number of the node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// This run of its process.
+    /// Incarnation number of this run of its process.
     pub incarnation: Incarnation,
 }
 
-/// Bounds on a node's memory, and the rules it applies.
+/// Memory limits, seed peers and policy of a node.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
-    /// Idempotency keys remembered at once.
+    /// Maximum number of idempotency keys kept at a time.
     pub key_table_entries: usize,
-    /// Decisions remembered for explanations.
+    /// Maximum number of decisions kept to explain requests.
     pub decision_log_entries: usize,
-    /// Whether decisions are also put out one by one.
+    /// Whether each decision is also emitted as [`Output::Decided`].
     pub emit_decisions: bool,
-    /// Peers asked before the directory is known.
+    /// Addresses of peers to fetch documents from while none are known.
     pub seeds: Vec<SocketAddr>,
-    /// Rules of the cells held here.
+    /// Admission policy of the cells held here.
     pub cell_policy: CellPolicy,
 }
 
@@ -83,7 +84,7 @@
     pub(crate) catalog: Catalog,
     pub(crate) configuration_reads: ReadPlan,
     pub(crate) directory_reads: ReadPlan,
-    /// Version of the last configuration that was refused as invalid.
+    /// Version of the last configuration that was rejected as invalid.
     pub(crate) invalid_configuration: u64,
     pub(crate) cells: BTreeMap<CellId, HeldCell>,
     pub(crate) requests: BTreeMap<u64, LocalRequest>,
@@ -92,18 +93,19 @@
     pub(crate) keys: KeyTable,
     pub(crate) key_history: OwnershipHistory,
     pub(crate) settlements: Settlements,
-    /// Free slots elsewhere, as last heard.
+    /// Free slots per cell as last reported, with the time of the report.
     pub(crate) free_slots: BTreeMap<CellId, (u32, Timestamp)>,
-    /// Cells elsewhere that lately refused a class.
+    /// Cells that recently refused a class, with the time until which they aren't asked
+    /// again.
     pub(crate) saturated_until: BTreeMap<(CellId, ClassId), Timestamp>,
     pub(crate) counts: BTreeMap<ClassId, ClassCounts>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probes: ProbeSchedule,
     pub(crate) quarantine: Quarantine,
     pub(crate) draining: bool,
-    /// Set after a pause until the directory has been confirmed or the grace is over.
+    /// Set after a pause until the directory is confirmed or this time is reached.
     pub(crate) unverified_until: Option<Timestamp>,
-    /// Marks the pings sent after the last pause.
+    /// Echo value of the pings sent after the last pause.
     pub(crate) verification_echo: u16,
     pub(crate) heard_any_peer: bool,
     pub(crate) random: ChaCha8Rng,
@@ -113,7 +115,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet. `seed` feeds its random choices.
+    /// Creates a node without documents or peers. `seed` seeds its random choices.
     pub fn new(identity: Identity, limits: NodeLimits, now: Timestamp, seed: u64) -> Self {
         let decisions = DecisionLog::new(limits.decision_log_entries);
         let keys = KeyTable::new(limits.key_table_entries, DEFAULT_REPEAT_WINDOW);
@@ -154,22 +156,23 @@
         }
     }
 
-    /// Who this node is.
+    /// Identity of this node.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// How often [`Node::tick`] wants to be called.
+    /// Interval at which [`Node::tick`] must be called.
     pub const fn tick_interval() -> Span {
         TICK_INTERVAL
     }
 
-    /// What the state machine wants done since the last call.
+    /// Removes and returns the outputs emitted since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes in messages from a peer.
+    /// Handles messages from a peer. Messages from an earlier run of the peer are
+    /// dropped, and so are replies addressed to an earlier run of this node.
     pub fn receive(&mut self, now: Timestamp, envelope: Envelope) {
         self.advance_clock(now);
         let outdated = self
@@ -193,7 +196,7 @@
         self.process_inbox();
     }
 
-    /// Regular work; to be called every [`Node::tick_interval`].
+    /// Runs periodic work; must be called every [`Node::tick_interval`].
     pub fn tick(&mut self, now: Timestamp) {
         self.advance_clock(now);
         self.probe();
@@ -208,7 +211,7 @@
         self.process_inbox();
     }
 
-    /// Issues a ticket for one non-repeatable request.
+    /// Issues a ticket, the idempotency key of one non-repeatable request.
     pub fn issue_ticket(&mut self, now: Timestamp) -> Result<KeyName, KeyTableFull> {
         self.advance_clock(now);
         let Identity {
@@ -217,8 +220,8 @@
         self.keys.issue(self.now, node, incarnation)
     }
 
-    /// Begins a planned stop: takes nothing new, hands its queues on, finishes
-    /// what it has.
+    /// Starts draining: the node rejects new requests, hands over its queues and
+    /// finishes its open requests.
     pub fn drain(&mut self, now: Timestamp) {
         self.advance_clock(now);
         self.draining = true;
@@ -228,7 +231,7 @@
         self.process_inbox();
     }
 
-    /// Ends a planned stop before the process has ended: takes work again.
+    /// Cancels draining: the node accepts new requests again.
     pub fn undrain(&mut self, now: Timestamp) {
         self.advance_clock(now);
         self.draining = false;
@@ -237,18 +240,20 @@
         self.process_inbox();
     }
 
-    /// Whether the node is stopping.
+    /// Whether the node is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether a stopping node has nothing left to finish.
+    /// Whether the node is draining and has no open requests and no unacknowledged
+    /// releases.
     pub fn is_drained(&self) -> bool {
         self.draining && self.requests.is_empty() && self.releases.is_empty()
     }
 
-    /// Whether the node can decide on requests. A new node first listens whether a
-    /// peer knows a newer configuration than the platform shows.
+    /// Whether the node accepts requests: it has both documents, and has either heard
+    /// from a peer or waited for a while after its start, since a peer may know a newer
+    /// configuration than the platform returns.
     pub fn is_ready(&self) -> bool {
         let has_documents =
             self.configuration.current().is_some() && self.directory.current().is_some();
@@ -266,63 +271,63 @@
         self.directory.current()
     }
 
-    /// Look-ups over both documents.
+    /// Lookup tables built from both documents.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Decisions remembered here.
+    /// Log of recent decisions.
     pub fn decisions(&self) -> &DecisionLog {
         &self.decisions
     }
 
-    /// Requests accepted here that have not ended.
+    /// Number of open requests accepted by this node.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Open requests that run on a back end.
+    /// Number of open requests that run on a back end.
     pub fn running_requests(&self) -> usize {
         let is_running = |request: &&LocalRequest| matches!(request.phase, Phase::Running { .. });
         self.requests.values().filter(is_running).count()
     }
 
-    /// Whether a request accepted here has not ended.
+    /// Whether a request was accepted by this run of the node and is still open.
     pub fn is_open(&self, request: RequestId) -> bool {
         request.incarnation == self.identity.incarnation
             && self.requests.contains_key(&request.sequence)
     }
 
-    /// The moment of the last event.
+    /// Time of the last event, on the caller's clock.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The node that holds a cell, as seen from here.
+    /// The node that holds a cell, according to this node's view of the fleet.
     pub fn holder_of(&self, cell: CellId) -> Option<NodeId> {
         self.fleet.holder(cell, self.now)
     }
 
-    /// Figures of the cells held here.
+    /// Snapshots of the cells held here.
     pub fn held_cells(&self) -> impl Iterator<Item = (CellId, CellSnapshot)> + '_ {
         self.cells
             .iter()
             .map(|(id, held)| (*id, held.cell.snapshot(self.now)))
     }
 
-    /// The run of a peer last heard of.
+    /// Last known incarnation of a peer.
     pub fn incarnation_of(&self, node: NodeId) -> Option<Incarnation> {
         self.fleet.detector.incarnation(node)
     }
 
-    /// Sets the clock and notices a pause.
+    /// Advances the clock, which never goes back, and detects a pause of the process.
     pub(crate) fn advance_clock(&mut self, now: Timestamp) {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.check_for_pause(gap);
     }
 
-    /// Handles what the node sent to itself.
+    /// Handles the messages that the node has sent to itself.
     pub(crate) fn process_inbox(&mut self) {
         let Identity {
             node, incarnation, ..
@@ -465,7 +470,7 @@
 }
 
 impl Message {
-    /// Whether the message answers something a particular run asked for.
+    /// Whether the message is only valid for the run of the receiver that it addresses.
     fn is_reply(&self) -> bool {
         matches!(
             self,
--- a/crates/coordination/node/src/output.rs
+++ b/crates/coordination/node/src/output.rs
@@ -1,4 +1,4 @@
-//! What the state machine wants done.
+//! Actions that the state machine requests from the layer that does I/O.
 
 use crate::message::Message;
 use crate::{Decision, DocumentKind};
@@ -6,77 +6,79 @@
 use eiderferry_types::{BackEndId, NodeId, Refusal, RequestId, Timestamp};
 use std::net::SocketAddr;
 
-/// Order to send a request to a back end.
+/// Instruction to send a request to a back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
     /// The request.
     pub request: RequestId,
-    /// Attempts before this one.
+    /// Number of earlier attempts.
     pub attempt: u8,
-    /// Where.
+    /// The back end.
     pub back_end: BackEndId,
-    /// Its address.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// The order is void after this moment: the sender checks it immediately
-    /// before the bytes leave, so that a paused process wakes up harmless.
+    /// Time after which the request must not be sent any more. The sender checks it
+    /// immediately before it writes, so that a process that resumes after a pause
+    /// doesn't send a request whose slot may have been given away.
     pub dispatch_by: Timestamp,
-    /// Answer tokens the caller already has from earlier attempts.
+    /// Number of response tokens that the caller has from earlier attempts.
     pub delivered_tokens: u32,
 }
 
-/// A wish of the state machine, carried out by the layer that does I/O.
+/// An action for the layer that does I/O.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a node.
     Send {
-        /// Receiver.
+        /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
     /// Send a message to an address whose node is not known yet.
     SendToAddress {
-        /// Receiver.
+        /// Address of the receiver.
         address: SocketAddr,
         /// The message.
         message: Message,
     },
     /// Send a request to a back end.
     Dispatch(Dispatch),
-    /// Tell the caller that there will be no answer.
+    /// Reject a request towards its caller.
     Reject {
         /// The request.
         request: RequestId,
-        /// Why, and when to come back.
+        /// The reason, the verdict and when to retry.
         refusal: Refusal,
     },
-    /// Read a document of the platform, if newer than the version known.
+    /// Read a document from the platform if it is newer than the known version.
     ReadPlatform {
-        /// Which.
+        /// The document.
         kind: DocumentKind,
-        /// Version known.
+        /// Version that the node has.
         known_version: u64,
     },
-    /// Ask a back end for its load and cache events.
+    /// Poll a back end for its load and cache events.
     PollBackEnd {
-        /// Which.
+        /// The back end.
         back_end: BackEndId,
-        /// Its address.
+        /// Address of the back end.
         address: SocketAddr,
-        /// Cache events up to this number are known.
+        /// Number of the last cache event received.
         cache_cursor: u64,
     },
-    /// A request is refused from now on because back ends crash under it, or no longer.
+    /// Report that a request has been put into or released from quarantine, in which it
+    /// is refused because back ends crash when they run it.
     QuarantineChanged(eiderferry_quarantine::QuarantineChange),
-    /// A decision for the log.
+    /// Log a decision.
     Decided(Decision),
 }
 
-/// A document as read from the platform.
+/// A document read from the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformDocument {
     /// The published configuration.
     Configuration(Configuration),
-    /// The list of machines.
+    /// The list of entry nodes and back ends.
     Directory(Directory),
 }
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -1,22 +1,24 @@
-//! Noticing that the process stood still.
+//! Detects that the process was paused.
 //!
-//! A paused process wakes up believing what it knew before. It therefore compares
-//! the clock on every entrance, and after a gap treats that knowledge as a guess:
-//! queues are given back to their owners, leases are checked, and nothing is
-//! granted or dispatched until the directory has been confirmed by the platform or
-//! a peer, or a short grace is over and nobody answers.
+//! After a pause the node's state may be out of date. Each event therefore compares the
+//! clock with the previous event's, and after a large gap the node revalidates its
+//! state: it empties its queues and tells the owners to resubmit, checks its leases, and
+//! grants nothing until the platform or a peer has confirmed the directory, or until a
+//! grace period has ended without a reply.
 
 use crate::node::Node;
 use crate::request::Phase;
 use eiderferry_types::{Reason, Refusal, Span};
 use rand::Rng;
 
-/// A gap between two entrances that counts as a pause; ticks come far more often.
+/// Gap between two events from which on the process counts as paused; ticks are far more
+/// frequent.
 const PAUSE_THRESHOLD: Span = Span::from_milliseconds(1_000);
-/// How long a woken node waits for a confirmation before it goes on without.
+/// Time for which a node waits after a pause for the directory to be confirmed before it
+/// continues without.
 const VERIFICATION_GRACE: Span = Span::from_milliseconds(1_000);
 
-/// When a caller may come back whose request ran out of time during a pause.
+/// Time after which a caller whose request expired during a pause may retry.
 const RETRY_AFTER_PAUSE: Span = Span::from_milliseconds(500);
 
 impl Node {
@@ -35,7 +37,7 @@
         self.resubmit_waiting();
     }
 
-    /// Whether a woken node still waits for a confirmation.
+    /// Whether the node still waits for its directory to be confirmed after a pause.
     pub(crate) fn is_unverified(&mut self) -> bool {
         match self.unverified_until {
             Some(until) if self.now < until => true,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Notes that the directory in force has been confirmed.
+    /// Records that the directory in force has been confirmed.
     pub(crate) fn confirm_directory(&mut self) {
         self.unverified_until = None;
     }
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Requests whose time ran out while the process stood still end with that
-    /// reason; the others ask anew.
+    /// Rejects waiting requests that expired during the pause; the others request a slot
+    /// again.
     fn resubmit_waiting(&mut self) {
         let now = self.now;
         let is_waiting = |phase: &Phase| !matches!(phase, Phase::Running { .. });
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Signs of life, and the versions they carry.
+//! Pings between nodes, which detect failed peers and carry document versions.
 
 use crate::message::{DocumentKind, Message};
 use crate::node::Node;
@@ -6,14 +6,14 @@
 use eiderferry_types::{Incarnation, NodeId, Span, Timestamp};
 use rand::seq::IndexedRandom;
 
-/// Time between two rounds of probes within the zone.
+/// Time between two rounds of pings within the zone.
 const ZONE_INTERVAL: Span = Span::from_milliseconds(500);
-/// Time between two probes of a node elsewhere.
+/// Time between two pings to nodes in other zones.
 const REMOTE_INTERVAL: Span = Span::from_milliseconds(2_000);
-/// Peers probed in one round.
+/// Peers of the own zone that are pinged in one round.
 const PROBES_PER_ROUND: usize = 4;
 
-/// When the next probes are due.
+/// Times of the next pings, and the position in the list of zone peers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeSchedule {
     next_zone: Timestamp,
@@ -22,7 +22,8 @@
 }
 
 impl Node {
-    /// Sends the probes that are due and draws conclusions from missing answers.
+    /// Sends the pings that are due, and moves leases if a peer became suspected because
+    /// it didn't reply.
     pub(crate) fn probe(&mut self) {
         let suspected = self.fleet.detector.tick(self.now);
         if !suspected.is_empty() {
@@ -62,7 +63,7 @@
         self.ping_with_echo(peer, 0);
     }
 
-    /// Pings a peer with a mark that its answer repeats.
+    /// Pings a peer with an echo value that its reply returns.
     pub(crate) fn ping_with_echo(&mut self, peer: NodeId, echo: u16) {
         let message = Message::Ping {
             configuration: self.configuration.version(),
@@ -74,14 +75,15 @@
         self.send_crash_reports(peer);
     }
 
-    /// Tells every node of the zone about a change of this node's own state.
+    /// Pings all peers of the zone, to announce a change of this node's own state.
     pub(crate) fn announce_to_zone(&mut self) {
         for peer in self.fleet.zone_peers() {
             self.ping(peer);
         }
     }
 
-    /// Notes that a peer lives; what it forgot by restarting is told again.
+    /// Records a message from a peer. If the peer has restarted, drops the state that
+    /// belongs to its previous run and sends it what it has lost.
     pub(crate) fn record_heard(&mut self, from: NodeId, incarnation: Incarnation) {
         let Some(_previous) = self.fleet.detector.heard(from, incarnation, self.now) else {
             return;
@@ -143,8 +145,9 @@
         }
     }
 
-    /// An answer to a ping that was sent after a pause confirms the directory, if the
-    /// peer knows no newer one. Others may have waited in a buffer since before.
+    /// Confirms the directory if this is the reply to a ping sent after the last pause and
+    /// the peer has no newer version. Other replies may have been buffered since before
+    /// the pause.
     pub(crate) fn handle_pong(
         &mut self,
         from: NodeId,
--- a/crates/coordination/node/src/releases.rs
+++ b/crates/coordination/node/src/releases.rs
@@ -1,4 +1,4 @@
-//! Slots given back, repeated until the holder has noted them.
+//! Releases of slots and queue places, resent until the holder acknowledges them.
 
 use crate::message::{AttemptId, Message};
 use crate::node::Node;
@@ -6,9 +6,10 @@
 use eiderferry_types::{CellId, NodeId, Span, Timestamp};
 use std::collections::BTreeMap;
 
-/// Time after which an unacknowledged release is sent again; doubles each time.
+/// Time after which an unacknowledged release is first resent; doubles with each resend.
 const FIRST_RESEND_DELAY: Span = Span::from_milliseconds(200);
-/// Attempts before the holder is left to find out by its own lease check.
+/// Times that a release is sent; after that the holder's lease check has to find the
+/// unused lease.
 const MAX_SENDS: u32 = 6;
 
 #[derive(Clone, Debug)]
@@ -19,7 +20,7 @@
     sends: u32,
 }
 
-/// Releases that no holder has acknowledged yet.
+/// Releases that their holders haven't acknowledged yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Releases {
     pending: BTreeMap<(NodeId, AttemptId), PendingRelease>,
@@ -34,7 +35,7 @@
         self.pending.remove(&(holder, attempt_id));
     }
 
-    /// The holder restarted or is gone: it has forgotten the leases.
+    /// Drops the releases for a node that restarted and so has lost its leases.
     pub fn forget_node(&mut self, holder: NodeId) {
         self.pending.retain(|(node, _), _| *node != holder);
     }
@@ -63,7 +64,7 @@
 }
 
 impl Node {
-    /// Gives a slot, or a place in a queue, back to its holder.
+    /// Releases a slot or a place in a queue.
     pub(crate) fn release(
         &mut self,
         holder: NodeId,
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its entry node.
+//! A request and its state on its entry node.
 
 use eiderferry_admission::{Observation, PrefixMark};
 use eiderferry_once::KeyName;
@@ -7,19 +7,20 @@
     Verdict,
 };
 
-/// Why, and under which key, a request may not be repeated.
+/// Marks a request that must not be executed twice, with its idempotency key if it has
+/// one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NotRepeatable {
-    /// It has no key: it is dispatched once at the most by this node.
+    /// The request has no key: this node never retries it once it may have run.
     WithoutKey,
-    /// Its key is granted once at the most in the whole fleet.
+    /// The request has a key, which the whole fleet grants at most once.
     WithKey(KeyName),
 }
 
-/// A request as handed to the state machine.
+/// A request as submitted to the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// What it asks, alike each time that its caller sends it.
+    /// Digest of the request's content; the same each time that a caller sends it.
     pub digest: RequestDigest,
     /// Class of the request.
     pub class: ClassId,
@@ -27,48 +28,48 @@
     pub tenant: TenantId,
     /// Pool that serves it.
     pub pool: PoolId,
-    /// Prompt length in tokens, estimated.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
     /// Prefixes of the prompt, shortest first.
     pub prefixes: Vec<PrefixMark>,
-    /// When the first token is due.
+    /// Time at which the first token is due.
     pub first_token_due: Timestamp,
-    /// `None` if the request may be repeated.
+    /// `None` if the request may be executed more than once.
     pub not_repeatable: Option<NotRepeatable>,
 }
 
-/// How one attempt ended, as seen by the traffic side.
+/// How an attempt ended, as reported by the layer that does I/O.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer was delivered.
+    /// The whole response was delivered.
     Completed(Observation),
     /// The back end failed.
     Failed {
-        /// Whether it may have run.
+        /// Whether the back end may have run the request.
         verdict: Verdict,
-        /// What was seen before.
+        /// What was observed before the failure.
         observation: Observation,
-        /// Whether the back end went down with it: it takes no new connection.
+        /// Whether the back end crashed, that is, accepts no new connection.
         has_crashed: bool,
     },
-    /// The caller went away; the back end was told to cancel.
+    /// The caller disconnected; the back end was told to cancel.
     CallerDisconnected(Observation),
 }
 
-/// Where a request stands.
+/// Processing phase of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// Its key is being claimed.
+    /// Its idempotency key is being claimed.
     Claiming {
         home: NodeId,
         sent_at: Timestamp,
         resends: u32,
     },
-    /// A slot has been asked for.
+    /// A slot has been requested, or the request waits in a queue.
     RequestingSlot(SlotRequest),
-    /// It stands between two cells, until the time given.
+    /// A slot is requested again at the given time.
     BackingOff { until: Timestamp },
-    /// It runs.
+    /// It runs on a back end.
     Running {
         cell: CellId,
         holder: NodeId,
@@ -76,19 +77,20 @@
     },
 }
 
-/// A slot that has been asked for.
+/// An open request for a slot.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
     pub sent_at: Timestamp,
+    /// Times that it was sent again since the last reply.
     pub unanswered_resends: u32,
     pub queued: bool,
-    /// A slot elsewhere that has been asked for while the place in the queue is kept.
+    /// A slot requested in another cell while the place in this cell's queue is kept.
     pub alternative: Option<AlternativeSlotRequest>,
 }
 
-/// A slot asked for in another cell.
+/// A request for a slot in another cell than the one where the request is queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AlternativeSlotRequest {
     pub cell: CellId,
@@ -101,24 +103,24 @@
 pub(crate) struct LocalRequest {
     pub submission: Submission,
     pub arrived_at: Timestamp,
-    /// When it last was sent to a back end.
+    /// Time at which it was last dispatched to a back end; its arrival until then.
     pub dispatched_at: Timestamp,
     pub attempt: u8,
     pub phase: Phase,
-    /// Cells that refused the current attempt, and how.
+    /// Cells that refused the current attempt, with their refusals.
     pub refused_by: Vec<(CellId, Refusal)>,
-    /// Answer tokens the caller has.
+    /// Number of response tokens delivered to the caller.
     pub delivered_tokens: u32,
-    /// The strongest verdict of all ended attempts.
+    /// The strongest verdict of all finished attempts.
     pub verdict: Verdict,
-    /// The home that granted its key.
+    /// Home node that granted its key.
     pub key_granted_by: Option<NodeId>,
-    /// When the current attempt's first token is due.
+    /// Time at which the current attempt's first token is due.
     pub due: Timestamp,
 }
 
 impl LocalRequest {
-    /// The key it was submitted with.
+    /// The idempotency key it was submitted with.
     pub fn key(&self) -> Option<&KeyName> {
         match &self.submission.not_repeatable {
             Some(NotRepeatable::WithKey(key)) => Some(key),
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Whether another attempt is harmless after one that ended with `verdict`.
+    /// Whether another attempt is safe after one that ended with `verdict`.
     pub fn may_retry_after(&self, verdict: Verdict) -> bool {
         verdict == Verdict::NotRun || self.submission.not_repeatable.is_none()
     }
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -1,4 +1,4 @@
-//! A request's way from its arrival to its end, on its entry node.
+//! Processing of a request on its entry node, from arrival to completion or refusal.
 
 mod replies;
 mod slot_requests;
@@ -11,14 +11,13 @@
 use eiderferry_admission::Observation;
 use eiderferry_types::{BackEndId, Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 
-/// Attempts of one request at the most.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u8 = 4;
-/// When a caller may come back to a node that is not ready or stopping.
+/// Time after which a refused caller may retry where no better estimate is known.
 const RETRY_ELSEWHERE_AFTER: Span = Span::from_milliseconds(500);
 
 impl Node {
-    /// Takes in a request. Its fate comes out as outputs that carry the returned
-    /// identifier.
+    /// Submits a request. The outputs that concern it carry the returned identifier.
     pub fn submit(&mut self, now: Timestamp, submission: Submission) -> RequestId {
         self.advance_clock(now);
         let sequence = self.next_sequence;
@@ -77,7 +76,7 @@
         (!self.is_ready()).then_some(Reason::NotReady)
     }
 
-    /// Takes in how an attempt ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Timestamp, id: RequestId, attempt: u8, end: AttemptEnd) {
         self.advance_clock(now);
         let is_current = self
@@ -90,7 +89,7 @@
         self.process_inbox();
     }
 
-    /// Takes in that the caller of a request that does not run yet went away.
+    /// Handles the disconnection of a caller whose request isn't running yet.
     pub fn caller_disconnected(&mut self, now: Timestamp, id: RequestId) {
         self.advance_clock(now);
         let sequence = id.sequence;
@@ -104,7 +103,7 @@
         self.process_inbox();
     }
 
-    /// Takes in that a stream runs slower than its class's target.
+    /// Reports to the holder that a stream is slower than its class's target.
     pub fn report_slow_stream(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
         self.advance_clock(now);
         let phase = self
@@ -177,7 +176,8 @@
         }
     }
 
-    /// Tries again if that is harmless and affordable; else ends the request.
+    /// Retries after a failed attempt if that is safe and within the limits; rejects the
+    /// request otherwise.
     fn retry_or_reject(
         &mut self,
         sequence: u64,
@@ -235,7 +235,8 @@
             .map_or(Span::ZERO, |class| class.first_token_target())
     }
 
-    /// Regular work for open requests: what got no answer is asked again.
+    /// Runs periodic work for open requests: resends claims and slot requests that got no
+    /// reply, and drops expired saturation records.
     pub(crate) fn tick_requests(&mut self) {
         let sequences: Vec<u64> = self.requests.keys().copied().collect();
         for sequence in sequences {
@@ -274,7 +275,8 @@
     }
 }
 
-/// The word to the caller: the first cell's refusal, which is the own zone's.
+/// The refusal for the caller: that of the first cell tried, which is one of the own zone
+/// if that has any, or else one for the reason `fallback`.
 fn final_refusal(request: &LocalRequest, fallback: Reason) -> Refusal {
     request.refused_by.first().map_or(
         Refusal::not_run(fallback, Some(RETRY_ELSEWHERE_AFTER)),
--- a/crates/coordination/node/src/request_flow/replies.rs
+++ b/crates/coordination/node/src/request_flow/replies.rs
@@ -1,4 +1,4 @@
-//! What holders answer: grants, places in a queue, refusals.
+//! Handling of holders' replies to slot requests: grants, queue places and refusals.
 
 use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
 use crate::decision::Step;
@@ -9,13 +9,14 @@
 use eiderferry_admission::Observation;
 use eiderferry_types::{BackEndId, CellId, NodeId, Reason, Refusal, Span};
 
-/// Pause before asking again when the holder is not clear.
+/// Delay before a slot request is resubmitted when a node has asked for that.
 const RESUBMIT_DELAY: Span = Span::from_milliseconds(20);
-/// An order to dispatch is void after this long.
+/// Time for which an instruction to dispatch is valid.
 const DISPATCH_VALIDITY: Span = Span::from_milliseconds(1_000);
-/// Estimated wait from which a free slot elsewhere is worth the way.
+/// Estimated wait in milliseconds from which on a free slot in another cell is requested.
 const SPILL_WAIT_MS: u32 = 250;
-/// How long a refusal by a cell elsewhere keeps its class from asking there again.
+/// Time for which a cell that refused a class gets no request of that class from another
+/// zone or as an alternative; also the least time between two alternatives of a request.
 const SATURATION_TIME: Span = Span::from_milliseconds(250);
 
 impl Node {
@@ -75,8 +76,8 @@
         }));
     }
 
-    /// The ask that a grant from this node answers. If there are two, at home and
-    /// elsewhere, the other one is taken back.
+    /// Returns the slot request that a grant from this node belongs to. If the request has
+    /// an alternative in another cell, the one that wasn't granted is released.
     pub(super) fn resolve_grant(
         &mut self,
         from: NodeId,
@@ -114,7 +115,7 @@
         })
     }
 
-    /// Gives back a slot that came too late, unless it is the one in use.
+    /// Releases a slot that was granted too late, unless it is the one in use.
     pub(super) fn release_stale_grant(
         &mut self,
         from: NodeId,
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Asks for a slot in a cell that lately had some that nobody waited for, while
-    /// keeping the place in the queue at home.
+    /// Requests a slot in another cell that has recently reported free ones, while the
+    /// request keeps its place in the queue.
     pub(super) fn request_alternative(&mut self, sequence: u64, slot_request: &SlotRequest) {
         let was_sent_recently = slot_request
             .alternative
@@ -259,7 +260,8 @@
         self.free_slots.insert(cell, (0, self.now));
     }
 
-    /// Notes that a cell can't serve the request and asks the next one.
+    /// Records that a cell can't serve the request, and tries the next one if that may
+    /// help.
     pub(super) fn try_next_cell(&mut self, sequence: u64, cell: CellId, refusal: Refusal) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -302,7 +304,8 @@
         }
     }
 
-    /// Gives up a place in a queue, if the request has one.
+    /// Releases the slots or queue places that the request may have been given and doesn't
+    /// use yet.
     pub(crate) fn cancel_slot_request(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -324,8 +327,8 @@
         }
     }
 
-    /// Ends a request without an answer. What earlier attempts may have done
-    /// outweighs what the last refusal says.
+    /// Ends a request with a refusal. The verdict sent to the caller is the stronger one of
+    /// the refusal's and those of earlier attempts.
     pub(crate) fn reject(&mut self, sequence: u64, refusal: Refusal) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -345,7 +348,7 @@
     }
 }
 
-/// Whether another cell may be able to serve what one refused.
+/// Whether another cell may be able to serve a request that one refused for this reason.
 fn may_other_cell_serve(reason: Reason) -> bool {
     !matches!(
         reason,
--- a/crates/coordination/node/src/request_flow/slot_requests.rs
+++ b/crates/coordination/node/src/request_flow/slot_requests.rs
@@ -1,4 +1,4 @@
-//! Asking the holder of a cell for a place, and which cell is asked.
+//! Requests for slots, and the choice of the cell.
 
 use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
 use crate::decision::Step;
@@ -9,23 +9,24 @@
 use eiderferry_types::{CellId, NodeId, Reason, Refusal, Span};
 use rand::seq::{IndexedRandom, SliceRandom};
 
-/// Time after which an ask that got no answer at all is sent again.
+/// Time after which a slot request without any reply is resent.
 const SLOT_REQUEST_RESEND: Span = Span::from_milliseconds(120);
-/// Unanswered asks after which the holder is suspected.
+/// Times that a slot request is sent again without a reply before the holder is suspected.
 const MAX_UNANSWERED_RESENDS: u32 = 2;
-/// Shortest time between two asks for a place in a queue.
+/// Shortest time between two slot requests that keep a place in a queue.
 const MIN_KEEPALIVE_INTERVAL: Span = Span::from_milliseconds(150);
-/// Longest time between two asks for a place in a queue.
+/// Longest time between two slot requests that keep a place in a queue.
 const MAX_KEEPALIVE_INTERVAL: Span = Span::from_milliseconds(3_000);
-/// Age up to which word of free slots elsewhere is believed.
+/// Age up to which reported free slots are used.
 const FREE_SLOTS_LIFETIME: Span = Span::from_milliseconds(1_500);
-/// Cells asked for one attempt at the most.
+/// Maximum number of cells tried for one attempt.
 const MAX_CELLS_PER_ATTEMPT: usize = 4;
-/// Cells of the own zone drawn at random beside the preferred one.
+/// Cells of the own zone chosen at random as alternatives to the preferred one.
 const RANDOM_CANDIDATES: usize = 2;
 
 impl Node {
-    /// Asks the next suitable cell for a slot, or ends the request.
+    /// Requests a slot from the next suitable cell, or rejects the request if there is none
+    /// or its time has run out.
     pub(crate) fn request_slot(&mut self, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -77,8 +78,9 @@
         };
         slot_request.sent_at = now;
         let (holder, cell) = (slot_request.holder, slot_request.cell);
-        // Only the own zone's queues are waited in: elsewhere a request wants a
-        // slot at once, so that it never misses its turn at home.
+        // A request waits only in queues of the own zone if that serves its pool.
+        // Elsewhere it gets a slot immediately or none, so that it doesn't miss its turn
+        // in the own zone.
         let may_wait = cell.zone == own_zone || !self.is_served_in_own_zone(sequence);
         let message = self.slot_request_message(sequence, cell, may_wait);
         self.send(holder, message);
@@ -114,7 +116,8 @@
         }
     }
 
-    /// The cell to ask next: one of the own zone's first, then others by free slots.
+    /// Chooses the next cell: one of the own zone while any is left, then the one with the
+    /// most free slots.
     pub(super) fn choose_cell(&mut self, sequence: u64) -> Option<CellId> {
         let request = &self.requests[&sequence];
         if request.refused_by.len() >= MAX_CELLS_PER_ATTEMPT {
@@ -146,9 +149,9 @@
         Some(self.choose_own_zone_cell(sequence, &own_zone_cells))
     }
 
-    /// Among several cells of the own zone: the one where the prompt's prefix is
-    /// likely cached, unless another of two drawn at random is known to have more
-    /// free slots and that one has none.
+    /// Chooses among cells of the own zone: the one where the prompt's prefix is probably
+    /// cached, or, if that one is known to have no free slots, the one with the most among
+    /// it and two chosen at random. Cells without a report count as having one.
     pub(super) fn choose_own_zone_cell(&mut self, sequence: u64, cells: &[CellId]) -> CellId {
         let request = &self.requests[&sequence];
         let mut candidates: Vec<CellId> = Vec::with_capacity(1 + RANDOM_CANDIDATES);
@@ -188,7 +191,7 @@
     pub(super) fn tick_slot_request(&mut self, sequence: u64, slot_request: &SlotRequest) {
         let request = &self.requests[&sequence];
         if self.now >= request.due {
-            // The holder gives its word before the deadline: it has been lost.
+            // A holder replies before the deadline, so its reply must have been lost.
             self.cancel_slot_request(sequence);
             let refusal = final_refusal(&self.requests[&sequence], Reason::HolderUnreachable);
             self.reject(sequence, refusal);
@@ -215,8 +218,8 @@
         self.send_slot_request(sequence);
     }
 
-    /// The holder does not answer: if nothing else is heard of it either, the next
-    /// node in order takes its place; else the ask is sent again.
+    /// Handles a holder that doesn't reply: if it is suspected by now, the request turns to
+    /// the node that replaces it; otherwise the slot request is resent.
     pub(super) fn suspect_holder(&mut self, sequence: u64, slot_request: &SlotRequest) {
         self.fleet.detector.missed(slot_request.holder, self.now);
         if self.fleet.detector.health(slot_request.holder, self.now) == Health::Reachable {
--- a/crates/coordination/node/src/response_progress.rs
+++ b/crates/coordination/node/src/response_progress.rs
@@ -1,24 +1,24 @@
-//! Putting one whole answer together from the attempts that produce it.
+//! Tracks which tokens of a response have been forwarded, across attempts.
 
-/// What to do with a token that arrived.
+/// What to do with a token from a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenVerdict {
-    /// It is the next one: pass it on.
+    /// It is the next token: forward it.
     Forward,
-    /// It belongs to an attempt that has been given up: drop it.
+    /// It belongs to an abandoned attempt: drop it.
     Stale,
-    /// It is not the next one: the stream can't be trusted any more.
+    /// It isn't the next token: the stream is corrupt.
     OutOfOrder {
-        /// The token that was due.
+        /// Index of the token that was expected.
         expected: u32,
     },
 }
 
-/// The part of an answer that the caller has.
+/// Number of response tokens that the caller has, and the attempt that produces the next.
 ///
-/// Attempts may overlap: an engine that was given up may go on sending. Only the
-/// current attempt's next token is passed on, so that no token is lost, doubled
-/// or foreign.
+/// Attempts may overlap, because the engine of an abandoned attempt may still send
+/// tokens. Only the next token of the current attempt is forwarded, so that no token is
+/// lost, duplicated or taken from another attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseProgress {
     attempt: u8,
@@ -26,17 +26,18 @@
 }
 
 impl ResponseProgress {
-    /// Begins an attempt; it must continue where the caller's part ends.
+    /// Starts an attempt, whose tokens must continue after those already forwarded.
     pub fn begin_attempt(&mut self, attempt: u8) {
         self.attempt = attempt;
     }
 
-    /// Tokens the caller has.
+    /// Number of tokens forwarded to the caller.
     pub fn tokens(&self) -> u32 {
         self.next_index
     }
 
-    /// Judges a token. Engines that do not number their tokens give no index.
+    /// Decides what to do with a token. `index` is `None` for engines that don't number
+    /// their tokens.
     pub fn accept(&mut self, attempt: u8, index: Option<u32>) -> TokenVerdict {
         if attempt != self.attempt {
             return TokenVerdict::Stale;
--- a/crates/coordination/node/src/restored_directory.rs
+++ b/crates/coordination/node/src/restored_directory.rs
@@ -1,11 +1,12 @@
-//! Keeps a directory restored from an older copy from reactivating back ends that had left.
+//! Keeps a directory that was restored from an older copy from reactivating back ends that
+//! had left.
 
 use eiderferry_config::{Directory, EntryState};
 use eiderferry_types::{BackEndId, Span, Timestamp};
 use std::collections::BTreeSet;
 
-/// Longest time that an override lasts after the first directory of a new epoch; the platform's
-/// lost changes are expected to be written again within it.
+/// Time for which overrides last after the first directory of a new epoch; the changes that the
+/// platform lost are expected to be written again within it.
 const OVERRIDE_TIME: Span = Span::from_milliseconds(10_000);
 
 /// Back ends that count as leaving because the last directory before a restore did not list them
--- a/crates/coordination/node/src/retry_budget.rs
+++ b/crates/coordination/node/src/retry_budget.rs
@@ -1,11 +1,13 @@
-//! Budget for repeated attempts, so that failure never multiplies load.
+//! Retry budget: limits retries to a share of the requests, so that failures don't
+//! multiply the load.
 
-/// Retries earned by each accepted request.
+/// Retries that each accepted request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that may be saved up: a crash breaks a whole batch at once.
+/// Most retries that the budget holds: enough for one crash, which fails a whole batch of
+/// requests at a time.
 const MAX_AVAILABLE_RETRIES: f64 = 64.0;
 
-/// Retries this node may still spend.
+/// The retries that this node may still make.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     available: f64,
@@ -20,12 +22,12 @@
 }
 
 impl RetryBudget {
-    /// Notes an accepted request.
+    /// Records an accepted request.
     pub fn record_request(&mut self) {
         self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_AVAILABLE_RETRIES);
     }
 
-    /// Spends one retry if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/coordination/node/src/tenant_exchange.rs
+++ b/crates/coordination/node/src/tenant_exchange.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits over several cells: dividing them, and lending what is unused.
+//! Distribution of tenant limits over the cells of a pool, and lending of unused shares.
 
 use crate::held_cells::HeldCell;
 use crate::message::Message;
@@ -8,13 +8,13 @@
 use eiderferry_types::{CellId, Span, TenantId, Timestamp};
 use std::collections::BTreeMap;
 
-/// Time between two exchanges of what tenants use.
+/// Time between two reports of tenant usage to other cells.
 const TENANT_USAGE_INTERVAL: Span = Span::from_milliseconds(1_000);
-/// Age up to which word of tenants' use elsewhere is believed.
+/// Age up to which reports of tenant usage in other cells are used.
 const TENANT_USAGE_LIFETIME: Span = Span::from_milliseconds(3_000);
 
 impl Node {
-    /// Tells the holders of the pool's other cells what tenants with limits use here.
+    /// Reports the usage of tenants with limits to the holders of the pool's other cells.
     pub(crate) fn exchange_tenant_usage_if_due(&mut self, cell: CellId) {
         let now = self.now;
         let due = self
@@ -81,12 +81,12 @@
         limits.collect()
     }
 
-    /// Computes what each tenant with limits may use of a cell.
+    /// Sets the allowance of each tenant with limits in a cell.
     ///
-    /// A limit is divided evenly among the cells of its pool, so that cells cut
-    /// off from each other never exceed it together. What other cells report as
-    /// unused is lent on, divided among the cells that have used up their part;
-    /// without fresh reports nothing is lent.
+    /// A limit is divided evenly among the cells of its pool, so that cells that can't
+    /// reach each other never exceed it together. The part of a concurrency limit that
+    /// other cells report as unused is divided among the cells that have used up theirs;
+    /// without a fresh report from every other cell nothing is borrowed.
     pub(crate) fn set_allowances(&mut self, cell: CellId) {
         let tenant_limits = self.tenant_limits(cell);
         let cells: Vec<CellId> = self
@@ -145,7 +145,7 @@
     }
 }
 
-/// The part of `total` that one of `cells` gets when it is divided evenly.
+/// The part of `total` that `cell` gets when it is divided evenly among `cells`.
 fn even_share(total: u32, cell: CellId, cells: &[CellId]) -> u32 {
     let count = cells.len().max(1) as u32;
     let position = cells.iter().position(|listed| *listed == cell).unwrap_or(0) as u32;
--- a/crates/coordination/node/tests/crashing_requests.rs
+++ b/crates/coordination/node/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash back ends, sent by the callers of the own interface to several nodes.
+//! Quarantine of requests that crash back ends, when callers send them to several nodes.
 
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Directory, DirectoryEntry, EntryState};
@@ -16,7 +16,7 @@
 const ZONE: ZoneId = ZoneId(1);
 const NODES: u32 = 3;
 const BACK_ENDS: u32 = 8;
-/// Time for which a back end is down.
+/// Time for which a back end is down after a crash.
 const DOWNTIME: Span = Span::from_milliseconds(1_000);
 const FATAL: RequestDigest = RequestDigest(666);
 const CONFIGURATION: &str = "version: 1
@@ -68,7 +68,7 @@
     }
 }
 
-/// A run of a node that has read what the platform publishes.
+/// Starts a run of a node that has read both documents from the platform.
 fn node(number: u32, incarnation: Incarnation, now: Timestamp) -> Node {
     let identity = Identity {
         node: NodeId(number),
@@ -84,14 +84,14 @@
     node
 }
 
-/// Nodes whose messages arrive at once, before back ends that one request crashes.
+/// Nodes whose messages are delivered immediately, and back ends that the fatal requests crash.
 struct Fleet {
     now: Timestamp,
     nodes: Vec<Node>,
     fatal_requests: BTreeSet<RequestId>,
-    /// Back ends that crashed, and until when they are down.
+    /// Crashed back ends, with the time until which they are down.
     down: BTreeMap<BackEndId, Timestamp>,
-    /// Times that a back end got the fatal request.
+    /// Number of times that a fatal request crashed a back end.
     crashes: u32,
     completed: u32,
     refused: Vec<(Reason, Verdict)>,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// How an attempt ends at a back end, which is down for a while after a crash.
+    /// Runs an attempt on a back end, which is down for `DOWNTIME` after a crash.
     fn run_attempt(&mut self, back_end: BackEndId, is_fatal: bool) -> AttemptEnd {
         let is_down = self
             .down
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Sends the fatal request by one node after the other until it has crashed three.
+    /// Sends the fatal request through each node in turn until it has crashed three back ends.
     fn crash_three_back_ends(&mut self) {
         for number in 0..12 {
             if self.crashes == 3 {
@@ -224,7 +224,7 @@
     }
 }
 
-/// Without the quarantine each submission goes to as many back ends as it has attempts.
+/// Without the quarantine, each submission would crash as many back ends as it has attempts.
 #[test]
 fn all_nodes_refuse_a_request_after_its_third_crash() {
     let mut fleet = Fleet::start();
--- a/crates/coordination/node/tests/restored_directory.rs
+++ b/crates/coordination/node/tests/restored_directory.rs
@@ -15,7 +15,8 @@
 tenants:
   - { id: 1, name: tenant-1, key_digests: [], classes: [class-1], pools: [pool-1] }
 ";
-/// Longest time that a back end counts as leaving after a restore although it is listed as live.
+/// Time for which a back end that had left may count as leaving after a restore although the
+/// directory lists it as live.
 const OVERRIDE_TIME: Span = Span::from_milliseconds(10_000);
 
 fn directory(epoch: u16, version: u64, back_ends: &[(u32, EntryState)]) -> Directory {
@@ -59,7 +60,7 @@
     node
 }
 
-/// Numbers of the back ends 1 to 3 that take new work.
+/// Numbers of those of the back ends 1 to 3 that accept new requests.
 fn usable(node: &Node) -> Vec<u32> {
     let is_usable = |number: &u32| {
         let entry = node.catalog().back_end(BackEndId(*number));
@@ -68,7 +69,7 @@
     (1..=3).filter(is_usable).collect()
 }
 
-/// Guards against ignoring directories whose versions are reused after a restore.
+/// Guards against ignoring a directory whose version number is reused after a restore.
 #[test]
 fn a_version_reused_after_a_restore_is_accepted() {
     use EntryState::{Leaving, Live};
@@ -86,7 +87,7 @@
     );
 }
 
-/// Guards against new work for back ends that the restored copy lists as live again.
+/// Guards against new requests to back ends that the restored copy lists as live again.
 #[test]
 fn back_ends_that_left_before_a_restore_count_as_leaving_until_the_override_ends() {
     use EntryState::{Leaving, Live};
