--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -30,8 +30,8 @@
     pub cell: Cell,
     pub last_used: Timestamp,
     pub next_poll: Timestamp,
-    next_free_slots: Timestamp,
-    pub next_tenant_usage: Timestamp,
+    next_free_slots_report: Timestamp,
+    pub next_tenant_usage_report: Timestamp,
     pub next_lease_check: Timestamp,
     /// Number of the last cache event received from each back end.
     cache_cursors: BTreeMap<BackEndId, u64>,
@@ -188,8 +188,8 @@
             cell: Cell::new(cell, self.limits.cell_policy.clone()),
             last_used: now,
             next_poll: now,
-            next_free_slots: now,
-            next_tenant_usage: now,
+            next_free_slots_report: now,
+            next_tenant_usage_report: now,
             next_lease_check: now + LEASE_CHECK_INTERVAL,
             cache_cursors: BTreeMap::new(),
             usage_elsewhere: BTreeMap::new(),
@@ -381,10 +381,10 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        if now < held.next_free_slots {
+        if now < held.next_free_slots_report {
             return;
         }
-        held.next_free_slots = now + FREE_SLOTS_INTERVAL;
+        held.next_free_slots_report = now + FREE_SLOTS_INTERVAL;
         let free = held.free_slots(now);
         let mut peers = self.fleet.remote_peers();
         if self
--- a/crates/coordination/node/src/request_flow.rs
+++ b/crates/coordination/node/src/request_flow.rs
@@ -14,7 +14,7 @@
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u8 = 4;
 /// Time after which a refused caller may retry where no better estimate is known.
-const RETRY_ELSEWHERE_AFTER: Span = Span::from_milliseconds(500);
+const DEFAULT_RETRY_AFTER: Span = Span::from_milliseconds(500);
 
 impl Node {
     /// Submits a request. The outputs that concern it carry the returned identifier.
@@ -47,7 +47,7 @@
             } else {
                 Verdict::NotRun
             };
-            let retry_after = Some(RETRY_ELSEWHERE_AFTER);
+            let retry_after = Some(DEFAULT_RETRY_AFTER);
             self.reject(
                 sequence,
                 Refusal {
@@ -271,7 +271,7 @@
     Refusal {
         verdict,
         reason,
-        retry_after: Some(RETRY_ELSEWHERE_AFTER),
+        retry_after: Some(DEFAULT_RETRY_AFTER),
     }
 }
 
@@ -279,7 +279,7 @@
 /// if that has any, or else one for the reason `fallback`.
 fn final_refusal(request: &LocalRequest, fallback: Reason) -> Refusal {
     request.refused_by.first().map_or(
-        Refusal::not_run(fallback, Some(RETRY_ELSEWHERE_AFTER)),
+        Refusal::not_run(fallback, Some(DEFAULT_RETRY_AFTER)),
         |(_, refusal)| *refusal,
     )
 }
--- a/crates/coordination/node/src/request_flow/replies.rs
+++ b/crates/coordination/node/src/request_flow/replies.rs
@@ -1,6 +1,6 @@
 //! Handling of holders' replies to slot requests: grants, queue places and refusals.
 
-use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
+use super::{DEFAULT_RETRY_AFTER, final_refusal};
 use crate::decision::Step;
 use crate::message::{AttemptId, DocumentKind};
 use crate::node::Node;
@@ -41,7 +41,7 @@
         let Some(entry) = usable else {
             self.release(from, slot_request.cell, attempt_id, Observation::UNUSED);
             self.ping(from);
-            let refusal = Refusal::not_run(Reason::NoBackEnd, Some(RETRY_ELSEWHERE_AFTER));
+            let refusal = Refusal::not_run(Reason::NoBackEnd, Some(DEFAULT_RETRY_AFTER));
             self.try_next_cell(sequence, slot_request.cell, refusal);
             return;
         };
@@ -99,7 +99,7 @@
             attempt_id,
             Observation::UNUSED,
         );
-        let refusal = Refusal::not_run(Reason::DeadlineUnreachable, Some(RETRY_ELSEWHERE_AFTER));
+        let refusal = Refusal::not_run(Reason::DeadlineUnreachable, Some(DEFAULT_RETRY_AFTER));
         self.record_step(
             attempt_id.sequence,
             Step::Spilled {
--- a/crates/coordination/node/src/request_flow/slot_requests.rs
+++ b/crates/coordination/node/src/request_flow/slot_requests.rs
@@ -1,6 +1,6 @@
 //! Requests for slots, and the choice of the cell.
 
-use super::{RETRY_ELSEWHERE_AFTER, final_refusal};
+use super::{DEFAULT_RETRY_AFTER, final_refusal};
 use crate::decision::Step;
 use crate::message::{AttemptId, Message};
 use crate::node::Node;
@@ -45,7 +45,7 @@
             Some(holder) => self.request_slot_from(sequence, cell, holder),
             None => {
                 let refusal =
-                    Refusal::not_run(Reason::HolderUnreachable, Some(RETRY_ELSEWHERE_AFTER));
+                    Refusal::not_run(Reason::HolderUnreachable, Some(DEFAULT_RETRY_AFTER));
                 self.try_next_cell(sequence, cell, refusal);
             }
         }
--- a/crates/coordination/node/src/tenant_exchange.rs
+++ b/crates/coordination/node/src/tenant_exchange.rs
@@ -20,7 +20,7 @@
         let due = self
             .cells
             .get(&cell)
-            .is_some_and(|held| now >= held.next_tenant_usage);
+            .is_some_and(|held| now >= held.next_tenant_usage_report);
         if !due {
             return;
         }
@@ -28,7 +28,7 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        held.next_tenant_usage = now + TENANT_USAGE_INTERVAL;
+        held.next_tenant_usage_report = now + TENANT_USAGE_INTERVAL;
         if tenant_limits.is_empty() {
             return;
         }
