--- a/crates/coordination/node/src/decision.rs
+++ b/crates/coordination/node/src/decision.rs
@@ -98,14 +98,11 @@
             Step::Arrived => write!(formatter, "arrived"),
             Step::Claimed { home } => write!(formatter, "claimed its key at node {home}"),
             Step::SlotRequested { cell, holder } => {
-                write!(
-                    formatter,
-                    "requested a slot in cell {cell} from node {holder}"
-                )
+                write!(formatter, "asked node {holder} for a slot in cell {cell}")
             }
             Step::Waiting { cell, estimate } => write!(
                 formatter,
-                "waiting in cell {cell}, estimated {} ms",
+                "waits in cell {cell}, estimated {} ms",
                 estimate.milliseconds()
             ),
             Step::Dispatched {
@@ -114,7 +111,7 @@
                 after,
             } => write!(
                 formatter,
-                "dispatched to back end {back_end} of cell {cell}, {} ms after arrival",
+                "runs on back end {back_end} of cell {cell}, {} ms after arrival",
                 after.milliseconds()
             ),
             Step::Spilled { from, refusal } => write!(
@@ -128,7 +125,7 @@
                 delivered_tokens,
             } => write!(
                 formatter,
-                "back end {back_end} failed (verdict {verdict}) after {delivered_tokens} tokens; retrying"
+                "back end {back_end} failed (verdict {verdict}) after {delivered_tokens} tokens; moving on"
             ),
             Step::Refused { refusal } => write!(
                 formatter,
@@ -140,7 +137,7 @@
                 "completed with {tokens} tokens, {} ms after arrival",
                 after.milliseconds()
             ),
-            Step::Abandoned => write!(formatter, "the caller disconnected"),
+            Step::Abandoned => write!(formatter, "the caller went away"),
         }
     }
 }
