--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -1,4 +1,8 @@
-//! Keys of non-repeatable requests: claiming them at their home, deciding them here.
+//! Idempotency keys of non-repeatable requests.
+//!
+//! Entry nodes claim a key at its home node before they dispatch the request, and settle
+//! it with the home when the request has ended. This node does both, and decides on the
+//! keys whose home it is.
 
 use crate::decision::Step;
 use crate::message::Message;
@@ -8,16 +12,16 @@
 use eiderferry_types::{Incarnation, NodeId, Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 use std::collections::BTreeMap;
 
-/// Time after which an unanswered claim is sent again.
+/// Time after which an unanswered claim is resent.
 pub(crate) const CLAIM_RESEND: Span = Span::from_milliseconds(150);
-/// Claims sent before the home counts as unreachable.
-pub(crate) const MAXIMUM_CLAIMS: u32 = 6;
-/// Time after which an unacknowledged settlement is sent again.
+/// Times that a claim is sent before the home counts as unreachable.
+pub(crate) const MAX_CLAIM_SENDS: u32 = 6;
+/// Time after which an unacknowledged settlement is resent.
 const SETTLEMENT_RESEND: Span = Span::from_milliseconds(300);
-/// Settlements sent before the home counts as gone.
-const MAXIMUM_SETTLEMENTS: u32 = 10;
-/// When a caller may ask again about a key that can't be decided now.
-const RETRY_UNDECIDED: Span = Span::from_milliseconds(2_000);
+/// Times that a settlement is resent before the home counts as gone.
+const MAX_SETTLEMENT_RESENDS: u32 = 10;
+/// Time after which a caller may retry whose key can't be granted now.
+const UNDECIDED_RETRY_AFTER: Span = Span::from_milliseconds(2_000);
 
 #[derive(Clone, Debug)]
 struct Settlement {
@@ -28,15 +32,16 @@
     sends: u32,
 }
 
-/// Settlements that their homes have not acknowledged yet.
+/// Settlements that their homes haven't acknowledged yet, by sequence number of the
+/// request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Settlements {
-    waiting: BTreeMap<u64, Settlement>,
+    pending: BTreeMap<u64, Settlement>,
 }
 
 impl Settlements {
     pub fn acknowledge(&mut self, sequence: u64) {
-        self.waiting.remove(&sequence);
+        self.pending.remove(&sequence);
     }
 }
 
@@ -48,7 +53,7 @@
         }
     }
 
-    /// Whether the run that issued a ticket is known to be gone.
+    /// Whether the run that issued a ticket is known to have ended.
     fn is_issuer_gone(&self, key: &KeyName) -> bool {
         let KeyName::Ticket {
             node, incarnation, ..
@@ -64,8 +69,9 @@
         current.is_some_and(|current| current != *incarnation)
     }
 
-    /// Asks the home of a request's key whether the request may run.
-    pub(crate) fn claim(&mut self, sequence: u64, tries: u32) {
+    /// Claims a request's key at its home after `resends` earlier tries, or rejects the
+    /// request if the key can't be claimed.
+    pub(crate) fn claim(&mut self, sequence: u64, resends: u32) {
         let Some(key) = self
             .requests
             .get(&sequence)
@@ -74,21 +80,21 @@
             return;
         };
         if self.is_issuer_gone(&key) {
-            let refusal = undecided(Reason::KeyOwnerGone, None);
+            let refusal = undecided_refusal(Reason::KeyOwnerGone, None);
             self.reject(sequence, refusal);
             return;
         }
         let home = self.key_home(&key);
-        let Some(home) = home.filter(|_| tries < MAXIMUM_CLAIMS) else {
-            let refusal = undecided(Reason::HolderUnreachable, Some(RETRY_UNDECIDED));
+        let Some(home) = home.filter(|_| resends < MAX_CLAIM_SENDS) else {
+            let refusal = undecided_refusal(Reason::HolderUnreachable, Some(UNDECIDED_RETRY_AFTER));
             self.reject(sequence, refusal);
             return;
         };
         if let Some(request) = self.requests.get_mut(&sequence) {
             request.phase = Phase::Claiming {
                 home,
-                sent: self.now,
-                tries,
+                sent_at: self.now,
+                resends,
             };
         }
         self.send(home, Message::Claim { key, sequence });
@@ -101,37 +107,41 @@
         key: KeyName,
         sequence: u64,
     ) {
-        let by = RequestId {
+        let claimant = RequestId {
             node: from,
             incarnation,
             sequence,
         };
-        let answer = match &key {
+        let reply = match &key {
             KeyName::Ticket {
                 node, incarnation, ..
             } => {
                 let issued_here =
                     *node == self.identity.node && *incarnation == self.identity.incarnation;
                 if issued_here {
-                    self.keys.claim_ticket(self.now, &key, by)
+                    self.keys.claim_ticket(self.now, &key, claimant)
                 } else {
                     ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone)
                 }
             }
             KeyName::Caller(..) => {
                 if self.key_history.home(&key) != Some(self.identity.node) {
-                    // The claimant goes by another list: let it compare versions.
+                    // The claimant uses another version of the directory; the ping
+                    // lets it compare versions.
                     self.ping(from);
                     return;
                 }
+                // A key that isn't in the table may be granted only if no other home can
+                // have granted it within the repeat window.
                 let vouched = !self.is_unverified() && self.key_history.vouches_for(self.now, &key);
-                self.keys.claim_caller_key(self.now, &key, by, vouched)
+                self.keys
+                    .claim_caller_key(self.now, &key, claimant, vouched)
             }
         };
-        self.send(from, Message::ClaimAnswer { sequence, answer });
+        self.send(from, Message::ClaimReply { sequence, reply });
     }
 
-    pub(crate) fn handle_claim_answer(&mut self, from: NodeId, sequence: u64, answer: ClaimAnswer) {
+    pub(crate) fn handle_claim_reply(&mut self, from: NodeId, sequence: u64, reply: ClaimAnswer) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -141,14 +151,14 @@
         if home != from {
             return;
         }
-        match answer {
+        match reply {
             ClaimAnswer::Granted => {
                 request.key_granted_by = Some(home);
-                self.note_step(sequence, Step::Claimed { home });
-                self.ask(sequence);
+                self.record_step(sequence, Step::Claimed { home });
+                self.request_slot(sequence);
             }
             ClaimAnswer::Denied { verdict, reason } => {
-                let retry_after = (reason != Reason::KeyFinished).then_some(RETRY_UNDECIDED);
+                let retry_after = (reason != Reason::KeyFinished).then_some(UNDECIDED_RETRY_AFTER);
                 self.reject(
                     sequence,
                     Refusal {
@@ -161,7 +171,7 @@
         }
     }
 
-    /// Tells the home of a request's key how the request ended.
+    /// Reports to the home of a request's key how the request ended.
     pub(crate) fn settle_key(&mut self, sequence: u64, verdict: Verdict) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -182,13 +192,13 @@
             next_send: self.now + SETTLEMENT_RESEND,
             sends: 1,
         };
-        self.settlements.waiting.insert(sequence, settlement);
+        self.settlements.pending.insert(sequence, settlement);
     }
 
     pub(crate) fn resend_settlements(&mut self) {
         let now = self.now;
         let mut messages = Vec::new();
-        self.settlements.waiting.retain(|sequence, settlement| {
+        self.settlements.pending.retain(|sequence, settlement| {
             if now < settlement.next_send {
                 return true;
             }
@@ -200,7 +210,7 @@
                 verdict: settlement.verdict,
             };
             messages.push((settlement.home, message));
-            settlement.sends <= MAXIMUM_SETTLEMENTS
+            settlement.sends <= MAX_SETTLEMENT_RESENDS
         });
         for (home, message) in messages {
             self.send(home, message);
@@ -215,19 +225,19 @@
         sequence: u64,
         verdict: Verdict,
     ) {
-        let by = RequestId {
+        let claimant = RequestId {
             node: from,
             incarnation,
             sequence,
         };
-        self.keys.settle(self.now, &key, by, verdict);
+        self.keys.settle(self.now, &key, claimant, verdict);
         self.send(from, Message::Settled { sequence });
     }
 }
 
-/// A refusal of a request whose key can't be decided: an earlier copy of it may
-/// have run.
-const fn undecided(reason: Reason, retry_after: Option<Span>) -> Refusal {
+/// The refusal of a request whose key can't be granted or denied: an earlier request with
+/// the same key may have run.
+const fn undecided_refusal(reason: Reason, retry_after: Option<Span>) -> Refusal {
     Refusal {
         verdict: Verdict::MayHaveRun,
         reason,
--- a/crates/coordination/node/src/counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -1,22 +1,22 @@
-//! What this node has counted, per class.
+//! Counters per class, and the node's figures for operators.
 
 use crate::node::Node;
 use eiderferry_admission::Observation;
 use eiderferry_membership::Health;
 use eiderferry_types::{CellId, ClassId, NodeId, Span, TenantId};
 
-/// Counters of one class since the node's start.
+/// Counters of one class since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests taken in.
+    /// Requests submitted.
     pub requests: u64,
-    /// Whole answers.
+    /// Requests whose whole response was delivered.
     pub completed: u64,
-    /// Requests that ended without an answer.
+    /// Requests that were refused, before or after an attempt.
     pub refused: u64,
-    /// Answers within both targets.
+    /// Completed requests that met both latency targets of the class.
     pub attained: u64,
-    /// Answer tokens of whole answers.
+    /// Response tokens of the completed requests.
     pub tokens: u64,
 }
 
@@ -26,7 +26,8 @@
         self.counts.get(&class).copied().unwrap_or_default()
     }
 
-    /// Peers with their health, and whether they are draining.
+    /// All listed peers with their health and whether they are draining, in order of
+    /// their identifiers.
     pub fn peers(&self) -> Vec<(NodeId, Health, bool)> {
         let mut peers = self.fleet.zone_peers();
         peers.extend(self.fleet.remote_peers());
@@ -42,8 +43,8 @@
         peers.into_iter().map(describe).collect()
     }
 
-    /// Requests that tenants run in the cells held here.
-    pub fn tenant_use(&self) -> Vec<(CellId, TenantId, u32)> {
+    /// Number of running requests per cell held here and tenant, without zeros.
+    pub fn tenant_usage(&self) -> Vec<(CellId, TenantId, u32)> {
         let cells = self.cells.iter().flat_map(|(cell, held)| {
             let running = held.cell.tenants_running();
             running.map(|(tenant, running)| (*cell, tenant, running))
@@ -51,12 +52,12 @@
         cells.filter(|(_, _, running)| *running > 0).collect()
     }
 
-    /// Version of the last configuration that was refused as invalid.
+    /// Version of the last configuration that was rejected as invalid; zero if none was.
     pub fn invalid_configuration(&self) -> u64 {
         self.invalid_configuration
     }
 
-    pub(crate) fn count_completed(
+    pub(crate) fn record_completed(
         &mut self,
         sequence: u64,
         tokens: u32,
@@ -66,20 +67,21 @@
             return;
         };
         let class = request.submission.class;
-        let before_dispatch = request.dispatched.since(request.arrived);
+        let before_dispatch = request.dispatched_at.since(request.arrived_at);
         let first_token = observation
             .first_token
             .map(|span| Span(before_dispatch.0 + span.0));
         let targets = self
             .configuration
             .current()
-            .and_then(|known| known.class(class));
+            .and_then(|configuration| configuration.class(class));
         let attained = targets.is_some_and(|targets| {
-            let first = first_token.is_some_and(|span| span <= targets.first_token_target());
-            let rest = observation
+            let meets_first_token_target =
+                first_token.is_some_and(|span| span <= targets.first_token_target());
+            let meets_per_token_target = observation
                 .per_token
                 .is_none_or(|span| span <= targets.per_token_target());
-            first && rest
+            meets_first_token_target && meets_per_token_target
         });
         let counts = self.counts.entry(class).or_default();
         counts.completed += 1;
--- a/crates/coordination/node/src/crashing.rs
+++ b/crates/coordination/node/src/crashing_requests.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends crash: noted here, told to other nodes, refused on all.
+//! Quarantine of requests that crash back ends: crashes are recorded, reported to other
+//! nodes, and the requests are refused on all nodes.
 
 use crate::message::Message;
 use crate::node::Node;
@@ -6,14 +7,16 @@
 use eiderferry_types::{BackEndId, NodeId, Reason, Refusal, RequestDigest, Verdict};
 use rand::seq::IndexedRandom;
 
-/// Nodes of the own zone, and elsewhere, that hear of a crash at once; from there it goes on.
+/// Peers in the own zone that get a report immediately after a crash; all others learn of
+/// it from the reports that accompany pings.
 const ZONE_FANOUT: usize = 8;
+/// Peers in other zones that get a report immediately after a crash.
 const REMOTE_FANOUT: usize = 2;
 
 impl Node {
-    /// The refusal of a request under which back ends crash, if it is one. Coming again does not
-    /// help.
-    pub(crate) fn refusal_of_crashing(&self, request: RequestDigest) -> Option<Refusal> {
+    /// The refusal of a request if it is quarantined. It names no time to retry after,
+    /// because retrying doesn't help.
+    pub(crate) fn crash_refusal(&self, request: RequestDigest) -> Option<Refusal> {
         self.quarantine.status(request, self.now)?;
         Some(Refusal {
             verdict: Verdict::NotRun,
@@ -22,40 +25,41 @@
         })
     }
 
-    /// Notes that a back end crashed under a request, and tells some nodes at once.
+    /// Records that a back end crashed while it ran a request, and reports it to some
+    /// peers immediately.
     pub(crate) fn record_crash(&mut self, request: RequestDigest, back_end: BackEndId) {
         let change = self.quarantine.record_crash(request, back_end.0, self.now);
-        self.note_quarantine_change(change);
-        for peer in self.peers_told_of_crashes() {
-            self.tell_crashing_requests(peer);
+        self.emit_quarantine_change(change);
+        for peer in self.sample_crash_report_peers() {
+            self.send_crash_reports(peer);
         }
     }
 
-    /// Notes that a request ended well.
-    pub(crate) fn note_ended_well(&mut self, request: RequestDigest) {
+    /// Records that a request completed, which counts against its quarantine.
+    pub(crate) fn record_success(&mut self, request: RequestDigest) {
         let change = self.quarantine.record_completed(request, self.now);
-        self.note_quarantine_change(change);
+        self.emit_quarantine_change(change);
     }
 
-    fn peers_told_of_crashes(&mut self) -> Vec<NodeId> {
+    fn sample_crash_report_peers(&mut self) -> Vec<NodeId> {
         let (zone, remote) = (self.fleet.zone_peers(), self.fleet.remote_peers());
         let random = &mut self.random;
-        let near = zone.choose_multiple(random, ZONE_FANOUT).copied();
-        let mut peers: Vec<NodeId> = near.collect();
+        let chosen = zone.choose_multiple(random, ZONE_FANOUT).copied();
+        let mut peers: Vec<NodeId> = chosen.collect();
         peers.extend(remote.choose_multiple(random, REMOTE_FANOUT));
         peers
     }
 
-    /// Tells a node what is known of such requests, if anything is.
-    pub(crate) fn tell_crashing_requests(&mut self, peer: NodeId) {
+    /// Sends the known crash reports to a peer, if there are any.
+    pub(crate) fn send_crash_reports(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports(self.now);
         if !reports.is_empty() {
             self.send(peer, Message::CrashingRequests { reports });
         }
     }
 
-    /// A node that has just started knows of none.
-    pub(crate) fn tell_crashing_requests_at_start(&mut self, peer: NodeId) {
+    /// Sends the crash reports that a peer needs after its start.
+    pub(crate) fn send_crash_reports_at_start(&mut self, peer: NodeId) {
         let reports = self.quarantine.reports_at_start(self.now);
         if !reports.is_empty() {
             self.send(peer, Message::CrashingRequests { reports });
@@ -64,18 +68,18 @@
 
     pub(crate) fn handle_crashing_requests(&mut self, reports: &[RequestReport]) {
         for change in self.quarantine.merge_reports(reports, self.now) {
-            self.note_quarantine_change(Some(change));
+            self.emit_quarantine_change(Some(change));
         }
     }
 
-    /// Forgets what is too old.
+    /// Drops expired crash records.
     pub(crate) fn tick_quarantine(&mut self) {
         for change in self.quarantine.expire(self.now) {
-            self.note_quarantine_change(Some(change));
+            self.emit_quarantine_change(Some(change));
         }
     }
 
-    fn note_quarantine_change(&mut self, change: Option<QuarantineChange>) {
+    fn emit_quarantine_change(&mut self, change: Option<QuarantineChange>) {
         if let Some(change) = change {
             self.emit(crate::Output::QuarantineChanged(change));
         }
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -1,4 +1,5 @@
-//! Taking over new versions of the shared documents and passing them on.
+//! Reads new versions of the shared documents, puts them in force and announces them to
+//! peers.
 
 use crate::catalog::Catalog;
 use crate::message::{DocumentKind, Message};
@@ -10,13 +11,15 @@
 use eiderferry_types::{NodeId, Timestamp};
 use rand::seq::IndexedRandom;
 
-/// Zone peers told at once of a new version; they tell others in turn.
-const FAN_OUT: usize = 3;
-/// Name under which the readers of a zone are chosen.
+/// Peers in the own zone that are pinged when a new version is accepted; they fetch it and
+/// announce it in turn.
+const ANNOUNCEMENT_FANOUT: usize = 3;
+/// Key by which the readers of a zone are chosen.
 const READER_KEY: &str = "platform-reader";
 
 impl Node {
-    /// Starts the reads of the platform that are due.
+    /// Starts the platform reads that are due, and fetches missing documents from the
+    /// seeds.
     pub(crate) fn read_documents(&mut self) {
         let readers = self.fleet.readers(READER_KEY, self.now);
         let position = readers.iter().position(|node| *node == self.identity.node);
@@ -26,10 +29,10 @@
         let must_verify = self.is_unverified();
         let urgent = directory_missing || must_verify;
         if self.directory_reads.start_if_due(self.now, rank, urgent) {
-            let have = self.directory.version();
+            let known_version = self.directory.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Directory,
-                have,
+                known_version,
             });
         }
         let urgent = configuration_missing;
@@ -37,71 +40,80 @@
             .configuration_reads
             .start_if_due(self.now, rank, urgent)
         {
-            let have = self.configuration.version();
+            let known_version = self.configuration.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Configuration,
-                have,
+                known_version,
             });
         }
         if configuration_missing || directory_missing {
-            self.ask_seeds();
+            self.fetch_from_seeds();
         }
     }
 
-    fn ask_seeds(&mut self) {
+    fn fetch_from_seeds(&mut self) {
         for address in self.limits.seeds.clone() {
             for kind in [DocumentKind::Directory, DocumentKind::Configuration] {
-                let message = Message::Fetch { kind, have: 0 };
+                let message = Message::Fetch {
+                    kind,
+                    known_version: 0,
+                };
                 self.emit(Output::SendToAddress { address, message });
             }
         }
     }
 
-    /// Takes in what the platform said: a newer document, nothing newer, or that
-    /// it could not be read (`Err`).
-    pub fn platform_answered(
+    /// Handles the result of a platform read: a newer document, `None` if there is none,
+    /// or `Err` if the read failed.
+    pub fn handle_platform_response(
         &mut self,
         now: Timestamp,
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     ) {
-        self.enter(now);
+        self.advance_clock(now);
         let plan = match kind {
             DocumentKind::Configuration => &mut self.configuration_reads,
             DocumentKind::Directory => &mut self.directory_reads,
         };
-        let expected = plan.is_reading();
-        plan.finished(answer.is_ok());
-        if kind == DocumentKind::Directory && answer.is_ok() && expected {
+        let was_reading = plan.is_reading();
+        plan.finished(response.is_ok());
+        if kind == DocumentKind::Directory && response.is_ok() && was_reading {
             self.confirm_directory();
         }
-        match answer {
+        match response {
             Ok(Some(PlatformDocument::Configuration(document))) => {
                 self.accept_configuration(document);
             }
             Ok(Some(PlatformDocument::Directory(document))) => self.accept_directory(document),
             Ok(None) | Err(()) => {}
         }
-        self.leave();
+        self.process_inbox();
     }
 
     pub(crate) fn fetch(&mut self, from: NodeId, kind: DocumentKind) {
-        let have = match kind {
+        let known_version = match kind {
             DocumentKind::Configuration => self.configuration.version(),
             DocumentKind::Directory => self.directory.version(),
         };
-        self.send(from, Message::Fetch { kind, have });
+        self.send(
+            from,
+            Message::Fetch {
+                kind,
+                known_version,
+            },
+        );
     }
 
-    pub(crate) fn handle_fetch(&mut self, from: NodeId, kind: DocumentKind, have: u64) {
+    pub(crate) fn handle_fetch(&mut self, from: NodeId, kind: DocumentKind, known_version: u64) {
         let message = match kind {
             DocumentKind::Configuration => self
                 .configuration
-                .update_for(have)
+                .update_for(known_version)
                 .map(Message::ConfigurationUpdate),
             DocumentKind::Directory => self
                 .directory
-                .update_for(have)
+                .update_for(known_version)
                 .map(Message::DirectoryUpdate),
         };
         if let Some(message) = message {
@@ -118,7 +130,13 @@
             Ok(document) => self.accept_configuration(document),
             Err(Acceptance::Gap) => {
                 let kind = DocumentKind::Configuration;
-                self.send(from, Message::Fetch { kind, have: 0 });
+                self.send(
+                    from,
+                    Message::Fetch {
+                        kind,
+                        known_version: 0,
+                    },
+                );
             }
             Err(_) => {}
         }
@@ -133,13 +151,20 @@
             Ok(document) => self.accept_directory(document),
             Err(Acceptance::Gap) => {
                 let kind = DocumentKind::Directory;
-                self.send(from, Message::Fetch { kind, have: 0 });
+                self.send(
+                    from,
+                    Message::Fetch {
+                        kind,
+                        known_version: 0,
+                    },
+                );
             }
             Err(_) => {}
         }
     }
 
-    /// Puts a newer valid configuration in force; an invalid one is refused whole.
+    /// Puts a newer configuration in force if it is valid; an invalid one is rejected as a
+    /// whole.
     fn accept_configuration(&mut self, document: Configuration) {
         if document.check("published configuration").is_err() {
             self.invalid_configuration = document.version;
@@ -166,8 +191,8 @@
         self.apply_members();
         self.rebuild_catalog();
         self.refresh_cell_members();
-        self.rehome_running();
-        self.hand_over_foreign_cells();
+        self.move_leases_to_current_holders();
+        self.abandon_queues_held_elsewhere();
         self.announce_version();
     }
 
@@ -203,16 +228,17 @@
         self.catalog = Catalog::new(directory, configuration.clone(), &self.leaving_overrides);
     }
 
-    /// Tells a few zone peers and one node elsewhere that there is a newer version.
+    /// Pings a few peers of the own zone and one in another zone, so that they fetch the
+    /// new version.
     fn announce_version(&mut self) {
         let zone_peers = self.fleet.zone_peers();
         let remote_peers = self.fleet.remote_peers();
-        let mut told: Vec<NodeId> = zone_peers
-            .choose_multiple(&mut self.random, FAN_OUT)
+        let mut recipients: Vec<NodeId> = zone_peers
+            .choose_multiple(&mut self.random, ANNOUNCEMENT_FANOUT)
             .copied()
             .collect();
-        told.extend(remote_peers.choose(&mut self.random).copied());
-        for peer in told {
+        recipients.extend(remote_peers.choose(&mut self.random).copied());
+        for peer in recipients {
             self.ping(peer);
         }
     }
--- a/crates/coordination/node/src/holding.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -1,6 +1,6 @@
-//! The cells whose admission queues stand on this node.
+//! The cells that this node holds, that is, whose admission queues it runs.
 
-use crate::message::{AttemptName, Message};
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use crate::output::Output;
 use eiderferry_admission::{Ask, Cell, CellEvent, LoadReport, Observation, Ticket};
@@ -11,38 +11,46 @@
 use rand::seq::IndexedRandom;
 use std::collections::BTreeMap;
 
-/// Age up to which a sign of life speaks against another node's suspicion.
-const RECENTLY: Span = Span::from_milliseconds(700);
+/// Time since the last message from a holder within which this node reports it as live to
+/// nodes that suspect it.
+const RECENTLY_HEARD: Span = Span::from_milliseconds(700);
 /// Time between two polls of a back end's load.
 const POLL_INTERVAL: Span = Span::from_milliseconds(500);
-/// Time between two words on free slots to nodes elsewhere.
-const HINT_INTERVAL: Span = Span::from_milliseconds(500);
-/// Nodes elsewhere that get a word on free slots each time.
-const HINT_FAN_OUT: usize = 3;
+/// Time between two reports of a cell's free slots to other nodes.
+const FREE_SLOTS_INTERVAL: Span = Span::from_milliseconds(500);
+/// Nodes to which each report of free slots is sent.
+const FREE_SLOTS_FANOUT: usize = 3;
 /// Time between two rounds of lease checks.
 pub(crate) const LEASE_CHECK_INTERVAL: Span = Span::from_milliseconds(10_000);
-/// Time after which a cell that this node does not hold and nobody uses is dropped.
-const IDLE_TIME: Span = Span::from_milliseconds(3_000);
+/// Time after which an unused cell that another node holds is dropped.
+const IDLE_TIMEOUT: Span = Span::from_milliseconds(3_000);
 
-/// A cell held here.
+/// A cell held by this node.
 pub(crate) struct HeldCell {
     pub cell: Cell,
-    pub last_use: Timestamp,
+    pub last_used: Timestamp,
     pub next_poll: Timestamp,
-    next_hint: Timestamp,
-    pub next_tenant_use: Timestamp,
+    next_free_slots_report: Timestamp,
+    pub next_tenant_usage_report: Timestamp,
     pub next_lease_check: Timestamp,
+    /// Number of the last cache event received from each back end.
     cache_cursors: BTreeMap<BackEndId, u64>,
-    /// What tenants with limits use in the other cells of the pool.
-    pub use_elsewhere: BTreeMap<CellId, (Timestamp, BTreeMap<TenantId, u32>)>,
+    /// Running requests of tenants with limits in the other cells of the pool, with the
+    /// time of the report.
+    pub usage_elsewhere: BTreeMap<CellId, (Timestamp, BTreeMap<TenantId, u32>)>,
 }
 
 impl Node {
-    /// An ask or a registration from an entry node.
-    pub(crate) fn handle_ask(&mut self, from: NodeId, incarnation: Incarnation, message: Message) {
+    /// Handles a slot request or the registration of a running request.
+    pub(crate) fn handle_slot_request(
+        &mut self,
+        from: NodeId,
+        incarnation: Incarnation,
+        message: Message,
+    ) {
         match message {
-            Message::Ask {
-                name,
+            Message::RequestSlot {
+                attempt_id,
                 cell,
                 class,
                 tenant,
@@ -52,7 +60,7 @@
                 may_wait,
             } => {
                 let ask = Ask {
-                    ticket: ticket(from, incarnation, name),
+                    ticket: ticket(from, incarnation, attempt_id),
                     class,
                     tenant,
                     prompt_tokens,
@@ -60,10 +68,10 @@
                     first_token_due: self.now + Span::from_milliseconds(u64::from(due_in_ms)),
                     arrived: self.now,
                 };
-                self.admit(from, name, cell, ask, may_wait);
+                self.admit(from, attempt_id, cell, ask, may_wait);
             }
             Message::Register {
-                name,
+                attempt_id,
                 cell,
                 class,
                 tenant,
@@ -71,7 +79,7 @@
                 back_end,
             } => {
                 let ask = Ask {
-                    ticket: ticket(from, incarnation, name),
+                    ticket: ticket(from, incarnation, attempt_id),
                     class,
                     tenant,
                     prompt_tokens,
@@ -80,7 +88,7 @@
                     arrived: self.now,
                 };
                 let now = self.now;
-                if let Some(held) = self.hold(cell) {
+                if let Some(held) = self.ensure_held(cell) {
                     held.cell.register(now, &ask, back_end);
                 }
             }
@@ -88,21 +96,32 @@
         }
     }
 
-    fn admit(&mut self, from: NodeId, name: AttemptName, cell: CellId, ask: Ask, may_wait: bool) {
-        let living_holder = self.other_living_holder(cell);
-        let refuses = self.draining || self.is_unverified() || living_holder.is_some();
+    fn admit(
+        &mut self,
+        from: NodeId,
+        attempt_id: AttemptId,
+        cell: CellId,
+        ask: Ask,
+        may_wait: bool,
+    ) {
+        let live_holder = self.other_live_holder(cell);
+        let must_refuse = self.draining || self.is_unverified() || live_holder.is_some();
         let directory = self.directory.version();
         let ticket = ask.ticket;
         let class = ask.class;
         let now = self.now;
-        let held = if refuses { None } else { self.hold(cell) };
+        let held = if must_refuse {
+            None
+        } else {
+            self.ensure_held(cell)
+        };
         let Some(held) = held else {
             self.send(
                 from,
-                Message::AskAgain {
-                    name,
+                Message::Resubmit {
+                    attempt_id,
                     directory,
-                    living_holder,
+                    live_holder,
                 },
             );
             if self.draining {
@@ -111,65 +130,72 @@
             return;
         };
         held.cell.ask(now, ask);
-        let waits = held.cell.is_waiting(&ticket);
+        let is_waiting = held.cell.is_waiting(&ticket);
         let wait = held.cell.estimated_wait(now, class);
-        if waits && !may_wait {
+        if is_waiting && !may_wait {
             held.cell.withdraw(&ticket);
         }
         self.flush_cell(cell);
-        if !waits {
+        if !is_waiting {
             return;
         }
         let wait_ms = wait.milliseconds().min(u64::from(u32::MAX)) as u32;
-        let answer = if may_wait {
-            Message::Queued { name, wait_ms }
+        let reply = if may_wait {
+            Message::Queued {
+                attempt_id,
+                wait_ms,
+            }
         } else {
             Message::Refuse {
-                name,
+                attempt_id,
                 reason: Reason::QueueFull,
                 retry_after_ms: wait_ms,
             }
         };
-        self.send(from, answer);
+        self.send(from, reply);
     }
 
-    /// The node that holds a cell in place of this one, if this node has just heard
-    /// from it: a node that suspects it is told so.
-    fn other_living_holder(&self, cell: CellId) -> Option<NodeId> {
+    /// The node that holds a cell instead of this one, if this node has recently heard
+    /// from it. A requester that suspects that holder is told that it is live.
+    fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
-        let lives = self.fleet.detector.heard_within(holder, self.now, RECENTLY);
-        (holder != self.identity.node && lives).then_some(holder)
+        let is_live = self
+            .fleet
+            .detector
+            .heard_within(holder, self.now, RECENTLY_HEARD);
+        (holder != self.identity.node && is_live).then_some(holder)
     }
 
-    /// The cell, taken up now if this node does not hold it yet.
-    fn hold(&mut self, cell: CellId) -> Option<&mut HeldCell> {
-        let known = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
-        if !known {
+    /// Returns a cell, created if this node doesn't hold it yet; `None` if the cell isn't
+    /// in this zone, has no back ends, or there is no configuration.
+    fn ensure_held(&mut self, cell: CellId) -> Option<&mut HeldCell> {
+        let exists = cell.zone == self.identity.zone && !self.catalog.cell_members(cell).is_empty();
+        if !exists {
             return None;
         }
         if !self.cells.contains_key(&cell) {
-            self.take_up(cell)?;
+            self.create_cell(cell)?;
         }
         let held = self.cells.get_mut(&cell)?;
-        held.last_use = self.now;
+        held.last_used = self.now;
         Some(held)
     }
 
-    fn take_up(&mut self, cell: CellId) -> Option<()> {
+    fn create_cell(&mut self, cell: CellId) -> Option<()> {
         let configuration = self.configuration.current()?.clone();
         let now = self.now;
         let mut held = HeldCell {
             cell: Cell::new(cell, self.limits.cell_policy.clone()),
-            last_use: now,
+            last_used: now,
             next_poll: now,
-            next_hint: now,
-            next_tenant_use: now,
+            next_free_slots_report: now,
+            next_tenant_usage_report: now,
             next_lease_check: now + LEASE_CHECK_INTERVAL,
             cache_cursors: BTreeMap::new(),
-            use_elsewhere: BTreeMap::new(),
+            usage_elsewhere: BTreeMap::new(),
         };
         held.cell
-            .set_back_ends(&self.members_with_limits(cell, &configuration));
+            .set_back_ends(&self.member_capacities(cell, &configuration));
         held.cell.configure(now, &configuration);
         if self.catalog.is_engine_pool(cell.pool) {
             held.cell.start_learning(now);
@@ -180,7 +206,7 @@
         Some(())
     }
 
-    fn members_with_limits(
+    fn member_capacities(
         &self,
         cell: CellId,
         configuration: &Configuration,
@@ -188,7 +214,7 @@
         let Some(pool) = configuration.pool(cell.pool) else {
             return Vec::new();
         };
-        let describe = |id: &BackEndId| {
+        let capacity = |id: &BackEndId| {
             let leaving = self.catalog.back_end(*id).is_none_or(|entry| entry.leaving);
             (
                 *id,
@@ -200,7 +226,7 @@
         self.catalog
             .cell_members(cell)
             .iter()
-            .map(describe)
+            .map(capacity)
             .collect()
     }
 
@@ -208,22 +234,22 @@
         &mut self,
         from: NodeId,
         incarnation: Incarnation,
-        name: AttemptName,
+        attempt_id: AttemptId,
         cell: CellId,
         observation: &Observation,
     ) {
-        // Places that come free because their requests went to another holder are no
-        // room for what waits here.
-        self.yield_to_living_holder(cell);
+        // Slots released because their requests moved to another holder must not be
+        // granted to requests that wait here.
+        self.yield_to_live_holder(cell);
         let now = self.now;
         if let Some(held) = self.cells.get_mut(&cell) {
-            held.last_use = now;
+            held.last_used = now;
             held.cell
-                .release(now, &ticket(from, incarnation, name), observation);
+                .release(now, &ticket(from, incarnation, attempt_id), observation);
             self.flush_cell(cell);
         }
         if from != self.identity.node {
-            self.send(from, Message::Released { name });
+            self.send(from, Message::Released { attempt_id });
         }
     }
 
@@ -239,15 +265,16 @@
         }
     }
 
-    /// Takes in a back end's load report and cache events, or that it gave none.
-    pub fn back_end_reported(
+    /// Handles the result of a poll: a back end's load report and cache events, or empty
+    /// ones if it returned none.
+    pub fn handle_load_report(
         &mut self,
         now: Timestamp,
         back_end: BackEndId,
         report: &LoadReport,
         cache: &CacheUpdate,
     ) {
-        self.enter(now);
+        self.advance_clock(now);
         let cell = self.catalog.back_end(back_end).map(|entry| entry.cell);
         if let Some(cell) = cell
             && let Some(held) = self.cells.get_mut(&cell)
@@ -258,10 +285,10 @@
             held.cache_cursors.insert(back_end, cache.cursor);
             self.flush_cell(cell);
         }
-        self.leave();
+        self.process_inbox();
     }
 
-    /// Sends out what a cell has decided.
+    /// Sends the grants and refusals that a cell has decided.
     fn flush_cell(&mut self, cell: CellId) {
         let now = self.now;
         let Some(held) = self.cells.get_mut(&cell) else {
@@ -285,32 +312,32 @@
         }
     }
 
-    /// Regular work for the cells held here.
+    /// Runs periodic work for the cells held here.
     pub(crate) fn tick_cells(&mut self) {
-        let unverified = self.is_unverified();
+        let is_unverified = self.is_unverified();
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             let now = self.now;
             if let Some(held) = self.cells.get_mut(&cell)
-                && !unverified
+                && !is_unverified
             {
                 held.cell.tick(now);
             }
             self.flush_cell(cell);
-            self.yield_to_living_holder(cell);
+            self.yield_to_live_holder(cell);
             self.poll_if_due(cell);
-            self.spread_hint_if_due(cell);
-            self.exchange_tenant_use_if_due(cell);
+            self.send_free_slots_if_due(cell);
+            self.exchange_tenant_usage_if_due(cell);
             self.check_leases_if_due(cell);
             self.drop_if_idle(cell);
         }
     }
 
-    /// A node that stood in for a silent holder gives the queue back when the
-    /// holder is heard again: two queues for the same slots know no common order.
-    fn yield_to_living_holder(&mut self, cell: CellId) {
+    /// Hands the queue of a cell over to its holder if that is another node that is live
+    /// again, because two queues for the same slots can't keep a common order.
+    fn yield_to_live_holder(&mut self, cell: CellId) {
         let waiting = self.cells.get(&cell).map_or(0, |held| held.cell.waiting());
-        if waiting > 0 && self.other_living_holder(cell).is_some() {
+        if waiting > 0 && self.other_live_holder(cell).is_some() {
             self.abandon_queue(cell);
         }
     }
@@ -349,15 +376,15 @@
         }
     }
 
-    fn spread_hint_if_due(&mut self, cell: CellId) {
+    fn send_free_slots_if_due(&mut self, cell: CellId) {
         let now = self.now;
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        if now < held.next_hint {
+        if now < held.next_free_slots_report {
             return;
         }
-        held.next_hint = now + HINT_INTERVAL;
+        held.next_free_slots_report = now + FREE_SLOTS_INTERVAL;
         let free = held.free_slots(now);
         let mut peers = self.fleet.remote_peers();
         if self
@@ -367,28 +394,28 @@
         {
             peers.extend(self.fleet.zone_peers());
         }
-        let told: Vec<NodeId> = peers
-            .choose_multiple(&mut self.random, HINT_FAN_OUT)
+        let recipients: Vec<NodeId> = peers
+            .choose_multiple(&mut self.random, FREE_SLOTS_FANOUT)
             .copied()
             .collect();
-        for peer in told {
+        for peer in recipients {
             self.send(peer, Message::FreeSlots { cell, free });
         }
     }
 
     fn drop_if_idle(&mut self, cell: CellId) {
-        let holds = self.fleet.holder(cell, self.now) == Some(self.identity.node);
+        let is_holder = self.fleet.holder(cell, self.now) == Some(self.identity.node);
         let Some(held) = self.cells.get(&cell) else {
             return;
         };
-        let used = held.cell.leases() + held.cell.waiting() > 0;
-        let idle = self.now.since(held.last_use) >= IDLE_TIME;
-        if !holds && !used && idle {
+        let is_used = held.cell.leases() + held.cell.waiting() > 0;
+        let is_idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
+        if !is_holder && !is_used && is_idle {
             self.cells.remove(&cell);
         }
     }
 
-    /// A new configuration is in force.
+    /// Applies a new configuration to the keys and to the cells held here.
     pub(crate) fn reconfigure_cells(&mut self) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
@@ -409,27 +436,27 @@
         self.refresh_cell_members();
     }
 
-    /// The directory changed: back ends come, leave and go.
+    /// Updates the back ends of the cells held here from the catalog.
     pub(crate) fn refresh_cell_members(&mut self) {
         let Some(configuration) = self.configuration.current().cloned() else {
             return;
         };
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            let members = self.members_with_limits(cell, &configuration);
+            let members = self.member_capacities(cell, &configuration);
             if let Some(held) = self.cells.get_mut(&cell) {
                 held.cell.set_back_ends(&members);
             }
         }
     }
 
-    /// Entry nodes that are no longer listed have lost their requests.
+    /// Drops the requests of entry nodes that are no longer listed.
     pub(crate) fn forget_unlisted_owners(&mut self) {
         let now = self.now;
         for held in self.cells.values_mut() {
             for node in held.cell.owners() {
-                let lost = node != self.identity.node && !self.fleet.is_listed(node);
-                if lost {
+                let is_lost = node != self.identity.node && !self.fleet.is_listed(node);
+                if is_lost {
                     held.cell.forget_node(now, node, None);
                 }
             }
@@ -437,8 +464,8 @@
         self.flush_all_cells();
     }
 
-    /// Gives the queues of cells that another node holds now back to their owners.
-    pub(crate) fn hand_over_foreign_cells(&mut self) {
+    /// Abandons the queues of cells that another node holds now.
+    pub(crate) fn abandon_queues_held_elsewhere(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             if self.fleet.holder(cell, self.now) != Some(self.identity.node) {
@@ -447,17 +474,19 @@
         }
     }
 
-    /// Gives all queues back to their owners, who will ask the next holder.
-    pub(crate) fn hand_over_cells(&mut self) {
+    /// Abandons all queues, whose requests' owners then turn to the next holder, and moves
+    /// the leases of requests that run here.
+    pub(crate) fn abandon_all_queues(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             self.abandon_queue(cell);
         }
-        self.rehome_running();
+        self.move_leases_to_current_holders();
     }
 
-    /// After a pause: the queues are old, and so may be the leases.
-    pub(crate) fn distrust_cells(&mut self) {
+    /// Abandons all queues and checks all leases after a pause, because both may be out of
+    /// date.
+    pub(crate) fn revalidate_cells(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             self.abandon_queue(cell);
@@ -466,7 +495,7 @@
                 continue;
             };
             held.next_poll = now;
-            held.use_elsewhere.clear();
+            held.usage_elsewhere.clear();
             if self.catalog.is_engine_pool(cell.pool) {
                 held.cell.start_learning(now);
             }
@@ -475,22 +504,23 @@
         }
     }
 
+    /// Empties a queue and tells the entry nodes of its requests to resubmit them.
     pub(crate) fn abandon_queue(&mut self, cell: CellId) {
         let directory = self.directory.version();
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
         for ticket in held.cell.abandon() {
-            let name = AttemptName {
+            let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
             };
             self.send(
                 ticket.request.node,
-                Message::AskAgain {
-                    name,
+                Message::Resubmit {
+                    attempt_id,
                     directory,
-                    living_holder: None,
+                    live_holder: None,
                 },
             );
         }
@@ -498,34 +528,34 @@
 }
 
 impl HeldCell {
-    /// Slots that nobody uses or waits for.
+    /// Number of slots that are neither leased nor waited for.
     fn free_slots(&self, now: Timestamp) -> u32 {
         let taken = self.cell.leases() + self.cell.waiting();
         self.cell.total_slots(now).saturating_sub(taken as u32)
     }
 }
 
-/// Cache events of a back end since the last poll.
+/// Prefix cache events of a back end since the last poll.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CacheUpdate {
-    /// Number of the last event.
+    /// Sequence number of the last event.
     pub cursor: u64,
-    /// Whether events were missed in between.
+    /// Whether events were missed since the last poll.
     pub gap: bool,
-    /// Hashes of prefixes now stored.
+    /// Hashes of the prefixes added to the cache.
     pub stored: Vec<u32>,
-    /// Hashes of prefixes now dropped.
+    /// Hashes of the prefixes removed from the cache.
     pub removed: Vec<u32>,
 }
 
-fn ticket(node: NodeId, incarnation: Incarnation, name: AttemptName) -> Ticket {
+fn ticket(node: NodeId, incarnation: Incarnation, attempt_id: AttemptId) -> Ticket {
     Ticket {
         request: RequestId {
             node,
             incarnation,
-            sequence: name.sequence,
+            sequence: attempt_id.sequence,
         },
-        attempt: name.attempt,
+        attempt: attempt_id.attempt,
     }
 }
 
@@ -534,11 +564,11 @@
         CellEvent::Granted {
             ticket, back_end, ..
         } => {
-            let name = name_of(&ticket);
+            let attempt_id = attempt_id_of(&ticket);
             (
                 ticket,
                 Message::Grant {
-                    name,
+                    attempt_id,
                     back_end,
                     free,
                 },
@@ -551,7 +581,7 @@
                 .retry_after
                 .map_or(0, |span| span.milliseconds() as u32);
             let message = Message::Refuse {
-                name: name_of(&ticket),
+                attempt_id: attempt_id_of(&ticket),
                 reason: refusal.reason,
                 retry_after_ms,
             };
@@ -560,8 +590,8 @@
     }
 }
 
-fn name_of(ticket: &Ticket) -> AttemptName {
-    AttemptName {
+fn attempt_id_of(ticket: &Ticket) -> AttemptId {
+    AttemptId {
         sequence: ticket.request.sequence,
         attempt: ticket.attempt,
     }
--- a/crates/coordination/node/src/leases.rs
+++ b/crates/coordination/node/src/leases.rs
@@ -1,7 +1,7 @@
-//! Leases over time: asking owners about old ones, moving them to other holders.
+//! Checks of old leases with their owners, and the move of leases to other holders.
 
-use crate::holding::LEASE_CHECK_INTERVAL;
-use crate::message::{AttemptName, Message};
+use crate::held_cells::LEASE_CHECK_INTERVAL;
+use crate::message::{AttemptId, Message};
 use crate::node::Node;
 use crate::request::Phase;
 use eiderferry_admission::{Observation, Ticket};
@@ -9,9 +9,9 @@
 use eiderferry_types::{CellId, NodeId, Span};
 use std::collections::BTreeMap;
 
-/// Age of a lease after which its owner is asked about it.
+/// Age from which on a lease is checked with its owner.
 const LEASE_CHECK_AGE: Span = Span::from_milliseconds(30_000);
-/// Leases named in one check.
+/// Maximum number of leases in one check message.
 const LEASES_PER_CHECK: usize = 64;
 
 impl Node {
@@ -29,73 +29,78 @@
     }
 
     pub(crate) fn send_lease_checks(&mut self, cell: CellId, tickets: &[Ticket]) {
-        let mut by_owner: BTreeMap<NodeId, Vec<AttemptName>> = BTreeMap::new();
+        let mut by_owner: BTreeMap<NodeId, Vec<AttemptId>> = BTreeMap::new();
         for ticket in tickets {
-            let name = AttemptName {
+            let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
             };
-            by_owner.entry(ticket.request.node).or_default().push(name);
+            by_owner
+                .entry(ticket.request.node)
+                .or_default()
+                .push(attempt_id);
         }
-        for (owner, names) in by_owner {
-            for chunk in names.chunks(LEASES_PER_CHECK) {
-                let names = chunk.to_vec();
-                self.send(owner, Message::CheckLeases { cell, names });
+        for (owner, attempt_ids) in by_owner {
+            for chunk in attempt_ids.chunks(LEASES_PER_CHECK) {
+                let attempt_ids = chunk.to_vec();
+                self.send(owner, Message::CheckLeases { cell, attempt_ids });
             }
         }
     }
 
-    /// A holder asks which of its leases are still in use: the others are released.
-    /// Requests that a stand-in took over while the holder stood still are in use, and
-    /// come back to it first.
+    /// Releases those of a holder's leases that are no longer in use. Leases that moved to
+    /// another holder while this one was paused are still in use, and are moved back first.
     pub(crate) fn handle_check_leases(
         &mut self,
         from: NodeId,
         cell: CellId,
-        names: Vec<AttemptName>,
+        attempt_ids: Vec<AttemptId>,
     ) {
-        self.rehome_running();
-        for name in names {
-            let in_use = self.requests.get(&name.sequence).is_some_and(|request| {
-                let uses_holder = matches!(
-                    &request.phase,
-                    Phase::Running { holder, .. } if *holder == from
-                );
-                request.attempt == name.attempt && uses_holder
-            });
+        self.move_leases_to_current_holders();
+        for attempt_id in attempt_ids {
+            let in_use = self
+                .requests
+                .get(&attempt_id.sequence)
+                .is_some_and(|request| {
+                    let uses_holder = matches!(
+                        &request.phase,
+                        Phase::Running { holder, .. } if *holder == from
+                    );
+                    request.attempt == attempt_id.attempt && uses_holder
+                });
             if !in_use {
-                self.release(from, cell, name, Observation::UNUSED);
+                self.release(from, cell, attempt_id, Observation::UNUSED);
             }
         }
     }
 
-    /// Moves the leases of requests that run here to the present holders.
-    pub(crate) fn rehome_running(&mut self) {
+    /// Moves the leases of this node's running requests to the cells' current holders.
+    pub(crate) fn move_leases_to_current_holders(&mut self) {
         let mut moves = Vec::new();
         for (sequence, request) in &self.requests {
             let Phase::Running { cell, holder, .. } = &request.phase else {
                 continue;
             };
-            let present = self.fleet.holder(*cell, self.now);
-            if let Some(present) = present.filter(|present| present != holder) {
-                moves.push((*sequence, *cell, *holder, present));
+            let current = self.fleet.holder(*cell, self.now);
+            if let Some(current) = current.filter(|current| current != holder) {
+                moves.push((*sequence, *cell, *holder, current));
             }
         }
-        for (sequence, cell, previous, present) in moves {
-            self.register_with(sequence, present);
+        for (sequence, cell, previous, current) in moves {
+            self.register_with(sequence, current);
             let attempt = self.requests[&sequence].attempt;
-            let name = AttemptName { sequence, attempt };
-            // A holder that is only silent may come back and still be the holder:
-            // its lease stays, and is found again or checked later.
-            let silent = self.fleet.detector.health(previous, self.now) == Health::Suspected;
-            if !silent {
-                self.release(previous, cell, name, Observation::UNUSED);
+            let attempt_id = AttemptId { sequence, attempt };
+            // A suspected holder may come back and be the holder again. Its lease isn't
+            // released; it is moved back then or found by a lease check.
+            let is_suspected = self.fleet.detector.health(previous, self.now) == Health::Suspected;
+            if !is_suspected {
+                self.release(previous, cell, attempt_id, Observation::UNUSED);
             }
         }
     }
 
-    /// Tells a holder that restarted about the requests that run by its leave.
-    pub(crate) fn register_running_with(&mut self, node: NodeId) {
+    /// Registers the requests that run on a restarted holder's leases with it again.
+    pub(crate) fn register_all_with(&mut self, node: NodeId) {
         let sequences: Vec<u64> = self
             .requests
             .iter()
@@ -113,7 +118,7 @@
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let name = AttemptName {
+        let attempt_id = AttemptId {
             sequence,
             attempt: request.attempt,
         };
@@ -127,7 +132,7 @@
         };
         *holder = node;
         let message = Message::Register {
-            name,
+            attempt_id,
             cell: *cell,
             class: request.submission.class,
             tenant: request.submission.tenant,
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -1,17 +1,17 @@
-//! The node: its state, and the doors through which events come in.
+//! The node's state, the entry points for events, and the dispatch of peer messages.
 
 use crate::catalog::Catalog;
 use crate::claims::Settlements;
-use crate::counts::ClassCounts;
+use crate::class_counts::ClassCounts;
 use crate::decision::{Decision, DecisionLog, Step};
-use crate::holding::HeldCell;
+use crate::held_cells::HeldCell;
 use crate::message::{Envelope, Message};
 use crate::output::Output;
 use crate::probes::ProbeSchedule;
 use crate::releases::Releases;
 use crate::request::{LocalRequest, Phase};
 use crate::restored_directory::LeavingOverrides;
-use crate::retry::RetryBudget;
+use crate::retry_budget::RetryBudget;
 use eiderferry_admission::{CellPolicy, CellSnapshot};
 use eiderferry_config::{Configuration, Directory};
 use eiderferry_dissemination::{ReadPlan, Replica};
@@ -25,36 +25,37 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How often [`Node::tick`] wants to be called.
+/// Interval at which [`Node::tick`] must be called.
 pub(crate) const TICK_INTERVAL: Span = Span::from_milliseconds(50);
-/// Repeat window until a configuration says otherwise.
-const ASSUMED_REPEAT_WINDOW: Span = Span::from_milliseconds(60_000);
-/// Time a new node listens for newer versions before it calls itself ready.
-const READY_AFTER: Span = Span::from_milliseconds(1_500);
+/// Repeat window used until a configuration sets one.
+const DEFAULT_REPEAT_WINDOW: Span = Span::from_milliseconds(60_000);
+/// Time for which a new node waits for newer document versions before it reports ready;
+/// it reports ready earlier once it has heard from a peer.
+const READY_DELAY: Span = Span::from_milliseconds(1_500);
 
-/// Who a node is.
+/// Identity of one run of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Number of the node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// This run of its process.
+    /// Incarnation number of this run of its process.
     pub incarnation: Incarnation,
 }
 
-/// Bounds on a node's memory, and the rules it applies.
+/// Memory limits, seed peers and policy of a node.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
-    /// Idempotency keys remembered at once.
+    /// Maximum number of idempotency keys kept at a time.
     pub key_table_entries: usize,
-    /// Decisions remembered for explanations.
+    /// Maximum number of decisions kept to explain requests.
     pub decision_log_entries: usize,
-    /// Whether decisions are also put out one by one.
+    /// Whether each decision is also emitted as [`Output::Decided`].
     pub emit_decisions: bool,
-    /// Peers asked before the directory is known.
+    /// Addresses of peers to fetch documents from while none are known.
     pub seeds: Vec<SocketAddr>,
-    /// Rules of the cells held here.
+    /// Admission policy of the cells held here.
     pub cell_policy: CellPolicy,
 }
 
@@ -83,7 +84,7 @@
     pub(crate) catalog: Catalog,
     pub(crate) configuration_reads: ReadPlan,
     pub(crate) directory_reads: ReadPlan,
-    /// Version of the last configuration that was refused as invalid.
+    /// Version of the last configuration that was rejected as invalid.
     pub(crate) invalid_configuration: u64,
     pub(crate) cells: BTreeMap<CellId, HeldCell>,
     pub(crate) requests: BTreeMap<u64, LocalRequest>,
@@ -92,18 +93,19 @@
     pub(crate) keys: KeyTable,
     pub(crate) key_history: OwnershipHistory,
     pub(crate) settlements: Settlements,
-    /// Free slots elsewhere, as last heard.
+    /// Free slots per cell as last reported, with the time of the report.
     pub(crate) free_slots: BTreeMap<CellId, (u32, Timestamp)>,
-    /// Cells elsewhere that lately refused a class.
-    pub(crate) saturated: BTreeMap<(CellId, ClassId), Timestamp>,
+    /// Cells that recently refused a class, with the time until which they aren't asked
+    /// again.
+    pub(crate) saturated_until: BTreeMap<(CellId, ClassId), Timestamp>,
     pub(crate) counts: BTreeMap<ClassId, ClassCounts>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probes: ProbeSchedule,
     pub(crate) quarantine: Quarantine,
     pub(crate) draining: bool,
-    /// Set after a pause until the directory has been confirmed or the grace is over.
+    /// Set after a pause until the directory is confirmed or this time is reached.
     pub(crate) unverified_until: Option<Timestamp>,
-    /// Marks the pings sent after the last pause.
+    /// Echo value of the pings sent after the last pause.
     pub(crate) verification_echo: u16,
     pub(crate) heard_any_peer: bool,
     pub(crate) random: ChaCha8Rng,
@@ -113,10 +115,10 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet. `seed` feeds its random choices.
+    /// Creates a node without documents or peers. `seed` seeds its random choices.
     pub fn new(identity: Identity, limits: NodeLimits, now: Timestamp, seed: u64) -> Self {
         let decisions = DecisionLog::new(limits.decision_log_entries);
-        let keys = KeyTable::new(limits.key_table_entries, ASSUMED_REPEAT_WINDOW);
+        let keys = KeyTable::new(limits.key_table_entries, DEFAULT_REPEAT_WINDOW);
         Self {
             identity,
             started: now,
@@ -134,10 +136,10 @@
             next_sequence: 0,
             releases: Releases::default(),
             keys,
-            key_history: OwnershipHistory::new(identity.node, ASSUMED_REPEAT_WINDOW, now),
+            key_history: OwnershipHistory::new(identity.node, DEFAULT_REPEAT_WINDOW, now),
             settlements: Settlements::default(),
             free_slots: BTreeMap::new(),
-            saturated: BTreeMap::new(),
+            saturated_until: BTreeMap::new(),
             counts: BTreeMap::new(),
             retry_budget: RetryBudget::default(),
             probes: ProbeSchedule::default(),
@@ -154,24 +156,25 @@
         }
     }
 
-    /// Who this node is.
+    /// Identity of this node.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// How often [`Node::tick`] wants to be called.
+    /// Interval at which [`Node::tick`] must be called.
     pub const fn tick_interval() -> Span {
         TICK_INTERVAL
     }
 
-    /// What the state machine wants done since the last call.
+    /// Removes and returns the outputs emitted since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes in messages from a peer.
+    /// Handles messages from a peer. Messages from an earlier run of the peer are
+    /// dropped, and so are replies addressed to an earlier run of this node.
     pub fn receive(&mut self, now: Timestamp, envelope: Envelope) {
-        self.enter(now);
+        self.advance_clock(now);
         let outdated = self
             .fleet
             .detector
@@ -183,19 +186,19 @@
             return;
         }
         self.heard_any_peer = true;
-        self.note_sign_of_life(envelope.from, envelope.incarnation);
+        self.record_heard(envelope.from, envelope.incarnation);
         for message in envelope.messages {
-            if misdirected && message.answers_a_request() {
+            if misdirected && message.is_reply() {
                 continue;
             }
             self.handle(envelope.from, envelope.incarnation, message);
         }
-        self.leave();
+        self.process_inbox();
     }
 
-    /// Regular work; to be called every [`Node::tick_interval`].
+    /// Runs periodic work; must be called every [`Node::tick_interval`].
     pub fn tick(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.probe();
         self.read_documents();
         self.clear_expired_overrides();
@@ -205,54 +208,57 @@
         self.resend_settlements();
         self.keys.tick(self.now);
         self.tick_quarantine();
-        self.leave();
+        self.process_inbox();
     }
 
-    /// Issues a ticket for one non-repeatable request.
+    /// Issues a ticket, the idempotency key of one non-repeatable request.
     pub fn issue_ticket(&mut self, now: Timestamp) -> Result<KeyName, KeyTableFull> {
-        self.enter(now);
+        self.advance_clock(now);
         let Identity {
             node, incarnation, ..
         } = self.identity;
         self.keys.issue(self.now, node, incarnation)
     }
 
-    /// Begins a planned stop: takes nothing new, hands its queues on, finishes
-    /// what it has.
+    /// Starts draining: the node rejects new requests, hands over its queues and
+    /// finishes its open requests.
     pub fn drain(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.draining = true;
         self.fleet.set_own_draining(true);
-        self.announce_to_all();
-        self.hand_over_cells();
-        self.leave();
+        self.announce_to_zone();
+        self.abandon_all_queues();
+        self.process_inbox();
     }
 
-    /// Ends a planned stop before the process has ended: takes work again.
+    /// Cancels draining: the node accepts new requests again.
     pub fn undrain(&mut self, now: Timestamp) {
-        self.enter(now);
+        self.advance_clock(now);
         self.draining = false;
         self.fleet.set_own_draining(false);
-        self.announce_to_all();
-        self.leave();
+        self.announce_to_zone();
+        self.process_inbox();
     }
 
-    /// Whether the node is stopping.
+    /// Whether the node is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether a stopping node has nothing left to finish.
+    /// Whether the node is draining and has no open requests and no unacknowledged
+    /// releases.
     pub fn is_drained(&self) -> bool {
         self.draining && self.requests.is_empty() && self.releases.is_empty()
     }
 
-    /// Whether the node can decide on requests. A new node first listens whether a
-    /// peer knows a newer configuration than the platform shows.
+    /// Whether the node accepts requests: it has both documents, and has either heard
+    /// from a peer or waited for a while after its start, since a peer may know a newer
+    /// configuration than the platform returns.
     pub fn is_ready(&self) -> bool {
-        let informed = self.configuration.current().is_some() && self.directory.current().is_some();
-        let settled = self.heard_any_peer || self.now.since(self.started) >= READY_AFTER;
-        informed && settled
+        let has_documents =
+            self.configuration.current().is_some() && self.directory.current().is_some();
+        let has_listened = self.heard_any_peer || self.now.since(self.started) >= READY_DELAY;
+        has_documents && has_listened
     }
 
     /// The configuration in force.
@@ -265,64 +271,64 @@
         self.directory.current()
     }
 
-    /// Look-ups over both documents.
+    /// Lookup tables built from both documents.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Decisions remembered here.
+    /// Log of recent decisions.
     pub fn decisions(&self) -> &DecisionLog {
         &self.decisions
     }
 
-    /// Requests accepted here that have not ended.
+    /// Number of open requests accepted by this node.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Open requests that run on a back end.
+    /// Number of open requests that run on a back end.
     pub fn running_requests(&self) -> usize {
         let is_running = |request: &&LocalRequest| matches!(request.phase, Phase::Running { .. });
         self.requests.values().filter(is_running).count()
     }
 
-    /// Whether a request accepted here has not ended.
+    /// Whether a request was accepted by this run of the node and is still open.
     pub fn is_open(&self, request: RequestId) -> bool {
         request.incarnation == self.identity.incarnation
             && self.requests.contains_key(&request.sequence)
     }
 
-    /// The moment of the last event.
-    pub fn present(&self) -> Timestamp {
+    /// Time of the last event, on the caller's clock.
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The node that holds a cell, as seen from here.
+    /// The node that holds a cell, according to this node's view of the fleet.
     pub fn holder_of(&self, cell: CellId) -> Option<NodeId> {
         self.fleet.holder(cell, self.now)
     }
 
-    /// Figures of the cells held here.
+    /// Snapshots of the cells held here.
     pub fn held_cells(&self) -> impl Iterator<Item = (CellId, CellSnapshot)> + '_ {
         self.cells
             .iter()
             .map(|(id, held)| (*id, held.cell.snapshot(self.now)))
     }
 
-    /// The run of a peer last heard of.
+    /// Last known incarnation of a peer.
     pub fn incarnation_of(&self, node: NodeId) -> Option<Incarnation> {
         self.fleet.detector.incarnation(node)
     }
 
-    /// Sets the clock and notices a pause.
-    pub(crate) fn enter(&mut self, now: Timestamp) {
+    /// Advances the clock, which never goes back, and detects a pause of the process.
+    pub(crate) fn advance_clock(&mut self, now: Timestamp) {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.check_for_pause(gap);
     }
 
-    /// Handles what the node sent to itself.
-    pub(crate) fn leave(&mut self) {
+    /// Handles the messages that the node has sent to itself.
+    pub(crate) fn process_inbox(&mut self) {
         let Identity {
             node, incarnation, ..
         } = self.identity;
@@ -351,7 +357,7 @@
         }
     }
 
-    pub(crate) fn note_step(&mut self, sequence: u64, step: Step) {
+    pub(crate) fn record_step(&mut self, sequence: u64, step: Step) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -370,40 +376,45 @@
 
     fn handle(&mut self, from: NodeId, incarnation: Incarnation, message: Message) {
         match message {
-            Message::Ask { .. } | Message::Register { .. } => {
-                self.handle_ask(from, incarnation, message);
+            Message::RequestSlot { .. } | Message::Register { .. } => {
+                self.handle_slot_request(from, incarnation, message);
             }
             Message::Release {
-                name,
+                attempt_id,
                 cell,
                 observation,
             } => {
-                self.handle_release(from, incarnation, name, cell, &observation);
+                self.handle_release(from, incarnation, attempt_id, cell, &observation);
             }
             Message::Grant {
-                name,
+                attempt_id,
                 back_end,
                 free,
             } => {
-                self.handle_grant(from, name, back_end, free);
+                self.handle_grant(from, attempt_id, back_end, free);
             }
-            Message::Queued { name, wait_ms } => self.handle_queued(from, name, wait_ms),
+            Message::Queued {
+                attempt_id,
+                wait_ms,
+            } => self.handle_queued(from, attempt_id, wait_ms),
             Message::Refuse {
-                name,
+                attempt_id,
                 reason,
                 retry_after_ms,
             } => {
-                self.handle_refuse(from, name, reason, retry_after_ms);
+                self.handle_refuse(from, attempt_id, reason, retry_after_ms);
             }
-            Message::AskAgain {
-                name,
+            Message::Resubmit {
+                attempt_id,
                 directory,
-                living_holder,
+                live_holder,
             } => {
-                self.handle_ask_again(from, name, directory, living_holder);
+                self.handle_resubmit(from, attempt_id, directory, live_holder);
+            }
+            Message::Released { attempt_id } => self.releases.acknowledge(from, attempt_id),
+            Message::CheckLeases { cell, attempt_ids } => {
+                self.handle_check_leases(from, cell, attempt_ids);
             }
-            Message::Released { name } => self.releases.acknowledge(from, name),
-            Message::CheckLeases { cell, names } => self.handle_check_leases(from, cell, names),
             Message::SlowStream {
                 cell,
                 back_end,
@@ -414,12 +425,12 @@
             Message::FreeSlots { cell, free } => {
                 self.free_slots.insert(cell, (free, self.now));
             }
-            Message::TenantUse { cell, running } => self.handle_tenant_use(cell, running),
+            Message::TenantUsage { cell, running } => self.handle_tenant_usage(cell, running),
             Message::Claim { key, sequence } => {
                 self.handle_claim(from, incarnation, key, sequence);
             }
-            Message::ClaimAnswer { sequence, answer } => {
-                self.handle_claim_answer(from, sequence, answer);
+            Message::ClaimReply { sequence, reply } => {
+                self.handle_claim_reply(from, sequence, reply);
             }
             Message::Settle {
                 key,
@@ -446,7 +457,10 @@
                 self.handle_pong(from, configuration, directory, draining, echo);
             }
             Message::CrashingRequests { reports } => self.handle_crashing_requests(&reports),
-            Message::Fetch { kind, have } => self.handle_fetch(from, kind, have),
+            Message::Fetch {
+                kind,
+                known_version,
+            } => self.handle_fetch(from, kind, known_version),
             Message::ConfigurationUpdate(update) => {
                 self.handle_configuration_update(from, &update);
             }
@@ -456,17 +470,17 @@
 }
 
 impl Message {
-    /// Whether the message answers something a particular run asked for.
-    fn answers_a_request(&self) -> bool {
+    /// Whether the message is only valid for the run of the receiver that it addresses.
+    fn is_reply(&self) -> bool {
         matches!(
             self,
             Message::Grant { .. }
                 | Message::Queued { .. }
                 | Message::Refuse { .. }
-                | Message::AskAgain { .. }
+                | Message::Resubmit { .. }
                 | Message::Released { .. }
                 | Message::CheckLeases { .. }
-                | Message::ClaimAnswer { .. }
+                | Message::ClaimReply { .. }
                 | Message::Settled { .. }
         )
     }
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Signs of life, and the versions they carry.
+//! Pings between nodes, which detect failed peers and carry document versions.
 
 use crate::message::{DocumentKind, Message};
 use crate::node::Node;
@@ -6,27 +6,28 @@
 use eiderferry_types::{Incarnation, NodeId, Span, Timestamp};
 use rand::seq::IndexedRandom;
 
-/// Time between two rounds of probes within the zone.
+/// Time between two rounds of pings within the zone.
 const ZONE_INTERVAL: Span = Span::from_milliseconds(500);
-/// Time between two probes of a node elsewhere.
+/// Time between two pings to nodes in other zones.
 const REMOTE_INTERVAL: Span = Span::from_milliseconds(2_000);
-/// Peers probed in one round.
+/// Peers of the own zone that are pinged in one round.
 const PROBES_PER_ROUND: usize = 4;
 
-/// When the next probes are due.
+/// Times of the next pings, and the position in the list of zone peers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeSchedule {
     next_zone: Timestamp,
     next_remote: Timestamp,
-    position: usize,
+    next_peer: usize,
 }
 
 impl Node {
-    /// Sends the probes that are due and draws conclusions from missing answers.
+    /// Sends the pings that are due, and moves leases if a peer became suspected because
+    /// it didn't reply.
     pub(crate) fn probe(&mut self) {
         let suspected = self.fleet.detector.tick(self.now);
         if !suspected.is_empty() {
-            self.rehome_running();
+            self.move_leases_to_current_holders();
         }
         if self.now >= self.probes.next_zone {
             self.probes.next_zone = self.now + ZONE_INTERVAL;
@@ -34,7 +35,7 @@
         }
         if self.now >= self.probes.next_remote {
             self.probes.next_remote = self.now + REMOTE_INTERVAL;
-            self.probe_elsewhere();
+            self.probe_remote();
         }
     }
 
@@ -42,14 +43,14 @@
         let peers = self.fleet.zone_peers();
         let count = peers.len().min(PROBES_PER_ROUND);
         for offset in 0..count {
-            let peer = peers[(self.probes.position + offset) % peers.len()];
+            let peer = peers[(self.probes.next_peer + offset) % peers.len()];
             self.fleet.detector.probed(peer, self.now);
             self.ping(peer);
         }
-        self.probes.position = self.probes.position.wrapping_add(count);
+        self.probes.next_peer = self.probes.next_peer.wrapping_add(count);
     }
 
-    fn probe_elsewhere(&mut self) {
+    fn probe_remote(&mut self) {
         let peers = self.fleet.remote_peers();
         let chosen = peers.choose(&mut self.random).copied();
         if let Some(peer) = chosen {
@@ -62,7 +63,7 @@
         self.ping_with_echo(peer, 0);
     }
 
-    /// Pings a peer with a mark that its answer repeats.
+    /// Pings a peer with an echo value that its reply returns.
     pub(crate) fn ping_with_echo(&mut self, peer: NodeId, echo: u16) {
         let message = Message::Ping {
             configuration: self.configuration.version(),
@@ -71,32 +72,36 @@
             echo,
         };
         self.send(peer, message);
-        self.tell_crashing_requests(peer);
+        self.send_crash_reports(peer);
     }
 
-    /// Tells every node of the zone about a change of this node's own state.
-    pub(crate) fn announce_to_all(&mut self) {
+    /// Pings all peers of the zone, to announce a change of this node's own state.
+    pub(crate) fn announce_to_zone(&mut self) {
         for peer in self.fleet.zone_peers() {
             self.ping(peer);
         }
     }
 
-    /// Notes that a peer lives; what it forgot by restarting is told again.
-    pub(crate) fn note_sign_of_life(&mut self, from: NodeId, incarnation: Incarnation) {
+    /// Records a message from a peer. If the peer has restarted, drops the state that
+    /// belongs to its previous run and sends it what it has lost.
+    pub(crate) fn record_heard(&mut self, from: NodeId, incarnation: Incarnation) {
         let Some(_previous) = self.fleet.detector.heard(from, incarnation, self.now) else {
             return;
         };
         self.releases.forget_node(from);
-        self.tell_crashing_requests_at_start(from);
+        self.send_crash_reports_at_start(from);
         let now = self.now;
         for held in self.cells.values_mut() {
             held.cell.forget_node(now, from, Some(incarnation));
         }
         self.flush_all_cells();
-        self.register_running_with(from);
+        self.register_all_with(from);
         for request in self.requests.values_mut() {
-            let asked_it = matches!(&request.phase, Phase::Asking(asking) if asking.holder == from);
-            if asked_it {
+            let is_requested_from_peer = matches!(
+                &request.phase,
+                Phase::RequestingSlot(slot_request) if slot_request.holder == from
+            );
+            if is_requested_from_peer {
                 request.phase = Phase::BackingOff { until: now };
             }
         }
@@ -110,17 +115,17 @@
         draining: bool,
         echo: u16,
     ) {
-        let answer = Message::Pong {
+        let reply = Message::Pong {
             configuration: self.configuration.version(),
             directory: self.directory.version(),
             draining: self.draining,
             echo,
         };
-        self.send(from, answer);
-        self.note_peer_state(from, configuration, directory, draining);
+        self.send(from, reply);
+        self.record_peer_state(from, configuration, directory, draining);
     }
 
-    pub(crate) fn note_peer_state(
+    pub(crate) fn record_peer_state(
         &mut self,
         from: NodeId,
         configuration: u64,
@@ -130,7 +135,7 @@
         let was_draining = self.fleet.detector.is_draining(from);
         self.fleet.detector.set_draining(from, draining);
         if was_draining != draining {
-            self.rehome_running();
+            self.move_leases_to_current_holders();
         }
         if configuration > self.configuration.version() {
             self.fetch(from, DocumentKind::Configuration);
@@ -140,8 +145,9 @@
         }
     }
 
-    /// An answer to a ping that was sent after a pause confirms the directory, if the
-    /// peer knows no newer one. Others may have waited in a buffer since before.
+    /// Confirms the directory if this is the reply to a ping sent after the last pause and
+    /// the peer has no newer version. Other replies may have been buffered since before
+    /// the pause.
     pub(crate) fn handle_pong(
         &mut self,
         from: NodeId,
@@ -150,7 +156,7 @@
         draining: bool,
         echo: u16,
     ) {
-        self.note_peer_state(from, configuration, directory, draining);
+        self.record_peer_state(from, configuration, directory, draining);
         if echo != 0 && echo == self.verification_echo && directory <= self.directory.version() {
             self.confirm_directory();
         }
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its entry node.
+//! A request and its state on its entry node.
 
 use eiderferry_admission::{Observation, PrefixMark};
 use eiderferry_once::KeyName;
@@ -7,19 +7,20 @@
     Verdict,
 };
 
-/// Why, and under which key, a request may not be repeated.
+/// Marks a request that must not be executed twice, with its idempotency key if it has
+/// one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NotRepeatable {
-    /// It has no key: it is dispatched once at the most by this node.
+    /// The request has no key: this node never retries it once it may have run.
     WithoutKey,
-    /// Its key is granted once at the most in the whole fleet.
+    /// The request has a key, which the whole fleet grants at most once.
     WithKey(KeyName),
 }
 
-/// A request as handed to the state machine.
+/// A request as submitted to the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// What it asks, alike each time that its caller sends it.
+    /// Digest of the request's content; the same each time that a caller sends it.
     pub digest: RequestDigest,
     /// Class of the request.
     pub class: ClassId,
@@ -27,48 +28,48 @@
     pub tenant: TenantId,
     /// Pool that serves it.
     pub pool: PoolId,
-    /// Prompt length in tokens, estimated.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
     /// Prefixes of the prompt, shortest first.
     pub prefixes: Vec<PrefixMark>,
-    /// When the first token is due.
+    /// Time at which the first token is due.
     pub first_token_due: Timestamp,
-    /// `None` if the request may be repeated.
+    /// `None` if the request may be executed more than once.
     pub not_repeatable: Option<NotRepeatable>,
 }
 
-/// How one attempt ended, as seen by the traffic side.
+/// How an attempt ended, as reported by the layer that does I/O.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer was delivered.
+    /// The whole response was delivered.
     Completed(Observation),
     /// The back end failed.
-    Broken {
-        /// Whether it may have run.
+    Failed {
+        /// Whether the back end may have run the request.
         verdict: Verdict,
-        /// What was seen before.
+        /// What was observed before the failure.
         observation: Observation,
-        /// Whether the back end went down with it: it takes no new connection.
+        /// Whether the back end crashed, that is, accepts no new connection.
         has_crashed: bool,
     },
-    /// The caller went away; the back end was told to cancel.
-    CallerGone(Observation),
+    /// The caller disconnected; the back end was told to cancel.
+    CallerDisconnected(Observation),
 }
 
-/// Where a request stands.
+/// Processing phase of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// Its key is being claimed.
+    /// Its idempotency key is being claimed.
     Claiming {
         home: NodeId,
-        sent: Timestamp,
-        tries: u32,
+        sent_at: Timestamp,
+        resends: u32,
     },
-    /// A slot has been asked for.
-    Asking(Asking),
-    /// It stands between two cells, until the time given.
+    /// A slot has been requested, or the request waits in a queue.
+    RequestingSlot(SlotRequest),
+    /// A slot is requested again at the given time.
     BackingOff { until: Timestamp },
-    /// It runs.
+    /// It runs on a back end.
     Running {
         cell: CellId,
         holder: NodeId,
@@ -76,49 +77,50 @@
     },
 }
 
-/// A slot that has been asked for.
+/// An open request for a slot.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Asking {
+pub(crate) struct SlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
-    pub sent: Timestamp,
-    pub unanswered: u32,
+    pub sent_at: Timestamp,
+    /// Times that it was sent again since the last reply.
+    pub unanswered_resends: u32,
     pub queued: bool,
-    /// A slot elsewhere that has been asked for while the place in the queue is kept.
-    pub elsewhere: Option<AskedElsewhere>,
+    /// A slot requested in another cell while the place in this cell's queue is kept.
+    pub alternative: Option<AlternativeSlotRequest>,
 }
 
-/// A slot asked for in another cell.
+/// A request for a slot in another cell than the one where the request is queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct AskedElsewhere {
+pub(crate) struct AlternativeSlotRequest {
     pub cell: CellId,
     pub holder: NodeId,
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// A request and its state.
 #[derive(Clone, Debug)]
 pub(crate) struct LocalRequest {
     pub submission: Submission,
-    pub arrived: Timestamp,
-    /// When it last was sent to a back end.
-    pub dispatched: Timestamp,
+    pub arrived_at: Timestamp,
+    /// Time at which it was last dispatched to a back end; its arrival until then.
+    pub dispatched_at: Timestamp,
     pub attempt: u8,
     pub phase: Phase,
-    /// Cells that refused the current attempt, and how.
+    /// Cells that refused the current attempt, with their refusals.
     pub refused_by: Vec<(CellId, Refusal)>,
-    /// Answer tokens the caller has.
+    /// Number of response tokens delivered to the caller.
     pub delivered_tokens: u32,
-    /// The strongest verdict of all ended attempts.
+    /// The strongest verdict of all finished attempts.
     pub verdict: Verdict,
-    /// The home that granted its key.
+    /// Home node that granted its key.
     pub key_granted_by: Option<NodeId>,
-    /// When the current attempt's first token is due.
+    /// Time at which the current attempt's first token is due.
     pub due: Timestamp,
 }
 
 impl LocalRequest {
-    /// The key it was submitted with.
+    /// The idempotency key it was submitted with.
     pub fn key(&self) -> Option<&KeyName> {
         match &self.submission.not_repeatable {
             Some(NotRepeatable::WithKey(key)) => Some(key),
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Whether another attempt is harmless after one that ended with `verdict`.
-    pub fn may_repeat_after(&self, verdict: Verdict) -> bool {
+    /// Whether another attempt is safe after one that ended with `verdict`.
+    pub fn may_retry_after(&self, verdict: Verdict) -> bool {
         verdict == Verdict::NotRun || self.submission.not_repeatable.is_none()
     }
 }
--- a/crates/coordination/node/src/tenant_exchange.rs
+++ b/crates/coordination/node/src/tenant_exchange.rs
@@ -1,6 +1,6 @@
-//! Tenants' limits over several cells: dividing them, and lending what is unused.
+//! Distribution of tenant limits over the cells of a pool, and lending of unused shares.
 
-use crate::holding::HeldCell;
+use crate::held_cells::HeldCell;
 use crate::message::Message;
 use crate::node::Node;
 use eiderferry_admission::Allowance;
@@ -8,46 +8,46 @@
 use eiderferry_types::{CellId, Span, TenantId, Timestamp};
 use std::collections::BTreeMap;
 
-/// Time between two exchanges of what tenants use.
-const TENANT_USE_INTERVAL: Span = Span::from_milliseconds(1_000);
-/// Age up to which word of tenants' use elsewhere is believed.
-const TENANT_USE_LIFETIME: Span = Span::from_milliseconds(3_000);
+/// Time between two reports of tenant usage to other cells.
+const TENANT_USAGE_INTERVAL: Span = Span::from_milliseconds(1_000);
+/// Age up to which reports of tenant usage in other cells are used.
+const TENANT_USAGE_LIFETIME: Span = Span::from_milliseconds(3_000);
 
 impl Node {
-    /// Tells the holders of the pool's other cells what tenants with limits use here.
-    pub(crate) fn exchange_tenant_use_if_due(&mut self, cell: CellId) {
+    /// Reports the usage of tenants with limits to the holders of the pool's other cells.
+    pub(crate) fn exchange_tenant_usage_if_due(&mut self, cell: CellId) {
         let now = self.now;
         let due = self
             .cells
             .get(&cell)
-            .is_some_and(|held| now >= held.next_tenant_use);
+            .is_some_and(|held| now >= held.next_tenant_usage_report);
         if !due {
             return;
         }
-        let limited = self.limited_tenants(cell);
+        let tenant_limits = self.tenant_limits(cell);
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        held.next_tenant_use = now + TENANT_USE_INTERVAL;
-        if limited.is_empty() {
+        held.next_tenant_usage_report = now + TENANT_USAGE_INTERVAL;
+        if tenant_limits.is_empty() {
             return;
         }
         let running: Vec<(TenantId, u32)> = held
             .cell
             .tenants_running()
-            .filter(|(tenant, running)| *running > 0 && limited.contains_key(tenant))
+            .filter(|(tenant, running)| *running > 0 && tenant_limits.contains_key(tenant))
             .collect();
-        let others: Vec<CellId> = self
+        let other_cells: Vec<CellId> = self
             .catalog
             .cells_of_pool(cell.pool)
             .flat_map(|(_, cells)| cells.iter().copied())
             .filter(|other| *other != cell)
             .collect();
-        for other in others {
+        for other in other_cells {
             if let Some(holder) = self.fleet.holder(other, now) {
                 self.send(
                     holder,
-                    Message::TenantUse {
+                    Message::TenantUsage {
                         cell,
                         running: running.clone(),
                     },
@@ -57,17 +57,17 @@
         self.set_allowances(cell);
     }
 
-    pub(crate) fn handle_tenant_use(&mut self, cell: CellId, running: Vec<(TenantId, u32)>) {
+    pub(crate) fn handle_tenant_usage(&mut self, cell: CellId, running: Vec<(TenantId, u32)>) {
         let now = self.now;
         let running: BTreeMap<TenantId, u32> = running.into_iter().collect();
         for (id, held) in &mut self.cells {
             if id.pool == cell.pool && *id != cell {
-                held.use_elsewhere.insert(cell, (now, running.clone()));
+                held.usage_elsewhere.insert(cell, (now, running.clone()));
             }
         }
     }
 
-    fn limited_tenants(&self, cell: CellId) -> BTreeMap<TenantId, TenantLimit> {
+    fn tenant_limits(&self, cell: CellId) -> BTreeMap<TenantId, TenantLimit> {
         let Some(configuration) = self.configuration.current() else {
             return BTreeMap::new();
         };
@@ -81,14 +81,14 @@
         limits.collect()
     }
 
-    /// Computes what each tenant with limits may use of a cell.
+    /// Sets the allowance of each tenant with limits in a cell.
     ///
-    /// A limit is divided evenly among the cells of its pool, so that cells cut
-    /// off from each other never exceed it together. What other cells report as
-    /// unused is lent on, divided among the cells that have used up their part;
-    /// without fresh reports nothing is lent.
+    /// A limit is divided evenly among the cells of its pool, so that cells that can't
+    /// reach each other never exceed it together. The part of a concurrency limit that
+    /// other cells report as unused is divided among the cells that have used up theirs;
+    /// without a fresh report from every other cell nothing is borrowed.
     pub(crate) fn set_allowances(&mut self, cell: CellId) {
-        let limited = self.limited_tenants(cell);
+        let tenant_limits = self.tenant_limits(cell);
         let cells: Vec<CellId> = self
             .catalog
             .cells_of_pool(cell.pool)
@@ -98,7 +98,7 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        for (tenant, limit) in limited {
+        for (tenant, limit) in tenant_limits {
             let concurrency = limit
                 .concurrency
                 .map(|total| held.concurrency_allowance(now, tenant, total, cell, &cells));
@@ -123,15 +123,15 @@
         own: CellId,
         cells: &[CellId],
     ) -> u32 {
-        let base = |cell: CellId| even_part(total, cell, cells);
+        let base = |cell: CellId| even_share(total, cell, cells);
         let mut unused = 0;
         let mut borrowers = 1;
         for other in cells.iter().filter(|cell| **cell != own) {
-            let fresh = self
-                .use_elsewhere
+            let fresh_report = self
+                .usage_elsewhere
                 .get(other)
-                .filter(|(heard, _)| now.since(*heard) <= TENANT_USE_LIFETIME);
-            let Some((_, running)) = fresh else {
+                .filter(|(reported_at, _)| now.since(*reported_at) <= TENANT_USAGE_LIFETIME);
+            let Some((_, running)) = fresh_report else {
                 return base(own);
             };
             let used = running.get(&tenant).copied().unwrap_or(0);
@@ -145,9 +145,9 @@
     }
 }
 
-/// The part of `total` that one of `cells` gets when it is divided evenly.
-fn even_part(total: u32, cell: CellId, cells: &[CellId]) -> u32 {
+/// The part of `total` that `cell` gets when it is divided evenly among `cells`.
+fn even_share(total: u32, cell: CellId, cells: &[CellId]) -> u32 {
     let count = cells.len().max(1) as u32;
-    let position = cells.iter().position(|known| *known == cell).unwrap_or(0) as u32;
+    let position = cells.iter().position(|listed| *listed == cell).unwrap_or(0) as u32;
     total / count + u32::from(position < total % count)
 }
--- a/crates/coordination/node/tests/crashing_requests.rs
+++ b/crates/coordination/node/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash back ends, sent by the callers of the own interface to several nodes.
+//! Quarantine of requests that crash back ends, when callers send them to several nodes.
 
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Directory, DirectoryEntry, EntryState};
@@ -16,8 +16,8 @@
 const ZONE: ZoneId = ZoneId(1);
 const NODES: u32 = 3;
 const BACK_ENDS: u32 = 8;
-/// Time for which a back end is down.
-const DOWN: Span = Span::from_milliseconds(1_000);
+/// Time for which a back end is down after a crash.
+const DOWNTIME: Span = Span::from_milliseconds(1_000);
 const FATAL: RequestDigest = RequestDigest(666);
 const CONFIGURATION: &str = "version: 1
 zones:
@@ -68,7 +68,7 @@
     }
 }
 
-/// A run of a node that has read what the platform publishes.
+/// Starts a run of a node that has read both documents from the platform.
 fn node(number: u32, incarnation: Incarnation, now: Timestamp) -> Node {
     let identity = Identity {
         node: NodeId(number),
@@ -77,21 +77,21 @@
     };
     let mut node = Node::new(identity, NodeLimits::default(), now, u64::from(number));
     let document = PlatformDocument::Directory(directory());
-    node.platform_answered(now, DocumentKind::Directory, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Directory, Ok(Some(document)));
     let configuration = Configuration::from_yaml("test", CONFIGURATION).expect("valid");
     let document = PlatformDocument::Configuration(configuration);
-    node.platform_answered(now, DocumentKind::Configuration, Ok(Some(document)));
+    node.handle_platform_response(now, DocumentKind::Configuration, Ok(Some(document)));
     node
 }
 
-/// Nodes whose messages arrive at once, before back ends that one request crashes.
+/// Nodes whose messages are delivered immediately, and back ends that the fatal requests crash.
 struct Fleet {
     now: Timestamp,
     nodes: Vec<Node>,
-    fatal: BTreeSet<RequestId>,
-    /// Back ends that crashed, and until when they are down.
+    fatal_requests: BTreeSet<RequestId>,
+    /// Crashed back ends, with the time until which they are down.
     down: BTreeMap<BackEndId, Timestamp>,
-    /// Times that a back end got the fatal request.
+    /// Number of times that a fatal request crashed a back end.
     crashes: u32,
     completed: u32,
     refused: Vec<(Reason, Verdict)>,
@@ -104,7 +104,7 @@
         let mut fleet = Self {
             now,
             nodes: nodes.collect(),
-            fatal: BTreeSet::new(),
+            fatal_requests: BTreeSet::new(),
             down: BTreeMap::new(),
             crashes: 0,
             completed: 0,
@@ -120,7 +120,7 @@
             for index in 0..self.nodes.len() {
                 self.nodes[index].tick(self.now);
             }
-            self.carry_out();
+            self.apply_outputs();
         }
     }
 
@@ -137,19 +137,19 @@
         };
         let request = self.nodes[index].submit(self.now, submission);
         if digest == FATAL {
-            self.fatal.insert(request);
+            self.fatal_requests.insert(request);
         }
-        self.carry_out();
+        self.apply_outputs();
         self.run(200);
     }
 
-    fn carry_out(&mut self) {
+    fn apply_outputs(&mut self) {
         loop {
             let mut is_idle = true;
             for index in 0..self.nodes.len() {
                 for output in self.nodes[index].take_outputs() {
                     is_idle = false;
-                    self.carry_out_one(index, output);
+                    self.apply_output(index, output);
                 }
             }
             if is_idle {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// How an attempt ends at a back end, which is down for a while after a crash.
-    fn end_at(&mut self, back_end: BackEndId, is_fatal: bool) -> AttemptEnd {
+    /// Runs an attempt on a back end, which is down for `DOWNTIME` after a crash.
+    fn run_attempt(&mut self, back_end: BackEndId, is_fatal: bool) -> AttemptEnd {
         let is_down = self
             .down
             .get(&back_end)
@@ -170,22 +170,22 @@
         }
         if !is_down {
             self.crashes += 1;
-            self.down.insert(back_end, self.now + DOWN);
+            self.down.insert(back_end, self.now + DOWNTIME);
         }
         let verdict = if is_down {
             Verdict::NotRun
         } else {
             Verdict::MayHaveRun
         };
-        AttemptEnd::Broken {
+        AttemptEnd::Failed {
             verdict,
             observation: observation(Outcome::Failed),
             has_crashed: !is_down,
         }
     }
 
-    /// Sends the fatal request by one node after the other until it has crashed three.
-    fn crash_three(&mut self) {
+    /// Sends the fatal request through each node in turn until it has crashed three back ends.
+    fn crash_three_back_ends(&mut self) {
         for number in 0..12 {
             if self.crashes == 3 {
                 return;
@@ -195,7 +195,7 @@
         panic!("{} crashes", self.crashes);
     }
 
-    fn carry_out_one(&mut self, index: usize, output: Output) {
+    fn apply_output(&mut self, index: usize, output: Output) {
         match output {
             Output::Send { to, message } => {
                 let identity = self.nodes[index].identity();
@@ -208,27 +208,27 @@
                 self.nodes[to.0 as usize - 1].receive(self.now, envelope);
             }
             Output::Dispatch(dispatch) => {
-                let is_fatal = self.fatal.contains(&dispatch.request);
-                let end = self.end_at(dispatch.back_end, is_fatal);
+                let is_fatal = self.fatal_requests.contains(&dispatch.request);
+                let end = self.run_attempt(dispatch.back_end, is_fatal);
                 let (request, attempt) = (dispatch.request, dispatch.attempt);
                 self.nodes[index].attempt_ended(self.now, request, attempt, end);
             }
             Output::Reject { refusal, .. } => self.refused.push((refusal.reason, refusal.verdict)),
             Output::PollBackEnd { back_end, .. } => {
                 let report = eiderferry_admission::LoadReport::default();
-                let news = CacheUpdate::default();
-                self.nodes[index].back_end_reported(self.now, back_end, &report, &news);
+                let update = CacheUpdate::default();
+                self.nodes[index].handle_load_report(self.now, back_end, &report, &update);
             }
             _ => {}
         }
     }
 }
 
-/// Without the quarantine each submission goes to as many back ends as it has attempts.
+/// Without the quarantine, each submission would crash as many back ends as it has attempts.
 #[test]
-fn all_nodes_refuse_it_from_the_third_crash() {
+fn all_nodes_refuse_a_request_after_its_third_crash() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     fleet.refused.clear();
     for number in 0..12 {
         fleet.submit(number % NODES as usize, FATAL);
@@ -241,18 +241,18 @@
 }
 
 #[test]
-fn the_request_under_way_ends_with_the_word_that_it_may_have_run() {
+fn a_request_quarantined_while_open_is_refused_as_may_have_run() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     let expected = (Reason::CrashesBackEnds, Verdict::MayHaveRun);
     assert_eq!(fleet.refused.last(), Some(&expected));
 }
 
 #[test]
-fn other_requests_are_served() {
+fn other_requests_complete_once_the_back_ends_are_up_again() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
-    fleet.run(DOWN.milliseconds());
+    fleet.crash_three_back_ends();
+    fleet.run(DOWNTIME.milliseconds());
     for number in 0..12 {
         fleet.submit(number % NODES as usize, RequestDigest(number as u64));
     }
@@ -260,9 +260,9 @@
 }
 
 #[test]
-fn a_node_that_starts_anew_hears_of_it() {
+fn a_restarted_node_learns_of_the_quarantined_request() {
     let mut fleet = Fleet::start();
-    fleet.crash_three();
+    fleet.crash_three_back_ends();
     fleet.nodes[2] = node(3, Incarnation(590_000_000), fleet.now);
     fleet.run(3_000);
     fleet.submit(2, FATAL);
