--- a/crates/coordination/quarantine/src/completions.rs
+++ b/crates/coordination/quarantine/src/completions.rs
@@ -5,29 +5,29 @@
 
 /// Requests kept; the oldest give way. At 31 requests a second, a node's part of 69,000 over
 /// 2,200 nodes, the last four minutes; about 0.5 MB.
-const MOST: usize = 8_192;
+const MAX_COMPLETIONS: usize = 8_192;
 
 /// When requests ended well here, the latest of each.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Completions {
-    ended: HashMap<RequestDigest, Timestamp>,
-    order: VecDeque<RequestDigest>,
+    completed_at: HashMap<RequestDigest, Timestamp>,
+    insertion_order: VecDeque<RequestDigest>,
 }
 
 impl Completions {
-    pub fn record(&mut self, request: RequestDigest, now: Timestamp) {
-        if self.ended.insert(request, now).is_some() {
+    pub fn record(&mut self, request: RequestDigest, at: Timestamp) {
+        if self.completed_at.insert(request, at).is_some() {
             return;
         }
-        self.order.push_back(request);
-        if self.order.len() > MOST
-            && let Some(oldest) = self.order.pop_front()
+        self.insertion_order.push_back(request);
+        if self.insertion_order.len() > MAX_COMPLETIONS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.ended.remove(&oldest);
+            self.completed_at.remove(&oldest);
         }
     }
 
-    pub fn of(&self, request: RequestDigest) -> Option<Timestamp> {
-        self.ended.get(&request).copied()
+    pub fn get(&self, request: RequestDigest) -> Option<Timestamp> {
+        self.completed_at.get(&request).copied()
     }
 }
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -2,24 +2,24 @@
 
 use crate::change::{ChangeSource, QuarantineChange};
 use crate::completions::Completions;
-use crate::record::{Record, RequestStatus};
+use crate::record::{RequestRecord, RequestStatus};
 use crate::report::RequestReport;
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::HashMap;
 
 /// Requests kept: a crash breaks off some 64 of an engine, 60 crashes within ten minutes make
 /// as many. At about 250 bytes each, 1 MB.
-const MOST_RECORDS: usize = 4_096;
+const MAX_RECORDS: usize = 4_096;
 /// Time for which what has changed is told with each message: every node tells each other one,
 /// or the aggregators that do, several times in it, so that single messages may be lost.
-const TELLING_TIME: Span = Span::from_milliseconds(2_000);
+const CHANGE_REPORT_DURATION: Span = Span::from_milliseconds(2_000);
 /// Changed requests told in one message, at about 20 bytes a crash.
-const MOST_CHANGED_TOLD: usize = 16;
+const MAX_CHANGED_PER_MESSAGE: usize = 16;
 /// Quarantined requests told in each message besides, in turn: nodes that were cut off, paused
 /// or started anew hear of them within a second.
-const QUARANTINED_TOLD: usize = 2;
+const QUARANTINED_PER_MESSAGE: usize = 2;
 /// Quarantined requests told to a node that has just started.
-const MOST_TOLD_AT_START: usize = 64;
+const MAX_REPORTS_AT_START: usize = 64;
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,9 +43,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    record: Record,
+    record: RequestRecord,
     /// Until when it is told with each message.
-    told_until: Timestamp,
+    report_until: Timestamp,
     is_quarantined: bool,
 }
 
@@ -55,8 +55,8 @@
     entries: HashMap<RequestDigest, Entry>,
     completions: Completions,
     /// Those that are refused, in the order in which they are told.
-    refused: Vec<RequestDigest>,
-    turn: usize,
+    quarantined: Vec<RequestDigest>,
+    batch_number: usize,
     evicted: u64,
 }
 
@@ -68,12 +68,12 @@
         back_end: u32,
         now: Timestamp,
     ) -> Option<QuarantineChange> {
-        let completed = self.completions.of(request);
+        let completed_at = self.completions.get(request);
         let mut entry = self.entries.remove(&request).unwrap_or_default();
         let mut has_changed =
-            completed.is_some_and(|completed| entry.record.add_completion(completed));
+            completed_at.is_some_and(|completed_at| entry.record.add_completion(completed_at));
         has_changed |= entry.record.add_crash(back_end, now);
-        self.keep(request, entry, has_changed, ChangeSource::Own, now)
+        self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
     /// A request of this node ended well.
@@ -85,7 +85,7 @@
         self.completions.record(request, now);
         let mut entry = self.entries.remove(&request)?;
         let has_changed = entry.record.add_completion(now);
-        self.keep(request, entry, has_changed, ChangeSource::Own, now)
+        self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
     /// Takes another node's reports in.
@@ -94,29 +94,31 @@
         reports: &[RequestReport],
         now: Timestamp,
     ) -> Vec<QuarantineChange> {
-        let changes = reports.iter();
-        changes
+        let reports = reports.iter();
+        reports
             .filter_map(|report| self.apply_report(report, now))
             .collect()
     }
 
     fn apply_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<QuarantineChange> {
-        let moment = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
+        let time_at_age = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
         let request = report.request;
         let mut entry = self.entries.remove(&request).unwrap_or_default();
         let mut has_changed = false;
-        let completions = report.completed_ms.map(moment);
-        for completed in completions.into_iter().chain(self.completions.of(request)) {
-            has_changed |= entry.record.add_completion(completed);
+        let completions = report.completion_age_ms.map(time_at_age);
+        for completed_at in completions.into_iter().chain(self.completions.get(request)) {
+            has_changed |= entry.record.add_completion(completed_at);
         }
         for crash in &report.crashes {
-            has_changed |= entry.record.add_crash(crash.back_end, moment(crash.age_ms));
+            has_changed |= entry
+                .record
+                .add_crash(crash.back_end, time_at_age(crash.age_ms));
         }
-        self.keep(request, entry, has_changed, ChangeSource::Peer, now)
+        self.store(request, entry, has_changed, ChangeSource::Peer, now)
     }
 
     /// Puts an entry back and says what changed with its request.
-    fn keep(
+    fn store(
         &mut self,
         request: RequestDigest,
         mut entry: Entry,
@@ -125,33 +127,33 @@
         now: Timestamp,
     ) -> Option<QuarantineChange> {
         if entry.record.is_expired(now) {
-            self.refused.retain(|refused| *refused != request);
+            self.quarantined.retain(|listed| *listed != request);
             return None;
         }
         if has_changed {
-            entry.told_until = now + TELLING_TIME;
+            entry.report_until = now + CHANGE_REPORT_DURATION;
         }
         let was_quarantined = entry.is_quarantined;
         let status = entry.record.status(now);
         entry.is_quarantined = matches!(status, RequestStatus::Quarantined(_));
-        let crashes = entry.record.crashes();
+        let crash_count = entry.record.crash_count();
         if !self.make_room(&entry) {
             return None;
         }
         self.entries.insert(request, entry);
         match (was_quarantined, status) {
             (false, RequestStatus::Quarantined(until)) => {
-                self.refused.push(request);
+                self.quarantined.push(request);
                 Some(QuarantineChange::Quarantined {
                     request,
-                    crashes,
+                    crashes: crash_count,
                     remaining: now.until(until),
                     source,
                 })
             }
             (true, RequestStatus::Clear | RequestStatus::Suspected) => {
-                self.refused.retain(|refused| *refused != request);
-                Some(match crashes {
+                self.quarantined.retain(|listed| *listed != request);
+                Some(match crash_count {
                     0 => QuarantineChange::Cleared { request, source },
                     _ => QuarantineChange::Expired { request },
                 })
@@ -162,19 +164,25 @@
 
     /// Makes room for an entry where there are too many: the one with fewest crashes, the oldest
     /// of these, gives way. Returns whether there is room.
-    fn make_room(&mut self, coming: &Entry) -> bool {
-        if self.entries.len() < MOST_RECORDS {
+    fn make_room(&mut self, incoming: &Entry) -> bool {
+        if self.entries.len() < MAX_RECORDS {
             return true;
         }
         self.evicted += 1;
-        let weight = |entry: &Entry| (entry.record.crashes(), entry.record.last_crash());
-        let least = self.entries.iter().min_by_key(|(_, entry)| weight(entry));
-        let Some(least) = least.filter(|(_, entry)| weight(entry) <= weight(coming)) else {
+        let retention_priority =
+            |entry: &Entry| (entry.record.crash_count(), entry.record.last_crash());
+        let victim = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| retention_priority(entry));
+        let Some(victim) =
+            victim.filter(|(_, entry)| retention_priority(entry) <= retention_priority(incoming))
+        else {
             return false;
         };
-        let least = *least.0;
-        self.entries.remove(&least);
-        self.refused.retain(|refused| *refused != least);
+        let victim = *victim.0;
+        self.entries.remove(&victim);
+        self.quarantined.retain(|listed| *listed != victim);
         true
     }
 
@@ -183,7 +191,7 @@
         let entry = self.entries.get(&request)?;
         match entry.record.status(now) {
             RequestStatus::Quarantined(until) => Some(Quarantined {
-                crashes: entry.record.crashes(),
+                crashes: entry.record.crash_count(),
                 remaining: now.until(until),
             }),
             RequestStatus::Clear | RequestStatus::Suspected => None,
@@ -196,16 +204,17 @@
             .retain(|_, entry| !entry.record.is_expired(now));
         let mut changes = Vec::new();
         let entries = &mut self.entries;
-        self.refused.retain(|request| {
+        self.quarantined.retain(|request| {
             let Some(entry) = entries.get_mut(request) else {
                 return false;
             };
-            let is_refused = matches!(entry.record.status(now), RequestStatus::Quarantined(_));
-            if !is_refused {
+            let is_still_quarantined =
+                matches!(entry.record.status(now), RequestStatus::Quarantined(_));
+            if !is_still_quarantined {
                 entry.is_quarantined = false;
                 changes.push(QuarantineChange::Expired { request: *request });
             }
-            is_refused
+            is_still_quarantined
         });
         changes
     }
@@ -216,46 +225,46 @@
         if self.entries.is_empty() {
             return Vec::new();
         }
-        self.turn = self.turn.wrapping_add(1);
-        let mut told = self.changed(now);
-        for _ in 0..QUARANTINED_TOLD.min(self.refused.len()) {
-            self.refused.rotate_left(1);
-            let request = self.refused[0];
-            if !told.contains(&request) {
-                told.push(request);
+        self.batch_number = self.batch_number.wrapping_add(1);
+        let mut requests = self.recent_changes(now);
+        for _ in 0..QUARANTINED_PER_MESSAGE.min(self.quarantined.len()) {
+            self.quarantined.rotate_left(1);
+            let request = self.quarantined[0];
+            if !requests.contains(&request) {
+                requests.push(request);
             }
         }
-        self.reports_of(&told, now)
+        self.reports_of(&requests, now)
     }
 
     /// Requests that changed lately, as many as one message tells. Half of them are those that
     /// others act on: quarantined ones, and those that ended well, which have no crashes that
     /// count; the others take turns.
-    fn changed(&self, now: Timestamp) -> Vec<RequestDigest> {
+    fn recent_changes(&self, now: Timestamp) -> Vec<RequestDigest> {
         let entries = self.entries.iter();
-        let changed = entries.filter(|(_, entry)| now < entry.told_until);
+        let changed = entries.filter(|(_, entry)| now < entry.report_until);
         let mut changed: Vec<(bool, Timestamp, RequestDigest)> = changed
             .map(|(request, entry)| {
-                let is_settled = entry.is_quarantined || entry.record.crashes() == 0;
-                (is_settled, entry.told_until, *request)
+                let needs_action = entry.is_quarantined || entry.record.crash_count() == 0;
+                (needs_action, entry.report_until, *request)
             })
             .collect();
-        changed.sort_unstable_by(|one, other| other.cmp(one));
+        changed.sort_unstable_by(|left, right| right.cmp(left));
         let mut changed: Vec<RequestDigest> =
             changed.into_iter().map(|(_, _, request)| request).collect();
-        if changed.len() > MOST_CHANGED_TOLD {
-            let others = &mut changed[MOST_CHANGED_TOLD / 2..];
-            let step = self.turn.wrapping_mul(MOST_CHANGED_TOLD / 2);
+        if changed.len() > MAX_CHANGED_PER_MESSAGE {
+            let others = &mut changed[MAX_CHANGED_PER_MESSAGE / 2..];
+            let step = self.batch_number.wrapping_mul(MAX_CHANGED_PER_MESSAGE / 2);
             others.rotate_left(step % others.len());
-            changed.truncate(MOST_CHANGED_TOLD);
+            changed.truncate(MAX_CHANGED_PER_MESSAGE);
         }
         changed
     }
 
     /// What a node that has just started is told.
     pub fn reports_at_start(&self, now: Timestamp) -> Vec<RequestReport> {
-        let first = self.refused.len().min(MOST_TOLD_AT_START);
-        self.reports_of(&self.refused[..first], now)
+        let count = self.quarantined.len().min(MAX_REPORTS_AT_START);
+        self.reports_of(&self.quarantined[..count], now)
     }
 
     fn reports_of(&self, requests: &[RequestDigest], now: Timestamp) -> Vec<RequestReport> {
@@ -267,11 +276,13 @@
 
     /// Figures for metrics.
     pub fn counts(&self) -> QuarantineCounts {
-        let crashed = self.entries.values();
-        let crashed = crashed.filter(|entry| entry.record.crashes() > 0).count();
+        let with_crashes = self.entries.values();
+        let with_crashes = with_crashes
+            .filter(|entry| entry.record.crash_count() > 0)
+            .count();
         QuarantineCounts {
-            suspected: crashed - self.refused.len().min(crashed),
-            quarantined: self.refused.len(),
+            suspected: with_crashes - self.quarantined.len().min(with_crashes),
+            quarantined: self.quarantined.len(),
             evicted: self.evicted,
         }
     }
--- a/crates/coordination/quarantine/src/record.rs
+++ b/crates/coordination/quarantine/src/record.rs
@@ -6,26 +6,26 @@
 /// Crashes after which a request is quarantined. With two, a request that happened to run
 /// beside the one at fault would often be taken for it: of twenty requests that a crash breaks
 /// off in a pool of nine, two run beside it again at the next engine, 0.25 at the third.
-pub(crate) const CRASHES_TO_QUARANTINE: usize = 3;
+pub(crate) const QUARANTINE_CRASH_COUNT: usize = 3;
 /// Crashes of one back end closer together than this are one, seen by several nodes: their
 /// connections break within 0.2 s, reports take up to a second more, and a back end is back
 /// after seconds only.
-const SAME_CRASH: Span = Span::from_milliseconds(2_000);
+const DUPLICATE_CRASH_WINDOW: Span = Span::from_milliseconds(2_000);
 /// A crash this soon after the request ended well elsewhere says nothing against it: a request
 /// at fault never ends well, a frequent one runs at several back ends when these are lost
 /// together.
-const TRUST_AFTER_COMPLETION: Span = Span::from_milliseconds(10_000);
+const GRACE_AFTER_COMPLETION: Span = Span::from_milliseconds(10_000);
 /// Time for which a quarantined request is refused, from the last crash. After it one crash
 /// more suffices: a request at fault costs one back end or two in ten minutes.
-pub(crate) const QUARANTINE_TIME: Span = Span::from_milliseconds(600_000);
+pub(crate) const QUARANTINE_DURATION: Span = Span::from_milliseconds(600_000);
 /// Time after which a request is forgotten that was quarantined.
-const QUARANTINED_MEMORY: Span = Span::from_milliseconds(3_600_000);
+const QUARANTINED_RETENTION: Span = Span::from_milliseconds(3_600_000);
 /// The same for one that is suspected.
-const SUSPECTED_MEMORY: Span = Span::from_milliseconds(600_000);
+const SUSPECTED_RETENTION: Span = Span::from_milliseconds(600_000);
 /// The same for one that ended well: so long its crashes may still be told by others.
-const COMPLETED_MEMORY: Span = Span::from_milliseconds(60_000);
+const COMPLETED_RETENTION: Span = Span::from_milliseconds(60_000);
 /// Crashes kept of a request: the youngest.
-const MOST_CRASHES: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Crash {
@@ -34,9 +34,9 @@
 }
 
 impl Crash {
-    fn is_same(self, other: Crash) -> bool {
-        let apart = self.at.since(other.at).max(other.at.since(self.at));
-        self.back_end == other.back_end && apart < SAME_CRASH
+    fn is_duplicate_of(self, other: Crash) -> bool {
+        let distance = self.at.since(other.at).max(other.at.since(self.at));
+        self.back_end == other.back_end && distance < DUPLICATE_CRASH_WINDOW
     }
 }
 
@@ -53,30 +53,36 @@
 
 /// What is known of one request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct RequestRecord {
     /// Oldest first.
     crashes: Vec<Crash>,
-    completed: Option<Timestamp>,
+    completed_at: Option<Timestamp>,
 }
 
-impl Record {
+impl RequestRecord {
     /// Adds a crash; false if it is known or counts for nothing.
     pub fn add_crash(&mut self, back_end: u32, at: Timestamp) -> bool {
         let crash = Crash { back_end, at };
-        let is_known = self.crashes.iter().any(|known| known.is_same(crash));
-        if is_known || self.is_excused(crash) || self.is_older_than_kept(crash) {
+        let is_already_recorded = self
+            .crashes
+            .iter()
+            .any(|recorded| recorded.is_duplicate_of(crash));
+        if is_already_recorded
+            || self.is_within_completion_grace(crash)
+            || self.is_older_than_retained(crash)
+        {
             return false;
         }
-        let position = self.crashes.partition_point(|known| known.at <= at);
+        let position = self.crashes.partition_point(|recorded| recorded.at <= at);
         self.crashes.insert(position, crash);
-        if self.crashes.len() > MOST_CRASHES {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
         true
     }
 
-    fn is_older_than_kept(&self, crash: Crash) -> bool {
-        let is_full = self.crashes.len() == MOST_CRASHES;
+    fn is_older_than_retained(&self, crash: Crash) -> bool {
+        let is_full = self.crashes.len() == MAX_CRASHES;
         is_full
             && self
                 .crashes
@@ -84,27 +90,29 @@
                 .is_some_and(|oldest| crash.at <= oldest.at)
     }
 
-    fn is_excused(&self, crash: Crash) -> bool {
-        let completed = self.completed;
-        completed.is_some_and(|completed| crash.at <= completed + TRUST_AFTER_COMPLETION)
+    fn is_within_completion_grace(&self, crash: Crash) -> bool {
+        let completed_at = self.completed_at;
+        completed_at.is_some_and(|completed_at| crash.at <= completed_at + GRACE_AFTER_COMPLETION)
     }
 
     /// Notes that the request ended well; false if that is known or changes nothing: of a
     /// frequent request only the first end is told.
     pub fn add_completion(&mut self, at: Timestamp) -> bool {
-        let is_known = |known| self.crashes.is_empty() || at <= known;
-        if self.completed.is_some_and(is_known) {
+        let is_already_recorded = |recorded| self.crashes.is_empty() || at <= recorded;
+        if self.completed_at.is_some_and(is_already_recorded) {
             return false;
         }
-        self.completed = Some(at);
+        self.completed_at = Some(at);
         let crashes = std::mem::take(&mut self.crashes);
-        let counted = crashes.into_iter().filter(|crash| !self.is_excused(*crash));
-        self.crashes = counted.collect();
+        let counting = crashes
+            .into_iter()
+            .filter(|crash| !self.is_within_completion_grace(*crash));
+        self.crashes = counting.collect();
         true
     }
 
     /// Crashes that count against it.
-    pub fn crashes(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.crashes.len()
     }
 
@@ -116,8 +124,8 @@
         let Some(last) = self.last_crash() else {
             return RequestStatus::Clear;
         };
-        let until = last + QUARANTINE_TIME;
-        if self.crashes.len() >= CRASHES_TO_QUARANTINE && now < until {
+        let until = last + QUARANTINE_DURATION;
+        if self.crashes.len() >= QUARANTINE_CRASH_COUNT && now < until {
             return RequestStatus::Quarantined(until);
         }
         RequestStatus::Suspected
@@ -125,13 +133,13 @@
 
     /// Whether it is too old to matter.
     pub fn is_expired(&self, now: Timestamp) -> bool {
-        let memory = match self.crashes.len() {
-            0 => COMPLETED_MEMORY,
-            count if count < CRASHES_TO_QUARANTINE => SUSPECTED_MEMORY,
-            _ => QUARANTINED_MEMORY,
+        let retention = match self.crashes.len() {
+            0 => COMPLETED_RETENTION,
+            count if count < QUARANTINE_CRASH_COUNT => SUSPECTED_RETENTION,
+            _ => QUARANTINED_RETENTION,
         };
-        let last = self.last_crash().max(self.completed);
-        last.is_none_or(|last| now.since(last) > memory)
+        let last = self.last_crash().max(self.completed_at);
+        last.is_none_or(|last| now.since(last) > retention)
     }
 
     /// What others are told.
@@ -143,7 +151,7 @@
         RequestReport {
             request,
             crashes: crashes.collect(),
-            completed_ms: self.completed.map(|at| age_ms(at, now)),
+            completion_age_ms: self.completed_at.map(|at| age_ms(at, now)),
         }
     }
 }
--- a/crates/coordination/quarantine/src/report.rs
+++ b/crates/coordination/quarantine/src/report.rs
@@ -20,5 +20,5 @@
     /// The youngest crashes.
     pub crashes: Vec<CrashReport>,
     /// How long ago it last ended well anywhere, in milliseconds.
-    pub completed_ms: Option<u32>,
+    pub completion_age_ms: Option<u32>,
 }
