--- a/crates/coordination/quarantine/src/change.rs
+++ b/crates/coordination/quarantine/src/change.rs
@@ -1,18 +1,18 @@
-//! What changes with a request, and what a log line tells of it.
+//! Changes of a request's quarantine status, and the fields under which they are logged.
 
 use eiderferry_types::{RequestDigest, Span};
 
-/// From where a change was learned.
+/// Where the observation that caused a change was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// A request of this node.
+    /// This node.
     Own,
-    /// Another node's report.
+    /// Another node, which reported it.
     Peer,
 }
 
 impl ChangeSource {
-    /// The word used in logs.
+    /// The value written to logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             ChangeSource::Own => "own",
@@ -21,51 +21,51 @@
     }
 }
 
-/// What changed with a request.
+/// A change of a request's quarantine status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Quarantined {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// Back ends that crashed under it, as far as they are kept.
+        /// Stored crashes of back ends that were running it.
         crashes: usize,
-        /// Time for which it is refused.
+        /// Time until the quarantine expires.
         remaining: Span,
-        /// From where the last crash was learned.
+        /// Where the last crash was observed.
         source: ChangeSource,
     },
-    /// It ended well somewhere, so it is served again.
+    /// The request completed successfully on some node and is served again.
     Cleared {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
-        /// From where that was learned.
+        /// Where the completion was observed.
         source: ChangeSource,
     },
-    /// Its time is over; one crash more brings it back.
+    /// The quarantine expired; a single further crash renews it.
     Expired {
-        /// Which request.
+        /// Digest of the request.
         request: RequestDigest,
     },
 }
 
-/// What a log line tells of a change.
+/// Fields of the log line for a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeDetails {
-    /// The line's event.
+    /// Name of the event.
     pub event: &'static str,
-    /// Which request.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// Back ends that crashed under it, where it is refused from now on.
+    /// Stored crashes of back ends that were running the request; 0 unless it was quarantined.
     pub crashes: u64,
-    /// Time for which it is refused, in milliseconds.
+    /// Time until the quarantine expires, in milliseconds; 0 unless the request was quarantined.
     pub remaining_ms: u64,
-    /// From where that was learned; empty where time alone changed it.
+    /// Where the cause was observed; empty if the quarantine expired.
     pub source: &'static str,
 }
 
 impl QuarantineChange {
-    /// What a log line tells of it.
+    /// The fields of its log line.
     pub fn details(&self) -> ChangeDetails {
         let details = |event, request, source| ChangeDetails {
             event,
--- a/crates/coordination/quarantine/src/completions.rs
+++ b/crates/coordination/quarantine/src/completions.rs
@@ -1,13 +1,14 @@
-//! Requests that ended well lately.
+//! Requests that recently completed successfully.
 
 use eiderferry_types::{RequestDigest, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
-/// Requests kept; the oldest give way. At 31 requests a second, a node's part of 69,000 over
-/// 2,200 nodes, the last four minutes; about 0.5 MB.
+/// Maximum number of requests stored; the ones inserted first are evicted. At 31 requests per
+/// second per node (69,000 over 2,200 nodes) this covers about four minutes and takes about
+/// 0.5 MB.
 const MAX_COMPLETIONS: usize = 8_192;
 
-/// When requests ended well here, the latest of each.
+/// Time of the latest successful completion on this node, by request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Completions {
     completed_at: HashMap<RequestDigest, Timestamp>,
--- a/crates/coordination/quarantine/src/lib.rs
+++ b/crates/coordination/quarantine/src/lib.rs
@@ -1,12 +1,14 @@
-//! Requests that crash each back end that begins to run them.
+//! Quarantine for requests that crash every back end that runs them.
 //!
-//! Nodes tell each other under which requests back ends crashed, and which of these ended
-//! well all the same. A request under which three back ends have crashed, and that never
-//! ended well since, is quarantined on every node: it is refused with a final answer.
+//! Nodes report to each other which requests were running when a back end crashed, and which
+//! of these requests completed successfully elsewhere. A request is quarantined on every node
+//! after three back ends have crashed while running it and it has not completed since: it is
+//! refused with a final response.
 //!
-//! Free of I/O: the time, crashes, completions and other nodes' reports come in as arguments.
-//! Nothing is agreed on; each node judges by the union of what it has seen and heard, which
-//! is the same on all nodes once their reports have met, whatever their order.
+//! The crate does no I/O: the time, crashes, completions and other nodes' reports are passed in
+//! as arguments. There is no consensus: each node decides from the union of its own observations
+//! and the reports it received. This union converges on all nodes, in whatever order the
+//! reports arrive.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The requests under suspicion on one node, and what it tells others of them.
+//! The suspected and quarantined requests known to one node, and the reports it sends.
 
 use crate::change::{ChangeSource, QuarantineChange};
 use crate::completions::Completions;
@@ -7,61 +7,63 @@
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::HashMap;
 
-/// Requests kept: a crash breaks off some 64 of an engine, 60 crashes within ten minutes make
-/// as many. At about 250 bytes each, 1 MB.
+/// Maximum number of requests stored: one crash interrupts about 64 requests of an engine, so
+/// this covers about 60 crashes within ten minutes. At about 250 bytes each, 1 MB.
 const MAX_RECORDS: usize = 4_096;
-/// Time for which what has changed is told with each message: every node tells each other one,
-/// or the aggregators that do, several times in it, so that single messages may be lost.
+/// Time for which a change is included in messages (2 s). In that time a node sends several
+/// messages to every other node, or to the aggregators that forward them, so single messages
+/// may be lost.
 const CHANGE_REPORT_DURATION: Span = Span::from_milliseconds(2_000);
-/// Changed requests told in one message, at about 20 bytes a crash.
+/// Maximum number of changed requests reported in one message, at about 20 bytes per crash.
 const MAX_CHANGED_PER_MESSAGE: usize = 16;
-/// Quarantined requests told in each message besides, in turn: nodes that were cut off, paused
-/// or started anew hear of them within a second.
+/// Number of quarantined requests that each message reports in addition, in rotation: nodes that
+/// were partitioned, paused or restarted learn of them within a second.
 const QUARANTINED_PER_MESSAGE: usize = 2;
-/// Quarantined requests told to a node that has just started.
+/// Maximum number of quarantined requests reported to a node that has just started.
 const MAX_REPORTS_AT_START: usize = 64;
 
-/// Why a request is refused.
+/// Details of a quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quarantined {
-    /// Back ends that crashed under it, as far as they are kept.
+    /// Stored crashes of back ends that were running the request.
     pub crashes: usize,
-    /// Time for which it is still refused.
+    /// Time until the quarantine expires.
     pub remaining: Span,
 }
 
-/// Figures for metrics.
+/// Counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineCounts {
-    /// Requests under which back ends crashed, not refused.
+    /// Requests that back ends were running when they crashed, but that are not quarantined.
     pub suspected: usize,
-    /// Requests that are refused.
+    /// Requests that are quarantined.
     pub quarantined: usize,
-    /// Requests left out because too many were known, since the start.
+    /// Records evicted or not stored since the start because the limit was reached.
     pub evicted: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
     record: RequestRecord,
-    /// Until when it is told with each message.
+    /// Its latest change is reported until this time.
     report_until: Timestamp,
     is_quarantined: bool,
 }
 
-/// The requests under suspicion on one node.
+/// The suspected and quarantined requests known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<RequestDigest, Entry>,
     completions: Completions,
-    /// Those that are refused, in the order in which they are told.
+    /// Quarantined requests, rotated as they are reported.
     quarantined: Vec<RequestDigest>,
+    /// Number of report batches made; selects which of many changes the next one contains.
     batch_number: usize,
     evicted: u64,
 }
 
 impl Quarantine {
-    /// A back end crashed under a request of this node.
+    /// Records that a back end crashed while running a request of this node.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
@@ -76,7 +78,7 @@
         self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
-    /// A request of this node ended well.
+    /// Records that a request of this node completed successfully.
     pub fn record_completed(
         &mut self,
         request: RequestDigest,
@@ -88,7 +90,7 @@
         self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
-    /// Takes another node's reports in.
+    /// Merges reports from another node.
     pub fn merge_reports(
         &mut self,
         reports: &[RequestReport],
@@ -117,7 +119,7 @@
         self.store(request, entry, has_changed, ChangeSource::Peer, now)
     }
 
-    /// Puts an entry back and says what changed with its request.
+    /// Stores an updated entry and returns the change of its request's status, if any.
     fn store(
         &mut self,
         request: RequestDigest,
@@ -162,8 +164,9 @@
         }
     }
 
-    /// Makes room for an entry where there are too many: the one with fewest crashes, the oldest
-    /// of these, gives way. Returns whether there is room.
+    /// Makes room for `incoming` if the limit is reached: evicts the entry with the fewest crashes,
+    /// among these the one with the oldest last crash. Returns false if all entries outrank
+    /// `incoming`.
     fn make_room(&mut self, incoming: &Entry) -> bool {
         if self.entries.len() < MAX_RECORDS {
             return true;
@@ -186,7 +189,7 @@
         true
     }
 
-    /// Whether a request is refused, and why.
+    /// The details of a request's quarantine; `None` if it is not quarantined.
     pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<Quarantined> {
         let entry = self.entries.get(&request)?;
         match entry.record.status(now) {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Forgets what is too old. Returns the requests that are served again.
+    /// Drops expired records. Returns the requests whose quarantine has expired.
     pub fn expire(&mut self, now: Timestamp) -> Vec<QuarantineChange> {
         self.entries
             .retain(|_, entry| !entry.record.is_expired(now));
@@ -219,8 +222,8 @@
         changes
     }
 
-    /// What the next message tells: what has changed lately, first what others act on, and some
-    /// of the quarantined in turn.
+    /// The reports for the next message: recent changes, those that other nodes act on first, and
+    /// some of the quarantined requests in rotation.
     pub fn reports(&mut self, now: Timestamp) -> Vec<RequestReport> {
         if self.entries.is_empty() {
             return Vec::new();
@@ -237,9 +240,9 @@
         self.reports_of(&requests, now)
     }
 
-    /// Requests that changed lately, as many as one message tells. Half of them are those that
-    /// others act on: quarantined ones, and those that ended well, which have no crashes that
-    /// count; the others take turns.
+    /// Recently changed requests, as many as one message reports. If there are more, the first
+    /// half goes to those that other nodes act on (quarantined requests, and completed ones, which
+    /// have no counted crashes), and the others take turns in the second half.
     fn recent_changes(&self, now: Timestamp) -> Vec<RequestDigest> {
         let entries = self.entries.iter();
         let changed = entries.filter(|(_, entry)| now < entry.report_until);
@@ -261,7 +264,7 @@
         changed
     }
 
-    /// What a node that has just started is told.
+    /// The reports for a node that has just started.
     pub fn reports_at_start(&self, now: Timestamp) -> Vec<RequestReport> {
         let count = self.quarantined.len().min(MAX_REPORTS_AT_START);
         self.reports_of(&self.quarantined[..count], now)
@@ -274,7 +277,7 @@
         reports.collect()
     }
 
-    /// Figures for metrics.
+    /// Counts for metrics.
     pub fn counts(&self) -> QuarantineCounts {
         let with_crashes = self.entries.values();
         let with_crashes = with_crashes
--- a/crates/coordination/quarantine/src/record.rs
+++ b/crates/coordination/quarantine/src/record.rs
@@ -1,30 +1,34 @@
-//! What is known of one request.
+//! Crashes and completions of one request, and the status that follows from them.
 
 use crate::report::{CrashReport, RequestReport};
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 
-/// Crashes after which a request is quarantined. With two, a request that happened to run
-/// beside the one at fault would often be taken for it: of twenty requests that a crash breaks
-/// off in a pool of nine, two run beside it again at the next engine, 0.25 at the third.
+/// Number of crashes after which a request is quarantined. Two would often quarantine requests
+/// that merely ran on the same engine as the one at fault: of twenty requests interrupted by a
+/// crash in a pool of nine engines, about two share the next engine with it again, and about
+/// 0.25 the third.
 pub(crate) const QUARANTINE_CRASH_COUNT: usize = 3;
-/// Crashes of one back end closer together than this are one, seen by several nodes: their
-/// connections break within 0.2 s, reports take up to a second more, and a back end is back
-/// after seconds only.
+/// Crashes of one back end less than 2 s apart are the same crash, observed by several nodes:
+/// their connections break within 0.2 s, reports take up to a second more, and a back end needs
+/// several seconds to restart.
 const DUPLICATE_CRASH_WINDOW: Span = Span::from_milliseconds(2_000);
-/// A crash this soon after the request ended well elsewhere says nothing against it: a request
-/// at fault never ends well, a frequent one runs at several back ends when these are lost
-/// together.
+/// A crash up to 10 s after a successful completion elsewhere does not count: a request at fault
+/// never completes, whereas a frequent request may be running on several back ends when they
+/// are lost together.
 const GRACE_AFTER_COMPLETION: Span = Span::from_milliseconds(10_000);
-/// Time for which a quarantined request is refused, from the last crash. After it one crash
-/// more suffices: a request at fault costs one back end or two in ten minutes.
+/// Time from the last crash for which a quarantined request is refused (10 min). After that a
+/// single further crash renews the quarantine, so that a request at fault crashes one or two
+/// back ends in ten minutes.
 pub(crate) const QUARANTINE_DURATION: Span = Span::from_milliseconds(600_000);
-/// Time after which a request is forgotten that was quarantined.
+/// Retention of the record of a request with enough crashes for a quarantine, after its last
+/// crash or completion (1 h).
 const QUARANTINED_RETENTION: Span = Span::from_milliseconds(3_600_000);
-/// The same for one that is suspected.
+/// Retention of the record of a suspected request (10 min).
 const SUSPECTED_RETENTION: Span = Span::from_milliseconds(600_000);
-/// The same for one that ended well: so long its crashes may still be told by others.
+/// Retention of the record of a request that completed (1 min): other nodes may still report
+/// its earlier crashes.
 const COMPLETED_RETENTION: Span = Span::from_milliseconds(60_000);
-/// Crashes kept of a request: the youngest.
+/// Maximum number of crashes stored per request; the oldest are dropped.
 const MAX_CRASHES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,18 +44,18 @@
     }
 }
 
-/// How a request stands.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestStatus {
-    /// Nothing counts against it.
+    /// No crash counts against it.
     Clear,
-    /// Back ends crashed under it, too few or too long ago to refuse it.
+    /// Back ends crashed while running it, but too few or too long ago to refuse it.
     Suspected,
-    /// It is refused until then.
+    /// It is refused until this time.
     Quarantined(Timestamp),
 }
 
-/// What is known of one request.
+/// Crashes and latest completion of one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestRecord {
     /// Oldest first.
@@ -60,7 +64,8 @@
 }
 
 impl RequestRecord {
-    /// Adds a crash; false if it is known or counts for nothing.
+    /// Adds a crash. Returns false if it is already known, follows a completion too closely to
+    /// count, or is older than all stored crashes while the record is full.
     pub fn add_crash(&mut self, back_end: u32, at: Timestamp) -> bool {
         let crash = Crash { back_end, at };
         let is_already_recorded = self
@@ -95,8 +100,8 @@
         completed_at.is_some_and(|completed_at| crash.at <= completed_at + GRACE_AFTER_COMPLETION)
     }
 
-    /// Notes that the request ended well; false if that is known or changes nothing: of a
-    /// frequent request only the first end is told.
+    /// Records a successful completion. Returns false if it is already known or changes nothing,
+    /// so that only the first completion of a frequent request is reported.
     pub fn add_completion(&mut self, at: Timestamp) -> bool {
         let is_already_recorded = |recorded| self.crashes.is_empty() || at <= recorded;
         if self.completed_at.is_some_and(is_already_recorded) {
@@ -111,7 +116,7 @@
         true
     }
 
-    /// Crashes that count against it.
+    /// Number of crashes that count against the request.
     pub fn crash_count(&self) -> usize {
         self.crashes.len()
     }
@@ -131,7 +136,7 @@
         RequestStatus::Suspected
     }
 
-    /// Whether it is too old to matter.
+    /// Whether the record is older than its retention time.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         let retention = match self.crashes.len() {
             0 => COMPLETED_RETENTION,
@@ -142,7 +147,7 @@
         last.is_none_or(|last| now.since(last) > retention)
     }
 
-    /// What others are told.
+    /// The report of this record for other nodes.
     pub fn report(&self, request: RequestDigest, now: Timestamp) -> RequestReport {
         let crashes = self.crashes.iter().map(|crash| CrashReport {
             back_end: crash.back_end,
--- a/crates/coordination/quarantine/src/report.rs
+++ b/crates/coordination/quarantine/src/report.rs
@@ -1,24 +1,24 @@
-//! What nodes tell each other.
+//! Reports that nodes send to each other.
 
 use eiderferry_types::RequestDigest;
 use serde::{Deserialize, Serialize};
 
-/// A back end that crashed under a request.
+/// A crash of a back end that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Digest of the back end's instance.
+    /// Identifier or digest of the back end.
     pub back_end: u32,
-    /// How long ago it crashed, in milliseconds.
+    /// Age of the crash in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a node knows of a request under which back ends crashed.
+/// What a node knows about a request that back ends were running when they crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestReport {
-    /// Which request.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// The youngest crashes.
+    /// The most recent crashes, oldest first.
     pub crashes: Vec<CrashReport>,
-    /// How long ago it last ended well anywhere, in milliseconds.
+    /// Age of its latest known successful completion on any node, in milliseconds.
     pub completion_age_ms: Option<u32>,
 }
--- a/crates/coordination/quarantine/tests/quarantine.rs
+++ b/crates/coordination/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! When a request is quarantined, for how long, and what is told of it.
+//! When a request is quarantined, for how long, and what is reported to other nodes.
 
 use eiderferry_quarantine::{
     ChangeSource, CrashReport, Quarantine, QuarantineChange, RequestReport,
@@ -9,14 +9,14 @@
 const START: Timestamp = Timestamp(10_000_000_000);
 const REQUEST: RequestDigest = RequestDigest(7);
 const TEN_MINUTES_MS: u64 = 600_000;
-/// Requests that a node keeps.
+/// Maximum number of requests that a node stores.
 const MAX_RECORDS: usize = 4_096;
 
 fn after(milliseconds: u64) -> Timestamp {
     START + Span::from_milliseconds(milliseconds)
 }
 
-/// A node that saw back ends crash under the request, a second apart.
+/// The state of a node that observed these back ends crash while running the request, 1 s apart.
 fn quarantine_with_crashes(back_ends: std::ops::Range<u32>) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for back_end in back_ends {
@@ -124,7 +124,7 @@
     assert!(!is_refused(&quarantine, after(3_500)));
 }
 
-/// A frequent request runs at many back ends when several are lost together.
+/// A frequent request may be running on several back ends when they are lost together.
 #[test]
 fn crashes_just_after_a_completion_do_not_count() {
     let mut quarantine = Quarantine::default();
@@ -183,7 +183,7 @@
     assert_eq!(quarantined.reports_at_start(after(300_000)).len(), 1);
 }
 
-/// Of a request that ends well all the time only the first end is told.
+/// Only the first completion of a frequent request is reported.
 #[test]
 fn repeated_completions_are_not_reported_again() {
     let mut quarantine = quarantine_with_crashes(0..1);
