--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -31,8 +31,8 @@
 
 impl BackEnd {
     /// Whether this is another run than one listed before under the same name.
-    pub fn is_different_run(&self, before: &BackEnd) -> bool {
-        !self.may_have_started(before.started_unix_ms)
+    pub fn is_different_run(&self, previous: &BackEnd) -> bool {
+        !self.may_have_started(previous.started_unix_ms)
     }
 
     /// Whether the run may be the one of this name that started then.
@@ -43,7 +43,7 @@
 
 /// Whether two starts, of back ends of one name, may be those of one run: not everyone who speaks
 /// of a run knows when it started.
-pub fn may_be_same_start(one_unix_ms: Option<u64>, other_unix_ms: Option<u64>) -> bool {
-    let starts = one_unix_ms.zip(other_unix_ms);
-    starts.is_none_or(|(one, other)| one == other)
+pub fn may_be_same_start(first_unix_ms: Option<u64>, second_unix_ms: Option<u64>) -> bool {
+    let starts = first_unix_ms.zip(second_unix_ms);
+    starts.is_none_or(|(first, second)| first == second)
 }
--- a/crates/state/routing/src/priority.rs
+++ b/crates/state/routing/src/priority.rs
@@ -19,33 +19,33 @@
 
 impl PriorityScale {
     /// A scale that tells all ranks of these routes apart.
-    pub fn of(routes: &[Route]) -> Self {
-        let least_urgent = routes.iter().map(|route| route.rank).max().unwrap_or(0);
-        let ranks = least_urgent.saturating_add(1);
+    pub fn for_routes(routes: &[Route]) -> Self {
+        let max_rank = routes.iter().map(|route| route.rank).max().unwrap_or(0);
+        let rank_count = max_rank.saturating_add(1);
         Self {
-            levels_per_rank: (PRIORITY_LEVELS / ranks).max(1),
+            levels_per_rank: (PRIORITY_LEVELS / rank_count).max(1),
         }
     }
 
     /// Level of a request on a route of one rank, for a tenant of another.
     pub fn level(&self, route_rank: u8, tenant_rank: Option<u8>) -> u8 {
-        let within = tenant_rank.unwrap_or(0).min(self.levels_per_rank - 1);
+        let tenant_offset = tenant_rank.unwrap_or(0).min(self.levels_per_rank - 1);
         let level = route_rank
             .saturating_mul(self.levels_per_rank)
-            .saturating_add(within);
+            .saturating_add(tenant_offset);
         level.min(PRIORITY_LEVELS - 1)
     }
 }
 
 /// The ranks of the routes that go to each pool.
 #[derive(Clone, Debug)]
-pub(crate) struct PoolTiers {
+pub(crate) struct PoolRanks {
     ranks: HashMap<PoolName, BTreeSet<u8>>,
 }
 
-impl PoolTiers {
+impl PoolRanks {
     /// The tiers of these routes.
-    pub fn of(routes: &[Route]) -> Self {
+    pub fn for_routes(routes: &[Route]) -> Self {
         let mut ranks: HashMap<PoolName, BTreeSet<u8>> = HashMap::new();
         for route in routes {
             for split in &route.traffic_splits {
@@ -63,8 +63,8 @@
         let Some(ranks) = self.ranks.get(pool) else {
             return 0.0;
         };
-        let others = ranks.iter().filter(|other| **other != rank).count();
-        let below = ranks.iter().filter(|other| **other > rank).count();
-        below as f64 / others.max(1) as f64
+        let other_count = ranks.iter().filter(|other| **other != rank).count();
+        let less_urgent_count = ranks.iter().filter(|other| **other > rank).count();
+        less_urgent_count as f64 / other_count.max(1) as f64
     }
 }
--- a/crates/state/routing/src/regions.rs
+++ b/crates/state/routing/src/regions.rs
@@ -21,10 +21,10 @@
     pub fn of(route: &[RegionName], tenant: &[RegionName]) -> Self {
         match (route, tenant) {
             ([], []) => Self::Any,
-            ([], only) | (only, []) => Self::Only(only.iter().cloned().collect()),
+            ([], listed) | (listed, []) => Self::Only(listed.iter().cloned().collect()),
             (route, tenant) => {
-                let both = route.iter().filter(|region| tenant.contains(region));
-                Self::Only(both.cloned().collect())
+                let common = route.iter().filter(|region| tenant.contains(region));
+                Self::Only(common.cloned().collect())
             }
         }
     }
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -1,6 +1,6 @@
 //! The routing table: which request goes to which pool, and for whom.
 
-use crate::priority::{PoolTiers, PriorityScale};
+use crate::priority::{PoolRanks, PriorityScale};
 use crate::{AllowedRegions, ColdStart, PoolName, RegionName, TableError};
 use eiderferry_types::Span;
 use serde::{Deserialize, Serialize};
@@ -74,20 +74,20 @@
     }
 
     /// The pool for a request; `point` is a number in 0..1 drawn for it.
-    pub fn pool(&self, point: f64) -> Option<&PoolName> {
+    pub fn pool(&self, sample: f64) -> Option<&PoolName> {
         let total: f64 = self
             .traffic_splits
             .iter()
             .map(|split| split.weight.max(0.0))
             .sum();
-        let mut remaining = point * total;
+        let mut remaining_weight = sample * total;
         let mut weighted = self
             .traffic_splits
             .iter()
             .filter(|split| split.weight > 0.0);
         for split in weighted.clone() {
-            remaining -= split.weight;
-            if remaining < 0.0 {
+            remaining_weight -= split.weight;
+            if remaining_weight < 0.0 {
                 return Some(&split.pool);
             }
         }
@@ -179,8 +179,8 @@
     document: TableDocument,
     routes_by_host: HashMap<String, Vec<usize>>,
     tenants_by_key: HashMap<String, usize>,
-    priority: PriorityScale,
-    tiers: PoolTiers,
+    priority_scale: PriorityScale,
+    pool_ranks: PoolRanks,
 }
 
 /// What a request's host and path lead to.
@@ -196,18 +196,18 @@
     /// Checks a document and builds its indexes.
     pub fn new(document: TableDocument) -> Result<Self, TableError> {
         for route in &document.routes {
-            check_route(route, &document.pools)?;
+            validate_route(route, &document.pools)?;
         }
-        let tenants_by_key = index_keys(&document.tenants)?;
-        let routes_by_host = index_routes(&document.routes);
-        let priority = PriorityScale::of(&document.routes);
-        let tiers = PoolTiers::of(&document.routes);
+        let tenants_by_key = index_tenants_by_key(&document.tenants)?;
+        let routes_by_host = index_routes_by_host(&document.routes);
+        let priority_scale = PriorityScale::for_routes(&document.routes);
+        let pool_ranks = PoolRanks::for_routes(&document.routes);
         Ok(Self {
             document,
             routes_by_host,
             tenants_by_key,
-            priority,
-            tiers,
+            priority_scale,
+            pool_ranks,
         })
     }
 
@@ -241,8 +241,8 @@
 
     /// The route whose prefix is the longest that begins the path.
     pub fn route(&self, host: &str, path: &str) -> RouteMatch<'_> {
-        let name = host_without_port(host).to_ascii_lowercase();
-        let candidates = self.routes_by_host.get(&name).into_iter().flatten();
+        let host = host_without_port(host).to_ascii_lowercase();
+        let candidates = self.routes_by_host.get(&host).into_iter().flatten();
         let mut routes = candidates.map(|index| &self.document.routes[*index]);
         match routes.find(|route| path.starts_with(&route.path_prefix)) {
             Some(route) => RouteMatch::Found(route),
@@ -252,14 +252,14 @@
 
     /// How urgent a request is to an engine; 0 is the most urgent.
     pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
-        self.priority
+        self.priority_scale
             .level(route.rank, tenant.and_then(|tenant| tenant.rank))
     }
 
     /// Part of the other tiers that a pool serves which are less urgent than this one:
     /// 1 for the most urgent of several, 0 for the last and for an only one.
     pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
-        self.tiers.less_urgent_share(pool, rank)
+        self.pool_ranks.less_urgent_share(pool, rank)
     }
 
     /// The tenant that holds a key.
@@ -273,45 +273,48 @@
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-fn check_route(route: &Route, pools: &BTreeMap<PoolName, Pool>) -> Result<(), TableError> {
+fn validate_route(route: &Route, pools: &BTreeMap<PoolName, Pool>) -> Result<(), TableError> {
     let name = || route.name.clone();
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        return Err(TableError::Prefix(name(), route.path_prefix.clone()));
+        return Err(TableError::InvalidPathPrefix(
+            name(),
+            route.path_prefix.clone(),
+        ));
     }
     if route.maximum_attempts == 0 {
-        return Err(TableError::NoAttempts(name()));
+        return Err(TableError::ZeroAttempts(name()));
     }
     if route.timeout == Span::ZERO {
-        return Err(TableError::NoTime(name()));
+        return Err(TableError::ZeroTimeout(name()));
     }
     if route.traffic_splits.iter().all(|split| split.weight <= 0.0) {
-        return Err(TableError::NoPool(name()));
+        return Err(TableError::NoWeightedPool(name()));
     }
-    let unknown = route
+    let unknown_pool = route
         .traffic_splits
         .iter()
         .find(|split| !pools.contains_key(&split.pool));
-    match unknown {
+    match unknown_pool {
         Some(split) => Err(TableError::UnknownPool(name(), split.pool.to_string())),
         None => Ok(()),
     }
 }
 
-fn index_keys(tenants: &[Tenant]) -> Result<HashMap<String, usize>, TableError> {
+fn index_tenants_by_key(tenants: &[Tenant]) -> Result<HashMap<String, usize>, TableError> {
     let mut index: HashMap<String, usize> = HashMap::new();
     for (position, tenant) in tenants.iter().enumerate() {
         for key in &tenant.keys {
             let previous = index.insert(key.clone(), position);
             if let Some(other) = previous.filter(|other| *other != position) {
                 let other = tenants[other].name.clone();
-                return Err(TableError::SharedKey(tenant.name.clone(), other));
+                return Err(TableError::DuplicateKey(tenant.name.clone(), other));
             }
         }
     }
     Ok(index)
 }
 
-fn index_routes(routes: &[Route]) -> HashMap<String, Vec<usize>> {
+fn index_routes_by_host(routes: &[Route]) -> HashMap<String, Vec<usize>> {
     let mut index: HashMap<String, Vec<usize>> = HashMap::new();
     for (position, route) in routes.iter().enumerate() {
         let host = route.host.to_ascii_lowercase();
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-fn route(name: &str, host: &str, prefix: &str) -> Route {
+fn route_to_app(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.to_owned(),
         host: host.to_owned(),
@@ -55,8 +55,8 @@
     }
 }
 
-fn name_of(found: RouteMatch<'_>) -> Option<String> {
-    match found {
+fn route_name(route_match: RouteMatch<'_>) -> Option<String> {
+    match route_match {
         RouteMatch::Found(route) => Some(route.name.clone()),
         RouteMatch::NoRoute => None,
     }
@@ -69,21 +69,21 @@
 #[case::host_with_port("a.example:8080", "/x/q", Some("short"))]
 #[case::prefix_without_its_slash("a.example", "/x", None)]
 #[case::other_host("b.example", "/x/q", None)]
-fn the_longest_prefix_of_the_host_is_taken(
+fn the_route_with_the_longest_matching_prefix_is_chosen(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
 ) {
     let routes = vec![
-        route("short", "a.example", "/x/"),
-        route("long", "a.example", "/x/y/"),
+        route_to_app("short", "a.example", "/x/"),
+        route_to_app("long", "a.example", "/x/y/"),
     ];
     let table = RoutingTable::new(document(routes)).expect("valid");
-    assert_eq!(name_of(table.route(host, path)).as_deref(), expected);
+    assert_eq!(route_name(table.route(host, path)).as_deref(), expected);
 }
 
 #[test]
-fn a_key_leads_to_its_tenant_and_no_other_text_does() {
+fn only_a_listed_key_identifies_its_tenant() {
     let table = RoutingTable::new(document(Vec::new())).expect("valid");
     let tenant = table.tenant("key-two").expect("known key");
     assert_eq!(tenant.name, "radio");
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn a_split_gives_each_pool_its_part() {
-    let mut split = route("split", "a.example", "/x/");
-    split.traffic_splits = vec![
+fn traffic_is_split_in_proportion_to_the_weights() {
+    let mut route = route_to_app("split", "a.example", "/x/");
+    route.traffic_splits = vec![
         TrafficSplit {
             pool: PoolName::from("one"),
             weight: 90.0,
@@ -108,17 +108,17 @@
             weight: 10.0,
         },
     ];
-    let points = (0..1_000).map(|point| f64::from(point) / 1_000.0);
-    let chosen: Vec<&PoolName> = points.filter_map(|point| split.pool(point)).collect();
+    let samples = (0..1_000).map(|index| f64::from(index) / 1_000.0);
+    let chosen: Vec<&PoolName> = samples.filter_map(|sample| route.pool(sample)).collect();
     let count = |name: &str| chosen.iter().filter(|pool| pool.as_str() == name).count();
     assert_eq!((count("one"), count("none"), count("two")), (900, 0, 100));
 }
 
 #[test]
-fn a_split_without_weights_gives_no_pool() {
-    let mut split = route("split", "a.example", "/x/");
-    split.traffic_splits[0].weight = 0.0;
-    assert_eq!(split.pool(0.5), None);
+fn a_route_without_a_positive_weight_chooses_no_pool() {
+    let mut route = route_to_app("split", "a.example", "/x/");
+    route.traffic_splits[0].weight = 0.0;
+    assert_eq!(route.pool(0.5), None);
 }
 
 #[rstest]
@@ -127,34 +127,37 @@
 #[case::not_repeatable_is_never_resumed(RouteKind::NotRepeatable, true, false)]
 #[case::stream(RouteKind::Streaming, false, false)]
 #[case::resumable_stream(RouteKind::Streaming, true, true)]
-fn a_stream_may_be_repeated_only_if_it_may_be_resumed(
+fn only_repeatable_routes_and_resumable_streams_may_be_retried(
     #[case] kind: RouteKind,
     #[case] is_resumable: bool,
     #[case] expected: bool,
 ) {
-    let mut subject = route("r", "a.example", "/x/");
-    subject.kind = kind;
-    subject.is_resumable = is_resumable;
-    assert_eq!(subject.may_retry(), expected);
+    let mut route = route_to_app("r", "a.example", "/x/");
+    route.kind = kind;
+    route.is_resumable = is_resumable;
+    assert_eq!(route.may_retry(), expected);
 }
 
-fn error_of(change: impl FnOnce(&mut TableDocument)) -> TableError {
-    let mut document = document(vec![route("r", "a.example", "/x/")]);
+fn error_after(change: impl FnOnce(&mut TableDocument)) -> TableError {
+    let mut document = document(vec![route_to_app("r", "a.example", "/x/")]);
     change(&mut document);
     RoutingTable::new(document).expect_err("must be refused")
 }
 
 #[test]
-fn a_document_that_fits_badly_is_refused_whole() {
-    let error = error_of(|document| document.routes[0].path_prefix = "/x".to_owned());
-    assert_eq!(error, TableError::Prefix("r".to_owned(), "/x".to_owned()));
-    let error = error_of(|document| document.routes[0].maximum_attempts = 0);
-    assert_eq!(error, TableError::NoAttempts("r".to_owned()));
-    let error = error_of(|document| document.routes[0].timeout = Span::ZERO);
-    assert_eq!(error, TableError::NoTime("r".to_owned()));
-    let error = error_of(|document| document.routes[0].traffic_splits.clear());
-    assert_eq!(error, TableError::NoPool("r".to_owned()));
-    let error = error_of(|document| document.pools.clear());
+fn an_invalid_table_document_is_rejected() {
+    let error = error_after(|document| document.routes[0].path_prefix = "/x".to_owned());
+    assert_eq!(
+        error,
+        TableError::InvalidPathPrefix("r".to_owned(), "/x".to_owned())
+    );
+    let error = error_after(|document| document.routes[0].maximum_attempts = 0);
+    assert_eq!(error, TableError::ZeroAttempts("r".to_owned()));
+    let error = error_after(|document| document.routes[0].timeout = Span::ZERO);
+    assert_eq!(error, TableError::ZeroTimeout("r".to_owned()));
+    let error = error_after(|document| document.routes[0].traffic_splits.clear());
+    assert_eq!(error, TableError::NoWeightedPool("r".to_owned()));
+    let error = error_after(|document| document.pools.clear());
     assert_eq!(
         error,
         TableError::UnknownPool("r".to_owned(), "app".to_owned())
@@ -162,26 +165,26 @@
 }
 
 #[test]
-fn two_tenants_never_share_a_key() {
-    let error = error_of(|document| {
+fn a_key_listed_by_two_tenants_is_rejected() {
+    let error = error_after(|document| {
         let mut other = document.tenants[0].clone();
         other.name = "rival".to_owned();
         document.tenants.push(other);
     });
     assert_eq!(
         error,
-        TableError::SharedKey("rival".to_owned(), "radio".to_owned())
+        TableError::DuplicateKey("rival".to_owned(), "radio".to_owned())
     );
 }
 
-fn ranked(name: &str, rank: u8) -> Route {
+fn route_with_rank(name: &str, rank: u8) -> Route {
     Route {
         rank,
-        ..route(name, "a.example", &format!("/{name}/"))
+        ..route_to_app(name, "a.example", &format!("/{name}/"))
     }
 }
 
-fn tenant(rank: Option<u8>) -> Tenant {
+fn tenant_with_rank(rank: Option<u8>) -> Tenant {
     Tenant {
         name: "t".to_owned(),
         keys: Vec::new(),
@@ -191,10 +194,14 @@
 }
 
 #[test]
-fn engines_learn_the_tier_of_the_route_first_and_of_the_tenant_second() {
-    let routes = vec![ranked("chat", 0), ranked("terms", 1), ranked("notice", 2)];
+fn engine_priority_orders_by_route_rank_then_by_tenant_rank() {
+    let routes = vec![
+        route_with_rank("chat", 0),
+        route_with_rank("terms", 1),
+        route_with_rank("notice", 2),
+    ];
     let table = RoutingTable::new(document(routes.clone())).expect("a table");
-    let level = |index: usize, rank| table.priority(&routes[index], Some(&tenant(rank)));
+    let level = |index: usize, rank| table.priority(&routes[index], Some(&tenant_with_rank(rank)));
     assert!(level(0, Some(0)) < level(0, Some(1)));
     assert!(
         level(0, Some(9)) < level(1, Some(0)),
@@ -205,33 +212,36 @@
 }
 
 #[test]
-fn ranks_beyond_the_levels_of_engines_stay_in_order() {
-    let routes: Vec<Route> = (0..12).map(|rank| ranked("r", rank)).collect();
-    let scale = RoutingTable::new(document(vec![ranked("a", 0), ranked("b", 11)]));
-    let scale = scale.expect("a table");
-    let levels = routes.iter().map(|route| scale.priority(route, None));
+fn priorities_stay_in_order_with_more_ranks_than_levels() {
+    let routes: Vec<Route> = (0..12).map(|rank| route_with_rank("r", rank)).collect();
+    let table = RoutingTable::new(document(vec![
+        route_with_rank("a", 0),
+        route_with_rank("b", 11),
+    ]));
+    let table = table.expect("a table");
+    let levels = routes.iter().map(|route| table.priority(route, None));
     let levels: Vec<u8> = levels.collect();
     assert!(levels.is_sorted());
     assert!(levels.iter().all(|level| *level < PRIORITY_LEVELS));
 }
 
 #[test]
-fn the_tiers_of_a_pool_are_those_of_its_routes() {
-    let mut elsewhere = ranked("other", 9);
+fn less_urgent_share_counts_the_ranks_of_the_routes_to_a_pool() {
+    let mut elsewhere = route_with_rank("other", 9);
     elsewhere.traffic_splits[0].pool = PoolName::from("second");
-    let mut both = document(vec![
-        ranked("a", 0),
-        ranked("b", 1),
-        ranked("c", 3),
+    let mut two_pools = document(vec![
+        route_with_rank("a", 0),
+        route_with_rank("b", 1),
+        route_with_rank("c", 3),
         elsewhere,
     ]);
-    let pool = both.pools[&PoolName::from("app")].clone();
-    both.pools.insert(PoolName::from("second"), pool);
-    let table = RoutingTable::new(both).expect("a table");
-    let part = |pool: &str, rank| table.less_urgent_share(&PoolName::from(pool), rank);
-    assert_eq!(part("app", 0), 1.0);
-    assert_eq!(part("app", 1), 0.5);
-    assert_eq!(part("app", 3), 0.0);
-    assert_eq!(part("second", 9), 0.0, "an only tier is its own last");
-    assert_eq!(part("unknown", 0), 0.0);
+    let pool = two_pools.pools[&PoolName::from("app")].clone();
+    two_pools.pools.insert(PoolName::from("second"), pool);
+    let table = RoutingTable::new(two_pools).expect("a table");
+    let share = |pool: &str, rank| table.less_urgent_share(&PoolName::from(pool), rank);
+    assert_eq!(share("app", 0), 1.0);
+    assert_eq!(share("app", 1), 0.5);
+    assert_eq!(share("app", 3), 0.0);
+    assert_eq!(share("second", 9), 0.0, "an only tier is its own last");
+    assert_eq!(share("unknown", 0), 0.0);
 }
