--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -1,48 +1,49 @@
-//! One back end as the platform lists it.
+//! Back ends and how their runs are told apart.
 
 use crate::{InstanceId, PoolName, ZoneName};
 use eiderferry_types::Span;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A listed back end.
+/// A back end as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEnd {
-    /// Its run.
+    /// Name of the back end. It stays the same when the back end restarts.
     pub instance: InstanceId,
-    /// Pool it serves.
+    /// Pool to which it belongs.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Zone it stands in.
+    /// Zone in which it runs.
     pub zone: ZoneName,
-    /// Requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub draining: bool,
-    /// Time for which it was still cold when its entry was written, zero for a warm one;
-    /// `None` where the entry doesn't tell.
+    /// Remaining cold period when its entry was written, zero for a warm back end; `None` if the
+    /// entry does not state it.
     pub cold_remaining: Option<Span>,
-    /// When the run began, in Unix milliseconds of its own machine; `None` where the entry doesn't
-    /// tell. A back end may start again under its name: another start is another run, which knows
-    /// nothing of what the one before was sent. Never compared with a clock of this node.
+    /// Start time of the current run in Unix milliseconds, by its own machine's clock; `None` if
+    /// the entry does not state it. It identifies the run: a back end may restart under the same
+    /// name, and the new run knows nothing of the requests sent to the previous one. Never
+    /// compared with this node's clock.
     pub started_unix_ms: Option<u64>,
 }
 
 impl BackEnd {
-    /// Whether this is another run than one listed before under the same name.
+    /// Whether this is certainly a different run from one listed earlier under the same name.
     pub fn is_different_run(&self, previous: &BackEnd) -> bool {
         !self.may_have_started(previous.started_unix_ms)
     }
 
-    /// Whether the run may be the one of this name that started then.
+    /// Whether this may be the run of the same name that started at the given time.
     pub fn may_have_started(&self, started_unix_ms: Option<u64>) -> bool {
         may_be_same_start(self.started_unix_ms, started_unix_ms)
     }
 }
 
-/// Whether two starts, of back ends of one name, may be those of one run: not everyone who speaks
-/// of a run knows when it started.
+/// Whether two start times of back ends of the same name may belong to one run. An unknown start
+/// time matches any other, because not every source of information about a run includes it.
 pub fn may_be_same_start(first_unix_ms: Option<u64>, second_unix_ms: Option<u64>) -> bool {
     let starts = first_unix_ms.zip(second_unix_ms);
     starts.is_none_or(|(first, second)| first == second)
--- a/crates/state/routing/src/cold_start.rs
+++ b/crates/state/routing/src/cold_start.rs
@@ -1,14 +1,14 @@
-//! Cold starts: for a while after its start a back end bears less than a warm one.
+//! Cold starts: for some time after its start a back end sustains less load than a warm one.
 
 use eiderferry_types::Span;
 use serde::{Deserialize, Serialize};
 
-/// How the back ends of a pool start.
+/// Cold start behaviour of the back ends of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
     /// Time for which a back end is cold after its start.
     #[serde(rename = "lasts")]
     pub duration: Span,
-    /// Requests a second that a cold back end bears; at well above that it fails.
+    /// Requests per second that a cold back end sustains; well above this rate it fails.
     pub requests_per_second: f64,
 }
--- a/crates/state/routing/src/identity.rs
+++ b/crates/state/routing/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are words.
+//! Textual identifiers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -18,7 +18,7 @@
                 &self.0
             }
 
-            /// A well-mixed number that stands for the identifier.
+            /// Hash of the identifier's text (XXH3, 64 bits).
             pub fn digest(&self) -> u64 {
                 xxh3_64(self.0.as_bytes())
             }
@@ -55,7 +55,8 @@
     PoolName
 );
 text_identifier!(
-    /// Name of a back end. It may start again under its name: see `BackEnd::is_different_run`.
+    /// Name of a back end. A restarted back end may keep its name: see
+    /// `BackEnd::is_different_run`.
     InstanceId
 );
 text_identifier!(
@@ -67,11 +68,11 @@
     ZoneName
 );
 text_identifier!(
-    /// Name of a region, which holds one zone or more.
+    /// Name of a region, which consists of one or more zones.
     RegionName
 );
 
-/// One part of a prompt, as named by callers.
+/// Identifier of one part of a prompt, assigned by callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PartId(pub u64);
--- a/crates/state/routing/src/lib.rs
+++ b/crates/state/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a relay works from: routes, pools, tenants, limits and back ends.
+//! The routing data of a relay: routes, pools, tenants, limits and back ends.
 //!
-//! The values here are free of any platform's names. An adapter builds them from
-//! the documents that a platform publishes; the nodes pass them on to each other.
+//! The types here are independent of any platform's naming. An adapter builds them from
+//! the documents that a platform publishes, and nodes replicate them to each other.
 
 #![forbid(unsafe_code)]
 
--- a/crates/state/routing/src/priority.rs
+++ b/crates/state/routing/src/priority.rs
@@ -1,24 +1,24 @@
-//! The tiers of routes, and the levels of urgency by which engines admit requests and
-//! push others out.
+//! Ranks of routes, and the priority levels by which engines admit and preempt requests.
 //!
-//! A request's route comes first and its tenant second: an engine that has to push a
-//! request out takes the least urgent one, and that must not be one of a higher tier
-//! while one of a lower tier runs on, whoever their tenants are.
+//! The level depends on the rank of the request's route first and on that of its tenant second.
+//! An engine that has to preempt a request chooses the least urgent one; this must never be a
+//! request of a more urgent route while one of a less urgent route keeps running, whichever
+//! tenants they belong to.
 
 use crate::{PoolName, Route};
 use std::collections::{BTreeSet, HashMap};
 
-/// Levels that engines tell apart.
+/// Number of priority levels that engines distinguish; level 0 is the most urgent.
 pub const PRIORITY_LEVELS: u8 = 10;
 
-/// Places the ranks of routes, and those of tenants between them, on the levels.
+/// Maps the rank of a route, and within it the rank of a tenant, to a priority level.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PriorityScale {
     levels_per_rank: u8,
 }
 
 impl PriorityScale {
-    /// A scale that tells all ranks of these routes apart.
+    /// A scale with levels of its own for each rank of these routes, as far as the levels suffice.
     pub fn for_routes(routes: &[Route]) -> Self {
         let max_rank = routes.iter().map(|route| route.rank).max().unwrap_or(0);
         let rank_count = max_rank.saturating_add(1);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Level of a request on a route of one rank, for a tenant of another.
+    /// Priority level of a request, from the ranks of its route and its tenant.
     pub fn level(&self, route_rank: u8, tenant_rank: Option<u8>) -> u8 {
         let tenant_offset = tenant_rank.unwrap_or(0).min(self.levels_per_rank - 1);
         let level = route_rank
@@ -37,14 +37,14 @@
     }
 }
 
-/// The ranks of the routes that go to each pool.
+/// The ranks of the routes to each pool.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolRanks {
     ranks: HashMap<PoolName, BTreeSet<u8>>,
 }
 
 impl PoolRanks {
-    /// The tiers of these routes.
+    /// Collects the ranks of these routes by pool.
     pub fn for_routes(routes: &[Route]) -> Self {
         let mut ranks: HashMap<PoolName, BTreeSet<u8>> = HashMap::new();
         for route in routes {
@@ -58,7 +58,7 @@
         Self { ranks }
     }
 
-    /// Part of the pool's other tiers that are less urgent.
+    /// Fraction of the pool's other ranks that are less urgent than `rank`.
     pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
         let Some(ranks) = self.ranks.get(pool) else {
             return 0.0;
--- a/crates/state/routing/src/regions.rs
+++ b/crates/state/routing/src/regions.rs
@@ -9,15 +9,15 @@
 /// Regions in which a request may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All of them.
+    /// All regions.
     #[default]
     Any,
-    /// These only; none if it is empty.
+    /// Only these regions; none if the set is empty.
     Only(BTreeSet<RegionName>),
 }
 
 impl AllowedRegions {
-    /// What a route and a tenant allow together. A list without any region allows all.
+    /// Regions that both a route and a tenant allow. An empty list allows all regions.
     pub fn of(route: &[RegionName], tenant: &[RegionName]) -> Self {
         match (route, tenant) {
             ([], []) => Self::Any,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Whether a request may run in a zone. Where the zone's region is not known, only one
-    /// that may run anywhere does.
+    /// Whether a request may run in a zone. In a zone of unknown region only requests without
+    /// a restriction may run.
     pub fn allows(&self, zone: &ZoneName, regions: &ZoneRegions) -> bool {
         match self {
             Self::Any => true,
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The routing table: which request goes to which pool, and for whom.
+//! The routing table: maps requests to routes and pools, and API keys to tenants.
 
 use crate::priority::{PoolRanks, PriorityScale};
 use crate::{AllowedRegions, ColdStart, PoolName, RegionName, TableError};
@@ -6,54 +6,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// What may be done with a request whose outcome is unknown.
+/// Whether a request whose outcome is unknown may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// Runs at most once.
+    /// A request runs at most once.
     NotRepeatable,
-    /// Answered by a stream of events; runs at most once unless it may be resumed.
+    /// The response is a stream of events; a request runs at most once unless its stream is
+    /// resumable.
     Streaming,
 }
 
-/// A part of a route's traffic.
+/// A weighted share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrafficSplit {
-    /// Pool that gets the part.
+    /// Pool that receives the share.
     pub pool: PoolName,
-    /// Its weight among the route's parts.
+    /// Weight relative to the route's other shares.
     pub weight: f64,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name used by operators and logs; also the request's class.
+    /// Name used by operators and in logs; also the class of its requests.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host name of the requests, compared without regard to case.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the requests' paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may be sent again.
     pub kind: RouteKind,
-    /// Longest time from arrival to the final answer.
+    /// Maximum time from the arrival of a request to the final response.
     pub timeout: Span,
-    /// Time within which an answer, or a stream's first event, is in time.
+    /// Target latency of a response, or of the first event of a stream.
     pub target: Span,
-    /// Longest pause between two events that keeps a stream in time.
+    /// Target for the longest gap between two events of a stream.
     pub event_gap_target: Option<Span>,
     /// Rank; 0 is the most urgent.
     pub rank: u8,
-    /// Where its requests go.
+    /// Pools that serve its requests.
     pub traffic_splits: Vec<TrafficSplit>,
-    /// Back ends that one request may be sent to.
+    /// Maximum number of back ends to which one request is sent.
     pub maximum_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
-    /// Whether a broken stream may be taken up elsewhere.
+    /// Whether an interrupted stream may be resumed on another back end.
     pub is_resumable: bool,
-    /// Regions in which its requests may run; all if there are none.
+    /// Regions in which its requests may run; all if the list is empty.
     pub allowed_regions: Vec<RegionName>,
 }
 
@@ -67,13 +68,15 @@
         }
     }
 
-    /// Regions in which a request of a tenant may run: those of both where both name some.
+    /// Regions in which a request of `tenant` may run: those that both the route and the tenant
+    /// allow.
     pub fn regions_for(&self, tenant: Option<&Tenant>) -> AllowedRegions {
         let tenant = tenant.map_or(&[][..], |tenant| &tenant.allowed_regions);
         AllowedRegions::of(&self.allowed_regions, tenant)
     }
 
-    /// The pool for a request; `point` is a number in 0..1 drawn for it.
+    /// Chooses the pool for a request; `sample` is a random number in `0.0..1.0`. Returns `None`
+    /// if no pool has a positive weight.
     pub fn pool(&self, sample: f64) -> Option<&PoolName> {
         let total: f64 = self
             .traffic_splits
@@ -95,85 +98,86 @@
     }
 }
 
-/// What the engines of a pool offer.
+/// Capacity and features of the engines of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpecification {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub slots: u32,
-    /// Tokens of context that one engine holds.
+    /// Size of one engine's KV cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens that one event of a stream holds.
+    /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// Calls for cache events that one engine holds at once; 0 where it tells none.
+    /// Concurrent calls for cache events that one engine accepts; 0 if it publishes none.
     pub cache_event_calls: u32,
-    /// Replicas of running requests that engines keep for each other, where they do.
+    /// Replication of running requests between engines; `None` if they do not support it.
     pub replicas: Option<ReplicaSpecification>,
 }
 
-/// How the engines of a pool keep replicas of each other's running requests.
+/// How the engines of a pool store replicas of each other's running requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSpecification {
-    /// Time after its last growth for which a replica that nobody uses is kept.
+    /// Time for which an unused replica is kept after it last grew.
     pub lifetime: Span,
-    /// Bytes that one token takes on the way.
+    /// Bytes transferred per token.
     pub bytes_per_token: u32,
 }
 
 /// A pool of interchangeable back ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Path of the health check.
+    /// Path of the health check endpoint.
     pub health_path: String,
-    /// Connections that one back end accepts from all callers.
+    /// Maximum number of connections that one back end accepts, from all nodes together.
     pub maximum_connections: u32,
-    /// For model engines, what they offer.
+    /// Capacity and features of model engines; `None` for other services.
     pub engine: Option<EngineSpecification>,
-    /// How its back ends start; `None` where they bear everything at once.
+    /// Cold start behaviour; `None` if back ends sustain full load immediately.
     pub cold_start: Option<ColdStart>,
 }
 
-/// Limits towards callers.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request's header section in bytes.
     pub maximum_header_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub maximum_body_bytes: u64,
-    /// Longest time to send a head.
+    /// Maximum time to receive a request's header section.
     pub header_timeout: Span,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Span,
 }
 
 /// One tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name told to back ends.
+    /// Name, also sent to back ends.
     pub name: String,
-    /// Keys that stand for it.
+    /// API keys that identify it.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's.
+    /// Rank of its requests in place of the route's; 0 is the most urgent. In an engine's priority
+    /// the route's rank still comes first.
     pub rank: Option<u8>,
-    /// Regions in which its requests may run; all if there are none.
+    /// Regions in which its requests may run; all if the list is empty.
     pub allowed_regions: Vec<RegionName>,
 }
 
-/// The table as it is published and passed on.
+/// The table as published and as replicated between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableDocument {
-    /// Version: each published change has a larger one.
+    /// Version, increased by every published change.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Pools by name.
     pub pools: BTreeMap<PoolName, Pool>,
-    /// Limits towards callers.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     /// Tenants.
     pub tenants: Vec<Tenant>,
 }
 
-/// A checked table with its indexes.
+/// A validated table with its indexes.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     document: TableDocument,
@@ -183,17 +187,17 @@
     pool_ranks: PoolRanks,
 }
 
-/// What a request's host and path lead to.
+/// Result of looking up a request's host and path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteMatch<'a> {
-    /// A route.
+    /// The matching route.
     Found(&'a Route),
-    /// No route begins the path.
+    /// No route matches the host and path.
     NoRoute,
 }
 
 impl RoutingTable {
-    /// Checks a document and builds its indexes.
+    /// Validates a document and builds its indexes.
     pub fn new(document: TableDocument) -> Result<Self, TableError> {
         for route in &document.routes {
             validate_route(route, &document.pools)?;
@@ -221,7 +225,7 @@
         self.document.version
     }
 
-    /// All regions that routes and tenants name.
+    /// All regions that routes and tenants name; may contain duplicates.
     pub fn named_regions(&self) -> impl Iterator<Item = &RegionName> {
         let routes = self.document.routes.iter();
         let routes = routes.flat_map(|route| &route.allowed_regions);
@@ -229,17 +233,17 @@
         routes.chain(tenants.flat_map(|tenant| &tenant.allowed_regions))
     }
 
-    /// Limits towards callers.
+    /// Limits on callers' requests and connections.
     pub fn limits(&self) -> &Limits {
         &self.document.limits
     }
 
-    /// The pool of that name.
+    /// The pool with this name.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.document.pools.get(name)
     }
 
-    /// The route whose prefix is the longest that begins the path.
+    /// The route for the host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> RouteMatch<'_> {
         let host = host_without_port(host).to_ascii_lowercase();
         let candidates = self.routes_by_host.get(&host).into_iter().flatten();
@@ -250,19 +254,19 @@
         }
     }
 
-    /// How urgent a request is to an engine; 0 is the most urgent.
+    /// Priority level of a request on an engine; 0 is the most urgent.
     pub fn priority(&self, route: &Route, tenant: Option<&Tenant>) -> u8 {
         self.priority_scale
             .level(route.rank, tenant.and_then(|tenant| tenant.rank))
     }
 
-    /// Part of the other tiers that a pool serves which are less urgent than this one:
-    /// 1 for the most urgent of several, 0 for the last and for an only one.
+    /// Fraction of the other ranks served by a pool that are less urgent than `rank`: 1 for the
+    /// most urgent of several ranks, 0 for the least urgent or the only one.
     pub fn less_urgent_share(&self, pool: &PoolName, rank: u8) -> f64 {
         self.pool_ranks.less_urgent_share(pool, rank)
     }
 
-    /// The tenant that holds a key.
+    /// The tenant identified by an API key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         let index = self.tenants_by_key.get(key)?;
         self.document.tenants.get(*index)
--- a/crates/state/routing/tests/table.rs
+++ b/crates/state/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Routes, splits, tenants and checks of a routing table.
+//! Route lookup, traffic splits, tenants, priorities and validation of a routing table.
 
 use eiderferry_routing::{
     Limits, PRIORITY_LEVELS, Pool, PoolName, Route, RouteKind, RouteMatch, RoutingTable,
