--- a/crates/state/types/src/identity.rs
+++ b/crates/state/types/src/identity.rs
@@ -113,10 +113,10 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.splitn(3, '-');
-        let mut next = || parts.next().ok_or(InvalidRequestId);
-        let node = next()?.parse().map_err(|_| InvalidRequestId)?;
-        let incarnation = u64::from_str_radix(next()?, 16).map_err(|_| InvalidRequestId)?;
-        let sequence = next()?.parse().map_err(|_| InvalidRequestId)?;
+        let mut next_part = || parts.next().ok_or(InvalidRequestId);
+        let node = next_part()?.parse().map_err(|_| InvalidRequestId)?;
+        let incarnation = u64::from_str_radix(next_part()?, 16).map_err(|_| InvalidRequestId)?;
+        let sequence = next_part()?.parse().map_err(|_| InvalidRequestId)?;
         Ok(Self {
             node: NodeId(node),
             incarnation: Incarnation(incarnation),
