--- a/crates/state/types/src/identity.rs
+++ b/crates/state/types/src/identity.rs
@@ -1,8 +1,8 @@
-//! Newtypes for everything that has an identity.
+//! Newtypes for identifiers.
 //!
 //! Numeric identifiers are assigned by operators in the published configuration
-//! or by the platform's directory. They are small on purpose: each of them
-//! crosses the network with every admission message.
+//! or by the platform's directory. They are small because admission messages
+//! carry them over the network.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -23,57 +23,57 @@
 }
 
 numeric_identifier!(
-    /// One entry node, as numbered in its settings and the platform's directory.
+    /// Number of an entry node, from its settings and the platform's directory.
     NodeId(u32)
 );
 numeric_identifier!(
-    /// One run of a node's process: later runs of the same node have larger numbers.
+    /// Number of one run of a node's process; later runs of the same node have larger numbers.
     Incarnation(u64)
 );
 impl Incarnation {
-    /// A short mark by which a node recognises answers to an earlier run: enough
-    /// to tell two runs apart, and short because every datagram carries it.
+    /// The low 14 bits, by which a node recognises messages that answer an earlier run of it.
+    /// They suffice to distinguish two runs and are short because every datagram carries them.
     pub const fn mark(self) -> u16 {
         (self.0 & 0x3fff) as u16
     }
 }
 
 numeric_identifier!(
-    /// One model engine or plain service instance.
+    /// Number of a back end: a model engine or an instance of another service.
     BackEndId(u32)
 );
 numeric_identifier!(
-    /// One request class.
+    /// Number of a request class.
     ClassId(u8)
 );
 numeric_identifier!(
-    /// One tenant.
+    /// Number of a tenant.
     TenantId(u16)
 );
 numeric_identifier!(
-    /// One pool of interchangeable back ends.
+    /// Number of a pool of interchangeable back ends.
     PoolId(u8)
 );
 numeric_identifier!(
-    /// One availability zone.
+    /// Number of an availability zone.
     ZoneId(u8)
 );
 numeric_identifier!(
-    /// Priority of a class: tier 1 is the highest.
+    /// Priority tier of a request class; 1 is the highest.
     Tier(u8)
 );
 
 /// The back ends of one pool in one zone that share a single admission queue.
 ///
-/// A pool in a zone is split into several cells only when it has more back ends
-/// than one queue should hold; `shard` numbers them from zero.
+/// The back ends of a pool in a zone are split into several cells only if they are too many
+/// for one queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId {
     /// Zone of the back ends.
     pub zone: ZoneId,
     /// Pool of the back ends.
     pub pool: PoolId,
-    /// Number of this part of the pool.
+    /// Number of the cell within the pool and zone, from 0.
     pub shard: u8,
 }
 
@@ -83,12 +83,12 @@
     }
 }
 
-/// One request as accepted by one run of one entry node.
+/// Identifies a request by the node, and its run, that accepted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// Node that accepted the request.
     pub node: NodeId,
-    /// Run of that node.
+    /// Run of that node's process.
     pub incarnation: Incarnation,
     /// Number of the request within that run.
     pub sequence: u64,
@@ -104,7 +104,8 @@
     }
 }
 
-/// Text that does not have the form `node-incarnation-sequence`.
+/// The text does not have the form `node-incarnation-sequence`, with the incarnation in
+/// hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRequestId;
 
--- a/crates/state/types/src/lib.rs
+++ b/crates/state/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, time and verdicts shared by every layer.
+//! Identifiers, time, request digests and refusals, shared by all layers.
 //!
-//! This crate holds no behaviour beyond small value types, so that each layer
-//! can name the same things without depending on another layer.
+//! The crate contains only small value types, so that layers can share them without depending
+//! on each other.
 
 #![forbid(unsafe_code)]
 
--- a/crates/state/types/src/rendezvous.rs
+++ b/crates/state/types/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Every node computes the same owner of a key from the same list of members,
-//! with no message exchanged, and losing a member moves only that member's keys.
+//! All nodes with the same list of members compute the same owner of a key without exchanging
+//! messages, and the loss of a member reassigns only that member's keys.
 
 use crate::{CellId, NodeId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -11,12 +11,12 @@
     xxh3_64_with_seed(&member.0.to_le_bytes(), key)
 }
 
-/// Something that can be assigned to a member.
+/// A key that can be assigned to a member.
 pub trait Rendezvous {
-    /// A well-mixed number that stands for the key.
+    /// Hash of the key.
     fn rendezvous_key(&self) -> u64;
 
-    /// The member of `members` that owns this key.
+    /// The member that owns this key; `None` if `members` is empty.
     fn owner(&self, members: impl IntoIterator<Item = NodeId>) -> Option<NodeId> {
         let key = self.rendezvous_key();
         members
--- a/crates/state/types/src/request_digest.rs
+++ b/crates/state/types/src/request_digest.rs
@@ -1,11 +1,11 @@
-//! What makes two requests the same one, sent again.
+//! Digests by which repeated requests are recognised.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A number that stands for what a request asks: alike for each time that one caller sends it,
-/// at any node and under any request id. Its bytes can't be read back from it.
+/// Hash of a request's content and caller (XXH3, 64 bits): the same each time that a caller sends
+/// the request, on any node and under any request id. The content can't be recovered from it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,11 +13,11 @@
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// The digest of the parts that make a request, in order.
+    /// The digest of the parts that identify a request, in order.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = Xxh3::new();
         for part in parts {
-            // Lengths keep `ab`, `c` apart from `a`, `bc`.
+            // The lengths distinguish `ab`, `c` from `a`, `bc`.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/state/types/src/time.rs
+++ b/crates/state/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the state machines see it: microseconds handed in by the caller.
+//! Points in time and durations, in microseconds. State machines get the time from their caller.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Mul, Sub};
@@ -8,58 +8,58 @@
 /// Microseconds in a second.
 pub const MICROSECONDS_PER_SECOND: u64 = 1_000_000;
 
-/// A moment on the process's monotonic clock, in microseconds since its start.
+/// A point in time on the process's monotonic clock, in microseconds.
 ///
-/// Timestamps of two processes are never compared: what crosses the network is
-/// a [`Span`].
+/// Timestamps of different processes must not be compared, so messages carry a [`Span`]
+/// instead.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Timestamp(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct Span(pub u64);
 
 impl Timestamp {
-    /// Time passed since `earlier`, or zero if `earlier` lies in the future.
+    /// Time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// Time left until `later`, or zero if it has passed.
+    /// Time remaining until `later`, or zero if `later` has passed.
     pub fn until(self, later: Timestamp) -> Span {
         later.since(self)
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of whole milliseconds.
+    /// A span of this many milliseconds.
     pub const fn from_milliseconds(milliseconds: u64) -> Self {
         Self(milliseconds * MICROSECONDS_PER_MILLISECOND)
     }
 
-    /// A span of seconds; negative values count as zero.
+    /// A span of this many seconds; negative values count as zero.
     pub fn from_seconds(seconds: f64) -> Self {
         Self((seconds.max(0.0) * MICROSECONDS_PER_SECOND as f64) as u64)
     }
 
-    /// The span times a factor; a negative factor counts as zero.
+    /// The span multiplied by `factor`; a negative factor counts as zero.
     pub fn scaled(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor.max(0.0)) as u64)
     }
 
-    /// Whole milliseconds, rounded down.
+    /// The span in milliseconds, rounded down.
     pub const fn milliseconds(self) -> u64 {
         self.0 / MICROSECONDS_PER_MILLISECOND
     }
 
-    /// Seconds as a fraction.
+    /// The span in seconds.
     pub fn seconds(self) -> f64 {
         self.0 as f64 / MICROSECONDS_PER_SECOND as f64
     }
--- a/crates/state/types/src/verdict.rs
+++ b/crates/state/types/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What a caller may conclude about a request that got no answer.
+//! Refusals: why a request got no response, and whether it may have run.
 
 use crate::Span;
 use serde::{Deserialize, Serialize};
@@ -6,21 +6,21 @@
 
 /// Whether a request may have been executed by a back end.
 ///
-/// The order is the order of growing suspicion, so that combining the verdicts
-/// of several attempts is taking their maximum.
+/// The variants are ordered by increasing evidence of execution, so the verdict on several
+/// attempts together is the maximum of their verdicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// Certain: no back end started it. Repeating it is safe.
+    /// No back end started it, with certainty. It is safe to retry.
     NotRun,
     /// A back end may have started or finished it.
     MayHaveRun,
-    /// Certain: a back end executed it.
+    /// A back end executed it, with certainty.
     Ran,
 }
 
 impl Verdict {
-    /// The word used in replies and logs.
+    /// The name used in replies and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -36,17 +36,17 @@
     }
 }
 
-/// Why a request was refused or ended without an answer.
+/// Why a request was refused or ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The queue ahead is too long for the class's target.
+    /// The queue is too long for the request to meet the target of its class.
     DeadlineUnreachable,
-    /// The deadline passed while the request waited.
+    /// The deadline passed while the request was queued.
     DeadlinePassed,
-    /// The queue was full and every waiting request had the same or a higher tier.
+    /// The queue was full, and all queued requests had the same or a higher tier.
     QueueFull,
-    /// Displaced from a full queue by a request of a higher tier.
+    /// A request of a higher tier displaced it from a full queue.
     Displaced,
     /// The tenant's concurrency limit is reached.
     TenantConcurrency,
@@ -54,44 +54,46 @@
     TenantTokenRate,
     /// No reachable back end serves the pool.
     NoBackEnd,
-    /// The pool has no back end in a region in which the request may run.
+    /// The pool has no back end in any region in which the request may run.
     RegionNotAllowed,
     /// The zones of the pool's back ends are being evacuated.
     ZoneEvacuated,
-    /// The pool's back ends are cold, and have got what they bear.
+    /// The pool's back ends are in their cold period and already get as many requests as they
+    /// sustain.
     ColdBackEnds,
-    /// The pool's back ends have asked this node for a rest.
+    /// The pool's back ends have asked this node to back off.
     #[serde(rename = "back_ends_rest")]
     BackEndsBackingOff,
-    /// The pool's back ends get what the rate limits allow that they have named.
+    /// The pool's back ends already get as many requests as the rate limits that they stated
+    /// allow.
     BackEndsLimited,
-    /// The node that holds the queue did not answer.
+    /// The node that manages the queue, or decides on the idempotency key, is unreachable.
     HolderUnreachable,
-    /// This node is stopping.
+    /// This node is shutting down.
     Draining,
     /// This node has no configuration yet.
     NotReady,
-    /// The back end failed and the request may not be tried again.
+    /// The back end failed and the request may not be retried.
     BackEndFailed,
-    /// Repeating failed requests would exceed the retry budget.
+    /// A retry would exceed the retry budget.
     RetryBudget,
-    /// The idempotency key belongs to a run of a node that is gone.
+    /// The idempotency key was issued by a run of a node that has ended.
     #[serde(rename = "key_home_gone")]
     KeyOwnerGone,
-    /// The request with this idempotency key is running now.
+    /// A request with this idempotency key is in progress.
     KeyInProgress,
-    /// The request with this idempotency key has ended.
+    /// A request with this idempotency key has already ended.
     KeyFinished,
     /// The table of idempotency keys is full.
     KeyTableFull,
-    /// Back ends crashed under the request each time that it ran.
+    /// The request is quarantined: several back ends crashed while running it.
     CrashesBackEnds,
-    /// The node paused and can no longer vouch for what it knew.
+    /// This node's process was paused, so what it knew about the request may be out of date.
     Paused,
 }
 
 impl Reason {
-    /// The word used in replies, metrics and logs.
+    /// The name used in replies, metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Reason::DeadlineUnreachable => "deadline_unreachable",
@@ -127,19 +129,19 @@
     }
 }
 
-/// The final word on a request that gets no answer.
+/// The result of a request that gets no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why.
+    /// Why it was refused.
     pub reason: Reason,
-    /// When trying again may help; `None` where waiting does not help.
+    /// Time after which a retry may succeed; `None` if waiting does not help.
     pub retry_after: Option<Span>,
 }
 
 impl Refusal {
-    /// A refusal of a request that certainly did not run.
+    /// A refusal of a request that did not run, with certainty.
     pub const fn not_run(reason: Reason, retry_after: Option<Span>) -> Self {
         Self {
             verdict: Verdict::NotRun,
