--- a/crates/protocol/peer/src/codec.rs
+++ b/crates/protocol/peer/src/codec.rs
@@ -13,7 +13,7 @@
     #[derive(Debug, PartialEq)]
     pub enum CodecError {
         /// The frame is empty or of another version.
-        Version(found: Option<u8>) {
+        UnsupportedVersion(found: Option<u8>) {
             display("frame of version {found:?}, expected {FORMAT_VERSION}")
         }
         /// The bytes are no envelope.
@@ -32,6 +32,8 @@
 pub fn decode(frame: &[u8]) -> Result<Envelope, CodecError> {
     match frame.split_first() {
         Some((&FORMAT_VERSION, body)) => postcard::from_bytes(body).map_err(CodecError::Malformed),
-        other => Err(CodecError::Version(other.map(|(version, _)| *version))),
+        other => Err(CodecError::UnsupportedVersion(
+            other.map(|(version, _)| *version),
+        )),
     }
 }
--- a/crates/protocol/peer/src/documents.rs
+++ b/crates/protocol/peer/src/documents.rs
@@ -9,5 +9,5 @@
     /// All changes that the caller lacks, or other nodes to ask for them, encoded. `known` holds
     /// each epoch with the number up to which the caller knows all its changes. `caller` is where
     /// the caller itself answers such calls.
-    async fn changes_after(known: Vec<(u64, u64)>, caller: SocketAddr) -> Vec<u8>;
+    async fn changes_after(version_vector: Vec<(u64, u64)>, caller_address: SocketAddr) -> Vec<u8>;
 }
--- a/crates/protocol/peer/tests/codec.rs
+++ b/crates/protocol/peer/tests/codec.rs
@@ -21,28 +21,28 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_refused_or_decoded(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn what_is_encoded_is_decoded(node: u32, incarnation: u64, versions: (u64, u64)) {
-        let sent = envelope(node, incarnation, versions);
-        let frame = encode(&sent).expect("encodable");
-        prop_assert_eq!(decode(&frame).expect("decodable"), sent);
+    fn an_encoded_envelope_decodes_to_the_same_envelope(node: u32, incarnation: u64, versions: (u64, u64)) {
+        let original = envelope(node, incarnation, versions);
+        let frame = encode(&original).expect("encodable");
+        prop_assert_eq!(decode(&frame).expect("decodable"), original);
     }
 
     #[test]
-    fn a_cut_frame_is_refused(cut in 1_usize..10) {
+    fn a_truncated_frame_is_rejected(cut in 1_usize..10) {
         let frame = encode(&envelope(7, 580_000_000, (3, 4))).expect("encodable");
-        let kept = frame.len().saturating_sub(cut);
-        prop_assert!(decode(&frame[..kept]).is_err());
+        let truncated_length = frame.len().saturating_sub(cut);
+        prop_assert!(decode(&frame[..truncated_length]).is_err());
     }
 }
 
 #[test]
-fn another_version_is_refused() {
+fn a_frame_of_another_version_is_rejected() {
     let mut frame = encode(&envelope(1, 1, (1, 1))).expect("encodable");
     frame[0] = 9;
-    assert_eq!(decode(&frame), Err(CodecError::Version(Some(9))));
+    assert_eq!(decode(&frame), Err(CodecError::UnsupportedVersion(Some(9))));
 }
