--- a/crates/protocol/peer/src/lib.rs
+++ b/crates/protocol/peer/src/lib.rs
@@ -1,9 +1,10 @@
-//! How messages between entry nodes travel.
+//! The protocol between nodes.
 //!
-//! Small frames, which is nearly all of them, go as single UDP datagrams: the
-//! state machines repeat what matters, so a lost datagram costs a resend and a
-//! message costs its own bytes only. A frame too large for a datagram (a whole
-//! document, a long chain of deltas) goes through the `tarpc` service below.
+//! Nearly all frames between entry nodes are small and sent as single UDP datagrams, which adds
+//! no connection overhead. A lost datagram is tolerable because the state machines resend what
+//! matters. A frame too large for a datagram (a whole document, a long chain of deltas) is sent
+//! through the `tarpc` service [`BulkTransfer`]. Relays replicate documents through the
+//! `tarpc` service [`Documents`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/peer/tests/codec.rs
+++ b/crates/protocol/peer/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames from the network are decoded or refused, never anything else.
+//! Frames from the network are either decoded or rejected; malformed ones never cause a panic.
 
 use eiderferry_node::{Envelope, Message};
 use eiderferry_peer::{CodecError, decode, encode};
