--- a/crates/protocol/openai/src/chunk.rs
+++ b/crates/protocol/openai/src/chunk.rs
@@ -12,7 +12,7 @@
             display("the engine sent an event that is no chat completion chunk")
         }
         /// The engine reported an error inside the stream.
-        Reported(message: String) {
+        EngineError(message: String) {
             display("the engine reported: {message}")
         }
     }
@@ -40,7 +40,7 @@
                 .get("message")
                 .and_then(Value::as_str)
                 .unwrap_or("an error");
-            return Err(ChunkError::Reported(message.to_owned()));
+            return Err(ChunkError::EngineError(message.to_owned()));
         }
         let choice = data.pointer("/choices/0").ok_or(ChunkError::Malformed)?;
         let text = choice
--- a/crates/protocol/openai/src/event_stream.rs
+++ b/crates/protocol/openai/src/event_stream.rs
@@ -8,9 +8,9 @@
 quick_error! {
     /// An event longer than any engine sends.
     #[derive(Debug, PartialEq)]
-    pub enum EventTooLong {
+    pub enum EventStreamError {
         /// More than the allowed bytes without an end.
-        TooLong {
+        EventTooLong {
             display("an event of more than {MAXIMUM_EVENT_BYTES} bytes")
         }
     }
@@ -34,22 +34,22 @@
 
 impl EventParser {
     /// Takes in bytes; returns the events completed by them.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventStreamError> {
         let mut events = Vec::new();
         for byte in bytes {
             if *byte != b'\n' {
                 self.line.push(*byte);
                 if self.line.len() + self.data.len() > MAXIMUM_EVENT_BYTES {
-                    return Err(EventTooLong::TooLong);
+                    return Err(EventStreamError::EventTooLong);
                 }
                 continue;
             }
-            events.extend(self.end_line());
+            events.extend(self.process_line());
         }
         Ok(events)
     }
 
-    fn end_line(&mut self) -> Option<Event> {
+    fn process_line(&mut self) -> Option<Event> {
         let line = String::from_utf8_lossy(&self.line).into_owned();
         self.line.clear();
         let line = line.trim_end_matches('\r');
--- a/crates/protocol/openai/src/lib.rs
+++ b/crates/protocol/openai/src/lib.rs
@@ -12,7 +12,7 @@
 mod request;
 
 pub use chunk::{Chunk, ChunkError};
-pub use event_stream::{Event, EventParser, EventTooLong};
+pub use event_stream::{Event, EventParser, EventStreamError};
 pub use prefix::{estimate_tokens, prefix_marks};
 pub use reply::{DONE_EVENT, answer_document, chunk_event, error_document, finish_event};
 pub use request::{ChatRequest, EngineRequest, RequestError, Resume};
--- a/crates/protocol/openai/src/prefix.rs
+++ b/crates/protocol/openai/src/prefix.rs
@@ -6,7 +6,7 @@
 /// Bytes of text that make one token, on average over languages.
 const BYTES_PER_TOKEN: usize = 4;
 /// Lengths in bytes at which prompts are compared.
-const MARK_LENGTHS: [usize; 3] = [512, 2_048, 8_192];
+const PREFIX_LENGTHS: [usize; 3] = [512, 2_048, 8_192];
 
 /// Rough number of tokens in a text.
 pub fn estimate_tokens(text: &str) -> u32 {
@@ -16,7 +16,7 @@
 /// Marks of a prompt's prefixes, shortest first.
 pub fn prefix_marks(prompt: &str) -> Vec<PrefixMark> {
     let bytes = prompt.as_bytes();
-    let lengths = MARK_LENGTHS
+    let lengths = PREFIX_LENGTHS
         .iter()
         .copied()
         .filter(|length| *length <= bytes.len());
--- a/crates/protocol/openai/src/request.rs
+++ b/crates/protocol/openai/src/request.rs
@@ -9,11 +9,11 @@
     #[derive(Debug, PartialEq)]
     pub enum RequestError {
         /// The body is no JSON.
-        NotJson(cause: String) {
+        InvalidJson(cause: String) {
             display("the body is not valid JSON: {cause}")
         }
         /// A field is missing or of the wrong type.
-        Field(field: &'static str, expected: &'static str) {
+        InvalidField(field: &'static str, expected: &'static str) {
             display("field `{field}`: expected {expected}")
         }
     }
@@ -36,19 +36,19 @@
     /// Reads a body.
     pub fn parse(bytes: &[u8]) -> Result<Self, RequestError> {
         let value: Value = serde_json::from_slice(bytes)
-            .map_err(|cause| RequestError::NotJson(cause.to_string()))?;
+            .map_err(|cause| RequestError::InvalidJson(cause.to_string()))?;
         let Value::Object(body) = value else {
-            return Err(RequestError::Field("(body)", "a JSON object"));
+            return Err(RequestError::InvalidField("(body)", "a JSON object"));
         };
         let model = body
             .get("model")
             .and_then(Value::as_str)
-            .ok_or(RequestError::Field("model", "the name of a model"))?
+            .ok_or(RequestError::InvalidField("model", "the name of a model"))?
             .to_owned();
         let stream = match body.get("stream") {
             None | Some(Value::Null) => false,
             Some(Value::Bool(stream)) => *stream,
-            Some(_) => return Err(RequestError::Field("stream", "true or false")),
+            Some(_) => return Err(RequestError::InvalidField("stream", "true or false")),
         };
         let messages = parse_messages(&body)?;
         Ok(Self {
@@ -74,28 +74,31 @@
 
 fn parse_messages(body: &Map<String, Value>) -> Result<Vec<(String, String)>, RequestError> {
     const EXPECTED: &str = "a non-empty list of objects with `role` and `content`";
-    let wrong = || RequestError::Field("messages", EXPECTED);
-    let list = body
+    let invalid = || RequestError::InvalidField("messages", EXPECTED);
+    let entries = body
         .get("messages")
         .and_then(Value::as_array)
-        .ok_or_else(wrong)?;
-    if list.is_empty() {
-        return Err(wrong());
+        .ok_or_else(invalid)?;
+    if entries.is_empty() {
+        return Err(invalid());
     }
-    let mut messages = Vec::with_capacity(list.len());
-    for entry in list {
+    let mut messages = Vec::with_capacity(entries.len());
+    for entry in entries {
         let role = entry
             .get("role")
             .and_then(Value::as_str)
-            .ok_or_else(wrong)?;
-        let content = entry.get("content").and_then(text_of).ok_or_else(wrong)?;
+            .ok_or_else(invalid)?;
+        let content = entry
+            .get("content")
+            .and_then(content_text)
+            .ok_or_else(invalid)?;
         messages.push((role.to_owned(), content));
     }
     Ok(messages)
 }
 
 /// Content is a text or a list of parts, of which the texts count.
-fn text_of(content: &Value) -> Option<String> {
+fn content_text(content: &Value) -> Option<String> {
     match content {
         Value::String(text) => Some(text.clone()),
         Value::Array(parts) => {
--- a/crates/protocol/openai/tests/parsing.rs
+++ b/crates/protocol/openai/tests/parsing.rs
@@ -14,13 +14,13 @@
     "`stream`"
 )]
 #[case::no_content(r#"{"model":"m","messages":[{"role":"user"}]}"#, "`messages`")]
-fn bad_requests_are_named(#[case] body: &str, #[case] expected: &str) {
+fn an_invalid_request_is_rejected_with_the_cause(#[case] body: &str, #[case] expected: &str) {
     let error: RequestError = ChatRequest::parse(body.as_bytes()).expect_err("bad");
     assert!(error.to_string().contains(expected), "{error}");
 }
 
 #[test]
-fn parts_of_content_are_joined() {
+fn text_parts_of_a_message_are_joined_by_newlines() {
     let body =
         r#"{"model":"m","messages":[{"role":"user","content":[{"text":"a"},{"text":"b"}]}]}"#;
     let request = ChatRequest::parse(body.as_bytes()).expect("good");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn prompts_that_begin_alike_share_their_marks() {
+fn prompts_with_a_common_prefix_share_its_hashes() {
     let shared = "x".repeat(3_000);
     let left = prefix_marks(&format!("{shared} left"));
     let right = prefix_marks(&format!("{shared} right"));
@@ -40,15 +40,15 @@
 
 proptest! {
     #[test]
-    fn a_stream_means_the_same_however_it_is_cut(cuts in proptest::collection::vec(0_usize..60, 0..6)) {
-        let mut cuts = cuts;
-        cuts.push(STREAM.len());
-        cuts.sort_unstable();
+    fn events_do_not_depend_on_how_the_stream_is_split(split_points in proptest::collection::vec(0_usize..60, 0..6)) {
+        let mut split_points = split_points;
+        split_points.push(STREAM.len());
+        split_points.sort_unstable();
         let mut parser = EventParser::default();
         let mut events = Vec::new();
         let mut start = 0;
-        for cut in cuts {
-            let end = cut.min(STREAM.len());
+        for split_point in split_points {
+            let end = split_point.min(STREAM.len());
             events.extend(parser.push(&STREAM.as_bytes()[start..end]).expect("short"));
             start = end;
         }
@@ -57,12 +57,12 @@
     }
 
     #[test]
-    fn any_text_is_a_chunk_or_an_error(text in ".{0,200}") {
+    fn parsing_an_arbitrary_chunk_does_not_panic(text in ".{0,200}") {
         let _ = Chunk::parse(&text);
     }
 
     #[test]
-    fn any_body_is_a_request_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn parsing_an_arbitrary_request_body_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = ChatRequest::parse(&bytes);
     }
 }
