--- a/crates/protocol/openai/src/chunk.rs
+++ b/crates/protocol/openai/src/chunk.rs
@@ -1,45 +1,45 @@
-//! Chunks of a streamed answer.
+//! Chunks of a streamed response.
 
 use quick_error::quick_error;
 use serde_json::Value;
 
 quick_error! {
-    /// An event of an engine's stream that is no chunk.
+    /// An event of an engine's stream that is not a valid chunk.
     #[derive(Debug, PartialEq)]
     pub enum ChunkError {
-        /// The event's data is no JSON object with choices.
+        /// The event's data is not JSON or has no choice.
         Malformed {
-            display("the engine sent an event that is no chat completion chunk")
+            display("the engine sent an event that is not a chat completion chunk")
         }
-        /// The engine reported an error inside the stream.
+        /// The engine reported an error in the stream.
         EngineError(message: String) {
-            display("the engine reported: {message}")
+            display("the engine reported an error: {message}")
         }
     }
 }
 
-/// One chunk of a streamed answer.
+/// One chunk of a streamed response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Chunk {
     /// Text added by this chunk.
     pub text: String,
-    /// Why the answer ended, in its last chunk.
+    /// Why the response ended; present in its last chunk.
     pub finish_reason: Option<String>,
-    /// Position of the token in the answer, if the engine tells.
+    /// Index of the token in the response, if the engine states it.
     pub token_index: Option<u32>,
-    /// The event's data, for passing on.
+    /// The event's data as JSON, for forwarding.
     pub data: Value,
 }
 
 impl Chunk {
-    /// Reads the data of one event.
+    /// Parses the data of one event.
     pub fn parse(data: &str) -> Result<Self, ChunkError> {
         let data: Value = serde_json::from_str(data).map_err(|_| ChunkError::Malformed)?;
         if let Some(error) = data.get("error") {
             let message = error
                 .get("message")
                 .and_then(Value::as_str)
-                .unwrap_or("an error");
+                .unwrap_or("no message given");
             return Err(ChunkError::EngineError(message.to_owned()));
         }
         let choice = data.pointer("/choices/0").ok_or(ChunkError::Malformed)?;
--- a/crates/protocol/openai/src/event_stream.rs
+++ b/crates/protocol/openai/src/event_stream.rs
@@ -1,31 +1,32 @@
-//! Server-sent events.
+//! Parsing of server-sent events.
 
 use quick_error::quick_error;
 
-/// Longest event accepted; a longer one means that the stream is broken.
+/// Maximum size of an event in bytes; a longer one means that the stream is malformed.
 const MAXIMUM_EVENT_BYTES: usize = 1024 * 1024;
 
 quick_error! {
-    /// An event longer than any engine sends.
+    /// A malformed event stream.
     #[derive(Debug, PartialEq)]
     pub enum EventStreamError {
-        /// More than the allowed bytes without an end.
+        /// An event exceeds the maximum size, which no event of an engine does.
         EventTooLong {
-            display("an event of more than {MAXIMUM_EVENT_BYTES} bytes")
+            display("an event is longer than {MAXIMUM_EVENT_BYTES} bytes")
         }
     }
 }
 
-/// One event's data.
+/// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Ordinary data.
+    /// An event with this data.
     Data(String),
-    /// The `[DONE]` mark: the stream is complete.
+    /// The `[DONE]` event, which marks the end of a complete stream.
     Done,
 }
 
-/// Cuts a byte stream into events, however it arrives.
+/// Incremental parser that splits a byte stream into events, however the bytes are chunked. It
+/// reads only the `data` field; comments and other fields are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct EventParser {
     line: Vec<u8>,
@@ -33,7 +34,7 @@
 }
 
 impl EventParser {
-    /// Takes in bytes; returns the events completed by them.
+    /// Parses more bytes of the stream. Returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventStreamError> {
         let mut events = Vec::new();
         for byte in bytes {
--- a/crates/protocol/openai/src/lib.rs
+++ b/crates/protocol/openai/src/lib.rs
@@ -1,7 +1,7 @@
-//! Chat completions in the OpenAI form, as callers and engines speak them.
+//! OpenAI-compatible chat completions: requests, streamed chunks and replies.
 //!
-//! Only what routing needs is read from a request: model, prompt text, whether to
-//! stream. Everything else is passed to the engine as it came.
+//! Only what routing needs is parsed from a request: the model, the messages and whether to
+//! stream. All other fields are forwarded to the engine unchanged.
 
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/openai/src/reply.rs
+++ b/crates/protocol/openai/src/reply.rs
@@ -3,10 +3,11 @@
 use eiderferry_types::Refusal;
 use serde_json::{Value, json};
 
-/// The last event of a complete stream.
+/// The event that ends a complete stream.
 pub const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// One chunk as an event, under the name by which the caller knows the request.
+/// One chunk as an event, with the engine's id replaced by the caller's request id and the
+/// engine's `token_index` removed.
 pub fn chunk_event(mut data: Value, request_id: &str) -> String {
     if let Value::Object(fields) = &mut data {
         fields.insert("id".into(), request_id.into());
@@ -15,7 +16,7 @@
     format!("data: {data}\n\n")
 }
 
-/// The last chunk of an answer, as an event.
+/// The last chunk of a streamed response, as an event.
 pub fn finish_event(request_id: &str, model: &str, finish_reason: &str) -> String {
     let data = json!({
         "id": request_id,
@@ -26,7 +27,7 @@
     format!("data: {data}\n\n")
 }
 
-/// A whole answer for a caller who did not ask for a stream.
+/// A complete response for a request without streaming.
 pub fn answer_document(
     request_id: &str,
     model: &str,
@@ -47,7 +48,7 @@
     })
 }
 
-/// The body of any reply that is not the answer.
+/// The body of a reply to a request that was refused or failed.
 pub fn error_document(message: &str, refusal: &Refusal, request_id: Option<&str>) -> Value {
     let retry_after_ms = refusal.retry_after.map(|span| span.milliseconds());
     json!({
--- a/crates/protocol/openai/src/request.rs
+++ b/crates/protocol/openai/src/request.rs
@@ -1,18 +1,18 @@
-//! Requests from callers and to engines.
+//! Chat completion requests from callers and to engines.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
 quick_error! {
-    /// A request body that can't be served. Nothing has run.
+    /// An invalid request body. No back end has started the request.
     #[derive(Debug, PartialEq)]
     pub enum RequestError {
-        /// The body is no JSON.
+        /// The body is not valid JSON.
         InvalidJson(cause: String) {
             display("the body is not valid JSON: {cause}")
         }
-        /// A field is missing or of the wrong type.
+        /// A field is missing or has an invalid value.
         InvalidField(field: &'static str, expected: &'static str) {
             display("field `{field}`: expected {expected}")
         }
@@ -22,18 +22,18 @@
 /// A caller's chat completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatRequest {
-    /// Model asked for.
+    /// Name of the requested model.
     pub model: String,
-    /// Whether the answer is to be streamed.
+    /// Whether the response is to be streamed.
     pub stream: bool,
     /// Role and text of each message, in order.
     pub messages: Vec<(String, String)>,
-    /// The whole body as it came.
+    /// The complete body as received.
     pub body: Map<String, Value>,
 }
 
 impl ChatRequest {
-    /// Reads a body.
+    /// Parses a request body.
     pub fn parse(bytes: &[u8]) -> Result<Self, RequestError> {
         let value: Value = serde_json::from_slice(bytes)
             .map_err(|cause| RequestError::InvalidJson(cause.to_string()))?;
@@ -59,7 +59,8 @@
         })
     }
 
-    /// The text of all messages, with their roles, as it determines the prompt.
+    /// Roles and texts of all messages, joined in order. Stands for the prompt where its length and
+    /// prefixes are estimated.
     pub fn prompt_text(&self) -> String {
         let mut text = String::new();
         for (role, content) in &self.messages {
@@ -97,7 +98,8 @@
     Ok(messages)
 }
 
-/// Content is a text or a list of parts, of which the texts count.
+/// Text of a message's content: a string, or a list of parts of which only the texts are used.
+/// Null counts as empty.
 fn content_text(content: &Value) -> Option<String> {
     match content {
         Value::String(text) => Some(text.clone()),
@@ -110,29 +112,30 @@
     }
 }
 
-/// Where an answer is to be taken up after another engine broke off.
+/// The part of a response that the caller already has, from which another engine continues
+/// after the first one failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// Answer tokens the caller has.
+    /// Number of tokens that the caller already has.
     pub tokens: u32,
-    /// Their text.
+    /// Text of these tokens.
     pub text: String,
 }
 
-/// What an engine is asked, beside the caller's own fields.
+/// Fields that a request to an engine has in addition to the caller's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineRequest {
-    /// Identifies the attempt; the engine repeats it in its answer.
+    /// Identifies the attempt; the engine returns it in its response.
     pub request_id: String,
-    /// Smaller numbers go first.
+    /// Priority; smaller numbers are served first.
     pub priority: u8,
-    /// Present if the answer is to be continued.
+    /// Present if the engine is to continue an interrupted response.
     #[serde(default)]
     pub resume: Option<Resume>,
 }
 
 impl EngineRequest {
-    /// The body to send: the caller's fields, streamed, with this added.
+    /// The body to send: the caller's fields with streaming enabled and these fields added.
     pub fn body(&self, caller: &Map<String, Value>) -> Vec<u8> {
         let mut body = caller.clone();
         body.insert("stream".into(), Value::Bool(true));
--- a/crates/protocol/openai/tests/parsing.rs
+++ b/crates/protocol/openai/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Requests and streams as they come from outside.
+//! Parsing of requests from callers and of event streams from engines.
 
 use eiderferry_openai::{ChatRequest, Chunk, Event, EventParser, RequestError, prefix_marks};
 use proptest::prelude::*;
