--- a/crates/transport/clock/src/lib.rs
+++ b/crates/transport/clock/src/lib.rs
@@ -12,7 +12,7 @@
 
 /// Longest single wait for a timer. Timers stand still while the machine is suspended: what
 /// waits for a deadline notices this late at most that it has passed meanwhile.
-const LONGEST_TIMER: Span = Span::from_milliseconds(300);
+const MAX_TIMER_WAIT: Span = Span::from_milliseconds(300);
 
 /// Time since the machine was started, suspensions included.
 pub fn boot_time() -> Duration {
@@ -25,41 +25,41 @@
 /// Tells the time since a moment; shared by all threads of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    read: fn() -> Duration,
+    time_source: fn() -> Duration,
     start: Duration,
-    head_start: Span,
+    initial_offset: Span,
 }
 
 impl Clock {
-    /// A clock that starts now at `head_start`, so that moments before it can be named.
-    pub fn start(head_start: Span) -> Self {
-        Self::reading(boot_time, head_start)
+    /// A clock that starts now at `initial_offset`, so that moments before it can be named.
+    pub fn start(initial_offset: Span) -> Self {
+        Self::with_time_source(boot_time, initial_offset)
     }
 
     /// The same by other readings, which must never go back.
-    pub fn reading(read: fn() -> Duration, head_start: Span) -> Self {
+    pub fn with_time_source(time_source: fn() -> Duration, initial_offset: Span) -> Self {
         Self {
-            read,
-            start: read(),
-            head_start,
+            time_source,
+            start: time_source(),
+            initial_offset,
         }
     }
 
     /// The present moment.
     pub fn now(&self) -> Timestamp {
-        let elapsed = (self.read)().saturating_sub(self.start).as_micros();
-        Timestamp(u64::try_from(elapsed).unwrap_or(u64::MAX)) + self.head_start
+        let elapsed = (self.time_source)().saturating_sub(self.start).as_micros();
+        Timestamp(u64::try_from(elapsed).unwrap_or(u64::MAX)) + self.initial_offset
     }
 
     /// Waits for a span, or until it has passed while the machine was suspended.
     pub async fn sleep(&self, span: Span) {
-        let until = self.now() + span;
+        let deadline = self.now() + span;
         loop {
-            let left = self.now().until(until);
-            if left == Span::ZERO {
+            let remaining = self.now().until(deadline);
+            if remaining == Span::ZERO {
                 return;
             }
-            smol::Timer::after(duration(left.min(LONGEST_TIMER))).await;
+            smol::Timer::after(duration(remaining.min(MAX_TIMER_WAIT))).await;
         }
     }
 }
--- a/crates/transport/clock/tests/suspension.rs
+++ b/crates/transport/clock/tests/suspension.rs
@@ -6,41 +6,41 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-const AN_HOUR: Span = Span::from_milliseconds(3_600_000);
+const ONE_HOUR: Span = Span::from_milliseconds(3_600_000);
 
 /// Milliseconds for which the machine of these tests was suspended.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
-fn with_suspensions() -> Duration {
+fn boot_time_with_suspensions() -> Duration {
     boot_time() + Duration::from_millis(SUSPENDED_MS.load(Ordering::SeqCst))
 }
 
 #[test]
-fn a_wait_is_over_soon_after_a_suspension_in_which_it_passed() {
-    let clock = Clock::reading(with_suspensions, AN_HOUR);
-    let begun = Instant::now();
+fn sleep_ends_soon_after_a_suspension_during_which_it_expired() {
+    let clock = Clock::with_time_source(boot_time_with_suspensions, ONE_HOUR);
+    let started = Instant::now();
     std::thread::spawn(|| {
         std::thread::sleep(Duration::from_millis(50));
         SUSPENDED_MS.fetch_add(120_000, Ordering::SeqCst);
     });
     smol::block_on(clock.sleep(Span::from_milliseconds(100_000)));
-    assert!(begun.elapsed() < Duration::from_secs(60));
+    assert!(started.elapsed() < Duration::from_secs(60));
 }
 
 /// The kernel's clock that counts suspensions, and no other, is the one that is read.
 #[test]
-fn the_clock_is_the_one_that_counts_suspensions() {
+fn boot_time_reads_the_clock_that_includes_suspensions() {
     let before = clock_gettime(ClockId::Boottime);
-    let read = boot_time();
+    let reading = boot_time();
     let after = clock_gettime(ClockId::Boottime);
     let seconds = |time: rustix::time::Timespec| time.tv_sec as f64 + time.tv_nsec as f64 / 1e9;
-    assert!(seconds(before) <= read.as_secs_f64() && read.as_secs_f64() <= seconds(after));
+    assert!(seconds(before) <= reading.as_secs_f64() && reading.as_secs_f64() <= seconds(after));
 }
 
 #[test]
-fn it_starts_where_it_is_told_and_never_goes_back() {
-    let clock = Clock::start(AN_HOUR);
+fn the_clock_starts_at_its_initial_offset_and_never_goes_back() {
+    let clock = Clock::start(ONE_HOUR);
     let first = clock.now();
-    assert!(first.0 >= AN_HOUR.0 && first.0 < AN_HOUR.0 * 2);
+    assert!(first.0 >= ONE_HOUR.0 && first.0 < ONE_HOUR.0 * 2);
     assert!(clock.now() >= first);
 }
