--- a/crates/transport/clock/src/lib.rs
+++ b/crates/transport/clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! The clock of a process.
+//! The monotonic clock of a process.
 //!
-//! It never steps as the time of day does, and counts the time for which the machine was
-//! suspended, which the monotonic clock leaves out: to that clock a deadline, a lease or an
-//! age would be as fresh after a suspension as before.
+//! It reads `CLOCK_BOOTTIME`, which unlike the time of day never steps and unlike
+//! `CLOCK_MONOTONIC` includes the time for which the machine was suspended. With
+//! `CLOCK_MONOTONIC`, deadlines, leases and ages would not advance during a suspension.
 
 #![forbid(unsafe_code)]
 
@@ -10,11 +10,11 @@
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Longest single wait for a timer. Timers stand still while the machine is suspended: what
-/// waits for a deadline notices this late at most that it has passed meanwhile.
+/// Maximum duration of a single timer (300 ms). Timers don't advance while the machine is
+/// suspended, so after a suspension an expired deadline is noticed at most this much later.
 const MAX_TIMER_WAIT: Span = Span::from_milliseconds(300);
 
-/// Time since the machine was started, suspensions included.
+/// Time since the machine booted, including suspensions.
 pub fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -22,7 +22,7 @@
     Duration::new(seconds, nanoseconds)
 }
 
-/// Tells the time since a moment; shared by all threads of a process.
+/// Measures the time since its start. Copies, for example in other threads, give the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     time_source: fn() -> Duration,
@@ -31,12 +31,13 @@
 }
 
 impl Clock {
-    /// A clock that starts now at `initial_offset`, so that moments before it can be named.
+    /// A clock that starts now and first reads `initial_offset`, so that timestamps before its start
+    /// can be represented.
     pub fn start(initial_offset: Span) -> Self {
         Self::with_time_source(boot_time, initial_offset)
     }
 
-    /// The same by other readings, which must never go back.
+    /// Like [`Clock::start`], but with another time source, which must never go backwards.
     pub fn with_time_source(time_source: fn() -> Duration, initial_offset: Span) -> Self {
         Self {
             time_source,
@@ -45,13 +46,13 @@
         }
     }
 
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         let elapsed = (self.time_source)().saturating_sub(self.start).as_micros();
         Timestamp(u64::try_from(elapsed).unwrap_or(u64::MAX)) + self.initial_offset
     }
 
-    /// Waits for a span, or until it has passed while the machine was suspended.
+    /// Waits for a span of time, of which time in suspension counts as well.
     pub async fn sleep(&self, span: Span) {
         let deadline = self.now() + span;
         loop {
@@ -64,7 +65,7 @@
     }
 }
 
-/// A span as the standard library's duration.
+/// Converts a span to the standard library's duration.
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/transport/clock/tests/suspension.rs
+++ b/crates/transport/clock/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! What a machine's suspension does to the clock: its readings go on, timers stand still.
+//! The clock advances during a suspension of the machine, although timers do not.
 
 use eiderferry_clock::{Clock, boot_time};
 use eiderferry_types::Span;
@@ -8,7 +8,7 @@
 
 const ONE_HOUR: Span = Span::from_milliseconds(3_600_000);
 
-/// Milliseconds for which the machine of these tests was suspended.
+/// Simulated time in suspension, in milliseconds.
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 fn boot_time_with_suspensions() -> Duration {
@@ -27,7 +27,7 @@
     assert!(started.elapsed() < Duration::from_secs(60));
 }
 
-/// The kernel's clock that counts suspensions, and no other, is the one that is read.
+/// Guards against reading a kernel clock that does not include suspensions.
 #[test]
 fn boot_time_reads_the_clock_that_includes_suspensions() {
     let before = clock_gettime(ClockId::Boottime);
