--- a/crates/coordination/quarantine/src/report.rs
+++ b/crates/coordination/quarantine/src/report.rs
@@ -20,5 +20,6 @@
     /// The most recent crashes, oldest first.
     pub crashes: Vec<CrashReport>,
     /// Age of its latest known successful completion on any node, in milliseconds.
+    #[serde(rename = "completed_ms")]
     pub completion_age_ms: Option<u32>,
 }
--- a/crates/protocol/openai/src/request.rs
+++ b/crates/protocol/openai/src/request.rs
@@ -59,8 +59,7 @@
         })
     }
 
-    /// Roles and texts of all messages, joined in order. Stands for the prompt where its length and
-    /// prefixes are estimated.
+    /// Roles and texts of all messages in order, which determine the prompt.
     pub fn prompt_text(&self) -> String {
         let mut text = String::new();
         for (role, content) in &self.messages {
--- a/crates/protocol/peer/src/codec.rs
+++ b/crates/protocol/peer/src/codec.rs
@@ -18,7 +18,8 @@
         UnsupportedVersion(found: Option<u8>) {
             display("frame has format version {found:?}, expected {FORMAT_VERSION}")
         }
-        /// The bytes after the version are not a valid envelope, or the envelope could not be encoded.
+        /// The bytes after the version are not a valid envelope, or an envelope could not be
+        /// encoded.
         Malformed(cause: postcard::Error) {
             display("malformed frame: {cause}")
         }
--- a/crates/state/routing/src/back_end.rs
+++ b/crates/state/routing/src/back_end.rs
@@ -1,4 +1,4 @@
-//! Back ends and how their runs are told apart.
+//! Back ends as the platform lists them, and how to distinguish their runs.
 
 use crate::{InstanceId, PoolName, ZoneName};
 use eiderferry_types::Span;
--- a/crates/state/routing/src/table.rs
+++ b/crates/state/routing/src/table.rs
@@ -44,7 +44,7 @@
     pub target: Span,
     /// Target for the longest gap between two events of a stream.
     pub event_gap_target: Option<Span>,
-    /// Rank; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u8,
     /// Pools that serve its requests.
     pub traffic_splits: Vec<TrafficSplit>,
--- a/crates/state/types/src/identity.rs
+++ b/crates/state/types/src/identity.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Identifies a request by the node, and its run, that accepted it.
+/// Identifies a request by the node that accepted it, the run of that node and a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// Node that accepted the request.
--- a/crates/transport/clock/src/lib.rs
+++ b/crates/transport/clock/src/lib.rs
@@ -31,8 +31,8 @@
 }
 
 impl Clock {
-    /// A clock that starts now and first reads `initial_offset`, so that timestamps before its start
-    /// can be represented.
+    /// A clock that starts now and first reads `initial_offset`, so that timestamps before its
+    /// start can be represented.
     pub fn start(initial_offset: Span) -> Self {
         Self::with_time_source(boot_time, initial_offset)
     }
