--- a/crates/coordination/quarantine/src/lib.rs
+++ b/crates/coordination/quarantine/src/lib.rs
@@ -19,5 +19,5 @@
 mod report;
 
 pub use change::{ChangeDetails, ChangeSource, QuarantineChange};
-pub use quarantine::{Quarantine, QuarantineCounts, Quarantined};
+pub use quarantine::{ActiveQuarantine, Quarantine, QuarantineCounts};
 pub use report::{CrashReport, RequestReport};
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -22,9 +22,9 @@
 /// Maximum number of quarantined requests reported to a node that has just started.
 const MAX_REPORTS_AT_START: usize = 64;
 
-/// Details of a quarantined request.
+/// The quarantine of a request that is being refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Quarantined {
+pub struct ActiveQuarantine {
     /// Stored crashes of back ends that were running the request.
     pub crashes: usize,
     /// Time until the quarantine expires.
@@ -189,11 +189,11 @@
         true
     }
 
-    /// The details of a request's quarantine; `None` if it is not quarantined.
-    pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<Quarantined> {
+    /// The quarantine of a request; `None` if it is not quarantined.
+    pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<ActiveQuarantine> {
         let entry = self.entries.get(&request)?;
         match entry.record.status(now) {
-            RequestStatus::Quarantined(until) => Some(Quarantined {
+            RequestStatus::Quarantined(until) => Some(ActiveQuarantine {
                 crashes: entry.record.crash_count(),
                 remaining: now.until(until),
             }),
