--- a/crates/coordination/quarantine/src/completions.rs
+++ b/crates/coordination/quarantine/src/completions.rs
@@ -1,33 +1,34 @@
-//! Requests that ended well lately.
+//! Requests that recently completed successfully.
 
 use eiderferry_types::{RequestDigest, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
-/// Requests kept; the oldest give way. At 31 requests a second, a node's part of 69,000 over
-/// 2,200 nodes, the last four minutes; about 0.5 MB.
-const MOST: usize = 8_192;
+/// Maximum number of requests stored; the ones inserted first are evicted. At 31 requests per
+/// second per node (69,000 over 2,200 nodes) this covers about four minutes and takes about
+/// 0.5 MB.
+const MAX_COMPLETIONS: usize = 8_192;
 
-/// When requests ended well here, the latest of each.
+/// Time of the latest successful completion on this node, by request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Completions {
-    ended: HashMap<RequestDigest, Timestamp>,
-    order: VecDeque<RequestDigest>,
+    completed_at: HashMap<RequestDigest, Timestamp>,
+    insertion_order: VecDeque<RequestDigest>,
 }
 
 impl Completions {
-    pub fn record(&mut self, request: RequestDigest, now: Timestamp) {
-        if self.ended.insert(request, now).is_some() {
+    pub fn record(&mut self, request: RequestDigest, at: Timestamp) {
+        if self.completed_at.insert(request, at).is_some() {
             return;
         }
-        self.order.push_back(request);
-        if self.order.len() > MOST
-            && let Some(oldest) = self.order.pop_front()
+        self.insertion_order.push_back(request);
+        if self.insertion_order.len() > MAX_COMPLETIONS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.ended.remove(&oldest);
+            self.completed_at.remove(&oldest);
         }
     }
 
-    pub fn of(&self, request: RequestDigest) -> Option<Timestamp> {
-        self.ended.get(&request).copied()
+    pub fn get(&self, request: RequestDigest) -> Option<Timestamp> {
+        self.completed_at.get(&request).copied()
     }
 }
--- a/crates/coordination/quarantine/src/quarantine.rs
+++ b/crates/coordination/quarantine/src/quarantine.rs
@@ -1,82 +1,84 @@
-//! The requests under suspicion on one node, and what it tells others of them.
+//! The suspected and quarantined requests known to one node, and the reports it sends.
 
 use crate::change::{ChangeSource, QuarantineChange};
 use crate::completions::Completions;
-use crate::record::{Record, RequestStatus};
+use crate::record::{RequestRecord, RequestStatus};
 use crate::report::RequestReport;
 use eiderferry_types::{RequestDigest, Span, Timestamp};
 use std::collections::HashMap;
 
-/// Requests kept: a crash breaks off some 64 of an engine, 60 crashes within ten minutes make
-/// as many. At about 250 bytes each, 1 MB.
-const MOST_RECORDS: usize = 4_096;
-/// Time for which what has changed is told with each message: every node tells each other one,
-/// or the aggregators that do, several times in it, so that single messages may be lost.
-const TELLING_TIME: Span = Span::from_milliseconds(2_000);
-/// Changed requests told in one message, at about 20 bytes a crash.
-const MOST_CHANGED_TOLD: usize = 16;
-/// Quarantined requests told in each message besides, in turn: nodes that were cut off, paused
-/// or started anew hear of them within a second.
-const QUARANTINED_TOLD: usize = 2;
-/// Quarantined requests told to a node that has just started.
-const MOST_TOLD_AT_START: usize = 64;
+/// Maximum number of requests stored: one crash interrupts about 64 requests of an engine, so
+/// this covers about 60 crashes within ten minutes. At about 250 bytes each, 1 MB.
+const MAX_RECORDS: usize = 4_096;
+/// Time for which a change is included in messages (2 s). In that time a node sends several
+/// messages to every other node, or to the aggregators that forward them, so single messages
+/// may be lost.
+const CHANGE_REPORT_DURATION: Span = Span::from_milliseconds(2_000);
+/// Maximum number of changed requests reported in one message, at about 20 bytes per crash.
+const MAX_CHANGED_PER_MESSAGE: usize = 16;
+/// Number of quarantined requests that each message reports in addition, in rotation: nodes that
+/// were partitioned, paused or restarted learn of them within a second.
+const QUARANTINED_PER_MESSAGE: usize = 2;
+/// Maximum number of quarantined requests reported to a node that has just started.
+const MAX_REPORTS_AT_START: usize = 64;
 
-/// Why a request is refused.
+/// The quarantine of a request that is being refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Quarantined {
-    /// Back ends that crashed under it, as far as they are kept.
+pub struct ActiveQuarantine {
+    /// Stored crashes of back ends that were running the request.
     pub crashes: usize,
-    /// Time for which it is still refused.
+    /// Time until the quarantine expires.
     pub remaining: Span,
 }
 
-/// Figures for metrics.
+/// Counts for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineCounts {
-    /// Requests under which back ends crashed, not refused.
+    /// Requests that back ends were running when they crashed, but that are not quarantined.
     pub suspected: usize,
-    /// Requests that are refused.
+    /// Requests that are quarantined.
     pub quarantined: usize,
-    /// Requests left out because too many were known, since the start.
+    /// Records evicted or not stored since the start because the limit was reached.
     pub evicted: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    record: Record,
-    /// Until when it is told with each message.
-    told_until: Timestamp,
+    record: RequestRecord,
+    /// Its latest change is reported until this time.
+    report_until: Timestamp,
     is_quarantined: bool,
 }
 
-/// The requests under suspicion on one node.
+/// The suspected and quarantined requests known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<RequestDigest, Entry>,
     completions: Completions,
-    /// Those that are refused, in the order in which they are told.
-    refused: Vec<RequestDigest>,
-    turn: usize,
+    /// Quarantined requests, rotated as they are reported.
+    quarantined: Vec<RequestDigest>,
+    /// Number of report batches made; selects which of many changes the next one contains.
+    batch_number: usize,
     evicted: u64,
 }
 
 impl Quarantine {
-    /// A back end crashed under a request of this node.
+    /// Records that a back end crashed while running a request of this node.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
         back_end: u32,
         now: Timestamp,
     ) -> Option<QuarantineChange> {
-        let completed = self.completions.of(request);
+        let completed_at = self.completions.get(request);
         let mut entry = self.entries.remove(&request).unwrap_or_default();
         let mut has_changed =
-            completed.is_some_and(|completed| entry.record.add_completion(completed));
+            completed_at.is_some_and(|completed_at| entry.record.add_completion(completed_at));
         has_changed |= entry.record.add_crash(back_end, now);
-        self.keep(request, entry, has_changed, ChangeSource::Own, now)
+        self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
-    /// A request of this node ended well.
+    /// Records that a request of this node completed successfully.
     pub fn record_completed(
         &mut self,
         request: RequestDigest,
@@ -85,38 +87,40 @@
         self.completions.record(request, now);
         let mut entry = self.entries.remove(&request)?;
         let has_changed = entry.record.add_completion(now);
-        self.keep(request, entry, has_changed, ChangeSource::Own, now)
+        self.store(request, entry, has_changed, ChangeSource::Own, now)
     }
 
-    /// Takes another node's reports in.
+    /// Merges reports from another node.
     pub fn merge_reports(
         &mut self,
         reports: &[RequestReport],
         now: Timestamp,
     ) -> Vec<QuarantineChange> {
-        let changes = reports.iter();
-        changes
+        let reports = reports.iter();
+        reports
             .filter_map(|report| self.apply_report(report, now))
             .collect()
     }
 
     fn apply_report(&mut self, report: &RequestReport, now: Timestamp) -> Option<QuarantineChange> {
-        let moment = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
+        let time_at_age = |age_ms: u32| now - Span::from_milliseconds(u64::from(age_ms));
         let request = report.request;
         let mut entry = self.entries.remove(&request).unwrap_or_default();
         let mut has_changed = false;
-        let completions = report.completed_ms.map(moment);
-        for completed in completions.into_iter().chain(self.completions.of(request)) {
-            has_changed |= entry.record.add_completion(completed);
+        let completions = report.completion_age_ms.map(time_at_age);
+        for completed_at in completions.into_iter().chain(self.completions.get(request)) {
+            has_changed |= entry.record.add_completion(completed_at);
         }
         for crash in &report.crashes {
-            has_changed |= entry.record.add_crash(crash.back_end, moment(crash.age_ms));
+            has_changed |= entry
+                .record
+                .add_crash(crash.back_end, time_at_age(crash.age_ms));
         }
-        self.keep(request, entry, has_changed, ChangeSource::Peer, now)
+        self.store(request, entry, has_changed, ChangeSource::Peer, now)
     }
 
-    /// Puts an entry back and says what changed with its request.
-    fn keep(
+    /// Stores an updated entry and returns the change of its request's status, if any.
+    fn store(
         &mut self,
         request: RequestDigest,
         mut entry: Entry,
@@ -125,33 +129,33 @@
         now: Timestamp,
     ) -> Option<QuarantineChange> {
         if entry.record.is_expired(now) {
-            self.refused.retain(|refused| *refused != request);
+            self.quarantined.retain(|listed| *listed != request);
             return None;
         }
         if has_changed {
-            entry.told_until = now + TELLING_TIME;
+            entry.report_until = now + CHANGE_REPORT_DURATION;
         }
         let was_quarantined = entry.is_quarantined;
         let status = entry.record.status(now);
         entry.is_quarantined = matches!(status, RequestStatus::Quarantined(_));
-        let crashes = entry.record.crashes();
+        let crash_count = entry.record.crash_count();
         if !self.make_room(&entry) {
             return None;
         }
         self.entries.insert(request, entry);
         match (was_quarantined, status) {
             (false, RequestStatus::Quarantined(until)) => {
-                self.refused.push(request);
+                self.quarantined.push(request);
                 Some(QuarantineChange::Quarantined {
                     request,
-                    crashes,
+                    crashes: crash_count,
                     remaining: now.until(until),
                     source,
                 })
             }
             (true, RequestStatus::Clear | RequestStatus::Suspected) => {
-                self.refused.retain(|refused| *refused != request);
-                Some(match crashes {
+                self.quarantined.retain(|listed| *listed != request);
+                Some(match crash_count {
                     0 => QuarantineChange::Cleared { request, source },
                     _ => QuarantineChange::Expired { request },
                 })
@@ -160,102 +164,110 @@
         }
     }
 
-    /// Makes room for an entry where there are too many: the one with fewest crashes, the oldest
-    /// of these, gives way. Returns whether there is room.
-    fn make_room(&mut self, coming: &Entry) -> bool {
-        if self.entries.len() < MOST_RECORDS {
+    /// Makes room for `incoming` if the limit is reached: evicts the entry with the fewest crashes,
+    /// among these the one with the oldest last crash. Returns false if all entries outrank
+    /// `incoming`.
+    fn make_room(&mut self, incoming: &Entry) -> bool {
+        if self.entries.len() < MAX_RECORDS {
             return true;
         }
         self.evicted += 1;
-        let weight = |entry: &Entry| (entry.record.crashes(), entry.record.last_crash());
-        let least = self.entries.iter().min_by_key(|(_, entry)| weight(entry));
-        let Some(least) = least.filter(|(_, entry)| weight(entry) <= weight(coming)) else {
+        let retention_priority =
+            |entry: &Entry| (entry.record.crash_count(), entry.record.last_crash());
+        let victim = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| retention_priority(entry));
+        let Some(victim) =
+            victim.filter(|(_, entry)| retention_priority(entry) <= retention_priority(incoming))
+        else {
             return false;
         };
-        let least = *least.0;
-        self.entries.remove(&least);
-        self.refused.retain(|refused| *refused != least);
+        let victim = *victim.0;
+        self.entries.remove(&victim);
+        self.quarantined.retain(|listed| *listed != victim);
         true
     }
 
-    /// Whether a request is refused, and why.
-    pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<Quarantined> {
+    /// The quarantine of a request; `None` if it is not quarantined.
+    pub fn status(&self, request: RequestDigest, now: Timestamp) -> Option<ActiveQuarantine> {
         let entry = self.entries.get(&request)?;
         match entry.record.status(now) {
-            RequestStatus::Quarantined(until) => Some(Quarantined {
-                crashes: entry.record.crashes(),
+            RequestStatus::Quarantined(until) => Some(ActiveQuarantine {
+                crashes: entry.record.crash_count(),
                 remaining: now.until(until),
             }),
             RequestStatus::Clear | RequestStatus::Suspected => None,
         }
     }
 
-    /// Forgets what is too old. Returns the requests that are served again.
+    /// Drops expired records. Returns the requests whose quarantine has expired.
     pub fn expire(&mut self, now: Timestamp) -> Vec<QuarantineChange> {
         self.entries
             .retain(|_, entry| !entry.record.is_expired(now));
         let mut changes = Vec::new();
         let entries = &mut self.entries;
-        self.refused.retain(|request| {
+        self.quarantined.retain(|request| {
             let Some(entry) = entries.get_mut(request) else {
                 return false;
             };
-            let is_refused = matches!(entry.record.status(now), RequestStatus::Quarantined(_));
-            if !is_refused {
+            let is_still_quarantined =
+                matches!(entry.record.status(now), RequestStatus::Quarantined(_));
+            if !is_still_quarantined {
                 entry.is_quarantined = false;
                 changes.push(QuarantineChange::Expired { request: *request });
             }
-            is_refused
+            is_still_quarantined
         });
         changes
     }
 
-    /// What the next message tells: what has changed lately, first what others act on, and some
-    /// of the quarantined in turn.
+    /// The reports for the next message: recent changes, those that other nodes act on first, and
+    /// some of the quarantined requests in rotation.
     pub fn reports(&mut self, now: Timestamp) -> Vec<RequestReport> {
         if self.entries.is_empty() {
             return Vec::new();
         }
-        self.turn = self.turn.wrapping_add(1);
-        let mut told = self.changed(now);
-        for _ in 0..QUARANTINED_TOLD.min(self.refused.len()) {
-            self.refused.rotate_left(1);
-            let request = self.refused[0];
-            if !told.contains(&request) {
-                told.push(request);
+        self.batch_number = self.batch_number.wrapping_add(1);
+        let mut requests = self.recent_changes(now);
+        for _ in 0..QUARANTINED_PER_MESSAGE.min(self.quarantined.len()) {
+            self.quarantined.rotate_left(1);
+            let request = self.quarantined[0];
+            if !requests.contains(&request) {
+                requests.push(request);
             }
         }
-        self.reports_of(&told, now)
+        self.reports_of(&requests, now)
     }
 
-    /// Requests that changed lately, as many as one message tells. Half of them are those that
-    /// others act on: quarantined ones, and those that ended well, which have no crashes that
-    /// count; the others take turns.
-    fn changed(&self, now: Timestamp) -> Vec<RequestDigest> {
+    /// Recently changed requests, as many as one message reports. If there are more, the first
+    /// half goes to those that other nodes act on (quarantined requests, and completed ones, which
+    /// have no counted crashes), and the others take turns in the second half.
+    fn recent_changes(&self, now: Timestamp) -> Vec<RequestDigest> {
         let entries = self.entries.iter();
-        let changed = entries.filter(|(_, entry)| now < entry.told_until);
+        let changed = entries.filter(|(_, entry)| now < entry.report_until);
         let mut changed: Vec<(bool, Timestamp, RequestDigest)> = changed
             .map(|(request, entry)| {
-                let is_settled = entry.is_quarantined || entry.record.crashes() == 0;
-                (is_settled, entry.told_until, *request)
+                let needs_action = entry.is_quarantined || entry.record.crash_count() == 0;
+                (needs_action, entry.report_until, *request)
             })
             .collect();
-        changed.sort_unstable_by(|one, other| other.cmp(one));
+        changed.sort_unstable_by(|left, right| right.cmp(left));
         let mut changed: Vec<RequestDigest> =
             changed.into_iter().map(|(_, _, request)| request).collect();
-        if changed.len() > MOST_CHANGED_TOLD {
-            let others = &mut changed[MOST_CHANGED_TOLD / 2..];
-            let step = self.turn.wrapping_mul(MOST_CHANGED_TOLD / 2);
+        if changed.len() > MAX_CHANGED_PER_MESSAGE {
+            let others = &mut changed[MAX_CHANGED_PER_MESSAGE / 2..];
+            let step = self.batch_number.wrapping_mul(MAX_CHANGED_PER_MESSAGE / 2);
             others.rotate_left(step % others.len());
-            changed.truncate(MOST_CHANGED_TOLD);
+            changed.truncate(MAX_CHANGED_PER_MESSAGE);
         }
         changed
     }
 
-    /// What a node that has just started is told.
+    /// The reports for a node that has just started.
     pub fn reports_at_start(&self, now: Timestamp) -> Vec<RequestReport> {
-        let first = self.refused.len().min(MOST_TOLD_AT_START);
-        self.reports_of(&self.refused[..first], now)
+        let count = self.quarantined.len().min(MAX_REPORTS_AT_START);
+        self.reports_of(&self.quarantined[..count], now)
     }
 
     fn reports_of(&self, requests: &[RequestDigest], now: Timestamp) -> Vec<RequestReport> {
@@ -265,13 +277,15 @@
         reports.collect()
     }
 
-    /// Figures for metrics.
+    /// Counts for metrics.
     pub fn counts(&self) -> QuarantineCounts {
-        let crashed = self.entries.values();
-        let crashed = crashed.filter(|entry| entry.record.crashes() > 0).count();
+        let with_crashes = self.entries.values();
+        let with_crashes = with_crashes
+            .filter(|entry| entry.record.crash_count() > 0)
+            .count();
         QuarantineCounts {
-            suspected: crashed - self.refused.len().min(crashed),
-            quarantined: self.refused.len(),
+            suspected: with_crashes - self.quarantined.len().min(with_crashes),
+            quarantined: self.quarantined.len(),
             evicted: self.evicted,
         }
     }
--- a/crates/state/routing/src/regions.rs
+++ b/crates/state/routing/src/regions.rs
@@ -9,28 +9,28 @@
 /// Regions in which a request may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All of them.
+    /// All regions.
     #[default]
     Any,
-    /// These only; none if it is empty.
+    /// Only these regions; none if the set is empty.
     Only(BTreeSet<RegionName>),
 }
 
 impl AllowedRegions {
-    /// What a route and a tenant allow together. A list without any region allows all.
+    /// Regions that both a route and a tenant allow. An empty list allows all regions.
     pub fn of(route: &[RegionName], tenant: &[RegionName]) -> Self {
         match (route, tenant) {
             ([], []) => Self::Any,
-            ([], only) | (only, []) => Self::Only(only.iter().cloned().collect()),
+            ([], listed) | (listed, []) => Self::Only(listed.iter().cloned().collect()),
             (route, tenant) => {
-                let both = route.iter().filter(|region| tenant.contains(region));
-                Self::Only(both.cloned().collect())
+                let common = route.iter().filter(|region| tenant.contains(region));
+                Self::Only(common.cloned().collect())
             }
         }
     }
 
-    /// Whether a request may run in a zone. Where the zone's region is not known, only one
-    /// that may run anywhere does.
+    /// Whether a request may run in a zone. In a zone of unknown region only requests without
+    /// a restriction may run.
     pub fn allows(&self, zone: &ZoneName, regions: &ZoneRegions) -> bool {
         match self {
             Self::Any => true,
