--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -49,9 +49,9 @@
         /// Class of the request.
         class: ClassId,
         /// Whether the slot was granted from the minimum share of the class.
-        by_share: bool,
+        from_minimum_share: bool,
         /// Time that the request waited in the queue.
-        waited: Span,
+        wait_time: Span,
     },
     /// The request was refused a slot.
     Refused {
@@ -60,7 +60,7 @@
         /// Class of the request.
         class: ClassId,
         /// When the request reached the holder.
-        arrived: Timestamp,
+        arrived_at: Timestamp,
         /// The reason, and when to retry.
         refusal: Refusal,
     },
@@ -142,7 +142,7 @@
     /// Starts the takeover from an earlier holder, whose leases are not known yet: no
     /// slot is granted before the collection wait is over, nor before every back end
     /// has reported its load or the report wait is over.
-    pub fn start_learning(&mut self, now: Timestamp) {
+    pub fn start_takeover(&mut self, now: Timestamp) {
         self.report_wait_until = now + self.policy.report_wait;
         self.collection_until = now + self.policy.collection_wait;
         self.unreported = self.back_ends.keys().copied().collect();
@@ -232,8 +232,8 @@
                 ticket: ask.ticket,
                 back_end: lease.back_end,
                 class: lease.class,
-                by_share: false,
-                waited: Span::ZERO,
+                from_minimum_share: false,
+                wait_time: Span::ZERO,
             };
             self.events.push(event);
             return;
@@ -253,7 +253,7 @@
             self.refuse(&ask, refusal);
             return;
         }
-        if self.waiting() >= self.policy.maximum_waiting && !self.displace_lower_tier(&ask) {
+        if self.waiting_count() >= self.policy.maximum_waiting && !self.displace_lower_tier(&ask) {
             let refusal =
                 Refusal::not_run(Reason::QueueFull, Some(self.retry_after(now, ask.class)));
             self.refuse(&ask, refusal);
@@ -273,7 +273,7 @@
     }
 
     /// Entry nodes that own leases or waiting requests.
-    pub fn owners(&self) -> BTreeSet<NodeId> {
+    pub fn entry_nodes(&self) -> BTreeSet<NodeId> {
         let waiting = self
             .classes
             .values()
@@ -285,7 +285,7 @@
     }
 
     /// Removes a waiting request whose caller disconnected.
-    pub fn withdraw(&mut self, ticket: &Ticket) {
+    pub fn cancel(&mut self, ticket: &Ticket) {
         for state in self.classes.values_mut() {
             if state.queue.remove(ticket).is_some() {
                 return;
@@ -295,7 +295,7 @@
 
     /// Releases a slot and updates the averages from its use.
     pub fn release(&mut self, now: Timestamp, ticket: &Ticket, observation: &Observation) {
-        self.withdraw(ticket);
+        self.cancel(ticket);
         let Some(lease) = self.leases.remove(ticket) else {
             return;
         };
@@ -327,11 +327,11 @@
     }
 
     /// Registers a lease that an earlier holder granted.
-    pub fn register(&mut self, now: Timestamp, ask: &Ask, back_end: BackEndId) {
+    pub fn register_lease(&mut self, now: Timestamp, ask: &Ask, back_end: BackEndId) {
         if self.leases.contains_key(&ask.ticket) {
             return;
         }
-        self.withdraw(&ask.ticket);
+        self.cancel(&ask.ticket);
         if let Some(state) = self.back_ends.get_mut(&back_end) {
             state.remove_external_request();
         }
@@ -339,7 +339,7 @@
     }
 
     /// Drops the requests and leases of a node's incarnations other than `current`.
-    pub fn forget_node(&mut self, now: Timestamp, node: NodeId, current: Option<Incarnation>) {
+    pub fn remove_node(&mut self, now: Timestamp, node: NodeId, current: Option<Incarnation>) {
         let is_lost = |ticket: &Ticket| {
             ticket.request.node == node && Some(ticket.request.incarnation) != current
         };
@@ -356,7 +356,7 @@
     }
 
     /// Applies a back end's load report.
-    pub fn report(&mut self, now: Timestamp, back_end: BackEndId, report: &LoadReport) {
+    pub fn apply_load_report(&mut self, now: Timestamp, back_end: BackEndId, report: &LoadReport) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
             state.apply_load_report(now, report);
         }
@@ -366,7 +366,7 @@
 
     /// Records that a back end is polled for its load: after several unanswered polls
     /// it gets no new requests until it responds.
-    pub fn note_poll(&mut self, back_end: BackEndId) {
+    pub fn record_poll(&mut self, back_end: BackEndId) {
         if let Some(state) = self.back_ends.get_mut(&back_end) {
             state.record_poll();
         }
@@ -383,7 +383,7 @@
     }
 
     /// Records the time per token observed while a response is still streaming.
-    pub fn observe_speed(&mut self, now: Timestamp, back_end: BackEndId, per_token: Span) {
+    pub fn observe_time_per_token(&mut self, now: Timestamp, back_end: BackEndId, per_token: Span) {
         let observation = Observation {
             per_token: Some(per_token),
             ..Observation::UNUSED
@@ -395,7 +395,7 @@
 
     /// Applies cache events of a back end; `gap` means that some were lost, so that
     /// earlier knowledge of its cache is discarded.
-    pub fn cache_events(
+    pub fn apply_cache_events(
         &mut self,
         back_end: BackEndId,
         gap: bool,
@@ -432,22 +432,22 @@
 
     /// Removes all waiting requests and returns their tickets, so that the entry nodes
     /// can send them to the next holder.
-    pub fn abandon(&mut self) -> Vec<Ticket> {
-        let mut abandoned = Vec::new();
+    pub fn drain_waiting(&mut self) -> Vec<Ticket> {
+        let mut tickets = Vec::new();
         for state in self.classes.values_mut() {
             let removed = state.queue.remove_where(|_| true);
-            abandoned.extend(removed.into_iter().map(|ask| ask.ticket));
+            tickets.extend(removed.into_iter().map(|ask| ask.ticket));
         }
-        abandoned
+        tickets
     }
 
     /// Number of waiting requests.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.classes.values().map(|state| state.queue.len()).sum()
     }
 
     /// Number of current leases.
-    pub fn leases(&self) -> usize {
+    pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
--- a/crates/coordination/admission/src/cell/grants.rs
+++ b/crates/coordination/admission/src/cell/grants.rs
@@ -99,7 +99,7 @@
         let work = f64::from(ask.prompt_tokens) / 10.0 + f64::from(self.expected_tokens(&ask));
         if let Some(state) = self.classes.get_mut(&selected.class) {
             state.queue.pop(ask.tenant, work);
-            if !selected.by_share {
+            if !selected.from_minimum_share {
                 self.last_grant_outside_shares.insert(state.tier, now);
             }
         }
@@ -108,8 +108,8 @@
             ticket: ask.ticket,
             back_end,
             class: ask.class,
-            by_share: selected.by_share,
-            waited: now.since(ask.arrived),
+            from_minimum_share: selected.from_minimum_share,
+            wait_time: now.since(ask.arrived),
         });
     }
 
--- a/crates/coordination/admission/src/cell/refusal.rs
+++ b/crates/coordination/admission/src/cell/refusal.rs
@@ -136,7 +136,7 @@
         self.events.push(CellEvent::Refused {
             ticket: ask.ticket,
             class: ask.class,
-            arrived: ask.arrived,
+            arrived_at: ask.arrived,
             refusal,
         });
     }
--- a/crates/coordination/admission/src/selection.rs
+++ b/crates/coordination/admission/src/selection.rs
@@ -34,7 +34,7 @@
 pub(crate) struct SelectedClass {
     pub class: ClassId,
     /// Whether the class was selected because it is below its minimum share.
-    pub by_share: bool,
+    pub from_minimum_share: bool,
 }
 
 /// Slots out of `total` that are guaranteed to a class; at least one if it has a
@@ -77,7 +77,7 @@
     let (class, state) = candidates.min_by_key(key)?;
     Some(SelectedClass {
         class: *class,
-        by_share: policy.minimum_shares && state.is_below_share(total_slots),
+        from_minimum_share: policy.minimum_shares && state.is_below_share(total_slots),
     })
 }
 
--- a/crates/coordination/admission/tests/cell.rs
+++ b/crates/coordination/admission/tests/cell.rs
@@ -299,7 +299,7 @@
         [1, 1],
         "the lost grant is repeated"
     );
-    assert_eq!(cell.leases(), 1);
+    assert_eq!(cell.lease_count(), 1);
 }
 
 #[test]
@@ -335,7 +335,11 @@
     for round in 0..10 {
         for id in 1..=3 {
             let per_token = if id == 1 { 120 } else { 30 };
-            cell.observe_speed(at(round), BackEndId(id), Span::from_milliseconds(per_token));
+            cell.observe_time_per_token(
+                at(round),
+                BackEndId(id),
+                Span::from_milliseconds(per_token),
+            );
         }
     }
     cell.tick(at(100));
@@ -361,7 +365,7 @@
 #[test]
 fn a_new_holder_waits_for_load_reports() {
     let mut cell = cell(1, CellPolicy::default());
-    cell.start_learning(at(0));
+    cell.start_takeover(at(0));
     cell.ask(at(0), ask(1, BATCH, 1, at(0)));
     assert_eq!(take_granted(&mut cell), []);
     let report = LoadReport {
@@ -369,7 +373,7 @@
         waiting: 0,
         kv_tokens: 0,
     };
-    cell.report(at(110), BackEndId(1), &report);
+    cell.apply_load_report(at(110), BackEndId(1), &report);
     cell.ask(at(111), ask(2, BATCH, 1, at(111)));
     assert_eq!(
         take_granted(&mut cell),
@@ -381,13 +385,13 @@
 #[test]
 fn a_new_holder_collects_requests_before_granting_by_tier() {
     let mut cell = cell(1, CellPolicy::default());
-    cell.start_learning(at(0));
+    cell.start_takeover(at(0));
     let idle = LoadReport {
         running: 0,
         waiting: 0,
         kv_tokens: 0,
     };
-    cell.report(at(1), BackEndId(1), &idle);
+    cell.apply_load_report(at(1), BackEndId(1), &idle);
     for sequence in 1..=4 {
         cell.ask(at(2), ask(sequence, BATCH, 1, at(2)));
     }
@@ -405,8 +409,8 @@
     fill_with_batch(&mut cell, 4);
     cell.ask(at(1), ask(1, BATCH, 1, at(1)));
     assert_eq!(take_granted(&mut cell), []);
-    cell.forget_node(at(2), NodeId(1), None);
-    assert_eq!((cell.leases(), cell.waiting()), (0, 0));
+    cell.remove_node(at(2), NodeId(1), None);
+    assert_eq!((cell.lease_count(), cell.waiting_count()), (0, 0));
 }
 
 #[test]
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -89,7 +89,7 @@
                 };
                 let now = self.now;
                 if let Some(held) = self.ensure_held(cell) {
-                    held.cell.register(now, &ask, back_end);
+                    held.cell.register_lease(now, &ask, back_end);
                 }
             }
             _ => {}
@@ -133,7 +133,7 @@
         let is_waiting = held.cell.is_waiting(&ticket);
         let wait = held.cell.estimated_wait(now, class);
         if is_waiting && !may_wait {
-            held.cell.withdraw(&ticket);
+            held.cell.cancel(&ticket);
         }
         self.flush_cell(cell);
         if !is_waiting {
@@ -198,7 +198,7 @@
             .set_back_ends(&self.member_capacities(cell, &configuration));
         held.cell.configure(now, &configuration);
         if self.catalog.is_engine_pool(cell.pool) {
-            held.cell.start_learning(now);
+            held.cell.start_takeover(now);
         }
         self.cells.insert(cell, held);
         self.set_allowances(cell);
@@ -261,7 +261,7 @@
     ) {
         let now = self.now;
         if let Some(held) = self.cells.get_mut(&cell) {
-            held.cell.observe_speed(now, back_end, per_token);
+            held.cell.observe_time_per_token(now, back_end, per_token);
         }
     }
 
@@ -279,9 +279,9 @@
         if let Some(cell) = cell
             && let Some(held) = self.cells.get_mut(&cell)
         {
-            held.cell.report(now, back_end, report);
+            held.cell.apply_load_report(now, back_end, report);
             held.cell
-                .cache_events(back_end, cache.gap, &cache.stored, &cache.removed);
+                .apply_cache_events(back_end, cache.gap, &cache.stored, &cache.removed);
             held.cache_cursors.insert(back_end, cache.cursor);
             self.flush_cell(cell);
         }
@@ -336,7 +336,10 @@
     /// Hands the queue of a cell over to its holder if that is another node that is live
     /// again, because two queues for the same slots can't keep a common order.
     fn yield_to_live_holder(&mut self, cell: CellId) {
-        let waiting = self.cells.get(&cell).map_or(0, |held| held.cell.waiting());
+        let waiting = self
+            .cells
+            .get(&cell)
+            .map_or(0, |held| held.cell.waiting_count());
         if waiting > 0 && self.other_live_holder(cell).is_some() {
             self.abandon_queue(cell);
         }
@@ -366,7 +369,7 @@
                 return;
             };
             held.next_poll = self.now + POLL_INTERVAL;
-            held.cell.note_poll(back_end);
+            held.cell.record_poll(back_end);
             let cache_cursor = held.cache_cursors.get(&back_end).copied().unwrap_or(0);
             self.emit(Output::PollBackEnd {
                 back_end,
@@ -408,7 +411,7 @@
         let Some(held) = self.cells.get(&cell) else {
             return;
         };
-        let is_used = held.cell.leases() + held.cell.waiting() > 0;
+        let is_used = held.cell.lease_count() + held.cell.waiting_count() > 0;
         let is_idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
         if !is_holder && !is_used && is_idle {
             self.cells.remove(&cell);
@@ -454,10 +457,10 @@
     pub(crate) fn forget_unlisted_owners(&mut self) {
         let now = self.now;
         for held in self.cells.values_mut() {
-            for node in held.cell.owners() {
+            for node in held.cell.entry_nodes() {
                 let is_lost = node != self.identity.node && !self.fleet.is_listed(node);
                 if is_lost {
-                    held.cell.forget_node(now, node, None);
+                    held.cell.remove_node(now, node, None);
                 }
             }
         }
@@ -497,7 +500,7 @@
             held.next_poll = now;
             held.usage_elsewhere.clear();
             if self.catalog.is_engine_pool(cell.pool) {
-                held.cell.start_learning(now);
+                held.cell.start_takeover(now);
             }
             let leases = held.cell.leases_older_than(now, Span::ZERO);
             self.send_lease_checks(cell, &leases);
@@ -510,7 +513,7 @@
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        for ticket in held.cell.abandon() {
+        for ticket in held.cell.drain_waiting() {
             let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
@@ -530,7 +533,7 @@
 impl HeldCell {
     /// Number of slots that are neither leased nor waited for.
     fn free_slots(&self, now: Timestamp) -> u32 {
-        let taken = self.cell.leases() + self.cell.waiting();
+        let taken = self.cell.lease_count() + self.cell.waiting_count();
         self.cell.total_slots(now).saturating_sub(taken as u32)
     }
 }
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -92,7 +92,7 @@
         self.send_crash_reports_at_start(from);
         let now = self.now;
         for held in self.cells.values_mut() {
-            held.cell.forget_node(now, from, Some(incarnation));
+            held.cell.remove_node(now, from, Some(incarnation));
         }
         self.flush_all_cells();
         self.register_all_with(from);
