--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -192,7 +192,7 @@
         self.rebuild_catalog();
         self.refresh_cell_members();
         self.move_leases_to_current_holders();
-        self.abandon_queues_held_elsewhere();
+        self.drain_queues_held_elsewhere();
         self.announce_version();
     }
 
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -341,7 +341,7 @@
             .get(&cell)
             .map_or(0, |held| held.cell.waiting_count());
         if waiting > 0 && self.other_live_holder(cell).is_some() {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
         }
     }
 
@@ -467,32 +467,32 @@
         self.flush_all_cells();
     }
 
-    /// Abandons the queues of cells that another node holds now.
-    pub(crate) fn abandon_queues_held_elsewhere(&mut self) {
+    /// Drains the queues of cells that another node holds now.
+    pub(crate) fn drain_queues_held_elsewhere(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             if self.fleet.holder(cell, self.now) != Some(self.identity.node) {
-                self.abandon_queue(cell);
+                self.drain_queue(cell);
             }
         }
     }
 
-    /// Abandons all queues, whose requests' owners then turn to the next holder, and moves
-    /// the leases of requests that run here.
-    pub(crate) fn abandon_all_queues(&mut self) {
+    /// Drains all queues, so that entry nodes resubmit the requests to the next holder, and
+    /// moves the leases of requests that run here.
+    pub(crate) fn drain_all_queues(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
         }
         self.move_leases_to_current_holders();
     }
 
-    /// Abandons all queues and checks all leases after a pause, because both may be out of
+    /// Drains all queues and checks all leases after a pause, because both may be out of
     /// date.
     pub(crate) fn revalidate_cells(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
             let now = self.now;
             let Some(held) = self.cells.get_mut(&cell) else {
                 continue;
@@ -507,8 +507,8 @@
         }
     }
 
-    /// Empties a queue and tells the entry nodes of its requests to resubmit them.
-    pub(crate) fn abandon_queue(&mut self, cell: CellId) {
+    /// Drains a queue and instructs the entry nodes of its requests to resubmit them.
+    pub(crate) fn drain_queue(&mut self, cell: CellId) {
         let directory = self.directory.version();
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -227,7 +227,7 @@
         self.draining = true;
         self.fleet.set_own_draining(true);
         self.announce_to_zone();
-        self.abandon_all_queues();
+        self.drain_all_queues();
         self.process_inbox();
     }
 
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -88,7 +88,7 @@
         let Some(_previous) = self.fleet.detector.heard(from, incarnation, self.now) else {
             return;
         };
-        self.releases.forget_node(from);
+        self.releases.remove_holder(from);
         self.send_crash_reports_at_start(from);
         let now = self.now;
         for held in self.cells.values_mut() {
--- a/crates/coordination/node/src/releases.rs
+++ b/crates/coordination/node/src/releases.rs
@@ -36,7 +36,7 @@
     }
 
     /// Drops the releases for a node that restarted and so has lost its leases.
-    pub fn forget_node(&mut self, holder: NodeId) {
+    pub fn remove_holder(&mut self, holder: NodeId) {
         self.pending.retain(|(node, _), _| *node != holder);
     }
 
