--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -8,7 +8,7 @@
 use crate::message::Message;
 use crate::node::Node;
 use crate::request::Phase;
-use eiderferry_once::{ClaimAnswer, KeyName};
+use eiderferry_once::{ClaimResponse, KeyName};
 use eiderferry_types::{Incarnation, NodeId, Reason, Refusal, RequestId, Span, Timestamp, Verdict};
 use std::collections::BTreeMap;
 
@@ -49,7 +49,7 @@
     fn key_home(&self, key: &KeyName) -> Option<NodeId> {
         match key {
             KeyName::Ticket { node, .. } => Some(*node),
-            KeyName::Caller(..) => self.key_history.home(key),
+            KeyName::Caller(..) => self.key_history.owner(key),
         }
     }
 
@@ -121,11 +121,11 @@
                 if issued_here {
                     self.keys.claim_ticket(self.now, &key, claimant)
                 } else {
-                    ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone)
+                    ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone)
                 }
             }
             KeyName::Caller(..) => {
-                if self.key_history.home(&key) != Some(self.identity.node) {
+                if self.key_history.owner(&key) != Some(self.identity.node) {
                     // The claimant uses another version of the directory; the ping
                     // lets it compare versions.
                     self.ping(from);
@@ -133,15 +133,16 @@
                 }
                 // A key that isn't in the table may be granted only if no other home can
                 // have granted it within the repeat window.
-                let vouched = !self.is_unverified() && self.key_history.vouches_for(self.now, &key);
+                let owned_whole_window =
+                    !self.is_unverified() && self.key_history.has_owned_for_window(self.now, &key);
                 self.keys
-                    .claim_caller_key(self.now, &key, claimant, vouched)
+                    .claim_caller_key(self.now, &key, claimant, owned_whole_window)
             }
         };
         self.send(from, Message::ClaimReply { sequence, reply });
     }
 
-    pub(crate) fn handle_claim_reply(&mut self, from: NodeId, sequence: u64, reply: ClaimAnswer) {
+    pub(crate) fn handle_claim_reply(&mut self, from: NodeId, sequence: u64, reply: ClaimResponse) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
@@ -152,12 +153,12 @@
             return;
         }
         match reply {
-            ClaimAnswer::Granted => {
+            ClaimResponse::Granted => {
                 request.key_granted_by = Some(home);
                 self.record_step(sequence, Step::Claimed { home });
                 self.request_slot(sequence);
             }
-            ClaimAnswer::Denied { verdict, reason } => {
+            ClaimResponse::Denied { verdict, reason } => {
                 let retry_after = (reason != Reason::KeyFinished).then_some(UNDECIDED_RETRY_AFTER);
                 self.reject(
                     sequence,
@@ -230,7 +231,7 @@
             incarnation,
             sequence,
         };
-        self.keys.settle(self.now, &key, claimant, verdict);
+        self.keys.record_verdict(self.now, &key, claimant, verdict);
         self.send(from, Message::Settled { sequence });
     }
 }
--- a/crates/coordination/node/src/message.rs
+++ b/crates/coordination/node/src/message.rs
@@ -7,7 +7,7 @@
 use eiderferry_admission::{Observation, PrefixMark};
 use eiderferry_config::{Configuration, ConfigurationDelta, Directory, DirectoryDelta};
 use eiderferry_dissemination::Update;
-use eiderferry_once::{ClaimAnswer, KeyName};
+use eiderferry_once::{ClaimResponse, KeyName};
 use eiderferry_quarantine::RequestReport;
 use eiderferry_types::{
     BackEndId, CellId, ClassId, Incarnation, NodeId, Reason, Span, TenantId, Verdict,
@@ -170,7 +170,7 @@
         /// Sequence number of the request.
         sequence: u64,
         /// The decision.
-        reply: ClaimAnswer,
+        reply: ClaimResponse,
     },
     /// Entry node to home: reports how the request that claimed a key ended.
     Settle {
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -217,7 +217,7 @@
         let Identity {
             node, incarnation, ..
         } = self.identity;
-        self.keys.issue(self.now, node, incarnation)
+        self.keys.issue_ticket(self.now, node, incarnation)
     }
 
     /// Starts draining: the node rejects new requests, hands over its queues and
--- a/crates/coordination/once/src/history.rs
+++ b/crates/coordination/once/src/history.rs
@@ -45,12 +45,12 @@
     }
 
     /// The owner of a key according to the newest list.
-    pub fn home(&self, name: &KeyName) -> Option<NodeId> {
+    pub fn owner(&self, name: &KeyName) -> Option<NodeId> {
         key_owner(name, &self.node_lists.back()?.1)
     }
 
     /// Whether this incarnation has owned the key for the whole repeat window.
-    pub fn vouches_for(&self, now: Timestamp, name: &KeyName) -> bool {
+    pub fn has_owned_for_window(&self, now: Timestamp, name: &KeyName) -> bool {
         let window_start = now - self.window;
         if now.since(self.started) < self.window || self.node_lists.is_empty() {
             return false;
--- a/crates/coordination/once/src/lib.rs
+++ b/crates/coordination/once/src/lib.rs
@@ -9,9 +9,8 @@
 //!   other incarnation or node ever grants it: once that incarnation is gone, a claim
 //!   is denied with "may have run". This needs no node list, no clock and no peers.
 //! * The owner of a *caller's key* is chosen by rendezvous hashing over the listed
-//!   nodes. A node vouches for such a key only if it has been its owner, by every
-//!   list it knew, for the whole repeat window; otherwise an earlier owner may have
-//!   granted it.
+//!   nodes. A node newly grants such a key only if it has owned it, by every list it
+//!   knew, for the whole repeat window; otherwise an earlier owner may have granted it.
 
 #![forbid(unsafe_code)]
 
@@ -19,4 +18,4 @@
 mod table;
 
 pub use history::OwnershipHistory;
-pub use table::{ClaimAnswer, KeyName, KeyTable, KeyTableFull};
+pub use table::{ClaimResponse, KeyName, KeyTable, KeyTableFull};
--- a/crates/coordination/once/src/table.rs
+++ b/crates/coordination/once/src/table.rs
@@ -26,7 +26,7 @@
 
 /// An owner's response to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimAnswer {
+pub enum ClaimResponse {
     /// Only the claimant may dispatch the request, and only once.
     Granted,
     /// The claimant must not dispatch the request.
@@ -38,7 +38,7 @@
     },
 }
 
-impl ClaimAnswer {
+impl ClaimResponse {
     /// Creates a denial.
     pub const fn denied(verdict: Verdict, reason: Reason) -> Self {
         Self::Denied { verdict, reason }
@@ -107,7 +107,7 @@
     }
 
     /// Issues a ticket of this incarnation.
-    pub fn issue(
+    pub fn issue_ticket(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -129,9 +129,9 @@
         now: Timestamp,
         name: &KeyName,
         request: RequestId,
-    ) -> ClaimAnswer {
+    ) -> ClaimResponse {
         if !self.entries.contains_key(name) {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
+            return ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
         self.claim_existing(now, name, request)
     }
@@ -144,16 +144,16 @@
         name: &KeyName,
         request: RequestId,
         owned_whole_window: bool,
-    ) -> ClaimAnswer {
+    ) -> ClaimResponse {
         if self.entries.contains_key(name) {
             return self.claim_existing(now, name, request);
         }
         if !owned_whole_window {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
+            return ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         }
         match self.insert(now, name.clone(), KeyState::Granted(request)) {
-            Ok(()) => ClaimAnswer::Granted,
-            Err(KeyTableFull) => ClaimAnswer::denied(Verdict::NotRun, Reason::KeyTableFull),
+            Ok(()) => ClaimResponse::Granted,
+            Err(KeyTableFull) => ClaimResponse::denied(Verdict::NotRun, Reason::KeyTableFull),
         }
     }
 
@@ -162,20 +162,22 @@
         now: Timestamp,
         name: &KeyName,
         request: RequestId,
-    ) -> ClaimAnswer {
+    ) -> ClaimResponse {
         let Some(entry) = self.entries.get_mut(name) else {
-            return ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
+            return ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
         };
         entry.last_used = now;
         match entry.state {
             KeyState::Open => {
                 entry.state = KeyState::Granted(request);
-                ClaimAnswer::Granted
+                ClaimResponse::Granted
             }
             // A repeat of the claim that was granted: the response to it was lost.
-            KeyState::Granted(granted_to) if granted_to == request => ClaimAnswer::Granted,
-            KeyState::Granted(_) => ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyInProgress),
-            KeyState::Finished(verdict) => ClaimAnswer::denied(verdict, Reason::KeyFinished),
+            KeyState::Granted(granted_to) if granted_to == request => ClaimResponse::Granted,
+            KeyState::Granted(_) => {
+                ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyInProgress)
+            }
+            KeyState::Finished(verdict) => ClaimResponse::denied(verdict, Reason::KeyFinished),
         }
     }
 
@@ -183,7 +185,13 @@
     ///
     /// Only `NotRun` makes the key available again, and only if the claimant itself
     /// reports it.
-    pub fn settle(&mut self, now: Timestamp, name: &KeyName, request: RequestId, verdict: Verdict) {
+    pub fn record_verdict(
+        &mut self,
+        now: Timestamp,
+        name: &KeyName,
+        request: RequestId,
+        verdict: Verdict,
+    ) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
--- a/crates/coordination/once/tests/keys.rs
+++ b/crates/coordination/once/tests/keys.rs
@@ -1,7 +1,7 @@
 //! A key is granted at most once, also after repeated claims, expiry and changes of
 //! the owner.
 
-use eiderferry_once::{ClaimAnswer, KeyName, KeyTable, OwnershipHistory};
+use eiderferry_once::{ClaimResponse, KeyName, KeyTable, OwnershipHistory};
 use eiderferry_types::{Incarnation, NodeId, Reason, RequestId, Span, Timestamp, Verdict};
 
 const WINDOW: Span = Span::from_milliseconds(60_000);
@@ -20,7 +20,9 @@
 
 fn table_with_ticket() -> (KeyTable, KeyName) {
     let mut table = KeyTable::new(2, WINDOW);
-    let ticket = table.issue(at(0), NodeId(1), Incarnation(9)).expect("room");
+    let ticket = table
+        .issue_ticket(at(0), NodeId(1), Incarnation(9))
+        .expect("room");
     (table, ticket)
 }
 
@@ -29,14 +31,14 @@
     let (mut table, ticket) = table_with_ticket();
     assert_eq!(
         table.claim_ticket(at(1), &ticket, request(1)),
-        ClaimAnswer::Granted
+        ClaimResponse::Granted
     );
     assert_eq!(
         table.claim_ticket(at(1), &ticket, request(1)),
-        ClaimAnswer::Granted,
+        ClaimResponse::Granted,
         "a repeated claim"
     );
-    let denied = ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyInProgress);
+    let denied = ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyInProgress);
     assert_eq!(table.claim_ticket(at(2), &ticket, request(2)), denied);
 }
 
@@ -44,15 +46,15 @@
 fn only_the_claimant_can_reopen_a_ticket() {
     let (mut table, ticket) = table_with_ticket();
     table.claim_ticket(at(1), &ticket, request(1));
-    table.settle(at(2), &ticket, request(7), Verdict::NotRun);
+    table.record_verdict(at(2), &ticket, request(7), Verdict::NotRun);
     assert_ne!(
         table.claim_ticket(at(2), &ticket, request(2)),
-        ClaimAnswer::Granted
+        ClaimResponse::Granted
     );
-    table.settle(at(3), &ticket, request(1), Verdict::NotRun);
+    table.record_verdict(at(3), &ticket, request(1), Verdict::NotRun);
     assert_eq!(
         table.claim_ticket(at(3), &ticket, request(2)),
-        ClaimAnswer::Granted
+        ClaimResponse::Granted
     );
 }
 
@@ -60,8 +62,8 @@
 fn a_finished_ticket_is_never_granted_again() {
     let (mut table, ticket) = table_with_ticket();
     table.claim_ticket(at(1), &ticket, request(1));
-    table.settle(at(2), &ticket, request(1), Verdict::Ran);
-    let denied = ClaimAnswer::denied(Verdict::Ran, Reason::KeyFinished);
+    table.record_verdict(at(2), &ticket, request(1), Verdict::Ran);
+    let denied = ClaimResponse::denied(Verdict::Ran, Reason::KeyFinished);
     assert_eq!(table.claim_ticket(at(3), &ticket, request(2)), denied);
 }
 
@@ -70,18 +72,24 @@
     let (mut table, ticket) = table_with_ticket();
     table.tick(at(200));
     assert!(table.is_empty());
-    let denied = ClaimAnswer::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
+    let denied = ClaimResponse::denied(Verdict::MayHaveRun, Reason::KeyOwnerGone);
     assert_eq!(table.claim_ticket(at(200), &ticket, request(1)), denied);
 }
 
 #[test]
 fn a_full_table_refuses_new_keys_and_keeps_existing_ones() {
     let (mut table, ticket) = table_with_ticket();
-    table.issue(at(1), NodeId(1), Incarnation(9)).expect("room");
-    assert!(table.issue(at(2), NodeId(1), Incarnation(9)).is_err());
+    table
+        .issue_ticket(at(1), NodeId(1), Incarnation(9))
+        .expect("room");
+    assert!(
+        table
+            .issue_ticket(at(2), NodeId(1), Incarnation(9))
+            .is_err()
+    );
     assert_eq!(
         table.claim_ticket(at(3), &ticket, request(1)),
-        ClaimAnswer::Granted
+        ClaimResponse::Granted
     );
 }
 
@@ -91,10 +99,10 @@
     let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
     history.record(at(0), vec![NodeId(1)]);
     assert!(
-        !history.vouches_for(at(59), &name),
+        !history.has_owned_for_window(at(59), &name),
         "an earlier run may have granted it"
     );
-    assert!(history.vouches_for(at(61), &name));
+    assert!(history.has_owned_for_window(at(61), &name));
 }
 
 #[test]
@@ -104,13 +112,13 @@
         .find(|name| {
             let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
             history.record(at(0), vec![NodeId(1), NodeId(2)]);
-            history.home(name) == Some(NodeId(2))
+            history.owner(name) == Some(NodeId(2))
         })
         .expect("half of the keys");
     let mut history = OwnershipHistory::new(NodeId(1), WINDOW, at(0));
     history.record(at(0), vec![NodeId(1), NodeId(2)]);
     history.record(at(100), vec![NodeId(1)]);
-    assert_eq!(history.home(&key_of_node_two), Some(NodeId(1)));
-    assert!(!history.vouches_for(at(101), &key_of_node_two));
-    assert!(history.vouches_for(at(161), &key_of_node_two));
+    assert_eq!(history.owner(&key_of_node_two), Some(NodeId(1)));
+    assert!(!history.has_owned_for_window(at(101), &key_of_node_two));
+    assert!(history.has_owned_for_window(at(161), &key_of_node_two));
 }
