--- a/crates/coordination/membership/src/detector.rs
+++ b/crates/coordination/membership/src/detector.rs
@@ -43,13 +43,13 @@
 
 /// Failure detector for all peers.
 #[derive(Clone, Debug, Default)]
-pub struct Detector {
+pub struct FailureDetector {
     peers: BTreeMap<NodeId, Peer>,
 }
 
-impl Detector {
+impl FailureDetector {
     /// Records a message from a peer. Returns its previous incarnation if it restarted.
-    pub fn heard(
+    pub fn record_message(
         &mut self,
         node: NodeId,
         incarnation: Incarnation,
@@ -69,7 +69,7 @@
     }
 
     /// Whether `incarnation` is older than the newest known one of the node.
-    pub fn is_outdated(&self, node: NodeId, incarnation: Incarnation) -> bool {
+    pub fn is_stale(&self, node: NodeId, incarnation: Incarnation) -> bool {
         let newest = self.peers.get(&node).and_then(|peer| peer.incarnation);
         newest.is_some_and(|newest| newest > incarnation)
     }
@@ -80,13 +80,13 @@
     }
 
     /// Records that a probe was sent.
-    pub fn probed(&mut self, node: NodeId, now: Timestamp) {
+    pub fn record_probe(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
         peer.probe_sent_at.get_or_insert(now);
     }
 
     /// Records that a message other than a probe got no reply.
-    pub fn missed(&mut self, node: NodeId, now: Timestamp) {
+    pub fn record_missed_reply(&mut self, node: NodeId, now: Timestamp) {
         let peer = self.peers.entry(node).or_default();
         peer.consecutive_misses += 1;
         if peer.should_suspect(now) {
@@ -139,7 +139,7 @@
     }
 
     /// Clears the suspicion of a peer that another node has heard from.
-    pub fn pardon(&mut self, node: NodeId) {
+    pub fn clear_suspicion(&mut self, node: NodeId) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.consecutive_misses = 0;
             peer.probe_sent_at = None;
@@ -149,7 +149,7 @@
 
     /// Clears all suspicions after this process was paused, since missed replies may be
     /// due to the pause.
-    pub fn pardon_all(&mut self) {
+    pub fn clear_all_suspicions(&mut self) {
         for peer in self.peers.values_mut() {
             peer.consecutive_misses = 0;
             peer.probe_sent_at = None;
--- a/crates/coordination/membership/src/fleet.rs
+++ b/crates/coordination/membership/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The listed nodes by zone, and the holders of cells among them.
 
-use crate::{Detector, Health};
+use crate::{FailureDetector, Health};
 use eiderferry_types::{CellId, NodeId, Rendezvous, Timestamp, ZoneId};
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     own_draining: bool,
     members: BTreeMap<NodeId, Member>,
     /// Failure detector for the peers.
-    pub detector: Detector,
+    pub detector: FailureDetector,
 }
 
 impl Fleet {
@@ -34,7 +34,7 @@
             own_zone,
             own_draining: false,
             members: BTreeMap::new(),
-            detector: Detector::default(),
+            detector: FailureDetector::default(),
         }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Listed nodes that are not leaving; includes this node if it is listed.
-    pub fn listed(&self) -> impl Iterator<Item = NodeId> + '_ {
+    pub fn listed_nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.members
             .values()
             .filter(|member| !member.leaving)
@@ -67,12 +67,12 @@
     }
 
     /// Peers in this node's zone.
-    pub fn zone_peers(&self) -> Vec<NodeId> {
+    pub fn same_zone_peers(&self) -> Vec<NodeId> {
         self.peers_matching(|member| member.zone == self.own_zone)
     }
 
     /// Peers in other zones.
-    pub fn remote_peers(&self) -> Vec<NodeId> {
+    pub fn other_zone_peers(&self) -> Vec<NodeId> {
         self.peers_matching(|member| member.zone != self.own_zone)
     }
 
@@ -91,12 +91,12 @@
 
     /// The eligible nodes of this zone in the order in which they are chosen to read
     /// `document` for the others.
-    pub fn readers(&self, document: &str, now: Timestamp) -> Vec<NodeId> {
+    pub fn reader_candidates(&self, document: &str, now: Timestamp) -> Vec<NodeId> {
         let key = document.rendezvous_key();
-        let mut readers: Vec<NodeId> = self.eligible_nodes(self.own_zone, now).collect();
-        readers
+        let mut candidates: Vec<NodeId> = self.eligible_nodes(self.own_zone, now).collect();
+        candidates
             .sort_by_key(|node| std::cmp::Reverse(eiderferry_types::rendezvous_score(key, *node)));
-        readers
+        candidates
     }
 
     fn eligible_nodes(&self, zone: ZoneId, now: Timestamp) -> impl Iterator<Item = NodeId> + '_ {
--- a/crates/coordination/membership/src/lib.rs
+++ b/crates/coordination/membership/src/lib.rs
@@ -10,5 +10,5 @@
 mod detector;
 mod fleet;
 
-pub use detector::{Detector, Health};
+pub use detector::{FailureDetector, Health};
 pub use fleet::{Fleet, Member};
--- a/crates/coordination/membership/tests/detector.rs
+++ b/crates/coordination/membership/tests/detector.rs
@@ -1,6 +1,6 @@
 //! Suspicion of peers, restarts, and stable holders of cells.
 
-use eiderferry_membership::{Detector, Fleet, Health, Member};
+use eiderferry_membership::{FailureDetector, Fleet, Health, Member};
 use eiderferry_types::{CellId, Incarnation, NodeId, PoolId, Span, Timestamp, ZoneId};
 
 const PEER: NodeId = NodeId(2);
@@ -11,28 +11,28 @@
 
 #[test]
 fn missed_replies_alone_do_not_make_a_peer_suspected() {
-    let mut detector = Detector::default();
-    detector.heard(PEER, Incarnation(1), at(1_000));
+    let mut detector = FailureDetector::default();
+    detector.record_message(PEER, Incarnation(1), at(1_000));
     for _ in 0..5 {
-        detector.missed(PEER, at(1_300));
+        detector.record_missed_reply(PEER, at(1_300));
     }
     assert_eq!(detector.health(PEER, at(1_300)), Health::Reachable);
-    detector.missed(PEER, at(1_700));
+    detector.record_missed_reply(PEER, at(1_700));
     assert_eq!(detector.health(PEER, at(1_700)), Health::Suspected);
-    detector.pardon(PEER);
+    detector.clear_suspicion(PEER);
     assert_eq!(detector.health(PEER, at(1_700)), Health::Reachable);
 }
 
 #[test]
 fn a_restart_is_distinguished_from_a_late_message() {
-    let mut detector = Detector::default();
-    assert_eq!(detector.heard(PEER, Incarnation(4), at(1)), None);
+    let mut detector = FailureDetector::default();
+    assert_eq!(detector.record_message(PEER, Incarnation(4), at(1)), None);
     assert_eq!(
-        detector.heard(PEER, Incarnation(5), at(2)),
+        detector.record_message(PEER, Incarnation(5), at(2)),
         Some(Incarnation(4))
     );
-    assert!(detector.is_outdated(PEER, Incarnation(4)));
-    assert_eq!(detector.heard(PEER, Incarnation(4), at(3)), None);
+    assert!(detector.is_stale(PEER, Incarnation(4)));
+    assert_eq!(detector.record_message(PEER, Incarnation(4), at(3)), None);
     assert_eq!(detector.incarnation(PEER), Some(Incarnation(5)));
 }
 
--- a/crates/coordination/node/src/class_counts.rs
+++ b/crates/coordination/node/src/class_counts.rs
@@ -29,8 +29,8 @@
     /// All listed peers with their health and whether they are draining, in order of
     /// their identifiers.
     pub fn peers(&self) -> Vec<(NodeId, Health, bool)> {
-        let mut peers = self.fleet.zone_peers();
-        peers.extend(self.fleet.remote_peers());
+        let mut peers = self.fleet.same_zone_peers();
+        peers.extend(self.fleet.other_zone_peers());
         peers.sort();
         let describe = |peer: NodeId| {
             let detector = &self.fleet.detector;
--- a/crates/coordination/node/src/crashing_requests.rs
+++ b/crates/coordination/node/src/crashing_requests.rs
@@ -9,9 +9,9 @@
 
 /// Peers in the own zone that get a report immediately after a crash; all others learn of
 /// it from the reports that accompany pings.
-const ZONE_FANOUT: usize = 8;
+const OWN_ZONE_FANOUT: usize = 8;
 /// Peers in other zones that get a report immediately after a crash.
-const REMOTE_FANOUT: usize = 2;
+const OTHER_ZONE_FANOUT: usize = 2;
 
 impl Node {
     /// The refusal of a request if it is quarantined. It names no time to retry after,
@@ -42,11 +42,14 @@
     }
 
     fn sample_crash_report_peers(&mut self) -> Vec<NodeId> {
-        let (zone, remote) = (self.fleet.zone_peers(), self.fleet.remote_peers());
+        let (same_zone_peers, other_zone_peers) =
+            (self.fleet.same_zone_peers(), self.fleet.other_zone_peers());
         let random = &mut self.random;
-        let chosen = zone.choose_multiple(random, ZONE_FANOUT).copied();
+        let chosen = same_zone_peers
+            .choose_multiple(random, OWN_ZONE_FANOUT)
+            .copied();
         let mut peers: Vec<NodeId> = chosen.collect();
-        peers.extend(remote.choose_multiple(random, REMOTE_FANOUT));
+        peers.extend(other_zone_peers.choose_multiple(random, OTHER_ZONE_FANOUT));
         peers
     }
 
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -21,8 +21,10 @@
     /// Starts the platform reads that are due, and fetches missing documents from the
     /// seeds.
     pub(crate) fn read_documents(&mut self) {
-        let readers = self.fleet.readers(READER_KEY, self.now);
-        let position = readers.iter().position(|node| *node == self.identity.node);
+        let candidates = self.fleet.reader_candidates(READER_KEY, self.now);
+        let position = candidates
+            .iter()
+            .position(|node| *node == self.identity.node);
         let rank = ReaderRank::from_position(position);
         let configuration_missing = self.configuration.current().is_none();
         let directory_missing = self.directory.current().is_none();
@@ -214,7 +216,7 @@
             leaving: entry.state == EntryState::Leaving,
         });
         self.fleet.set_members(members);
-        let listed = self.fleet.listed().collect();
+        let listed = self.fleet.listed_nodes().collect();
         self.key_history.record(self.now, listed);
         self.forget_unlisted_owners();
     }
@@ -231,13 +233,13 @@
     /// Pings a few peers of the own zone and one in another zone, so that they fetch the
     /// new version.
     fn announce_version(&mut self) {
-        let zone_peers = self.fleet.zone_peers();
-        let remote_peers = self.fleet.remote_peers();
-        let mut recipients: Vec<NodeId> = zone_peers
+        let same_zone_peers = self.fleet.same_zone_peers();
+        let other_zone_peers = self.fleet.other_zone_peers();
+        let mut recipients: Vec<NodeId> = same_zone_peers
             .choose_multiple(&mut self.random, ANNOUNCEMENT_FANOUT)
             .copied()
             .collect();
-        recipients.extend(remote_peers.choose(&mut self.random).copied());
+        recipients.extend(other_zone_peers.choose(&mut self.random).copied());
         for peer in recipients {
             self.ping(peer);
         }
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -389,13 +389,13 @@
         }
         held.next_free_slots_report = now + FREE_SLOTS_INTERVAL;
         let free = held.free_slots(now);
-        let mut peers = self.fleet.remote_peers();
+        let mut peers = self.fleet.other_zone_peers();
         if self
             .catalog
             .cells_of_pool(cell.pool)
             .any(|(zone, cells)| zone == self.identity.zone && cells.len() > 1)
         {
-            peers.extend(self.fleet.zone_peers());
+            peers.extend(self.fleet.same_zone_peers());
         }
         let recipients: Vec<NodeId> = peers
             .choose_multiple(&mut self.random, FREE_SLOTS_FANOUT)
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -178,7 +178,7 @@
         let outdated = self
             .fleet
             .detector
-            .is_outdated(envelope.from, envelope.incarnation);
+            .is_stale(envelope.from, envelope.incarnation);
         let misdirected = envelope
             .receiver
             .is_some_and(|mark| mark != self.identity.incarnation.mark());
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -26,7 +26,7 @@
         if gap < PAUSE_THRESHOLD {
             return;
         }
-        self.fleet.detector.pardon_all();
+        self.fleet.detector.clear_all_suspicions();
         self.free_slots.clear();
         self.saturated_until.clear();
         self.unverified_until = Some(self.now + VERIFICATION_GRACE);
@@ -55,7 +55,7 @@
 
     fn ping_zone_for_versions(&mut self) {
         self.verification_echo = self.random.random_range(1..=u16::MAX);
-        for peer in self.fleet.zone_peers() {
+        for peer in self.fleet.same_zone_peers() {
             self.ping_with_echo(peer, self.verification_echo);
         }
     }
--- a/crates/coordination/node/src/probes.rs
+++ b/crates/coordination/node/src/probes.rs
@@ -40,21 +40,21 @@
     }
 
     fn probe_zone(&mut self) {
-        let peers = self.fleet.zone_peers();
+        let peers = self.fleet.same_zone_peers();
         let count = peers.len().min(PROBES_PER_ROUND);
         for offset in 0..count {
             let peer = peers[(self.probes.next_peer + offset) % peers.len()];
-            self.fleet.detector.probed(peer, self.now);
+            self.fleet.detector.record_probe(peer, self.now);
             self.ping(peer);
         }
         self.probes.next_peer = self.probes.next_peer.wrapping_add(count);
     }
 
     fn probe_remote(&mut self) {
-        let peers = self.fleet.remote_peers();
+        let peers = self.fleet.other_zone_peers();
         let chosen = peers.choose(&mut self.random).copied();
         if let Some(peer) = chosen {
-            self.fleet.detector.probed(peer, self.now);
+            self.fleet.detector.record_probe(peer, self.now);
             self.ping(peer);
         }
     }
@@ -77,7 +77,7 @@
 
     /// Pings all peers of the zone, to announce a change of this node's own state.
     pub(crate) fn announce_to_zone(&mut self) {
-        for peer in self.fleet.zone_peers() {
+        for peer in self.fleet.same_zone_peers() {
             self.ping(peer);
         }
     }
@@ -85,7 +85,11 @@
     /// Records a message from a peer. If the peer has restarted, drops the state that
     /// belongs to its previous run and sends it what it has lost.
     pub(crate) fn record_heard(&mut self, from: NodeId, incarnation: Incarnation) {
-        let Some(_previous) = self.fleet.detector.heard(from, incarnation, self.now) else {
+        let Some(_previous) = self
+            .fleet
+            .detector
+            .record_message(from, incarnation, self.now)
+        else {
             return;
         };
         self.releases.remove_holder(from);
--- a/crates/coordination/node/src/request_flow/replies.rs
+++ b/crates/coordination/node/src/request_flow/replies.rs
@@ -290,7 +290,7 @@
         live_holder: Option<NodeId>,
     ) {
         if let Some(holder) = live_holder {
-            self.fleet.detector.pardon(holder);
+            self.fleet.detector.clear_suspicion(holder);
         }
         if directory > self.directory.version() {
             self.fetch(from, DocumentKind::Directory);
--- a/crates/coordination/node/src/request_flow/slot_requests.rs
+++ b/crates/coordination/node/src/request_flow/slot_requests.rs
@@ -221,7 +221,9 @@
     /// Handles a holder that doesn't reply: if it is suspected by now, the request turns to
     /// the node that replaces it; otherwise the slot request is resent.
     pub(super) fn suspect_holder(&mut self, sequence: u64, slot_request: &SlotRequest) {
-        self.fleet.detector.missed(slot_request.holder, self.now);
+        self.fleet
+            .detector
+            .record_missed_reply(slot_request.holder, self.now);
         if self.fleet.detector.health(slot_request.holder, self.now) == Health::Reachable {
             self.send_slot_request(sequence);
             return;
