--- a/crates/coordination/dissemination/src/lib.rs
+++ b/crates/coordination/dissemination/src/lib.rs
@@ -7,8 +7,8 @@
 
 #![forbid(unsafe_code)]
 
-mod reading;
+mod read_schedule;
 mod replica;
 
-pub use reading::{ReadPlan, ReaderRank};
-pub use replica::{Acceptance, Replica, Update};
+pub use read_schedule::{ReadSchedule, ReaderRole};
+pub use replica::{ApplyOutcome, Replica, Update};
--- a/crates/coordination/dissemination/src/replica.rs
+++ b/crates/coordination/dissemination/src/replica.rs
@@ -19,7 +19,7 @@
 
 /// Result of offering a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acceptance {
+pub enum ApplyOutcome {
     /// The version is newer and now current.
     Accepted,
     /// The version is not newer than the current one.
@@ -58,9 +58,9 @@
     }
 
     /// Replaces the document if the offered one is newer.
-    pub fn offer(&mut self, document: Document) -> Acceptance {
+    pub fn offer(&mut self, document: Document) -> ApplyOutcome {
         if document.version() <= self.version() {
-            return Acceptance::NotNewer;
+            return ApplyOutcome::NotNewer;
         }
         if let Some(current) = &self.current {
             self.deltas.push_back(current.delta_to(&document));
@@ -69,34 +69,34 @@
             self.deltas.pop_front();
         }
         self.current = Some(Arc::new(document));
-        Acceptance::Accepted
+        ApplyOutcome::Accepted
     }
 
     /// The document that results from `update`; the current one stays unchanged.
     pub fn preview(
         &self,
         update: &Update<Document, Document::Delta>,
-    ) -> Result<Document, Acceptance> {
+    ) -> Result<Document, ApplyOutcome> {
         match update {
             Update::Whole(document) if document.version() > self.version() => Ok(document.clone()),
-            Update::Whole(_) => Err(Acceptance::NotNewer),
+            Update::Whole(_) => Err(ApplyOutcome::NotNewer),
             Update::Deltas(deltas) => self.preview_deltas(deltas),
         }
     }
 
-    fn preview_deltas(&self, deltas: &[Document::Delta]) -> Result<Document, Acceptance> {
+    fn preview_deltas(&self, deltas: &[Document::Delta]) -> Result<Document, ApplyOutcome> {
         let mut document = match &self.current {
             Some(current) => Document::clone(current),
-            None => return Err(Acceptance::Gap),
+            None => return Err(ApplyOutcome::Gap),
         };
         for delta in deltas {
             if Document::target_of(delta) <= document.version() {
                 continue;
             }
-            document = document.apply(delta).ok_or(Acceptance::Gap)?;
+            document = document.apply(delta).ok_or(ApplyOutcome::Gap)?;
         }
         if document.version() <= self.version() {
-            return Err(Acceptance::NotNewer);
+            return Err(ApplyOutcome::NotNewer);
         }
         Ok(document)
     }
--- a/crates/coordination/dissemination/tests/replica.rs
+++ b/crates/coordination/dissemination/tests/replica.rs
@@ -1,7 +1,7 @@
 //! Versions only increase, peers get no more than they need, and only readers read.
 
 use eiderferry_config::Directory;
-use eiderferry_dissemination::{Acceptance, ReadPlan, ReaderRank, Replica, Update};
+use eiderferry_dissemination::{ApplyOutcome, ReadSchedule, ReaderRole, Replica, Update};
 use eiderferry_types::{Span, Timestamp};
 
 fn directory(version: u64) -> Directory {
@@ -14,9 +14,9 @@
 #[test]
 fn an_older_or_equal_version_is_never_accepted() {
     let mut replica = Replica::default();
-    assert_eq!(replica.offer(directory(5)), Acceptance::Accepted);
-    assert_eq!(replica.offer(directory(4)), Acceptance::NotNewer);
-    assert_eq!(replica.offer(directory(5)), Acceptance::NotNewer);
+    assert_eq!(replica.offer(directory(5)), ApplyOutcome::Accepted);
+    assert_eq!(replica.offer(directory(4)), ApplyOutcome::NotNewer);
+    assert_eq!(replica.offer(directory(5)), ApplyOutcome::NotNewer);
     assert_eq!(replica.version(), 5);
 }
 
@@ -40,19 +40,19 @@
     let update = source.update_for(2).expect("newer");
     let mut behind = Replica::default();
     behind.offer(directory(1));
-    assert_eq!(behind.preview(&update), Err(Acceptance::Gap));
+    assert_eq!(behind.preview(&update), Err(ApplyOutcome::Gap));
     assert_eq!(behind.version(), 1);
 }
 
 #[test]
 fn only_readers_read_and_a_failure_delays_the_next_read() {
-    let mut plan = ReadPlan::default();
+    let mut schedule = ReadSchedule::default();
     let at = |seconds: u64| Timestamp(0) + Span::from_milliseconds(seconds * 1_000);
-    assert!(!plan.start_if_due(at(1), ReaderRank::None, false));
-    assert!(plan.start_if_due(at(1), ReaderRank::First, false));
-    plan.finished(false);
-    assert!(!plan.start_if_due(at(2), ReaderRank::First, false));
-    assert!(plan.start_if_due(at(3), ReaderRank::First, false));
-    plan.finished(true);
-    assert!(plan.start_if_due(at(4), ReaderRank::First, false));
+    assert!(!schedule.start_if_due(at(1), ReaderRole::NotReader, false));
+    assert!(schedule.start_if_due(at(1), ReaderRole::Primary, false));
+    schedule.record_result(false);
+    assert!(!schedule.start_if_due(at(2), ReaderRole::Primary, false));
+    assert!(schedule.start_if_due(at(3), ReaderRole::Primary, false));
+    schedule.record_result(true);
+    assert!(schedule.start_if_due(at(4), ReaderRole::Primary, false));
 }
--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::output::{Output, PlatformDocument};
 use eiderferry_config::{Configuration, ConfigurationDelta, Directory, DirectoryDelta, EntryState};
-use eiderferry_dissemination::{Acceptance, ReaderRank, Update};
+use eiderferry_dissemination::{ApplyOutcome, ReaderRole, Update};
 use eiderferry_membership::Member;
 use eiderferry_types::{NodeId, Timestamp};
 use rand::seq::IndexedRandom;
@@ -25,12 +25,12 @@
         let position = candidates
             .iter()
             .position(|node| *node == self.identity.node);
-        let rank = ReaderRank::from_position(position);
+        let role = ReaderRole::from_position(position);
         let configuration_missing = self.configuration.current().is_none();
         let directory_missing = self.directory.current().is_none();
         let must_verify = self.is_unverified();
         let urgent = directory_missing || must_verify;
-        if self.directory_reads.start_if_due(self.now, rank, urgent) {
+        if self.directory_reads.start_if_due(self.now, role, urgent) {
             let known_version = self.directory.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Directory,
@@ -40,7 +40,7 @@
         let urgent = configuration_missing;
         if self
             .configuration_reads
-            .start_if_due(self.now, rank, urgent)
+            .start_if_due(self.now, role, urgent)
         {
             let known_version = self.configuration.version();
             self.emit(Output::ReadPlatform {
@@ -74,12 +74,12 @@
         response: Result<Option<PlatformDocument>, ()>,
     ) {
         self.advance_clock(now);
-        let plan = match kind {
+        let schedule = match kind {
             DocumentKind::Configuration => &mut self.configuration_reads,
             DocumentKind::Directory => &mut self.directory_reads,
         };
-        let was_reading = plan.is_reading();
-        plan.finished(response.is_ok());
+        let was_reading = schedule.is_reading();
+        schedule.record_result(response.is_ok());
         if kind == DocumentKind::Directory && response.is_ok() && was_reading {
             self.confirm_directory();
         }
@@ -130,7 +130,7 @@
     ) {
         match self.configuration.preview(update) {
             Ok(document) => self.accept_configuration(document),
-            Err(Acceptance::Gap) => {
+            Err(ApplyOutcome::Gap) => {
                 let kind = DocumentKind::Configuration;
                 self.send(
                     from,
@@ -151,7 +151,7 @@
     ) {
         match self.directory.preview(update) {
             Ok(document) => self.accept_directory(document),
-            Err(Acceptance::Gap) => {
+            Err(ApplyOutcome::Gap) => {
                 let kind = DocumentKind::Directory;
                 self.send(
                     from,
@@ -172,7 +172,7 @@
             self.invalid_configuration = document.version;
             return;
         }
-        if self.configuration.offer(document) != Acceptance::Accepted {
+        if self.configuration.offer(document) != ApplyOutcome::Accepted {
             return;
         }
         self.rebuild_catalog();
@@ -182,7 +182,7 @@
 
     fn accept_directory(&mut self, document: Directory) {
         let previous = self.directory.current().cloned();
-        if self.directory.offer(document) != Acceptance::Accepted {
+        if self.directory.offer(document) != ApplyOutcome::Accepted {
             return;
         }
         if let Some(newer) = self.directory.current() {
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -14,7 +14,7 @@
 use crate::retry_budget::RetryBudget;
 use eiderferry_admission::{CellPolicy, CellSnapshot};
 use eiderferry_config::{Configuration, Directory};
-use eiderferry_dissemination::{ReadPlan, Replica};
+use eiderferry_dissemination::{ReadSchedule, Replica};
 use eiderferry_membership::Fleet;
 use eiderferry_once::{KeyName, KeyTable, KeyTableFull, OwnershipHistory};
 use eiderferry_quarantine::Quarantine;
@@ -82,8 +82,8 @@
     pub(crate) directory: Replica<Directory>,
     pub(crate) leaving_overrides: LeavingOverrides,
     pub(crate) catalog: Catalog,
-    pub(crate) configuration_reads: ReadPlan,
-    pub(crate) directory_reads: ReadPlan,
+    pub(crate) configuration_reads: ReadSchedule,
+    pub(crate) directory_reads: ReadSchedule,
     /// Version of the last configuration that was rejected as invalid.
     pub(crate) invalid_configuration: u64,
     pub(crate) cells: BTreeMap<CellId, HeldCell>,
@@ -128,8 +128,8 @@
             directory: Replica::default(),
             leaving_overrides: LeavingOverrides::default(),
             catalog: Catalog::default(),
-            configuration_reads: ReadPlan::default(),
-            directory_reads: ReadPlan::default(),
+            configuration_reads: ReadSchedule::default(),
+            directory_reads: ReadSchedule::default(),
             invalid_configuration: 0,
             cells: BTreeMap::new(),
             requests: BTreeMap::new(),
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -30,8 +30,8 @@
         self.free_slots.clear();
         self.saturated_until.clear();
         self.unverified_until = Some(self.now + VERIFICATION_GRACE);
-        self.directory_reads.hurry();
-        self.configuration_reads.hurry();
+        self.directory_reads.reset();
+        self.configuration_reads.reset();
         self.ping_zone_for_versions();
         self.revalidate_cells();
         self.resubmit_waiting();
