--- a/crates/coordination/dissemination/src/replica.rs
+++ b/crates/coordination/dissemination/src/replica.rs
@@ -90,7 +90,7 @@
             None => return Err(ApplyOutcome::Gap),
         };
         for delta in deltas {
-            if Document::target_of(delta) <= document.version() {
+            if Document::target_version(delta) <= document.version() {
                 continue;
             }
             document = document.apply(delta).ok_or(ApplyOutcome::Gap)?;
@@ -111,7 +111,7 @@
         let start = self
             .deltas
             .iter()
-            .position(|delta| Document::base_of(delta) == peer_version);
+            .position(|delta| Document::base_version(delta) == peer_version);
         let update = match start {
             Some(start) => Update::Deltas(self.deltas.iter().skip(start).cloned().collect()),
             None => Update::Whole(Document::clone(current)),
--- a/crates/state/config/src/delta.rs
+++ b/crates/state/config/src/delta.rs
@@ -19,9 +19,9 @@
     /// The delta from this version to `newer`.
     fn delta_to(&self, newer: &Self) -> Self::Delta;
     /// The version to which a delta applies.
-    fn base_of(delta: &Self::Delta) -> u64;
+    fn base_version(delta: &Self::Delta) -> u64;
     /// The version that results from a delta.
-    fn target_of(delta: &Self::Delta) -> u64;
+    fn target_version(delta: &Self::Delta) -> u64;
     /// Applies a delta; returns `None` if its base is another version.
     fn apply(&self, delta: &Self::Delta) -> Option<Self>;
 }
@@ -107,11 +107,11 @@
         }
     }
 
-    fn base_of(delta: &ConfigurationDelta) -> u64 {
+    fn base_version(delta: &ConfigurationDelta) -> u64 {
         delta.base
     }
 
-    fn target_of(delta: &ConfigurationDelta) -> u64 {
+    fn target_version(delta: &ConfigurationDelta) -> u64 {
         delta.target
     }
 
@@ -158,11 +158,11 @@
         }
     }
 
-    fn base_of(delta: &DirectoryDelta) -> u64 {
+    fn base_version(delta: &DirectoryDelta) -> u64 {
         delta.base
     }
 
-    fn target_of(delta: &DirectoryDelta) -> u64 {
+    fn target_version(delta: &DirectoryDelta) -> u64 {
         delta.target
     }
 
