--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -224,7 +224,7 @@
         self.back_ends.values()
     }
 
-    /// Handles a request for a slot. A repeat with the same ticket takes no second
+    /// Handles a request for a slot. A repeat with the same ticket gets no second
     /// slot; if the slot is already leased, the grant is sent again.
     pub fn ask(&mut self, now: Timestamp, ask: Ask) {
         if let Some(lease) = self.leases.get(&ask.ticket) {
--- a/crates/coordination/admission/src/selection.rs
+++ b/crates/coordination/admission/src/selection.rs
@@ -8,8 +8,8 @@
 //! 2. *Tier order.* All capacity outside the minimum shares goes to the highest tier
 //!    with waiting requests.
 //!
-//! A minimum share is never part of the capacity of higher tiers, so serving it takes
-//! nothing away from them.
+//! A minimum share is never part of the capacity of higher tiers, so serving it does
+//! not reduce their capacity.
 
 use crate::back_end::BackEndState;
 use crate::class_queue::ClassQueue;
--- a/crates/coordination/node/src/claims.rs
+++ b/crates/coordination/node/src/claims.rs
@@ -18,7 +18,7 @@
 pub(crate) const MAX_CLAIM_SENDS: u32 = 6;
 /// Time after which an unacknowledged settlement is resent.
 const SETTLEMENT_RESEND: Span = Span::from_milliseconds(300);
-/// Times that a settlement is resent before the home counts as gone.
+/// Times that a settlement is resent before the home counts as unreachable.
 const MAX_SETTLEMENT_RESENDS: u32 = 10;
 /// Time after which a caller may retry whose key can't be granted now.
 const UNDECIDED_RETRY_AFTER: Span = Span::from_milliseconds(2_000);
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -156,7 +156,7 @@
     }
 
     /// The node that holds a cell instead of this one, if this node has recently heard
-    /// from it. A requester that suspects that holder is told that it is live.
+    /// from it. A requester that suspects that holder clears its suspicion.
     fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
         let is_live = self
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -2,7 +2,7 @@
 //!
 //! After a pause the node's state may be out of date. Each event therefore compares the
 //! clock with the previous event's, and after a large gap the node revalidates its
-//! state: it empties its queues and tells the owners to resubmit, checks its leases, and
+//! state: it drains its queues so that the entry nodes resubmit, checks its leases, and
 //! grants nothing until the platform or a peer has confirmed the directory, or until a
 //! grace period has ended without a reply.
 
--- a/crates/coordination/node/src/request.rs
+++ b/crates/coordination/node/src/request.rs
@@ -52,7 +52,7 @@
         /// Whether the back end crashed, that is, accepts no new connection.
         has_crashed: bool,
     },
-    /// The caller disconnected; the back end was told to cancel.
+    /// The caller disconnected; the back end was asked to cancel the response.
     CallerDisconnected(Observation),
 }
 
--- a/crates/coordination/once/src/lib.rs
+++ b/crates/coordination/once/src/lib.rs
@@ -6,7 +6,7 @@
 //! window. The two kinds of key differ in how the owner is found:
 //!
 //! * A *ticket* is issued by a node and contains the node's id and incarnation. No
-//!   other incarnation or node ever grants it: once that incarnation is gone, a claim
+//!   other incarnation or node ever grants it: once that incarnation has ended, a claim
 //!   is denied with "may have run". This needs no node list, no clock and no peers.
 //! * The owner of a *caller's key* is chosen by rendezvous hashing over the listed
 //!   nodes. A node newly grants such a key only if it has owned it, by every list it
--- a/crates/coordination/quarantine/src/completions.rs
+++ b/crates/coordination/quarantine/src/completions.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Maximum number of requests stored; the ones inserted first are evicted. At 31 requests per
-/// second per node (69,000 over 2,200 nodes) this covers about four minutes and takes about
+/// second per node (69,000 over 2,200 nodes) this covers about four minutes and uses about
 /// 0.5 MB.
 const MAX_COMPLETIONS: usize = 8_192;
 
--- a/crates/state/routing/src/priority.rs
+++ b/crates/state/routing/src/priority.rs
@@ -18,7 +18,7 @@
 }
 
 impl PriorityScale {
-    /// A scale with levels of its own for each rank of these routes, as far as the levels suffice.
+    /// A scale with separate levels for each rank of these routes, as far as the levels suffice.
     pub fn for_routes(routes: &[Route]) -> Self {
         let max_rank = routes.iter().map(|route| route.rank).max().unwrap_or(0);
         let rank_count = max_rank.saturating_add(1);
