--- a/crates/coordination/admission/src/cell.rs
+++ b/crates/coordination/admission/src/cell.rs
@@ -383,9 +383,14 @@
     }
 
     /// Records the time per token observed while a response is still streaming.
-    pub fn observe_time_per_token(&mut self, now: Timestamp, back_end: BackEndId, per_token: Span) {
+    pub fn observe_time_per_token(
+        &mut self,
+        now: Timestamp,
+        back_end: BackEndId,
+        time_per_token: Span,
+    ) {
         let observation = Observation {
-            per_token: Some(per_token),
+            per_token: Some(time_per_token),
             ..Observation::UNUSED
         };
         if let Some(state) = self.back_ends.get_mut(&back_end) {
