--- a/crates/coordination/node/src/documents.rs
+++ b/crates/coordination/node/src/documents.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::output::{Output, PlatformDocument};
 use eiderferry_config::{Configuration, ConfigurationDelta, Directory, DirectoryDelta, EntryState};
-use eiderferry_dissemination::{Acceptance, ReaderRank, Update};
+use eiderferry_dissemination::{ApplyOutcome, ReaderRole, Update};
 use eiderferry_membership::Member;
 use eiderferry_types::{NodeId, Timestamp};
 use rand::seq::IndexedRandom;
@@ -21,14 +21,16 @@
     /// Starts the platform reads that are due, and fetches missing documents from the
     /// seeds.
     pub(crate) fn read_documents(&mut self) {
-        let readers = self.fleet.readers(READER_KEY, self.now);
-        let position = readers.iter().position(|node| *node == self.identity.node);
-        let rank = ReaderRank::from_position(position);
+        let candidates = self.fleet.reader_candidates(READER_KEY, self.now);
+        let position = candidates
+            .iter()
+            .position(|node| *node == self.identity.node);
+        let role = ReaderRole::from_position(position);
         let configuration_missing = self.configuration.current().is_none();
         let directory_missing = self.directory.current().is_none();
         let must_verify = self.is_unverified();
         let urgent = directory_missing || must_verify;
-        if self.directory_reads.start_if_due(self.now, rank, urgent) {
+        if self.directory_reads.start_if_due(self.now, role, urgent) {
             let known_version = self.directory.version();
             self.emit(Output::ReadPlatform {
                 kind: DocumentKind::Directory,
@@ -38,7 +40,7 @@
         let urgent = configuration_missing;
         if self
             .configuration_reads
-            .start_if_due(self.now, rank, urgent)
+            .start_if_due(self.now, role, urgent)
         {
             let known_version = self.configuration.version();
             self.emit(Output::ReadPlatform {
@@ -72,12 +74,12 @@
         response: Result<Option<PlatformDocument>, ()>,
     ) {
         self.advance_clock(now);
-        let plan = match kind {
+        let schedule = match kind {
             DocumentKind::Configuration => &mut self.configuration_reads,
             DocumentKind::Directory => &mut self.directory_reads,
         };
-        let was_reading = plan.is_reading();
-        plan.finished(response.is_ok());
+        let was_reading = schedule.is_reading();
+        schedule.record_result(response.is_ok());
         if kind == DocumentKind::Directory && response.is_ok() && was_reading {
             self.confirm_directory();
         }
@@ -128,7 +130,7 @@
     ) {
         match self.configuration.preview(update) {
             Ok(document) => self.accept_configuration(document),
-            Err(Acceptance::Gap) => {
+            Err(ApplyOutcome::Gap) => {
                 let kind = DocumentKind::Configuration;
                 self.send(
                     from,
@@ -149,7 +151,7 @@
     ) {
         match self.directory.preview(update) {
             Ok(document) => self.accept_directory(document),
-            Err(Acceptance::Gap) => {
+            Err(ApplyOutcome::Gap) => {
                 let kind = DocumentKind::Directory;
                 self.send(
                     from,
@@ -170,7 +172,7 @@
             self.invalid_configuration = document.version;
             return;
         }
-        if self.configuration.offer(document) != Acceptance::Accepted {
+        if self.configuration.offer(document) != ApplyOutcome::Accepted {
             return;
         }
         self.rebuild_catalog();
@@ -180,7 +182,7 @@
 
     fn accept_directory(&mut self, document: Directory) {
         let previous = self.directory.current().cloned();
-        if self.directory.offer(document) != Acceptance::Accepted {
+        if self.directory.offer(document) != ApplyOutcome::Accepted {
             return;
         }
         if let Some(newer) = self.directory.current() {
@@ -192,7 +194,7 @@
         self.rebuild_catalog();
         self.refresh_cell_members();
         self.move_leases_to_current_holders();
-        self.abandon_queues_held_elsewhere();
+        self.drain_queues_held_elsewhere();
         self.announce_version();
     }
 
@@ -214,7 +216,7 @@
             leaving: entry.state == EntryState::Leaving,
         });
         self.fleet.set_members(members);
-        let listed = self.fleet.listed().collect();
+        let listed = self.fleet.listed_nodes().collect();
         self.key_history.record(self.now, listed);
         self.forget_unlisted_owners();
     }
@@ -231,13 +233,13 @@
     /// Pings a few peers of the own zone and one in another zone, so that they fetch the
     /// new version.
     fn announce_version(&mut self) {
-        let zone_peers = self.fleet.zone_peers();
-        let remote_peers = self.fleet.remote_peers();
-        let mut recipients: Vec<NodeId> = zone_peers
+        let same_zone_peers = self.fleet.same_zone_peers();
+        let other_zone_peers = self.fleet.other_zone_peers();
+        let mut recipients: Vec<NodeId> = same_zone_peers
             .choose_multiple(&mut self.random, ANNOUNCEMENT_FANOUT)
             .copied()
             .collect();
-        recipients.extend(remote_peers.choose(&mut self.random).copied());
+        recipients.extend(other_zone_peers.choose(&mut self.random).copied());
         for peer in recipients {
             self.ping(peer);
         }
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -89,7 +89,7 @@
                 };
                 let now = self.now;
                 if let Some(held) = self.ensure_held(cell) {
-                    held.cell.register(now, &ask, back_end);
+                    held.cell.register_lease(now, &ask, back_end);
                 }
             }
             _ => {}
@@ -133,7 +133,7 @@
         let is_waiting = held.cell.is_waiting(&ticket);
         let wait = held.cell.estimated_wait(now, class);
         if is_waiting && !may_wait {
-            held.cell.withdraw(&ticket);
+            held.cell.cancel(&ticket);
         }
         self.flush_cell(cell);
         if !is_waiting {
@@ -156,7 +156,7 @@
     }
 
     /// The node that holds a cell instead of this one, if this node has recently heard
-    /// from it. A requester that suspects that holder is told that it is live.
+    /// from it. A requester that suspects that holder clears its suspicion.
     fn other_live_holder(&self, cell: CellId) -> Option<NodeId> {
         let holder = self.fleet.holder(cell, self.now)?;
         let is_live = self
@@ -198,7 +198,7 @@
             .set_back_ends(&self.member_capacities(cell, &configuration));
         held.cell.configure(now, &configuration);
         if self.catalog.is_engine_pool(cell.pool) {
-            held.cell.start_learning(now);
+            held.cell.start_takeover(now);
         }
         self.cells.insert(cell, held);
         self.set_allowances(cell);
@@ -261,7 +261,7 @@
     ) {
         let now = self.now;
         if let Some(held) = self.cells.get_mut(&cell) {
-            held.cell.observe_speed(now, back_end, per_token);
+            held.cell.observe_time_per_token(now, back_end, per_token);
         }
     }
 
@@ -279,9 +279,9 @@
         if let Some(cell) = cell
             && let Some(held) = self.cells.get_mut(&cell)
         {
-            held.cell.report(now, back_end, report);
+            held.cell.apply_load_report(now, back_end, report);
             held.cell
-                .cache_events(back_end, cache.gap, &cache.stored, &cache.removed);
+                .apply_cache_events(back_end, cache.gap, &cache.stored, &cache.removed);
             held.cache_cursors.insert(back_end, cache.cursor);
             self.flush_cell(cell);
         }
@@ -336,9 +336,12 @@
     /// Hands the queue of a cell over to its holder if that is another node that is live
     /// again, because two queues for the same slots can't keep a common order.
     fn yield_to_live_holder(&mut self, cell: CellId) {
-        let waiting = self.cells.get(&cell).map_or(0, |held| held.cell.waiting());
+        let waiting = self
+            .cells
+            .get(&cell)
+            .map_or(0, |held| held.cell.waiting_count());
         if waiting > 0 && self.other_live_holder(cell).is_some() {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
         }
     }
 
@@ -366,7 +369,7 @@
                 return;
             };
             held.next_poll = self.now + POLL_INTERVAL;
-            held.cell.note_poll(back_end);
+            held.cell.record_poll(back_end);
             let cache_cursor = held.cache_cursors.get(&back_end).copied().unwrap_or(0);
             self.emit(Output::PollBackEnd {
                 back_end,
@@ -386,13 +389,13 @@
         }
         held.next_free_slots_report = now + FREE_SLOTS_INTERVAL;
         let free = held.free_slots(now);
-        let mut peers = self.fleet.remote_peers();
+        let mut peers = self.fleet.other_zone_peers();
         if self
             .catalog
             .cells_of_pool(cell.pool)
             .any(|(zone, cells)| zone == self.identity.zone && cells.len() > 1)
         {
-            peers.extend(self.fleet.zone_peers());
+            peers.extend(self.fleet.same_zone_peers());
         }
         let recipients: Vec<NodeId> = peers
             .choose_multiple(&mut self.random, FREE_SLOTS_FANOUT)
@@ -408,7 +411,7 @@
         let Some(held) = self.cells.get(&cell) else {
             return;
         };
-        let is_used = held.cell.leases() + held.cell.waiting() > 0;
+        let is_used = held.cell.lease_count() + held.cell.waiting_count() > 0;
         let is_idle = self.now.since(held.last_used) >= IDLE_TIMEOUT;
         if !is_holder && !is_used && is_idle {
             self.cells.remove(&cell);
@@ -454,42 +457,42 @@
     pub(crate) fn forget_unlisted_owners(&mut self) {
         let now = self.now;
         for held in self.cells.values_mut() {
-            for node in held.cell.owners() {
+            for node in held.cell.entry_nodes() {
                 let is_lost = node != self.identity.node && !self.fleet.is_listed(node);
                 if is_lost {
-                    held.cell.forget_node(now, node, None);
+                    held.cell.remove_node(now, node, None);
                 }
             }
         }
         self.flush_all_cells();
     }
 
-    /// Abandons the queues of cells that another node holds now.
-    pub(crate) fn abandon_queues_held_elsewhere(&mut self) {
+    /// Drains the queues of cells that another node holds now.
+    pub(crate) fn drain_queues_held_elsewhere(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
             if self.fleet.holder(cell, self.now) != Some(self.identity.node) {
-                self.abandon_queue(cell);
+                self.drain_queue(cell);
             }
         }
     }
 
-    /// Abandons all queues, whose requests' owners then turn to the next holder, and moves
-    /// the leases of requests that run here.
-    pub(crate) fn abandon_all_queues(&mut self) {
+    /// Drains all queues, so that entry nodes resubmit the requests to the next holder, and
+    /// moves the leases of requests that run here.
+    pub(crate) fn drain_all_queues(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
         }
         self.move_leases_to_current_holders();
     }
 
-    /// Abandons all queues and checks all leases after a pause, because both may be out of
+    /// Drains all queues and checks all leases after a pause, because both may be out of
     /// date.
     pub(crate) fn revalidate_cells(&mut self) {
         let cells: Vec<CellId> = self.cells.keys().copied().collect();
         for cell in cells {
-            self.abandon_queue(cell);
+            self.drain_queue(cell);
             let now = self.now;
             let Some(held) = self.cells.get_mut(&cell) else {
                 continue;
@@ -497,20 +500,20 @@
             held.next_poll = now;
             held.usage_elsewhere.clear();
             if self.catalog.is_engine_pool(cell.pool) {
-                held.cell.start_learning(now);
+                held.cell.start_takeover(now);
             }
             let leases = held.cell.leases_older_than(now, Span::ZERO);
             self.send_lease_checks(cell, &leases);
         }
     }
 
-    /// Empties a queue and tells the entry nodes of its requests to resubmit them.
-    pub(crate) fn abandon_queue(&mut self, cell: CellId) {
+    /// Drains a queue and instructs the entry nodes of its requests to resubmit them.
+    pub(crate) fn drain_queue(&mut self, cell: CellId) {
         let directory = self.directory.version();
         let Some(held) = self.cells.get_mut(&cell) else {
             return;
         };
-        for ticket in held.cell.abandon() {
+        for ticket in held.cell.drain_waiting() {
             let attempt_id = AttemptId {
                 sequence: ticket.request.sequence,
                 attempt: ticket.attempt,
@@ -530,7 +533,7 @@
 impl HeldCell {
     /// Number of slots that are neither leased nor waited for.
     fn free_slots(&self, now: Timestamp) -> u32 {
-        let taken = self.cell.leases() + self.cell.waiting();
+        let taken = self.cell.lease_count() + self.cell.waiting_count();
         self.cell.total_slots(now).saturating_sub(taken as u32)
     }
 }
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -2,7 +2,7 @@
 //!
 //! After a pause the node's state may be out of date. Each event therefore compares the
 //! clock with the previous event's, and after a large gap the node revalidates its
-//! state: it empties its queues and tells the owners to resubmit, checks its leases, and
+//! state: it drains its queues so that the entry nodes resubmit, checks its leases, and
 //! grants nothing until the platform or a peer has confirmed the directory, or until a
 //! grace period has ended without a reply.
 
@@ -26,12 +26,12 @@
         if gap < PAUSE_THRESHOLD {
             return;
         }
-        self.fleet.detector.pardon_all();
+        self.fleet.detector.clear_all_suspicions();
         self.free_slots.clear();
         self.saturated_until.clear();
         self.unverified_until = Some(self.now + VERIFICATION_GRACE);
-        self.directory_reads.hurry();
-        self.configuration_reads.hurry();
+        self.directory_reads.reset();
+        self.configuration_reads.reset();
         self.ping_zone_for_versions();
         self.revalidate_cells();
         self.resubmit_waiting();
@@ -55,7 +55,7 @@
 
     fn ping_zone_for_versions(&mut self) {
         self.verification_echo = self.random.random_range(1..=u16::MAX);
-        for peer in self.fleet.zone_peers() {
+        for peer in self.fleet.same_zone_peers() {
             self.ping_with_echo(peer, self.verification_echo);
         }
     }
