--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -4,33 +4,33 @@
 mod cache_index;
 mod cold_senders;
 mod document_source;
-mod granting;
 mod home_scopes;
+mod leases;
 mod messages;
-mod noticing;
-mod quarantining;
-mod rate_limiting;
-mod reading;
-mod replicating;
-mod turns;
+mod notices;
+mod quarantine;
+mod rate_limits;
+mod reader_role;
+mod replicas;
+mod round_robin;
 mod unknown_names;
 mod zone_digest;
 
 pub use cache_index::{CacheUpdate, DueCacheCall};
-pub use granting::{ExpiredLease, LeaseRelease};
+pub use leases::{ExpiredLease, LeaseRelease};
 pub(crate) use messages::{
     CROSS_ZONE_FANOUT, CROSS_ZONE_TICKS, LARGE_ZONE_CROSS_ZONE_FANOUT, SAME_ZONE_FANOUT,
 };
-pub use noticing::NoticeSource;
-pub use reading::ReaderRole;
+pub use notices::NoticeSource;
+pub use reader_role::ReaderRole;
 pub use unknown_names::UnknownName;
 
 use aggregation::Aggregation;
 use cache_index::CacheFollows;
 use document_source::MissingDocuments;
-use granting::{FailedConnection, Lease};
 use home_scopes::HomeScopes;
-use quarantining::PendingCrashReports;
+use leases::{FailedConnection, Lease};
+use quarantine::PendingCrashReports;
 
 use crate::load::cache_index::FollowCounts;
 use crate::load::registry::Registry;
--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -5,7 +5,7 @@
 //! hold no state that is not reported again within half a second, so any of them may be lost at any
 //! time.
 
-use super::turns::round_robin;
+use super::round_robin::round_robin;
 use super::{Dispatcher, TICK};
 use crate::fleet::message::{
     Envelope, FleetSummary, Gossip, LoadReport, Member, Placement, ZoneAge,
@@ -372,7 +372,7 @@
 
     fn fleet_loads(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
-        let loads = states.map(|state| state.load.report_of_all(state.digest, now));
+        let loads = states.map(|state| state.load.fleet_report(state.digest, now));
         busiest(loads.collect(), MAX_SUMMARY_LOADS)
     }
 
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -120,7 +120,7 @@
             }
             let listed = &state.back_end;
             let (address, started_unix_ms) = (listed.address, listed.started_unix_ms);
-            let call = index.call(now)?;
+            let call = index.next_due_call(now)?;
             Some(DueCacheCall {
                 instance: instance.clone(),
                 address,
@@ -174,7 +174,7 @@
         if !basis.may_follow {
             return Vec::new();
         }
-        let states = self.back_ends.of_zone(&self.settings.zone);
+        let states = self.back_ends.in_zone(&self.settings.zone);
         let own = states.filter(|state| self.should_follow(state));
         let mut own: Vec<&BackEndState> = own.collect();
         own.sort_unstable_by_key(|state| state.digest);
@@ -323,7 +323,7 @@
             stale,
             missing: observations.len() - stale,
             counts: index.counts(),
-            followed_for: now.since(index.since()),
+            followed_for: now.since(index.followed_since()),
         }
     }
 }
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -32,8 +32,8 @@
             let cold = start.filter(|start| state.warmup.is_cold(start, now));
             let role = cold.map_or(ColdRole::Warm, |start| {
                 let is_same_zone = state.back_end.zone == self.settings.zone;
-                let senders = self.settings.cold_rate_limit.senders(start);
-                role(may_send && is_same_zone, &self.peers, state, senders)
+                let sender_count = self.settings.cold_rate_limit.sender_count(start);
+                role(may_send && is_same_zone, &self.peers, state, sender_count)
             });
             self.has_cold_back_ends |= role != ColdRole::Warm;
             if state.warmup.update_role(role) {
@@ -64,8 +64,8 @@
     }
 }
 
-fn role(may_send: bool, peers: &Peers, state: &BackEndState, senders: usize) -> ColdRole {
-    if may_send && peers.sender_index(state.digest) < senders {
+fn role(may_send: bool, peers: &Peers, state: &BackEndState, sender_count: usize) -> ColdRole {
+    if may_send && peers.sender_index(state.digest) < sender_count {
         ColdRole::Sender
     } else {
         ColdRole::OtherNodes
--- a/crates/coordination/dispatch/src/dispatcher/granting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/leases.rs
@@ -1,16 +1,16 @@
 //! Leases on back ends: grants, refusals and releases.
 
 use super::Dispatcher;
-use super::replicating::ReplicaLease;
+use super::replicas::ReplicaLease;
 use crate::load::health::HealthChange;
 use crate::load::registry::BackEndState;
-use crate::placement::eligibility::refusal;
+use crate::placement::eligibility::refusal_reason;
 use crate::placement::planning::{Plan, Plans, plans};
 use crate::placement::replication::may_take_over;
 use crate::placement::view::View;
 use crate::{
     Candidate, Decision, Demand, Grant, LeaseId, Outcome, Placement, PromptPart, QuarantineChange,
-    RetryBudget, StreamPacing, choose,
+    RetryBudget, StreamPacing, cheapest,
 };
 use eiderferry_routing::{InstanceId, PoolName, ZoneName};
 use eiderferry_types::{Reason, RequestDigest, Span, Timestamp};
@@ -132,12 +132,12 @@
         }
         let Plans {
             mut plans,
-            examined,
+            examined_count,
         } = plans(&self.back_ends, &view, demand, &mut self.random);
-        self.examined_back_ends += examined as u64;
+        self.examined_back_ends += examined_count as u64;
         let candidates: Vec<Candidate> = plans.iter().map(|plan| plan.candidate).collect();
-        let Some(index) = choose(&candidates) else {
-            let reason = refusal(&self.back_ends, &view, demand);
+        let Some(index) = cheapest(&candidates) else {
+            let reason = refusal_reason(&self.back_ends, &view, demand);
             return Decision::Refuse(reason, self.retry_after(reason, demand, now));
         };
         let candidate = candidates[index];
@@ -201,7 +201,7 @@
         let exposure = plan.footprint.exposure;
         self.back_ends.record_exposure(&demand.pool, exposure);
         let state = self.back_ends.get_mut(&plan.instance)?;
-        state.load.begin(lease, plan.footprint, now);
+        state.load.add_request(lease, plan.footprint, now);
         state.warmup.record_sent(now);
         let has_limit = state.limiter.limit().is_some();
         state.limiter.record_sent(now);
@@ -255,7 +255,7 @@
             // The backoff applies to this node only: a caller that retries soon may reach another
             // node.
             Reason::BackEndsBackingOff => {
-                let backoff = self.back_ends.shortest_backoff(&demand.pool, now);
+                let backoff = self.back_ends.min_backoff(&demand.pool, now);
                 backoff.map_or(NO_BACK_END_RETRY, |backoff| backoff.min(NO_BACK_END_RETRY))
             }
             // The limits apply to all nodes together: no other node accepts the request sooner.
@@ -279,7 +279,7 @@
     /// Records that the first event, or the whole response, of a request arrived.
     pub fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
         if let Some(state) = self.leased_back_end(lease) {
-            state.load.first_event(lease, now);
+            state.load.record_first_event(lease, now);
         }
     }
 
@@ -359,7 +359,7 @@
         let Some(state) = self.back_ends.get_mut(&record.instance) else {
             return Vec::new();
         };
-        state.load.end(lease, outcome, now);
+        state.load.finish_request(lease, outcome, now);
         let zone = state.back_end.zone.clone();
         let mut changes: Vec<(InstanceId, HealthChange)> = own_change.into_iter().collect();
         let is_unreachable = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionRefused);
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -1,7 +1,7 @@
 //! Periodic and triggered messages to other nodes.
 
 use super::aggregation::PEER_TICKS;
-use super::turns::round_robin;
+use super::round_robin::round_robin;
 use super::{Dispatcher, OUTCOME_LIFETIME, PLACEMENTS_PER_MESSAGE, TickOutput};
 use crate::fleet::message::{ChangeBatch, Envelope, Gossip, LoadReport};
 use crate::fleet::traffic::MessageKind;
--- a/crates/coordination/dispatch/src/dispatcher/rate_limiting.rs
+++ b/crates/coordination/dispatch/src/dispatcher/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatcher, TICK};
 use crate::load::limit_notices::{Audience, NoticeOrigin};
-use crate::load::limiter::{PROBING_TURN, SenderShare, probing_probability, senders};
+use crate::load::limiter::{PROBE_WINDOW, SenderShare, probing_probability, sender_count};
 use crate::{Gossip, LimitChange, LimitReport, LimitRole};
 use eiderferry_types::{Span, Timestamp};
 use rand::Rng;
@@ -11,7 +11,7 @@
 /// to have no nodes and send to its back ends, or hold the fleet to be small.
 const FLEET_SETTLING_TIME: Span = Span::from_milliseconds(10_000);
 /// Ticks between two probes of back ends whose limit is stale.
-const PROBING_TICKS: u64 = PROBING_TURN.0 / TICK.0;
+const PROBING_TICKS: u64 = PROBE_WINDOW.0 / TICK.0;
 
 impl Dispatcher {
     /// Applies another node's reports of rate limits.
@@ -42,7 +42,7 @@
         let knows_zone = self.may_be_sender(now);
         let knows_fleet = knows_zone && self.uptime(now) >= FLEET_SETTLING_TIME;
         let is_probe_due = knows_fleet && self.ticks.is_multiple_of(PROBING_TICKS);
-        let nodes_by_zone = self.peers.by_zone();
+        let nodes_by_zone = self.peers.active_by_zone();
         let max_known = self.peers.max_known() as usize;
         let mut changes = Vec::new();
         for instance in limited {
@@ -60,10 +60,13 @@
             state.limiter.update_role(|limit| {
                 // Uses the highest number of nodes ever known: nodes that are cut off from the
                 // others must not hold themselves to be alone and use the others' shares as well.
-                let senders = senders(limit, max_known);
-                let index = nodes_by_zone.own_index(digest, zone, senders);
+                let sender_count = sender_count(limit, max_known);
+                let index = nodes_by_zone.own_index(digest, zone, sender_count);
                 let index = index.filter(|_| may_send)?;
-                Some(SenderShare { index, senders })
+                Some(SenderShare {
+                    index,
+                    sender_count,
+                })
             });
             let stale = state.limiter.stale_limit(now).filter(|_| is_probe_due);
             if let Some(limit) = stale
@@ -73,7 +76,7 @@
             {
                 state.limiter.begin_probing(now);
             }
-            changes.extend(state.limiter.change(&instance));
+            changes.extend(state.limiter.take_change(&instance));
         }
         changes
     }
--- a/crates/coordination/dispatch/src/dispatcher/replicating.rs
+++ b/crates/coordination/dispatch/src/dispatcher/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of running streams: placed together with a lease and released with it.
 
 use super::Dispatcher;
-use crate::placement::replication::{holder, replica_tokens, should_replicate};
+use crate::placement::replication::{replica_tokens, select_holder, should_replicate};
 use crate::placement::view::View;
 use crate::{Demand, LeaseId, ReplicaTarget};
 use eiderferry_routing::{InstanceId, PoolName};
@@ -46,13 +46,13 @@
         if !should_replicate(demand, state.load.failure_share(now), &self.losses) {
             return None;
         }
-        let target = holder(&self.back_ends, &view, demand, state, &mut self.random)?;
+        let target = select_holder(&self.back_ends, &view, demand, state, &mut self.random)?;
         let lease = LeaseId(self.next_lease);
         self.next_lease += 1;
         let holder_state = self.back_ends.get_mut(&target.instance)?;
         holder_state
             .load
-            .begin_replica(lease, replica_tokens(demand), now);
+            .add_replica(lease, replica_tokens(demand), now);
         Some(ReplicaLease { target, lease })
     }
 
@@ -66,7 +66,7 @@
     /// Removes the replica of an ended stream from its holder's load.
     pub(super) fn release_replica(&mut self, replica_lease: &ReplicaLease) {
         if let Some(state) = self.back_ends.get_mut(&replica_lease.target.instance) {
-            state.load.end_replica(replica_lease.lease);
+            state.load.remove_replica(replica_lease.lease);
         }
     }
 
--- a/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
+++ b/crates/coordination/dispatch/src/dispatcher/zone_digest.rs
@@ -186,7 +186,7 @@
     /// Loads of all nodes of this zone at the back ends, as far as this one knows.
     fn loads_of_zone(&self, now: Timestamp) -> Vec<LoadReport> {
         let states = self.back_ends.all();
-        let loads = states.map(|state| state.load.report_of_zone(state.digest, now));
+        let loads = states.map(|state| state.load.zone_report(state.digest, now));
         busiest(loads.collect(), MAX_LOADS)
     }
 
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -29,7 +29,7 @@
     pub(super) fn apply_members(&mut self, message: &Gossip, is_same_zone: bool, now: Timestamp) {
         let members = message.members.iter();
         for member in members.filter(|member| member.address != self.own_address) {
-            let silence = Span::from_milliseconds(u64::from(member.silent_ms));
+            let silence = Span::from_milliseconds(u64::from(member.silence_ms));
             let heard_at = now - silence;
             let is_known = self.peers.contains_key(&member.address);
             if !is_known && self.accepts_indirect(member, message, is_same_zone) {
@@ -55,7 +55,7 @@
     /// it.
     fn accepts_indirect(&self, member: &Member, message: &Gossip, is_same_zone: bool) -> bool {
         let is_trusted = is_same_zone || member.zone == message.zone;
-        let silence = Span::from_milliseconds(u64::from(member.silent_ms));
+        let silence = Span::from_milliseconds(u64::from(member.silence_ms));
         let is_fresh = silence < INDIRECT_SILENCE;
         is_trusted && is_fresh && member.zone != self.zone && self.has_enough_contacts(&member.zone)
     }
@@ -113,7 +113,7 @@
         live.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silent_ms: (now.since(peer.last_heard) + MEMBER_TRANSIT_TIME).milliseconds() as u32,
+            silence_ms: (now.since(peer.last_heard) + MEMBER_TRANSIT_TIME).milliseconds() as u32,
         })
     }
 }
--- a/crates/coordination/dispatch/src/fleet/message.rs
+++ b/crates/coordination/dispatch/src/fleet/message.rs
@@ -69,7 +69,7 @@
     /// Zone of the node.
     pub zone: ZoneName,
     /// Time since any node last heard from it, as far as the sender knows, in milliseconds.
-    pub silent_ms: u32,
+    pub silence_ms: u32,
 }
 
 /// Loads and placements of the whole fleet, sent by an aggregator to the nodes of its zone.
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -253,9 +253,9 @@
 }
 
 impl BackEndLoad {
-    /// Creates the load of a back end without observations, with memory for `engine_tokens`
+    /// Creates the load of a back end without observations, with memory for `memory_tokens`
     /// tokens.
-    pub fn new(engine_tokens: u64, speed: EngineSpeed) -> Self {
+    pub fn new(memory_tokens: u64, speed: EngineSpeed) -> Self {
         Self {
             running: BTreeMap::new(),
             reports: HashMap::new(),
@@ -269,7 +269,7 @@
             outcomes: RecentOutcomes::default(),
             concurrency: ConcurrencyEstimate::default(),
             speed,
-            cache: PrefixCache::new(engine_tokens),
+            cache: PrefixCache::new(memory_tokens),
         }
     }
 
@@ -284,7 +284,7 @@
     /// other back ends are short and only this node's own count of them is current, so the count
     /// is averaged, but is never lower than this node's own.
     pub(crate) fn smoothed_concurrency(&mut self, running: u32, now: Timestamp) -> f64 {
-        if self.cache.engine_tokens() > 0 {
+        if self.cache.memory_tokens() > 0 {
             return f64::from(running);
         }
         let mean = self.concurrency.record(running, now);
@@ -294,7 +294,7 @@
     /// Factor by which the calls at a back end that is not an engine may exceed its slots while a
     /// call still finishes within the target. It is 1 for an engine.
     pub(crate) fn batches_within(&self, target: Span) -> f64 {
-        if self.cache.engine_tokens() > 0 {
+        if self.cache.memory_tokens() > 0 {
             return 1.0;
         }
         self.concurrency.batches_within(target)
@@ -430,7 +430,7 @@
     }
 
     /// Report of the requests of this node and of all nodes that report directly to it.
-    pub(crate) fn report_of_zone(&self, back_end: u32, now: Timestamp) -> LoadReport {
+    pub(crate) fn zone_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
         self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
             .to_message(
                 back_end,
@@ -439,7 +439,7 @@
     }
 
     /// Report of the requests of all nodes.
-    pub(crate) fn report_of_all(&self, back_end: u32, now: Timestamp) -> LoadReport {
+    pub(crate) fn fleet_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
         let placed =
             self.own_placed_tokens + self.tokens_placed_by_nodes + self.tokens_placed_by_zones;
         self.report_of(|_| true, now).to_message(back_end, placed)
@@ -471,7 +471,7 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
+    pub(crate) fn add_request(&mut self, lease: LeaseId, footprint: Footprint, now: Timestamp) {
         self.own_placed_tokens += u64::from(footprint.unshared_tokens);
         if self.fresh_aggregate(now).is_none() {
             // If there is a fresh aggregate, these tokens are counted when an aggregator reports
@@ -489,7 +489,7 @@
     }
 
     /// Records that this back end keeps a replica of a request that runs elsewhere.
-    pub(crate) fn begin_replica(&mut self, lease: LeaseId, tokens: u32, now: Timestamp) {
+    pub(crate) fn add_replica(&mut self, lease: LeaseId, tokens: u32, now: Timestamp) {
         self.own_placed_tokens += u64::from(tokens);
         let running = RunningRequest {
             footprint: Footprint {
@@ -505,12 +505,12 @@
     }
 
     /// Records that a replica is no longer kept.
-    pub(crate) fn end_replica(&mut self, lease: LeaseId) {
+    pub(crate) fn remove_replica(&mut self, lease: LeaseId) {
         self.running.remove(&lease);
     }
 
     /// Records the first event of a request.
-    pub(crate) fn first_event(&mut self, lease: LeaseId, now: Timestamp) {
+    pub(crate) fn record_first_event(&mut self, lease: LeaseId, now: Timestamp) {
         let Some(running) = self.running.get_mut(&lease) else {
             return;
         };
@@ -553,7 +553,7 @@
         self.recent_outcomes(now).failure_share()
     }
 
-    pub(crate) fn end(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
+    pub(crate) fn finish_request(&mut self, lease: LeaseId, outcome: Outcome, now: Timestamp) {
         let finished = self.running.remove(&lease);
         if let Some(call) = finished.filter(|_| outcome == Outcome::Completed) {
             self.concurrency.record_response(now.since(call.started_at));
--- a/crates/coordination/dispatch/src/load/cache.rs
+++ b/crates/coordination/dispatch/src/load/cache.rs
@@ -30,14 +30,14 @@
     Unshared(u64),
 }
 
-fn usable_tokens(engine_tokens: u64) -> u64 {
-    (engine_tokens as f64 * USABLE_SHARE) as u64
+fn usable_tokens(memory_tokens: u64) -> u64 {
+    (memory_tokens as f64 * USABLE_SHARE) as u64
 }
 
 /// Prompt parts that an engine is believed to have cached, with least-recently-used eviction.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
-    engine_tokens: u64,
+    memory_tokens: u64,
     capacity: u64,
     used: u64,
     next_sequence: u64,
@@ -46,11 +46,11 @@
 }
 
 impl PrefixCache {
-    /// Creates an empty cache for an engine with memory for `engine_tokens` tokens.
-    pub fn new(engine_tokens: u64) -> Self {
+    /// Creates an empty cache for an engine with memory for `memory_tokens` tokens.
+    pub fn new(memory_tokens: u64) -> Self {
         Self {
-            engine_tokens,
-            capacity: usable_tokens(engine_tokens),
+            memory_tokens,
+            capacity: usable_tokens(memory_tokens),
             used: 0,
             next_sequence: 0,
             parts: HashMap::new(),
@@ -59,15 +59,15 @@
     }
 
     /// Sets the engine's memory, in tokens, and evicts what no longer fits.
-    pub fn set_engine_tokens(&mut self, engine_tokens: u64) {
-        self.engine_tokens = engine_tokens;
-        self.capacity = usable_tokens(engine_tokens);
+    pub fn set_memory_tokens(&mut self, memory_tokens: u64) {
+        self.memory_tokens = memory_tokens;
+        self.capacity = usable_tokens(memory_tokens);
         self.evict();
     }
 
     /// Memory of the engine, in tokens; 0 for a back end that is not an engine.
-    pub fn engine_tokens(&self) -> u64 {
-        self.engine_tokens
+    pub fn memory_tokens(&self) -> u64 {
+        self.memory_tokens
     }
 
     /// Number of cached prompt tokens for which the engine is assumed to have room.
@@ -125,7 +125,7 @@
     }
 
     /// Cached parts that requests share.
-    pub fn parts(&self) -> impl Iterator<Item = PartId> {
+    pub fn shared_parts(&self) -> impl Iterator<Item = PartId> {
         self.shared_entries().map(|(part, _)| part)
     }
 
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -119,7 +119,7 @@
 /// The contents of one engine's cache, as reported by the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheIndex {
-    since: Timestamp,
+    followed_since: Timestamp,
     epoch: Option<u64>,
     next_event: u64,
     /// Sequence number of the last event reflected in the listing; events with lower numbers are
@@ -151,7 +151,7 @@
     /// Starts following an engine.
     pub fn new(now: Timestamp) -> Self {
         Self {
-            since: now,
+            followed_since: now,
             epoch: None,
             next_event: 0,
             listed_through: 0,
@@ -167,8 +167,8 @@
     }
 
     /// When this node started to follow the engine.
-    pub fn since(&self) -> Timestamp {
-        self.since
+    pub fn followed_since(&self) -> Timestamp {
+        self.followed_since
     }
 
     /// Counters of the calls to the engine and their results.
@@ -177,7 +177,7 @@
     }
 
     /// Returns the call that is due, if any. At most one call is pending at a time.
-    pub fn call(&mut self, now: Timestamp) -> Option<CacheCall> {
+    pub fn next_due_call(&mut self, now: Timestamp) -> Option<CacheCall> {
         if self.is_call_pending || now < self.next_call {
             return None;
         }
--- a/crates/coordination/dispatch/src/load/cold_start.rs
+++ b/crates/coordination/dispatch/src/load/cold_start.rs
@@ -42,7 +42,7 @@
 
 impl ColdRateLimit {
     /// Number of nodes that may send requests to one cold back end.
-    pub fn senders(&self, start: &ColdStart) -> usize {
+    pub fn sender_count(&self, start: &ColdStart) -> usize {
         let max_rate = start.requests_per_second * self.overage + self.slack;
         // The cast saturates: a negative value yields one sender.
         ((max_rate / SENDER_SETS) as usize).max(1)
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -133,7 +133,7 @@
     }
 
     /// Like `observe_stream`, for a stream at an engine that takes long prompts in a split pool.
-    pub fn learn_mixed(&mut self, pacing: &StreamPacing) {
+    pub fn observe_mixed_stream(&mut self, pacing: &StreamPacing) {
         let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) else {
             return;
         };
@@ -147,7 +147,7 @@
     /// Like `observe_stream`, for a stream at an engine that takes no long prompts in a split
     /// pool: its pauses say nothing about the effect of long prompts, and would make the model
     /// forget it.
-    pub fn learn_isolated(&mut self, pacing: &StreamPacing) {
+    pub fn observe_isolated_stream(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_seen_streams = true;
             self.spacing_ms.observe(milliseconds(spacing));
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -27,7 +27,7 @@
 /// Share of the limit that the probes of all nodes use together.
 const PROBING_SHARE: f64 = 0.5;
 /// Time for which a node may send a probe once it is its turn.
-pub(crate) const PROBING_TURN: Span = Span::from_milliseconds(1_000);
+pub(crate) const PROBE_WINDOW: Span = Span::from_milliseconds(1_000);
 
 /// Role of a node for a limited back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -75,16 +75,16 @@
 }
 
 /// Number of nodes that share a limit, in a fleet of `nodes` nodes.
-pub(crate) fn senders(limit: RateLimit, nodes: usize) -> usize {
+pub(crate) fn sender_count(limit: RateLimit, nodes: usize) -> usize {
     // The cast saturates: all nodes share an extremely high limit.
-    let senders = (rate(limit) / MIN_RATE_PER_SENDER) as usize;
-    senders.clamp(1, nodes.max(1))
+    let sender_count = (rate(limit) / MIN_RATE_PER_SENDER) as usize;
+    sender_count.clamp(1, nodes.max(1))
 }
 
 /// Probability with which each of `nodes` nodes gets a turn to probe a back end without recent
 /// notices.
 pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
-    let turns = rate(limit) * PROBING_SHARE * PROBING_TURN.seconds();
+    let turns = rate(limit) * PROBING_SHARE * PROBE_WINDOW.seconds();
     (turns / nodes.max(1) as f64).min(1.0)
 }
 
@@ -146,11 +146,11 @@
         let Some(share) = share(limit) else {
             return;
         };
-        let interval = interval(limit).scaled(share.senders as f64);
+        let interval = interval(limit).scaled(share.sender_count as f64);
         if before == LimitRole::OtherNodes {
             // Another sender may have sent the request whose response stated the limit, so this
             // node waits for an interval. Senders that start together are spread over one more.
-            let intervals = 1.0 + share.index as f64 / share.senders as f64;
+            let intervals = 1.0 + share.index as f64 / share.sender_count as f64;
             self.first_send_at = reported_at + interval.scaled(intervals);
         }
         self.role = LimitRole::Sender(interval);
@@ -173,11 +173,11 @@
 
     /// Allows this node to send one request to probe whether the limit still holds.
     pub fn begin_probing(&mut self, now: Timestamp) {
-        self.probing_until = Some(now + PROBING_TURN);
+        self.probing_until = Some(now + PROBE_WINDOW);
     }
 
     /// Returns the state of the limit if it has changed since the last call.
-    pub fn change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
+    pub fn take_change(&mut self, instance: &InstanceId) -> Option<LimitChange> {
         let state = self.limit().map(|limit| (limit, self.role));
         let before = std::mem::replace(&mut self.last_reported_state, state);
         (before != state).then(|| LimitChange {
@@ -193,5 +193,5 @@
     /// Index among the senders, from 0.
     pub index: usize,
     /// Number of senders.
-    pub senders: usize,
+    pub sender_count: usize,
 }
--- a/crates/coordination/dispatch/src/load/pool_index.rs
+++ b/crates/coordination/dispatch/src/load/pool_index.rs
@@ -158,7 +158,7 @@
     }
 
     /// The groups of one zone; `None` if the zone never had back ends in the pool.
-    pub fn of_zone(&self, zone: &ZoneName) -> Option<&HashGroups> {
+    pub fn in_zone(&self, zone: &ZoneName) -> Option<&HashGroups> {
         self.by_zone.get(zone)
     }
 }
--- a/crates/coordination/dispatch/src/load/registry.rs
+++ b/crates/coordination/dispatch/src/load/registry.rs
@@ -10,7 +10,7 @@
 use crate::load::limiter::Limiter;
 use crate::load::notices::{Notice, Notices};
 use crate::load::pool_index::{HashGroups, PoolIndex};
-use crate::placement::planning::SENSITIVE_PROBABILITY;
+use crate::placement::planning::DELAY_SENSITIVE_PROBABILITY;
 use crate::placement::pool_split::{PoolLoad, PoolSplit, RankedEngine, SplitChange};
 use crate::placement::stream_isolation::should_isolate_streams;
 use crate::{
@@ -103,15 +103,15 @@
         let occupancy = state.load.occupancy(now);
         load.engines += 1;
         load.slots += state.back_end.slots;
-        load.memory_tokens += state.load.cache.engine_tokens();
+        load.memory_tokens += state.load.cache.memory_tokens();
         load.running += occupancy.running;
         load.exposed_streams += occupancy.exposed_streams;
-        load.long_requests += occupancy.long_prefills;
+        load.long_prefills += occupancy.long_prefills;
         load.unshared_tokens += occupancy.unshared_tokens;
         total_prefill_rate +=
             PREFILL_SAMPLE_TOKENS as f64 / state.load.prefill_time(PREFILL_SAMPLE_TOKENS).seconds();
     }
-    load.prefill_rate = total_prefill_rate / f64::from(load.engines.max(1));
+    load.prefill_tokens_per_second = total_prefill_rate / f64::from(load.engines.max(1));
     load
 }
 
@@ -137,9 +137,9 @@
     }
 
     /// Back ends of one zone.
-    pub fn of_zone<'a>(&'a self, zone: &'a ZoneName) -> impl Iterator<Item = &'a BackEndState> {
+    pub fn in_zone<'a>(&'a self, zone: &'a ZoneName) -> impl Iterator<Item = &'a BackEndState> {
         let pools = self.pools.values();
-        let groups = pools.filter_map(|index| index.of_zone(zone));
+        let groups = pools.filter_map(|index| index.in_zone(zone));
         let instances = groups.flat_map(HashGroups::members);
         instances.filter_map(|instance| self.states.get(instance))
     }
@@ -350,7 +350,7 @@
 
     /// Records the exposure of a request that was placed.
     pub fn record_exposure(&mut self, pool: &PoolName, exposure: f64) {
-        if exposure < SENSITIVE_PROBABILITY {
+        if exposure < DELAY_SENSITIVE_PROBABILITY {
             return;
         }
         if let Some(split) = self.splits.get_mut(pool) {
@@ -418,8 +418,8 @@
         if let Some(model) = self.models.get_mut(pool) {
             match is_stream_engine {
                 None => model.observe_stream(pacing),
-                Some(false) => model.learn_mixed(pacing),
-                Some(true) => model.learn_isolated(pacing),
+                Some(false) => model.observe_mixed_stream(pacing),
+                Some(true) => model.observe_isolated_stream(pacing),
             }
         }
     }
@@ -430,7 +430,7 @@
         self.update_unseen_models(table);
         for state in self.states.values_mut() {
             let tokens = engine_tokens(Some(table), &state.back_end.pool);
-            state.load.cache.set_engine_tokens(tokens);
+            state.load.cache.set_memory_tokens(tokens);
         }
     }
 
@@ -508,7 +508,7 @@
     /// Shared parts that any engine is believed to have cached.
     pub fn cached_parts(&self) -> HashSet<PartId> {
         let caches = self.states.values().map(|state| &state.load.cache);
-        caches.flat_map(PrefixCache::parts).collect()
+        caches.flat_map(PrefixCache::shared_parts).collect()
     }
 
     fn by_digest_mut(&mut self, digest: u32) -> Option<&mut BackEndState> {
--- a/crates/coordination/dispatch/src/load/registry/notices.rs
+++ b/crates/coordination/dispatch/src/load/registry/notices.rs
@@ -31,7 +31,7 @@
     }
 
     /// Time until the first of a pool's back ends that are backing off accepts requests again.
-    pub fn shortest_backoff(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
+    pub fn min_backoff(&self, pool: &PoolName, now: Timestamp) -> Option<Span> {
         let accepting = self.pool(pool).filter(|state| state.accepts_work());
         let backoffs = accepting.filter_map(|state| state.notice.remaining_backoff(now));
         backoffs.min()
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -34,8 +34,8 @@
 const FULL_MEMORY_COST: Span = Span::from_milliseconds(2_000);
 
 /// Costs of a failure of a request that may be retried, and of one that may not.
-const RETRYABLE_FAILURE: Span = Span::from_milliseconds(800);
-pub(crate) const PERMANENT_FAILURE: Span = Span::from_milliseconds(4_000);
+const RETRYABLE_FAILURE_COST: Span = Span::from_milliseconds(800);
+pub(crate) const PERMANENT_FAILURE_COST: Span = Span::from_milliseconds(4_000);
 
 /// A back end that may get a request, with the inputs of its cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -125,16 +125,16 @@
 
     fn failure_cost(&self) -> Span {
         let failure = if self.may_retry {
-            RETRYABLE_FAILURE
+            RETRYABLE_FAILURE_COST
         } else {
-            PERMANENT_FAILURE
+            PERMANENT_FAILURE_COST
         };
         failure.scaled(self.excess_failures)
     }
 }
 
 /// Index of the cheapest candidate.
-pub fn choose(candidates: &[Candidate]) -> Option<usize> {
+pub fn cheapest(candidates: &[Candidate]) -> Option<usize> {
     let costs = candidates.iter().enumerate();
     costs
         .min_by_key(|(_, candidate)| candidate.cost())
--- a/crates/coordination/dispatch/src/placement/eligibility.rs
+++ b/crates/coordination/dispatch/src/placement/eligibility.rs
@@ -56,7 +56,7 @@
 
 /// Reason for the refusal if no back end is eligible: the most frequent one among the back ends
 /// on which the request has not failed and that are not leaving.
-pub(crate) fn refusal(registry: &Registry, view: &View<'_>, demand: &Demand) -> Reason {
+pub(crate) fn refusal_reason(registry: &Registry, view: &View<'_>, demand: &Demand) -> Reason {
     let allowed = registry
         .pool(&demand.pool)
         .filter(|state| !demand.excluded_back_ends.contains(&state.back_end.instance));
--- a/crates/coordination/dispatch/src/placement/locality.rs
+++ b/crates/coordination/dispatch/src/placement/locality.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// Cost of a request in another zone if locality costs are disabled.
-pub(crate) const OTHER_ZONE_COST: Span = Span::from_milliseconds(20);
+pub(crate) const DEFAULT_CROSS_ZONE_COST: Span = Span::from_milliseconds(20);
 /// Round trips assumed until one has been measured. Zones of a region are a few kilometres apart,
 /// regions some thousand.
 const ASSUMED_CROSS_ZONE_ROUND_TRIP: Span = Span::from_milliseconds(2);
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -47,7 +47,7 @@
 const STREAM_ENGINE_SEED: u64 = 0x5354_5245_414d;
 /// Minimum probability of a delay beside long prompts at which a stream is delay-sensitive, and
 /// so is placed on engines reserved for streams.
-pub(crate) const SENSITIVE_PROBABILITY: f64 = 0.15;
+pub(crate) const DELAY_SENSITIVE_PROBABILITY: f64 = 0.15;
 /// A prompt counts as short if its prefill delays less than this share of the streams that the
 /// longest prefill would delay. It may then be prefilled beside streams.
 const HARMLESS_DELAYED_SHARE: f64 = 0.1;
@@ -69,7 +69,7 @@
     /// Plans for the back ends that are compared.
     pub plans: Vec<Plan>,
     /// Number of back ends that were examined.
-    pub examined: usize,
+    pub examined_count: usize,
 }
 
 /// Plans a request on the back ends that are worth comparing.
@@ -99,7 +99,7 @@
     let plans = compared.into_iter();
     Plans {
         plans: plans.map(|state| plan(state, demand, &context)).collect(),
-        examined: examined.count,
+        examined_count: examined.count,
     }
 }
 
@@ -180,7 +180,7 @@
         let model_and_target = registry.model(&demand.pool).zip(demand.event_gap_target);
         let is_exposed = model_and_target.is_some_and(|(model, target)| {
             model.delay_probability_beside_long_prompts(&model.engine_speed(), target)
-                >= SENSITIVE_PROBABILITY
+                >= DELAY_SENSITIVE_PROBABILITY
         });
         let has_fixed_share = registry.isolates_streams(&demand.pool)
             || by_load.is_some_and(|split| split.is_saturated());
@@ -384,7 +384,7 @@
 
 /// Fraction of an engine's memory that unshared tokens take, with the request included.
 fn memory_fraction(state: &BackEndState, occupancy: &Occupancy, footprint: &Footprint) -> f64 {
-    let capacity = state.load.cache.engine_tokens();
+    let capacity = state.load.cache.memory_tokens();
     if capacity == 0 {
         return 0.0;
     }
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -77,11 +77,11 @@
     /// Expected number of streams that a long prompt would delay beyond their targets.
     pub exposed_streams: f64,
     /// Running requests with long prefills.
-    pub long_requests: u32,
+    pub long_prefills: u32,
     /// Memory taken by tokens that only one request uses, in tokens.
     pub unshared_tokens: u64,
     /// Prompt tokens that one engine prefills per second.
-    pub prefill_rate: f64,
+    pub prefill_tokens_per_second: f64,
 }
 
 /// Number of engines that each kind of request needs.
@@ -96,11 +96,13 @@
 impl EngineNeed {
     /// Engines needed for a load, given the unshared tokens placed per second and the mean
     /// exposure of a stream.
-    fn of(load: &PoolLoad, placed_rate: f64, mean_exposure: f64) -> Self {
+    fn of(load: &PoolLoad, placed_tokens_per_second: f64, mean_exposure: f64) -> Self {
         let engines = f64::from(load.engines.max(1));
         let slots_per_engine = f64::from(load.slots.max(1)) / engines * SLOT_UTILISATION;
         let memory_per_engine = (load.memory_tokens as f64 / engines * MEMORY_UTILISATION).max(1.0);
-        let prefill_need = placed_rate / load.prefill_rate.max(1.0) / PREFILL_UTILISATION;
+        let prefill_need = placed_tokens_per_second
+            / load.prefill_tokens_per_second.max(1.0)
+            / PREFILL_UTILISATION;
         let running = f64::from(load.running);
         let streams = (load.exposed_streams / mean_exposure).min(running);
         let other_requests = running - streams;
@@ -143,7 +145,7 @@
     /// The load from which the need was computed.
     pub load: PoolLoad,
     /// Unshared tokens placed per second.
-    pub placed_rate: f64,
+    pub placed_tokens_per_second: f64,
 }
 
 /// Zones that were silent at several consecutive checks. Where messages are delayed, a zone
@@ -216,7 +218,7 @@
     ) -> bool {
         self.record_placed(placed_tokens, elapsed_seconds);
         let exposure = self.mean_exposure.unwrap_or(1.0);
-        let need = EngineNeed::of(&load, self.stats.placed_rate, exposure);
+        let need = EngineNeed::of(&load, self.stats.placed_tokens_per_second, exposure);
         let before = self.boundary;
         self.boundary = self.next_boundary(&load, &need);
         self.prompt_engines = match self.boundary {
@@ -228,7 +230,7 @@
             ranked_engines: engines.len() as u32,
             need,
             load,
-            placed_rate: self.stats.placed_rate,
+            placed_tokens_per_second: self.stats.placed_tokens_per_second,
         };
         self.boundary != before
     }
@@ -244,7 +246,8 @@
             // would be split for the seconds in which the smoothed rate rises.
             self.rate_count = self.rate_count.saturating_add(u32::from(rate > 0.0));
             let weight = RATE_SMOOTHING.max(1.0 / f64::from(self.rate_count.max(1)));
-            self.stats.placed_rate += weight * (rate - self.stats.placed_rate);
+            self.stats.placed_tokens_per_second +=
+                weight * (rate - self.stats.placed_tokens_per_second);
         }
         self.last_placed_tokens = Some(placed_tokens);
     }
@@ -318,7 +321,7 @@
 
     /// Time in which an engine of the pool prefills a number of tokens.
     pub fn prefill_time(&self, tokens: u32) -> Span {
-        let rate = self.stats.load.prefill_rate.max(1.0);
+        let rate = self.stats.load.prefill_tokens_per_second.max(1.0);
         Span::from_seconds(f64::from(tokens) / rate)
     }
 
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -5,7 +5,7 @@
 //! Both are compared as times, like the costs of back ends.
 
 use crate::load::registry::{BackEndState, Registry};
-use crate::placement::candidate::{COPY_COST_PER_TOKEN, PERMANENT_FAILURE};
+use crate::placement::candidate::{COPY_COST_PER_TOKEN, PERMANENT_FAILURE_COST};
 use crate::placement::eligibility::is_eligible;
 use crate::placement::view::View;
 use crate::{Demand, ReplicaTarget};
@@ -81,7 +81,7 @@
         + loss_probabilities
             .of(&demand.pool)
             .max(source_failure_share);
-    let loss = PERMANENT_FAILURE.scaled(probability.min(1.0));
+    let loss = PERMANENT_FAILURE_COST.scaled(probability.min(1.0));
     loss.0 >= u64::from(replica_tokens(demand)) * COPY_COST_PER_TOKEN
 }
 
@@ -92,7 +92,7 @@
 
 /// Selects the engine to hold the replica of a run: in another zone of the same region if one
 /// there has room, otherwise in the same zone. Traffic to another region is expensive and slow.
-pub(crate) fn holder(
+pub(crate) fn select_holder(
     registry: &Registry,
     view: &View<'_>,
     demand: &Demand,
@@ -176,7 +176,7 @@
 fn utilisation(state: &BackEndState, view: &View<'_>, demand: &Demand) -> Option<f64> {
     let occupancy = state.load.occupancy(view.now);
     let batch_fraction = f64::from(occupancy.running) / f64::from(state.back_end.slots.max(1));
-    let capacity = state.load.cache.engine_tokens().max(1) as f64;
+    let capacity = state.load.cache.memory_tokens().max(1) as f64;
     let tokens = occupancy.unshared_tokens + u64::from(replica_tokens(demand));
     let memory_fraction = tokens as f64 / capacity;
     (batch_fraction < MAX_BATCH_FRACTION && memory_fraction <= MAX_MEMORY_FRACTION)
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -191,7 +191,7 @@
     fn home_groups(&self) -> Option<&'a HashGroups> {
         let index = self.registry.pool_index(&self.demand.pool)?;
         if self.view.home_scope.is_own_zone() {
-            return index.of_zone(self.view.zone);
+            return index.in_zone(self.view.zone);
         }
         Some(index.all())
     }
@@ -211,7 +211,7 @@
             return;
         };
         let mut sampled = index.all().sample(POOL_SAMPLES, random);
-        if let Some(same_zone) = index.of_zone(self.view.zone) {
+        if let Some(same_zone) = index.in_zone(self.view.zone) {
             sampled.extend(same_zone.sample(SAME_ZONE_SAMPLES, random));
         }
         let eligible = self.examine_new(sampled);
--- a/crates/coordination/dispatch/src/placement/view.rs
+++ b/crates/coordination/dispatch/src/placement/view.rs
@@ -1,7 +1,7 @@
 //! A node's view of the deployment when it places a request.
 
 use crate::Distance;
-use crate::placement::locality::{HomeScope, NetworkPath, OTHER_ZONE_COST, RoundTrips};
+use crate::placement::locality::{DEFAULT_CROSS_ZONE_COST, HomeScope, NetworkPath, RoundTrips};
 use eiderferry_routing::{ColdStart, ZoneName, ZoneRegions};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
         NetworkPath {
             round_trip: Span::ZERO,
             transfer_cost: if is_other_zone {
-                OTHER_ZONE_COST
+                DEFAULT_CROSS_ZONE_COST
             } else {
                 Span::ZERO
             },
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -130,7 +130,7 @@
         requests_per_second,
         ..COLD_START
     };
-    assert_eq!(rate_limit.senders(&start), senders);
+    assert_eq!(rate_limit.sender_count(&start), senders);
 }
 
 /// Requests that reached each cold engine, with their times.
--- a/crates/coordination/dispatch/tests/costs.rs
+++ b/crates/coordination/dispatch/tests/costs.rs
@@ -1,6 +1,6 @@
 //! The choice between candidates by cost.
 
-use eiderferry_dispatch::{Candidate, choose};
+use eiderferry_dispatch::{Candidate, cheapest};
 use eiderferry_types::Span;
 use rstest::rstest;
 
@@ -18,7 +18,7 @@
         recomputed_tokens: 10_000,
         ..cached
     };
-    choose(&[cached, uncached]).expect("a candidate")
+    cheapest(&[cached, uncached]).expect("a candidate")
 }
 
 #[rstest]
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -132,8 +132,9 @@
         prompt_engines = stats.prompt_engines, engines = stats.ranked_engines,
         usable = stats.load.engines, needed_prompts = stats.need.prompts,
         needed_streams = stats.need.streams, running = stats.load.running,
-        exposed = stats.load.exposed_streams, long_requests = stats.load.long_requests,
-        placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
+        exposed = stats.load.exposed_streams, long_requests = stats.load.long_prefills,
+        placed_per_s = stats.placed_tokens_per_second,
+        read_per_s = stats.load.prefill_tokens_per_second;
         "split of engines between long prompts and streams changed"
     );
 }
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -235,7 +235,9 @@
         metrics::gauge!("eiderferry_split_needed_engines", "side" => side).set(needed);
     }
     metrics::gauge!("eiderferry_split_exposed_streams").set(split.load.exposed_streams);
-    metrics::gauge!("eiderferry_split_long_requests").set(f64::from(split.load.long_requests));
-    metrics::gauge!("eiderferry_split_placed_tokens_per_second").set(split.placed_rate);
-    metrics::gauge!("eiderferry_split_reading_tokens_per_second").set(split.load.prefill_rate);
+    metrics::gauge!("eiderferry_split_long_requests").set(f64::from(split.load.long_prefills));
+    metrics::gauge!("eiderferry_split_placed_tokens_per_second")
+        .set(split.placed_tokens_per_second);
+    metrics::gauge!("eiderferry_split_reading_tokens_per_second")
+        .set(split.load.prefill_tokens_per_second);
 }
