--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -26,7 +26,7 @@
 pub use unknown_names::UnknownName;
 
 use aggregation::Aggregation;
-use cache_index::CacheFollows;
+use cache_index::FollowedCaches;
 use document_source::MissingDocuments;
 use home_scopes::HomeScopes;
 use leases::{FailedConnection, Lease};
@@ -173,7 +173,7 @@
     /// Split of the largest pool that is split.
     pub largest_split: SplitStats,
     /// Engines whose caches this node follows.
-    pub followed_caches: usize,
+    pub followed_cache_count: usize,
     /// Counts of cache following since the start.
     pub cache_counts: FollowCounts,
     /// Counts of requests that crash back ends.
@@ -219,7 +219,7 @@
     /// Withheld back ends, with the time from which each may be released.
     withheld: BTreeMap<InstanceId, Timestamp>,
     zone_digests: ZoneDigests,
-    cache_follows: CacheFollows,
+    followed_caches: FollowedCaches,
     aggregation: Aggregation,
     silent_zones: BTreeSet<ZoneName>,
     round_trips: RoundTrips,
@@ -274,7 +274,7 @@
             expired_entries: BTreeMap::new(),
             withheld: BTreeMap::new(),
             zone_digests: ZoneDigests::default(),
-            cache_follows: CacheFollows::default(),
+            followed_caches: FollowedCaches::default(),
             aggregation: Aggregation::default(),
             silent_zones: BTreeSet::new(),
             round_trips: RoundTrips::default(),
@@ -418,7 +418,7 @@
     fn drop_previous_run_state(&mut self, back_end: &BackEnd) {
         let known = self.back_ends.get(&back_end.instance);
         if known.is_some_and(|known| back_end.is_different_run(&known.back_end)) {
-            self.cache_follows.discard(&back_end.instance);
+            self.followed_caches.discard(&back_end.instance);
             self.recently_released.remove(&back_end.instance);
         }
     }
@@ -548,7 +548,7 @@
         };
         let cold_sending_to = count(ColdRole::Sender);
         let (limited, limited_sending_to) = self.limit_counts();
-        let (followed_caches, cache_counts) = self.cache_counts();
+        let (followed_cache_count, cache_counts) = self.cache_counts();
         Snapshot {
             live_peers: self.peers.live_count(),
             back_ends: self.back_ends.all().count(),
@@ -573,7 +573,7 @@
             table_version: table.map_or(0, |table| table.version()),
             confirmed_age_seconds: age.map_or(f64::INFINITY, |age| age.seconds()),
             largest_split: self.largest_split(),
-            followed_caches,
+            followed_cache_count,
             cache_counts,
             quarantine: self.quarantine.counts(),
             examined_back_ends: self.examined_back_ends,
--- a/crates/coordination/dispatch/src/dispatcher/cache_index.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cache_index.rs
@@ -55,7 +55,7 @@
 
 /// The engines whose caches this node follows.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CacheFollows {
+pub(crate) struct FollowedCaches {
     indices: BTreeMap<InstanceId, CacheIndex>,
     ended_counts: FollowCounts,
     /// Basis of the last evaluation of which engines to follow, and its tick.
@@ -85,7 +85,7 @@
     }
 }
 
-impl CacheFollows {
+impl FollowedCaches {
     /// Stops following the engines that `is_retained` rejects.
     fn retain(&mut self, is_retained: impl Fn(&InstanceId) -> bool) {
         let ended_counts = &mut self.ended_counts;
@@ -109,11 +109,11 @@
 impl Dispatcher {
     /// Returns the calls that are due at the followed engines.
     pub fn cache_calls(&mut self, now: Timestamp) -> Vec<DueCacheCall> {
-        self.update_cache_follows(now);
+        self.update_followed_caches(now);
         let placed = self.back_ends.drain_recent_placements();
         self.restore_cached(placed.into_iter(), now);
-        let follows = &mut self.cache_follows.indices;
-        let due = follows.iter_mut().filter_map(|(instance, index)| {
+        let indices = &mut self.followed_caches.indices;
+        let due = indices.iter_mut().filter_map(|(instance, index)| {
             let state = self.back_ends.get(instance)?;
             if state.notice.remaining_backoff(now).is_some() || state.limiter.limit().is_some() {
                 return None;
@@ -133,29 +133,29 @@
 
     /// Whether this node follows an engine's cache.
     pub fn follows_cache(&self, instance: &InstanceId) -> bool {
-        self.cache_follows.indices.contains_key(instance)
+        self.followed_caches.indices.contains_key(instance)
     }
 
-    fn update_cache_follows(&mut self, now: Timestamp) {
+    fn update_followed_caches(&mut self, now: Timestamp) {
         let basis = self.follow_basis(now);
-        let last_evaluation = &self.cache_follows.last_evaluation;
+        let last_evaluation = &self.followed_caches.last_evaluation;
         if last_evaluation.is_some_and(|(before, tick)| before.is_valid(&basis, self.ticks - tick))
         {
             // An engine that is leaving is dropped at once; this is checked before each call.
             let back_ends = &self.back_ends;
-            self.cache_follows.retain(|instance| {
+            self.followed_caches.retain(|instance| {
                 let state = back_ends.get(instance);
                 state.is_some_and(BackEndState::accepts_work)
             });
             return;
         }
-        self.cache_follows.last_evaluation = Some((basis, self.ticks));
-        self.cache_follows.evaluations += 1;
+        self.followed_caches.last_evaluation = Some((basis, self.ticks));
+        self.followed_caches.evaluations += 1;
         let own: HashSet<InstanceId> = self.caches_to_follow(&basis).into_iter().collect();
-        let follows = &mut self.cache_follows;
-        follows.retain(|instance| own.contains(instance));
+        let followed = &mut self.followed_caches;
+        followed.retain(|instance| own.contains(instance));
         for instance in own {
-            let index = follows.indices.entry(instance);
+            let index = followed.indices.entry(instance);
             index.or_insert_with(|| CacheIndex::new(now));
         }
     }
@@ -211,7 +211,7 @@
         response: CacheResponse,
         now: Timestamp,
     ) -> Option<CacheUpdate> {
-        let index = self.cache_follows.indices.get_mut(instance)?;
+        let index = self.followed_caches.indices.get_mut(instance)?;
         let gaps = index.counts().gaps;
         if !index.handle_response(response, now) {
             let has_gap = index.counts().gaps > gaps;
@@ -222,7 +222,7 @@
         for observation in &observations {
             cache.apply_observation(observation.part, observation.tokens, now);
         }
-        let index = self.cache_follows.indices.get_mut(instance)?;
+        let index = self.followed_caches.indices.get_mut(instance)?;
         cache.confirm(|part| index.stored_tokens(part).is_some(), now);
         index.record_corrections(observations.len(), now);
         let update = CacheUpdate::of(index, &observations, now);
@@ -233,7 +233,7 @@
     /// Differences between an engine's cache and what is recorded of it. Those that don't fit into
     /// the next messages still exist at the next response, and are sent then.
     fn corrections(&self, instance: &InstanceId) -> Option<Vec<Placement>> {
-        let index = self.cache_follows.indices.get(instance)?;
+        let index = self.followed_caches.indices.get(instance)?;
         let state = self.back_ends.get(instance)?;
         let cache = &state.load.cache;
         let stale = index.stale_parts(cache).into_iter();
@@ -254,12 +254,12 @@
     /// that hold them. So the caches are known again with the first requests after a loss of all
     /// nodes, although cache events don't say which parts are shared.
     pub(super) fn restore_cached(&mut self, parts: impl Iterator<Item = PartId>, now: Timestamp) {
-        if self.cache_follows.indices.is_empty() {
+        if self.followed_caches.indices.is_empty() {
             return;
         }
         let mut restored = Vec::new();
         for part in parts {
-            for (instance, index) in &self.cache_follows.indices {
+            for (instance, index) in &self.followed_caches.indices {
                 let Some(tokens) = index.stored_tokens(part) else {
                     continue;
                 };
@@ -278,16 +278,16 @@
 
     /// Number of evaluations of which engines to follow, since the start.
     pub(super) fn follow_evaluations(&self) -> u64 {
-        self.cache_follows.evaluations
+        self.followed_caches.evaluations
     }
 
     /// Number of followed engines, and counts of following since the start.
     pub(super) fn cache_counts(&self) -> (usize, FollowCounts) {
-        let mut counts = self.cache_follows.ended_counts;
-        for index in self.cache_follows.indices.values() {
+        let mut counts = self.followed_caches.ended_counts;
+        for index in self.followed_caches.indices.values() {
             counts.add(index.counts());
         }
-        (self.cache_follows.indices.len(), counts)
+        (self.followed_caches.indices.len(), counts)
     }
 
     /// Queues observations of engine caches for the next messages, in place of earlier placements
--- a/crates/coordination/dispatch/src/dispatcher/leases.rs
+++ b/crates/coordination/dispatch/src/dispatcher/leases.rs
@@ -206,7 +206,7 @@
         let has_limit = state.limiter.limit().is_some();
         state.limiter.record_sent(now);
         let cache_observation_age = state.load.cache.observation_age(demand.shared_parts(), now);
-        let prefilled_at = now + plan.candidate.first_event;
+        let prefilled_at = now + plan.candidate.time_to_first_event;
         state.load.cache.insert(&demand.parts, prefilled_at);
         state.load.cache.record_shared(demand.shared_parts());
         let output_tokens = u64::from(demand.output_tokens);
--- a/crates/coordination/dispatch/src/documents/document_service.rs
+++ b/crates/coordination/dispatch/src/documents/document_service.rs
@@ -35,7 +35,7 @@
     /// [`DocumentService::finish`] must be called with it.
     Admitted(Option<TransferId>),
     /// It is redirected to these nodes, which have the documents, or has to ask again later.
-    SentOn(Vec<SocketAddr>),
+    Redirected(Vec<SocketAddr>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -73,7 +73,7 @@
         if self.transfers.len() >= MAX_CONCURRENT_TRANSFERS {
             let alternatives = self.recent_receivers.iter().copied();
             let alternatives = alternatives.filter(|address| *address != from);
-            return Admission::SentOn(alternatives.choose_multiple(random, MAX_ALTERNATIVES));
+            return Admission::Redirected(alternatives.choose_multiple(random, MAX_ALTERNATIVES));
         }
         let id = TransferId(self.next_id);
         self.next_id += 1;
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -45,7 +45,7 @@
     /// Identifies one lifetime of the engine's cache; it changes with each restart.
     pub epoch: u64,
     /// Sequence number from which the next call continues.
-    pub next: u64,
+    pub next_event: u64,
     /// Whether events before these have been lost.
     pub has_gap: bool,
     /// The events; they may be out of order.
@@ -58,9 +58,9 @@
     /// Identifies one lifetime of the engine's cache.
     pub epoch: u64,
     /// Sequence number from which the first call for events continues.
-    pub next: u64,
+    pub next_event: u64,
     /// The cached prompt parts.
-    pub kept: Vec<PromptPart>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// A call to be made to an engine.
@@ -206,15 +206,15 @@
     }
 
     fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
-        let number = listing.next.saturating_sub(1);
-        let kept = listing.kept.iter().take(MAX_PARTS);
-        let stored = kept.map(|part| {
+        let number = listing.next_event.saturating_sub(1);
+        let parts = listing.parts.iter().take(MAX_PARTS);
+        let stored = parts.map(|part| {
             let tokens = part.tokens;
             (part.id, StoredPart { tokens, number })
         });
         self.stored = stored.collect();
         self.epoch = Some(listing.epoch);
-        self.next_event = listing.next;
+        self.next_event = listing.next_event;
         self.listed_through = number;
         self.counts.listings += 1;
         self.record_successful_call(now);
@@ -231,7 +231,7 @@
         for event in &report.events {
             self.apply_event(event);
         }
-        self.next_event = self.next_event.max(report.next);
+        self.next_event = self.next_event.max(report.next_event);
         self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
         self.prune_removed();
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
     /// Expected time to the first event.
-    pub first_event: Span,
+    pub time_to_first_event: Span,
     /// Target for the time to the first event.
     pub target: Span,
     /// Shared prompt tokens that it would have to recompute although another engine has them
@@ -87,7 +87,7 @@
     fn first_event_cost(&self) -> Span {
         let weight =
             MAX_FULL_WEIGHT_TARGET.0 as f64 / self.target.max(MAX_FULL_WEIGHT_TARGET).0 as f64;
-        self.first_event.scaled(weight)
+        self.time_to_first_event.scaled(weight)
     }
 
     /// Probability that the first event misses its target. Prompts that other nodes sent a moment
@@ -96,7 +96,7 @@
         if self.target == Span::ZERO {
             return 0.0;
         }
-        let target_share = self.first_event.0 as f64 / self.target.0 as f64;
+        let target_share = self.time_to_first_event.0 as f64 / self.target.0 as f64;
         target_share.min(1.0).powi(2)
     }
 
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -328,7 +328,7 @@
         .view
         .network_path(&state.back_end.zone, demand.bytes);
     let mut candidate = Candidate {
-        first_event: prefill_time + network_path.round_trip,
+        time_to_first_event: prefill_time + network_path.round_trip,
         target: demand.target,
         recomputed_tokens,
         is_home,
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -72,12 +72,12 @@
     });
     CacheResponse::Listing(CacheListing {
         epoch: 1,
-        next: 10,
-        kept: kept.collect(),
+        next_event: 10,
+        parts: kept.collect(),
     })
 }
 
-fn cache_events(epoch: u64, next: u64, events: &[(u64, u64, u32)]) -> CacheEvents {
+fn cache_events(epoch: u64, next_event: u64, events: &[(u64, u64, u32)]) -> CacheEvents {
     let events = events.iter().map(|(number, part, tokens)| CacheEvent {
         number: *number,
         part: PartId(*part),
@@ -85,7 +85,7 @@
     });
     CacheEvents {
         epoch,
-        next,
+        next_event,
         has_gap: false,
         events: events.collect(),
     }
--- a/crates/coordination/dispatch/tests/costs.rs
+++ b/crates/coordination/dispatch/tests/costs.rs
@@ -8,13 +8,13 @@
 /// given the target and the expected times to the first event.
 fn choose_cached_or_uncached(target_ms: u64, cached_ms: u64, uncached_ms: u64) -> usize {
     let cached = Candidate {
-        first_event: Span::from_milliseconds(cached_ms),
+        time_to_first_event: Span::from_milliseconds(cached_ms),
         target: Span::from_milliseconds(target_ms),
         slots: 64,
         ..Candidate::default()
     };
     let uncached = Candidate {
-        first_event: Span::from_milliseconds(uncached_ms),
+        time_to_first_event: Span::from_milliseconds(uncached_ms),
         recomputed_tokens: 10_000,
         ..cached
     };
--- a/crates/coordination/dispatch/tests/document_service.rs
+++ b/crates/coordination/dispatch/tests/document_service.rs
@@ -28,11 +28,11 @@
         .map(|number| expect_transfer(service.admit(address(number), true, &mut random, now)))
         .collect();
     let without_holders = service.admit(address(5), true, &mut random, now);
-    assert_eq!(without_holders, Admission::SentOn(Vec::new()));
+    assert_eq!(without_holders, Admission::Redirected(Vec::new()));
     service.finish(transfers[0]);
     expect_transfer(service.admit(address(5), true, &mut random, now));
     let redirected = service.admit(address(6), true, &mut random, now);
-    assert_eq!(redirected, Admission::SentOn(vec![address(1)]));
+    assert_eq!(redirected, Admission::Redirected(vec![address(1)]));
 }
 
 #[test]
@@ -104,7 +104,7 @@
                         });
                         break;
                     }
-                    Admission::SentOn(others) => match others.first() {
+                    Admission::Redirected(others) => match others.first() {
                         Some(other) => source = numbers[other],
                         None => break,
                     },
--- a/crates/coordination/dispatch/tests/locality.rs
+++ b/crates/coordination/dispatch/tests/locality.rs
@@ -119,8 +119,8 @@
     }
     subject.release(before.lease, Outcome::Completed, START);
     let after = granted(subject.dispatch(&request, START));
-    assert!(before.candidate.first_event < round_trip);
-    assert!(after.candidate.first_event >= round_trip.scaled(0.95));
+    assert!(before.candidate.time_to_first_event < round_trip);
+    assert!(after.candidate.time_to_first_event >= round_trip.scaled(0.95));
 }
 
 /// One of the two zones of the region is cut off: its engines are still home engines of some
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -45,7 +45,7 @@
 fn a_prefix_is_not_copied_from_an_engine_that_is_still_computing_it() {
     let mut subject = with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
-    let before = START + Span(first.candidate.first_event.0 - 1);
+    let before = START + Span(first.candidate.time_to_first_event.0 - 1);
     for own in 0..40 {
         let grant = granted(subject.dispatch(&demand(1, 13_000, 6_000 + own), before));
         assert_eq!(grant.copy_from, None);
@@ -56,7 +56,7 @@
 fn a_prefix_in_high_demand_spreads_and_is_copied() {
     let mut subject = with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
-    let now = START + first.candidate.first_event;
+    let now = START + first.candidate.time_to_first_event;
     let mut copies = 0;
     for own in 0..40 {
         let grant = granted(subject.dispatch(&demand(1, 13_000, 6_000 + own), now));
--- a/crates/transport/relay/src/cache_follower.rs
+++ b/crates/transport/relay/src/cache_follower.rs
@@ -92,7 +92,7 @@
     /// Path of the listing of all cached parts.
     pub listing_path: &'static str,
     /// Header with the time in milliseconds for which the engine may hold the call.
-    pub wait: HeaderName,
+    pub wait_header: HeaderName,
     /// Parses a response with events.
     pub read_events: fn(&[u8]) -> Result<CacheEvents, MalformedResponse>,
     /// Parses a listing.
@@ -242,7 +242,7 @@
             CacheCall::List => Request::get(self.protocol.listing_path),
             CacheCall::Events { after, wait } => {
                 let path = (self.protocol.events_path)(after);
-                Request::get(path).header(&self.protocol.wait, wait.milliseconds())
+                Request::get(path).header(&self.protocol.wait_header, wait.milliseconds())
             }
         };
         request.header(http::header::HOST, host).body(Empty::new())
--- a/crates/transport/relay/src/documents.rs
+++ b/crates/transport/relay/src/documents.rs
@@ -73,7 +73,7 @@
     Package(Package),
     /// The node already serves as many transfers as it can; these nodes have received the
     /// documents.
-    SentOn(Vec<SocketAddr>),
+    Redirected(Vec<SocketAddr>),
 }
 
 /// Fetches all changes beyond `known` from a peer, or from others that it names and that `may_ask`
@@ -88,7 +88,7 @@
     while let Some(source) = tried.last().copied() {
         match request_documents(source, known, own_address).await? {
             Reply::Package(package) => return Ok(package),
-            Reply::SentOn(others) => {
+            Reply::Redirected(others) => {
                 let mut others = others
                     .into_iter()
                     .filter(|other| !tried.contains(other) && may_ask(*other));
@@ -226,9 +226,9 @@
                         let package = build_package(&control, &known, now);
                         (Reply::Package(package), transfer)
                     }
-                    Admission::SentOn(others) => {
+                    Admission::Redirected(others) => {
                         metrics::documents_redirected();
-                        (Reply::SentOn(others), None)
+                        (Reply::Redirected(others), None)
                     }
                 };
                 let bytes = encode(&response);
--- a/crates/transport/relay/src/event_stream.rs
+++ b/crates/transport/relay/src/event_stream.rs
@@ -9,7 +9,7 @@
 pub struct EventSplitter {
     pending: BytesMut,
     last_id: Option<u64>,
-    emitted: u64,
+    emitted_events: u64,
 }
 
 impl EventSplitter {
@@ -18,7 +18,7 @@
         Self {
             pending: BytesMut::new(),
             last_id,
-            emitted: 0,
+            emitted_events: 0,
         }
     }
 
@@ -28,8 +28,8 @@
     }
 
     /// Number of events returned.
-    pub fn emitted(&self) -> u64 {
-        self.emitted
+    pub fn emitted_events(&self) -> u64 {
+        self.emitted_events
     }
 
     /// Whether bytes of an incomplete event are buffered.
@@ -46,7 +46,7 @@
             let event = self.pending.split_to(end);
             if self.accept(&event) {
                 events.unsplit(event);
-                self.emitted += 1;
+                self.emitted_events += 1;
             }
         }
         events.freeze()
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -295,7 +295,8 @@
     let candidate = &grant.candidate;
     log::info!(
         event = "granted", request = id, route = route, rank = rank, attempt = attempt, digest:% = digest,
-        back_end = grant.instance.as_str(), expected_ms = candidate.first_event.milliseconds(),
+        back_end = grant.instance.as_str(),
+        expected_ms = candidate.time_to_first_event.milliseconds(),
         uncached = grant.uncached_tokens, read_again = candidate.recomputed_tokens,
         copied = candidate.copied_tokens, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
         cache_age_ms = grant.cache_observation_age.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
--- a/crates/transport/relay/src/header_names.rs
+++ b/crates/transport/relay/src/header_names.rs
@@ -40,7 +40,7 @@
     pub model: HeaderName,
     /// Further headers with which a router controls back ends. A caller's copy is never forwarded:
     /// a back end would take it for this node's.
-    pub commands: Vec<HeaderName>,
+    pub control_headers: Vec<HeaderName>,
 }
 
 impl HeaderNames {
@@ -55,7 +55,7 @@
             &self.replica_at,
             &self.resume_from,
         ];
-        names.into_iter().chain(&self.commands)
+        names.into_iter().chain(&self.control_headers)
     }
 
     /// Whether a header describes the request itself, and is forwarded even if the caller lists it
--- a/crates/transport/relay/src/lease.rs
+++ b/crates/transport/relay/src/lease.rs
@@ -27,7 +27,10 @@
 
     /// Records the first event of a stream and the error of its expected time.
     pub fn record_first_stream_event(&self, now: Timestamp) {
-        metrics::first_event_error(self.grant.candidate.first_event, now.since(self.granted_at));
+        metrics::first_event_error(
+            self.grant.candidate.time_to_first_event,
+            now.since(self.granted_at),
+        );
         self.record_first_event();
     }
 
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -52,5 +52,5 @@
 pub use logging::{LogBudget, LogQueue, start as start_logging};
 pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
-pub use node::{Relay, Source, StartError};
+pub use node::{DocumentSource, Relay, StartError};
 pub use settings::{RelaySettings, ShutdownSettings};
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether the budget has room for a line; one that it has no room for counts as dropped.
-    pub fn admits(&self, is_warning: bool) -> bool {
+    pub fn try_admit(&self, is_warning: bool) -> bool {
         let Ok(mut window) = self.window.lock() else {
             return false;
         };
@@ -94,12 +94,12 @@
         } else {
             (&mut window.info_lines, self.budget.info_per_second)
         };
-        let admits = *used < limit;
-        *used += u32::from(admits);
-        if !admits {
+        let is_admitted = *used < limit;
+        *used += u32::from(is_admitted);
+        if !is_admitted {
             self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
-        admits
+        is_admitted
     }
 
     /// Queues a line, or drops it if the queue is full; never blocks.
@@ -122,7 +122,7 @@
             return Ok(());
         }
         let is_warning = record.level() >= Level::Warn;
-        if self.queue.admits(is_warning) {
+        if self.queue.try_admit(is_warning) {
             let mut line = self.layout.format(record, diagnostics)?;
             line.push(b'\n');
             self.queue.push(line);
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -104,18 +104,18 @@
         self.limit > 0
     }
 
-    /// Bytes held now.
-    pub fn held(&self) -> u64 {
+    /// Bytes in use now.
+    pub fn used_bytes(&self) -> u64 {
         self.usage.total.load(Relaxed)
     }
 
-    /// Bytes of one kind held now.
-    pub fn held_by_kind(&self, kind: MemoryKind) -> u64 {
+    /// Bytes of one kind in use now.
+    pub fn used_bytes_by_kind(&self, kind: MemoryKind) -> u64 {
         self.usage.by_kind[kind as usize].load(Relaxed)
     }
 
-    /// Maximum bytes that were ever held at once.
-    pub fn peak(&self) -> u64 {
+    /// Maximum bytes that were ever in use at once.
+    pub fn peak_bytes(&self) -> u64 {
         self.usage.peak.load(Relaxed)
     }
 
@@ -148,13 +148,13 @@
 
     /// Whether this many more bytes of a kind may be held.
     fn allows(&self, kind: MemoryKind, bytes: u64) -> bool {
-        let total = self.held() + bytes;
+        let total = self.used_bytes() + bytes;
         match kind {
             _ if !self.is_bounded() => true,
             MemoryKind::Body => total <= self.fraction_of_limit(NEW_REQUESTS_FRACTION),
             MemoryKind::Response => total <= self.limit,
             MemoryKind::Events => {
-                let events = self.held_by_kind(kind) + bytes;
+                let events = self.used_bytes_by_kind(kind) + bytes;
                 events <= self.fraction_of_limit(READ_AHEAD_FRACTION) && total <= self.limit
             }
         }
@@ -194,8 +194,8 @@
 
     /// Time until a body of this many bytes will fit, at the recent release rate.
     pub(crate) fn retry_after(&self, bytes: u64) -> Span {
-        let excess =
-            (self.held() + bytes).saturating_sub(self.fraction_of_limit(NEW_REQUESTS_FRACTION));
+        let excess = (self.used_bytes() + bytes)
+            .saturating_sub(self.fraction_of_limit(NEW_REQUESTS_FRACTION));
         let release_rate = self.release_rate.lock().map_or(0, |release_rate| {
             release_rate.last_window.max(release_rate.released)
         });
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -181,7 +181,7 @@
         metrics::gauge!("eiderferry_held_bytes", "kind" => kind.as_str(), "route" => route)
             .set(bytes as f64);
     }
-    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.peak() as f64);
+    metrics::gauge!("eiderferry_held_bytes_highest").set(budget.peak_bytes() as f64);
 }
 
 /// A request was ended for lack of memory.
@@ -204,7 +204,7 @@
     metrics::gauge!("eiderferry_silent_zones").set(snapshot.silent_zones as f64);
     metrics::gauge!("eiderferry_evacuated_zones").set(snapshot.evacuated_zones as f64);
     metrics::gauge!("eiderferry_places").set(snapshot.leases as f64);
-    metrics::gauge!("eiderferry_caches_followed").set(snapshot.followed_caches as f64);
+    metrics::gauge!("eiderferry_caches_followed").set(snapshot.followed_cache_count as f64);
     let counts = &snapshot.cache_counts;
     metrics::counter!("eiderferry_cache_listings_total").absolute(counts.listings);
     metrics::counter!("eiderferry_cache_answers_total").absolute(counts.responses);
--- a/crates/transport/relay/src/node.rs
+++ b/crates/transport/relay/src/node.rs
@@ -59,7 +59,7 @@
 }
 
 /// A document source: runs on the control thread for the lifetime of the process.
-pub type Source =
+pub type DocumentSource =
     Box<dyn FnOnce(DocumentFeed) -> Pin<Box<dyn Future<Output = ()>>> + Send + 'static>;
 
 /// A relay that is ready to serve.
@@ -75,7 +75,7 @@
 
 impl Relay {
     /// Binds the peer sockets and starts the control thread.
-    pub fn start(settings: RelaySettings, source: Source) -> Result<Self, StartError> {
+    pub fn start(settings: RelaySettings, source: DocumentSource) -> Result<Self, StartError> {
         let clock = Clock::start(CLOCK_START_OFFSET);
         let table: SharedTable = Arc::new(ArcSwapOption::empty());
         let (sender, commands) = async_channel::unbounded();
@@ -276,7 +276,7 @@
     commands: async_channel::Receiver<crate::control::Command>,
     listener: std::net::TcpListener,
     follower: impl FnOnce(Rc<LocalExecutor<'static>>) -> CacheFollower,
-    source: Source,
+    source: DocumentSource,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let (request_sender, requests) = async_channel::unbounded();
--- a/crates/transport/relay/src/sending.rs
+++ b/crates/transport/relay/src/sending.rs
@@ -200,7 +200,9 @@
             return remaining;
         }
         let response_timeout = match route.kind {
-            RouteKind::Streaming => self.first_event_timeout(lease.grant.candidate.first_event),
+            RouteKind::Streaming => {
+                self.first_event_timeout(lease.grant.candidate.time_to_first_event)
+            }
             _ => Span(route.target.0 * ATTEMPT_TIMEOUT_TARGETS),
         };
         remaining.min(response_timeout)
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -178,10 +178,10 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    let before = self.splitter.emitted();
+                    let before = self.splitter.emitted_events();
                     let events = self.splitter.push(&data);
                     if !events.is_empty() {
-                        let count = self.splitter.emitted() - before;
+                        let count = self.splitter.emitted_events() - before;
                         source
                             .pacing
                             .record(count, self.exchange.traffic.clock.now());
@@ -204,7 +204,7 @@
             return Span(u64::MAX);
         }
         let expected = self.source.as_ref().map_or(Span::ZERO, |source| {
-            source.lease.grant.candidate.first_event
+            source.lease.grant.candidate.time_to_first_event
         });
         if is_first {
             return self.exchange.first_event_timeout(expected);
--- a/crates/transport/relay/tests/logging.rs
+++ b/crates/transport/relay/tests/logging.rs
@@ -12,7 +12,7 @@
 #[test]
 fn the_rate_limit_holds_and_dropped_lines_are_counted() {
     let (queue, _lines) = LogQueue::new(1_000, BUDGET);
-    let admitted = (0..500).filter(|_| queue.admits(false)).count();
+    let admitted = (0..500).filter(|_| queue.try_admit(false)).count();
     assert!(
         admitted <= 20,
         "{admitted} lines; at most two seconds' worth"
@@ -24,8 +24,8 @@
 #[test]
 fn warnings_are_admitted_when_the_info_budget_is_spent() {
     let (queue, _lines) = LogQueue::new(1_000, BUDGET);
-    while queue.admits(false) {}
-    assert!(queue.admits(true));
+    while queue.try_admit(false) {}
+    assert!(queue.try_admit(true));
 }
 
 #[test]
--- a/crates/transport/relay/tests/slow_readers.rs
+++ b/crates/transport/relay/tests/slow_readers.rs
@@ -31,7 +31,7 @@
 
 /// Prints the peak of held memory; the table in docs/design/backpressure.md is made from it.
 fn print_peak(scenario: &str, relay: &TestRelay) {
-    println!("peak: {scenario}: {} bytes", relay.memory.peak());
+    println!("peak: {scenario}: {} bytes", relay.memory.peak_bytes());
 }
 
 /// An event of `EVENT_BYTES`.
@@ -116,11 +116,11 @@
         1,
         "the back end timed out"
     );
-    assert!(relay.memory.held_by_kind(MemoryKind::Events) > 0);
+    assert!(relay.memory.used_bytes_by_kind(MemoryKind::Events) > 0);
     let response = caller.read_response_after(prefix);
     assert!(response.is_complete);
     assert!(is_complete_stream(&response.body, LONG_STREAM_EVENTS));
-    wait_for("memory is not released", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
     print_peak("one slow caller of 6 MB", &relay);
 }
 
@@ -134,7 +134,7 @@
         outcomes.finished_count() == 1
     });
     assert_eq!(outcomes.timed_out.load(Ordering::SeqCst), 1);
-    assert_eq!(relay.memory.held_by_kind(MemoryKind::Events), 0);
+    assert_eq!(relay.memory.used_bytes_by_kind(MemoryKind::Events), 0);
 }
 
 #[test]
@@ -159,7 +159,7 @@
         .collect();
     // Half of the budget is available for events.
     wait_for("the budget does not fill", || {
-        relay.memory.peak() >= BUDGET * 45 / 100
+        relay.memory.peak_bytes() >= BUDGET * 45 / 100
     });
     let finished_count = || {
         back_ends_with_outcomes
@@ -202,7 +202,7 @@
         .iter()
         .filter(|response| !response.is_complete)
         .count();
-    let peak = relay.memory.peak();
+    let peak = relay.memory.peak_bytes();
     print_peak("a thousand slow callers of 600 kB", &relay);
     println!("{complete_count} whole, {truncated_count} ended, {refused_count} refused");
     assert_eq!(
@@ -215,7 +215,7 @@
         truncated_count > 0,
         "the budget was never exhausted, so the test proves nothing"
     );
-    wait_for("memory is not released", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
 }
 
 #[test]
@@ -228,8 +228,8 @@
     wait_for("the stream has not ended", || {
         outcomes.finished_count() == 1
     });
-    wait_for("memory is not released", || relay.memory.held() == 0);
-    assert!(relay.memory.peak() <= MEBIBYTE / 4 + 64 * 1024);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
+    assert!(relay.memory.peak_bytes() <= MEBIBYTE / 4 + 64 * 1024);
     assert!(!caller.read_response().is_complete);
 }
 
@@ -252,7 +252,7 @@
     let response = caller.read_response();
     assert!(is_complete_stream(&response.body, EVENTS));
     assert!(!response.is_complete);
-    wait_for("memory is not released", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
 }
 
 #[test]
@@ -295,7 +295,7 @@
         "no stream was evicted"
     );
     let request_body_bytes = (LOW_PRIORITY + HIGH_PRIORITY) as u64;
-    assert!(relay.memory.peak() <= 16 * MEBIBYTE + request_body_bytes);
+    assert!(relay.memory.peak_bytes() <= 16 * MEBIBYTE + request_body_bytes);
     print_peak("seven slow callers of 3.5 MB, three less urgent", &relay);
 }
 
@@ -312,13 +312,13 @@
     let relay = TestRelay::with_memory_budget(&[&back_end], AMPLE_MEMORY_BUDGET);
     let mut caller = relay.connect_with_small_buffer();
     caller.send("POST", "/patient/1", "", "x");
-    let held = || relay.memory.held_by_kind(MemoryKind::Events);
+    let held = || relay.memory.used_bytes_by_kind(MemoryKind::Events);
     wait_for("nothing is read ahead", || held() > MEBIBYTE);
     drop(caller);
     wait_for("the back end's connection stays open", || {
         back_end.close_times.lock().expect("lock").len() == 1
     });
-    wait_for("memory is not released", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
 }
 
 #[test]
@@ -338,9 +338,12 @@
         started_at.elapsed() < TEST_TIMEOUT / 4,
         "answered only when the back end disconnected"
     );
-    assert!(relay.memory.peak() >= 290_000, "the body was not counted");
+    assert!(
+        relay.memory.peak_bytes() >= 290_000,
+        "the body was not counted"
+    );
     wait_for("the memory of the body is not released", || {
-        relay.memory.held() == 0
+        relay.memory.used_bytes() == 0
     });
 }
 
@@ -366,14 +369,14 @@
     }
     let longest = 4 * MEBIBYTE;
     wait_for("the responses are not held", || {
-        relay.memory.held_by_kind(MemoryKind::Response) == longest * CALLERS as u64
+        relay.memory.used_bytes_by_kind(MemoryKind::Response) == longest * CALLERS as u64
     });
     for caller in &mut callers {
         let response = caller.read_response();
         assert_eq!(response.body.len() as u64, longest, "{}", response.head);
         assert!(response.is_complete);
     }
-    wait_for("memory is not released", || relay.memory.held() == 0);
+    wait_for("memory is not released", || relay.memory.used_bytes() == 0);
     print_peak("eight whole answers of 4 MiB", &relay);
 }
 
@@ -397,7 +400,7 @@
     let lost = responses.iter().filter(|response| response.status == 502);
     assert!(complete.clone().all(|response| response.is_complete));
     assert_eq!(complete.count() + lost.count(), CALLERS);
-    assert!(relay.memory.peak() <= BUDGET);
+    assert!(relay.memory.peak_bytes() <= BUDGET);
     print_peak("four whole answers of 4 MiB", &relay);
 }
 
@@ -437,10 +440,10 @@
         .expect("a number of seconds");
     assert!(retry_after > 0.0);
     assert_eq!(back_end.request_count(), 1);
-    assert!(relay.memory.peak() <= 300_000);
+    assert!(relay.memory.peak_bytes() <= 300_000);
     drop(first);
     wait_for("the memory of the body is not released", || {
-        relay.memory.held() == 0
+        relay.memory.used_bytes() == 0
     });
     let mut third = relay.connect();
     third.send("POST", "/patient/3", "", &"b".repeat(100_000));
--- a/crates/transport/relay/tests/support/documents.rs
+++ b/crates/transport/relay/tests/support/documents.rs
@@ -32,7 +32,7 @@
         resume_from: HeaderName::from_static("resume-from"),
         last_event_id: HeaderName::from_static("last-event-id"),
         model: HeaderName::from_static("model"),
-        commands: vec![HeaderName::from_static("reserve")],
+        control_headers: vec![HeaderName::from_static("reserve")],
     }
 }
 
@@ -60,7 +60,7 @@
 /// Parses a response with cache events, see `cache_protocol`.
 fn read_cache_events(body: &[u8]) -> Result<CacheEvents, MalformedResponse> {
     let lines = parse_numbers(body)?;
-    let [epoch, next, gap_flag] = lines[0][..] else {
+    let [epoch, next_event, gap_flag] = lines[0][..] else {
         return Err(MalformedResponse::new("head", "other fields"));
     };
     let events = lines[1..].iter().map(|line| CacheEvent {
@@ -70,7 +70,7 @@
     });
     Ok(CacheEvents {
         epoch,
-        next,
+        next_event,
         has_gap: gap_flag > 0,
         events: events.collect(),
     })
@@ -85,8 +85,8 @@
     });
     Ok(CacheListing {
         epoch: events.epoch,
-        next: events.next,
-        kept: cached_parts.collect(),
+        next_event: events.next_event,
+        parts: cached_parts.collect(),
     })
 }
 
@@ -96,7 +96,7 @@
     CacheProtocol {
         events_path: |after| format!("/cache-events?after={after}"),
         listing_path: "/cache",
-        wait: HeaderName::from_static("wait"),
+        wait_header: HeaderName::from_static("wait"),
         read_events: read_cache_events,
         read_listing: read_cache_listing,
     }
--- a/crates/transport/relay/tests/support/relay.rs
+++ b/crates/transport/relay/tests/support/relay.rs
@@ -8,7 +8,7 @@
     AMPLE_MEMORY_BUDGET, Caller, MockBackEnd, Response, SMALL_BUFFER_BYTES, TEST_TIMEOUT, write,
 };
 use eiderferry_dispatch::{Change, ColdRateLimit, Features, RetryBudgetSettings};
-use eiderferry_relay::{MemoryBudget, Relay, RelaySettings, ShutdownSettings, Source};
+use eiderferry_relay::{DocumentSource, MemoryBudget, Relay, RelaySettings, ShutdownSettings};
 use eiderferry_routing::{EngineSpecification, NodeName, ZoneName};
 use eiderferry_types::Span;
 use std::collections::BTreeMap;
@@ -227,7 +227,7 @@
             cache_protocol: cache_protocol(),
             header_names: header_names(),
         };
-        let source: Source = Box::new(move |feed| {
+        let source: DocumentSource = Box::new(move |feed| {
             Box::pin(async move {
                 if let Some(documents) = documents {
                     smol::Timer::after(options.configuration_delay).await;
