--- a/crates/coordination/dispatch/benches/scale.rs
+++ b/crates/coordination/dispatch/benches/scale.rs
@@ -10,7 +10,8 @@
 use eiderferry_types::{Span, Timestamp};
 use std::time::Instant;
 use support::{
-    START, back_end, back_end_change, demand, dispatcher, known, node_address, table_change,
+    START, back_end, back_end_change, demand, dispatcher, node_address, table_change,
+    version_vector_up_to,
 };
 
 /// Nodes, engines and zones of each fleet.
@@ -33,7 +34,7 @@
         let back_end = back_end(&name, number, number % zones);
         subject.apply(back_end_change(back_end, 2), START);
     }
-    subject.record_confirmation(&known(2), START);
+    subject.record_confirmation(&version_vector_up_to(2), START);
     receive_from_all(&mut subject, nodes, zones, START);
     subject.announce(true, START);
     subject
@@ -79,7 +80,7 @@
         let name = format!("engine-{number}");
         let back_end = back_end(&name, number as usize, 0);
         subject.apply(back_end_change(back_end, revision), now);
-        subject.record_confirmation(&known(revision), now);
+        subject.record_confirmation(&version_vector_up_to(revision), now);
         subject.announce(false, now);
     }
     microseconds_per_item(started, CHANGES)
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -1,7 +1,7 @@
 //! Selects the node from which missing documents are fetched: one of the own zone first. Links
 //! between zones and regions are expensive, and the full set of documents is large: 300 nodes that
 //! each fetched from the first node that announced them transferred 28 MB over such links at a
-//! start (`tests/borders.rs`).
+//! start (`tests/cross_zone_traffic.rs`).
 
 use super::Dispatcher;
 use crate::fleet::traffic::Distance;
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -15,7 +15,7 @@
 const MEMBERS_PER_MESSAGE: usize = 12;
 /// Number of nodes of another zone that a node contacts directly; it learns about the others
 /// indirectly. When each of 300 nodes probed every other one, they sent 14 MB across zones at
-/// startup (`tests/borders.rs`).
+/// startup (`tests/cross_zone_traffic.rs`).
 const CONTACTS_PER_ZONE: usize = 2;
 /// Upper bound on the transit time of a message between two nodes of a zone, added to the
 /// reported silence. Without it, two nodes that report a third one to each other would make it
--- a/crates/coordination/dispatch/tests/aggregation.rs
+++ b/crates/coordination/dispatch/tests/aggregation.rs
@@ -77,10 +77,10 @@
 #[test]
 fn message_loss_neither_removes_peers_nor_breaks_counts() {
     let mut fleet = fleet_with_one_engine(71, 3);
-    fleet.lost_each = Some(13);
-    fleet.lost.clear();
+    fleet.loss_interval = Some(13);
+    fleet.lost_peers.clear();
     fleet.run_with_platform(20_000, 2);
-    assert_eq!(fleet.lost, Vec::new());
+    assert_eq!(fleet.lost_peers, Vec::new());
     place_requests(&mut fleet, 7, 30);
     fleet.run_with_platform(1_500, 2);
     assert_all_nodes_count(&mut fleet, 30, &[]);
@@ -91,7 +91,7 @@
 fn assert_all_nodes_count(fleet: &mut Fleet, running: usize, excluded: &[usize]) {
     let now = fleet.now;
     for number in (0..fleet.nodes.len()).filter(|number| !excluded.contains(number)) {
-        if fleet.dark.contains(&number) {
+        if fleet.stopped_nodes.contains(&number) {
             continue;
         }
         let node = &mut fleet.nodes[number];
@@ -121,7 +121,7 @@
 fn fleet_with_one_engine(count: usize, zones: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(20_000, 1);
-    fleet.read_change(0, back_end_change(back_end("engine-1", 1, 0), 2), 2);
+    fleet.apply_source_change(0, back_end_change(back_end("engine-1", 1, 0), 2), 2);
     fleet.run_with_platform(1_000, 2);
     fleet
 }
@@ -153,10 +153,10 @@
 fn dead_aggregators_are_replaced_within_three_seconds() {
     let mut fleet = fleet_with_one_engine(71, 3);
     let readers = fleet.readers();
-    fleet.dark.extend(readers);
+    fleet.stopped_nodes.extend(readers);
     fleet.run_with_platform(2_000, 2);
     let reporter = (0..71)
-        .find(|number| !fleet.dark.contains(number))
+        .find(|number| !fleet.stopped_nodes.contains(number))
         .expect("a live node");
     place_requests(&mut fleet, reporter, 40);
     fleet.run_with_platform(1_000, 2);
@@ -166,7 +166,7 @@
 #[test]
 fn a_partitioned_zone_keeps_counting_its_own_requests() {
     let mut fleet = fleet_with_one_engine(71, 3);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     fleet.run_with_platform(4_000, 2);
     let reporter = (0..71)
         .find(|number| fleet.zones[*number] == 0)
@@ -183,7 +183,7 @@
     place_requests(&mut fleet, 5, 20);
     fleet.run_with_platform(1_000, 2);
     let others = (0..71).filter(|number| *number != 5);
-    fleet.dark.extend(others);
+    fleet.stopped_nodes.extend(others);
     fleet.run_with_platform(3_000, 2);
     assert_all_nodes_count(&mut fleet, 20, &[]);
 }
--- a/crates/coordination/dispatch/tests/backing_off_back_ends.rs
+++ b/crates/coordination/dispatch/tests/backing_off_back_ends.rs
@@ -7,7 +7,9 @@
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
-use support::{START, back_end, back_end_change, demand, granted, lapsed_change, with_engines};
+use support::{
+    START, back_end, back_end_change, demand, dispatcher_with_engines, expired_change, granted,
+};
 
 const BACKING_OFF: &str = "engine-0";
 const BACKOFF_MS: u64 = 3_000;
@@ -46,7 +48,7 @@
 #[case::one_of_a_few(4)]
 #[case::alone(1)]
 fn a_back_end_gets_no_requests_until_its_backoff_ends(#[case] engines: usize) {
-    let mut subject = with_engines(engines);
+    let mut subject = dispatcher_with_engines(engines);
     shed_with_backoff(&mut subject, BACKOFF_MS, START);
     for milliseconds in [1, 500, 1_001, 2_999] {
         assert!(
@@ -62,7 +64,7 @@
 /// Two requests are in flight, and the response to the second asks for a shorter backoff.
 #[test]
 fn the_longer_of_two_backoffs_applies() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     let first = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     let second = granted(subject.dispatch(&demand(2, 1_000, 100), START));
     subject.record_backoff(first.lease, Span::from_milliseconds(BACKOFF_MS), START);
@@ -81,7 +83,7 @@
 /// The back end backs off from this node alone, so the caller should soon retry at another node.
 #[test]
 fn refusals_state_the_shortest_remaining_backoff_up_to_a_maximum() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     shed_with_backoff(&mut subject, BACKOFF_MS, START);
     let (reason, capped) = refusal(&mut subject, after_start(100));
     assert_eq!(reason, Reason::BackEndsBackingOff);
@@ -98,9 +100,9 @@
 
 #[test]
 fn an_expired_entry_that_returns_does_not_end_the_backoff() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     shed_with_backoff(&mut subject, BACKOFF_MS, START);
-    subject.apply(lapsed_change(BACKING_OFF, 5), after_start(100));
+    subject.apply(expired_change(BACKING_OFF, 5), after_start(100));
     subject.apply(
         back_end_change(back_end(BACKING_OFF, 0, 0), 6),
         after_start(200),
@@ -110,7 +112,7 @@
 
 #[test]
 fn a_new_run_of_the_same_instance_has_no_backoff() {
-    let mut subject = with_engines(0);
+    let mut subject = dispatcher_with_engines(0);
     subject.apply(back_end_change(engine_started_at(FIRST_START), 3), START);
     shed_with_backoff(&mut subject, BACKOFF_MS, START);
     subject.apply(
--- a/crates/coordination/dispatch/tests/cache_index.rs
+++ b/crates/coordination/dispatch/tests/cache_index.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU32, Ordering};
 use support::{
-    Fleet, START, back_end, back_end_change, demand, dispatcher, granted, known, node_address,
-    table_change, with_engines,
+    Fleet, START, back_end, back_end_change, demand, dispatcher, dispatcher_with_engines, granted,
+    node_address, table_change, version_vector_up_to,
 };
 
 /// The part that the prompts share, and its length in tokens.
@@ -54,7 +54,7 @@
 /// A node that sent the shared part to its only engine at the start and so assumes it is cached,
 /// and a time three seconds later.
 fn with_assumed_part() -> (Dispatcher, Timestamp) {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.tick(START);
     uncached_shared_tokens(&mut subject, START);
     (subject, START + SETTLING_TIME)
@@ -66,14 +66,14 @@
 }
 
 fn listing(parts: &[(u64, u32)]) -> CacheResponse {
-    let kept = parts.iter().map(|(id, tokens)| PromptPart {
+    let cached_parts = parts.iter().map(|(id, tokens)| PromptPart {
         id: PartId(*id),
         tokens: *tokens,
     });
     CacheResponse::Listing(CacheListing {
         epoch: 1,
         next_event: 10,
-        parts: kept.collect(),
+        parts: cached_parts.collect(),
     })
 }
 
@@ -266,7 +266,7 @@
 
 #[test]
 fn corrections_per_response_are_bounded_and_the_remainder_follows() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.tick(START);
     for shared_part in 100..140 {
         granted(subject.dispatch(&demand(shared_part, 1_000, 10), START));
@@ -295,7 +295,7 @@
     let mut second = dispatcher(1, 0, vec![node_address(0)]);
     second.apply(table_change(1), START);
     second.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    second.record_confirmation(&known(2), START);
+    second.record_confirmation(&version_vector_up_to(2), START);
     second.tick(START);
     uncached_shared_tokens(&mut second, START);
     second
@@ -416,7 +416,7 @@
 
 #[test]
 fn after_a_restart_of_all_nodes_cached_parts_are_known_before_the_first_request() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     subject.tick(START);
     let now = START + ms(900);
     for due_call in subject.cache_calls(now) {
@@ -431,9 +431,9 @@
     let mut fleet = Fleet::new(4, 1);
     for number in 0..3 {
         let name = format!("engine-{number}");
-        fleet.read_change(0, back_end_change(back_end(&name, number, 0), 2), 2);
+        fleet.apply_source_change(0, back_end_change(back_end(&name, number, 0), 2), 2);
     }
-    fleet.read_change(0, table_change(3), 3);
+    fleet.apply_source_change(0, table_change(3), 3);
     // Each engine gets one call, from one node.
     let mut called = BTreeSet::new();
     for _ in 0..12 {
--- a/crates/coordination/dispatch/tests/cold_start.rs
+++ b/crates/coordination/dispatch/tests/cold_start.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use support::{
-    COLD_RATE_LIMIT, ENGINES, Fleet, START, back_end, back_end_change, demand, dispatcher, granted,
-    most_within, table_change,
+    COLD_RATE_LIMIT, ENGINE_POOL, Fleet, START, back_end, back_end_change, demand, dispatcher,
+    granted, max_in_window, table_change,
 };
 
 const COLD_START: ColdStart = ColdStart {
@@ -26,7 +26,7 @@
 fn table_with_cold_starts(revision: u64) -> eiderferry_dispatch::Change {
     let mut change = table_change(revision);
     if let DocumentContent::Table(table) = &mut change.content {
-        let pool = table.pools.get_mut(&PoolName::from(ENGINES));
+        let pool = table.pools.get_mut(&PoolName::from(ENGINE_POOL));
         pool.expect("the pool").cold_start = Some(COLD_START);
     }
     change
@@ -143,7 +143,7 @@
         fleet.step();
         let now = fleet.now;
         for number in 0..fleet.nodes.len() {
-            if fleet.dark.contains(&number) {
+            if fleet.stopped_nodes.contains(&number) {
                 continue;
             }
             for own in 0..REQUESTS_PER_NODE_AND_TICK {
@@ -162,7 +162,7 @@
 
 fn assert_within_rate_limit(arrivals: &Arrivals) {
     for (engine, times) in arrivals {
-        let peak = most_within(times, SECOND, Timestamp::default());
+        let peak = max_in_window(times, SECOND, Timestamp::default());
         assert!(
             peak <= MAX_REQUESTS_PER_SECOND,
             "{engine}: {peak} requests in a second"
@@ -174,7 +174,7 @@
 fn settled_fleet(count: usize, zones: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(20_000, 1);
-    fleet.read_change(0, table_with_cold_starts(2), 2);
+    fleet.apply_source_change(0, table_with_cold_starts(2), 2);
     fleet.run(1_500);
     fleet
 }
@@ -246,10 +246,10 @@
     let mut arrivals = Arrivals::new();
     // Half of the nodes stop and restart without knowing any peer.
     let restarted: Vec<usize> = (0..count).filter(|number| number % 2 == 0).collect();
-    fleet.dark.extend(restarted.iter().copied());
+    fleet.stopped_nodes.extend(restarted.iter().copied());
     add_cold_engines(&mut fleet, 10, 1, 3);
     overload(&mut fleet, 1_500, &mut arrivals);
-    fleet.dark.clear();
+    fleet.stopped_nodes.clear();
     for number in restarted {
         fleet.restart(number);
         let now = fleet.now;
@@ -258,10 +258,10 @@
     add_cold_engines(&mut fleet, 10, 1, 4);
     overload(&mut fleet, 3_000, &mut arrivals);
     // The zone is partitioned from the others while its engines restart.
-    fleet.cut.extend([(0, 1), (1, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (1, 2)]);
     add_cold_engines(&mut fleet, 10, 1, 5);
     overload(&mut fleet, 3_000, &mut arrivals);
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     add_cold_engines(&mut fleet, 10, 1, 6);
     overload(&mut fleet, 3_000, &mut arrivals);
     assert_within_rate_limit(&arrivals);
--- a/crates/coordination/dispatch/tests/crashing_requests.rs
+++ b/crates/coordination/dispatch/tests/crashing_requests.rs
@@ -106,10 +106,10 @@
 #[case::with_aggregators_losing_messages(72, Some(5))]
 fn all_nodes_refuse_the_request_soon_after_the_third_crash(
     #[case] count: usize,
-    #[case] lost_each: Option<u64>,
+    #[case] loss_interval: Option<u64>,
 ) {
     let mut scenario = scenario(count);
-    scenario.fleet.lost_each = lost_each;
+    scenario.fleet.loss_interval = loss_interval;
     scenario.crash_three_engines();
     scenario.run(PROPAGATION_MS - 500);
     assert_eq!(scenario.count_sends_by_all_nodes(), 0);
@@ -120,14 +120,14 @@
 #[case(72)]
 fn a_partitioned_zone_learns_of_the_crashes_when_the_partition_heals(#[case] count: usize) {
     let mut scenario = scenario(count);
-    scenario.fleet.cut = [(2, 0), (2, 1)].into();
+    scenario.fleet.partitioned_zones = [(2, 0), (2, 1)].into();
     scenario.run(1_000);
     for node in [0, 1, 3] {
         assert!(scenario.send_crashing_request(node));
         scenario.run(500);
     }
     scenario.run(20_000);
-    scenario.fleet.cut.clear();
+    scenario.fleet.partitioned_zones.clear();
     scenario.run(PROPAGATION_MS);
     assert_eq!(scenario.count_sends_by_all_nodes(), 0);
 }
@@ -161,10 +161,10 @@
 #[test]
 fn a_paused_node_refuses_the_request_after_it_resumes() {
     let mut scenario = scenario(8);
-    scenario.fleet.dark.insert(5);
+    scenario.fleet.stopped_nodes.insert(5);
     scenario.crash_three_engines();
     scenario.run(8_000);
-    scenario.fleet.dark.clear();
+    scenario.fleet.stopped_nodes.clear();
     let now = scenario.fleet.now;
     scenario.fleet.nodes[5].resume_after_pause(now);
     scenario.run(PROPAGATION_MS);
@@ -271,7 +271,7 @@
 #[test]
 fn without_the_quarantine_the_request_keeps_crashing_engines() {
     let mut scenario = scenario(8);
-    scenario.fleet.switch(Features {
+    scenario.fleet.restart_all_with(Features {
         quarantine: false,
         ..Features::ALL
     });
--- a/crates/coordination/dispatch/tests/borders.rs
+++ b/crates/coordination/dispatch/tests/cross_zone_traffic.rs
@@ -7,7 +7,9 @@
 use eiderferry_routing::ZoneName;
 use rstest::rstest;
 use std::collections::BTreeSet;
-use support::{Fleet, back_end, back_end_change, demand, granted, known, table_change, zone};
+use support::{
+    Fleet, back_end, back_end_change, demand, granted, table_change, version_vector_up_to, zone,
+};
 
 /// Number of zones of the fleet: 0 and 1 are in one region, 2 is in another.
 const ZONES: usize = 3;
@@ -41,7 +43,7 @@
 fn distribute_documents(mut fleet: Fleet) -> Fleet {
     let count = fleet.nodes.len();
     fleet.measure_bytes();
-    fleet.first_documents = documents(count);
+    fleet.initial_documents = documents(count);
     fleet.run_with_platform(20_000, 1);
     fleet
 }
@@ -92,7 +94,7 @@
     count_and_clear(&mut fleet, "10 s of load");
     for revision in 2..12 {
         let change = back_end_change(back_end("engine-0", 0, 0), revision);
-        fleet.read_change(0, change, revision);
+        fleet.apply_source_change(0, change, revision);
         fleet.run_with_platform(500, 1);
     }
     count_and_clear(&mut fleet, "ten changes in 5 s");
@@ -115,7 +117,7 @@
     let mut waited = 0;
     let all = |fleet: &Fleet| {
         let nodes = fleet.nodes.iter().enumerate();
-        let mut live = nodes.filter(|(number, _)| !fleet.dark.contains(number));
+        let mut live = nodes.filter(|(number, _)| !fleet.stopped_nodes.contains(number));
         live.all(|(_, node)| condition(node))
     };
     while !all(fleet) && waited < 20_000 {
@@ -150,7 +152,7 @@
     for change in documents(300) {
         fleet.nodes[0].apply(change, fleet.now);
     }
-    fleet.read_change(0, table_change(1), 1);
+    fleet.apply_source_change(0, table_change(1), 1);
     let package_bytes = 138_000;
     let mut waited = 0;
     while fleet
@@ -180,13 +182,13 @@
 #[case::large(300)]
 fn a_partition_is_detected_and_heals_with_little_traffic(#[case] count: usize) {
     let mut fleet = fleet_with_documents(count);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     let (outside, inside) = (zone_names(&fleet, &[0]), zone_names(&fleet, &[1, 2]));
     let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
     fleet.run_with_platform(5_000, 1);
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     fleet.traffic.clear();
     let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
     fleet.run_with_platform(3_000, 1);
@@ -239,17 +241,17 @@
 /// Milliseconds until all nodes know of a partition of a zone, of its end, and of a change.
 fn detection_times(mut fleet: Fleet) -> [u64; 3] {
     let (outside, inside) = (zone_names(&fleet, &[0]), zone_names(&fleet, &[1, 2]));
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
     fleet.run_with_platform(5_000, 1);
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
     fleet.run_with_platform(3_000, 1);
-    fleet.read_change(1, back_end_change(back_end("engine-0", 0, 0), 5), 5);
+    fleet.apply_source_change(1, back_end_change(back_end("engine-0", 0, 0), 5), 5);
     let change = milliseconds_until(&mut fleet, |node| {
-        *node.document_store().version_vector() == known(5)
+        *node.document_store().version_vector() == version_vector_up_to(5)
     });
     [detected, healed, change]
 }
@@ -262,9 +264,9 @@
         representatives.filter(|(number, node)| fleet.zones[*number] == 0 && node.is_aggregator());
     let representatives: Vec<usize> = representatives.map(|(number, _)| number).collect();
     assert_eq!(representatives.len(), 2);
-    fleet.dark.extend(representatives);
+    fleet.stopped_nodes.extend(representatives);
     fleet.run_with_platform(4_500, 1);
-    let live = (0..fleet.nodes.len()).filter(|number| !fleet.dark.contains(number));
+    let live = (0..fleet.nodes.len()).filter(|number| !fleet.stopped_nodes.contains(number));
     for number in live {
         let silent = fleet.nodes[number].silent_zones();
         assert!(silent.is_empty(), "node {number}: {silent:?}");
@@ -278,10 +280,10 @@
 fn nodes_in_three_regions_know_all_peers_despite_message_loss() {
     let mut fleet = Fleet::in_three_regions(120);
     fleet.run_with_platform(20_000, 1);
-    fleet.lost.clear();
-    fleet.lost_each = Some(13);
+    fleet.lost_peers.clear();
+    fleet.loss_interval = Some(13);
     fleet.run_with_platform(20_000, 1);
-    assert_eq!(fleet.lost, Vec::new());
+    assert_eq!(fleet.lost_peers, Vec::new());
     for node in &fleet.nodes {
         assert_eq!(node.snapshot(fleet.now).live_peers, 119);
         assert!(node.silent_zones().is_empty(), "{:?}", node.silent_zones());
@@ -293,7 +295,9 @@
     let mut fleet = Fleet::in_three_regions(120);
     fleet.run_with_platform(20_000, 1);
     for inside in [0, 1] {
-        fleet.cut.extend((2..6).map(|outside| (inside, outside)));
+        fleet
+            .partitioned_zones
+            .extend((2..6).map(|outside| (inside, outside)));
     }
     let (outside, inside) = (
         zone_names(&fleet, &[0, 1]),
@@ -302,7 +306,7 @@
     let detected = milliseconds_until(&mut fleet, |node| {
         *node.silent_zones() == outside || *node.silent_zones() == inside
     });
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     let healed = milliseconds_until(&mut fleet, |node| node.silent_zones().is_empty());
     println!("region partition detected after {detected} ms, end after {healed} ms");
     assert!(detected <= 2_500, "detected after {detected} ms");
@@ -316,9 +320,9 @@
     let mut fleet = fleet_with_documents(count);
     let mut engine = back_end("engine-0", 0, 0);
     engine.draining = true;
-    fleet.read_change(1, back_end_change(engine, 5), 5);
+    fleet.apply_source_change(1, back_end_change(engine, 5), 5);
     let waited = milliseconds_until(&mut fleet, |node| {
-        *node.document_store().version_vector() == known(5)
+        *node.document_store().version_vector() == version_vector_up_to(5)
     });
     println!("{count} nodes: a change is known after {waited} ms");
     assert!(waited <= 500, "{waited} ms");
--- a/crates/coordination/dispatch/tests/document_source.rs
+++ b/crates/coordination/dispatch/tests/document_source.rs
@@ -5,7 +5,7 @@
 use eiderferry_dispatch::Dispatcher;
 use eiderferry_types::{Span, Timestamp};
 use std::net::SocketAddr;
-use support::{START, dispatcher, known, node_address, table_change};
+use support::{START, dispatcher, node_address, table_change, version_vector_up_to};
 
 /// Time in milliseconds after which a node no longer waits for sources in its own zone or region.
 const LONG_WAIT_MS: u64 = 2_500;
@@ -32,7 +32,7 @@
     let mut other = dispatcher(number, zone, Vec::new());
     if revision > 0 {
         other.apply(table_change(revision), now);
-        other.record_confirmation(&known(revision), now);
+        other.record_confirmation(&version_vector_up_to(revision), now);
     }
     let message = other.gossip(false, now);
     subject.receive(node_address(number), &message, now);
@@ -170,9 +170,9 @@
     receive_from(&mut subject, 2, 1, 9, START);
     assert_eq!(chosen_source(&mut subject, 0), Some(node_address(1)));
     subject.apply(table_change(5), START);
-    subject.record_confirmation(&known(5), START);
+    subject.record_confirmation(&version_vector_up_to(5), START);
     assert_eq!(chosen_source(&mut subject, 0), Some(node_address(2)));
-    subject.record_confirmation(&known(9), START);
+    subject.record_confirmation(&version_vector_up_to(9), START);
     assert_eq!(chosen_source(&mut subject, 0), None);
 }
 
@@ -180,7 +180,7 @@
 fn a_node_with_documents_fetches_changes_from_another_zone_at_once() {
     let mut subject = subject();
     subject.apply(table_change(5), START);
-    subject.record_confirmation(&known(5), START);
+    subject.record_confirmation(&version_vector_up_to(5), START);
     for number in 1..40 {
         receive_from(&mut subject, number, 0, 5, START);
     }
--- a/crates/coordination/dispatch/tests/evacuation.rs
+++ b/crates/coordination/dispatch/tests/evacuation.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use std::ops::Range;
 use support::{
-    ENGINES, Fleet, START, back_end, back_end_change, demand, dispatcher, engine_number, granted,
-    table_change, zone,
+    ENGINE_POOL, Fleet, START, back_end, back_end_change, demand, dispatcher, engine_number,
+    granted, table_change, zone,
 };
 
 /// Time in milliseconds within which all connected nodes must apply an evacuation.
@@ -138,7 +138,7 @@
     subject.tick(START);
     let mut table = table_change(1);
     if let DocumentContent::Table(table) = &mut table.content {
-        let pool = table.pools.get_mut(&PoolName::from(ENGINES));
+        let pool = table.pools.get_mut(&PoolName::from(ENGINE_POOL));
         pool.expect("the pool").cold_start = Some(ColdStart {
             duration: Span::from_milliseconds(3_000),
             requests_per_second: 5.2,
@@ -171,17 +171,17 @@
     }
     fleet.run_with_platform(20_000, 1);
     let restarted = 4;
-    fleet.dark.insert(restarted);
-    fleet.cut.insert((0, 2));
+    fleet.stopped_nodes.insert(restarted);
+    fleet.partitioned_zones.insert((0, 2));
     let reader = *fleet.readers().first().expect("a reader");
-    fleet.read_change(
+    fleet.apply_source_change(
         reader,
         evacuation(zone(1), 5, DocumentContent::Evacuated),
         5,
     );
     fleet.run_with_platform(500, 5);
-    fleet.cut.clear();
-    fleet.dark.clear();
+    fleet.partitioned_zones.clear();
+    fleet.stopped_nodes.clear();
     fleet.restart(restarted);
     fleet.run_with_platform(PROPAGATION_DEADLINE_MS - 500, 5);
     for (number, node) in fleet.nodes.iter().enumerate() {
--- a/crates/coordination/dispatch/tests/fleet.rs
+++ b/crates/coordination/dispatch/tests/fleet.rs
@@ -8,8 +8,8 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use support::{
-    Fleet, HOMES_ANYWHERE, back_end, back_end_change, demand, engine_number, granted, known,
-    table_change,
+    Fleet, WITHOUT_LOCALITY_COSTS, back_end, back_end_change, demand, engine_number, granted,
+    table_change, version_vector_up_to,
 };
 
 /// Delay of a message between two nodes: 900 microseconds.
@@ -36,9 +36,9 @@
 fn no_node_declares_a_live_peer_lost(#[case] count: usize, #[case] zones: usize) {
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(30_000, 1);
-    fleet.lost.clear();
+    fleet.lost_peers.clear();
     fleet.run_with_platform(20_000, 1);
-    assert_eq!(fleet.lost, Vec::new());
+    assert_eq!(fleet.lost_peers, Vec::new());
 }
 
 #[rstest]
@@ -75,7 +75,7 @@
     let mut fleet = Fleet::new(71, 3);
     fleet.run_with_platform(20_000, 1);
     fleet.nodes[5].apply(table_change(2), support::START);
-    fleet.nodes[5].record_confirmation(&known(2), fleet.now);
+    fleet.nodes[5].record_confirmation(&version_vector_up_to(2), fleet.now);
     fleet.run(2_000);
     let behind = fleet
         .nodes
@@ -94,7 +94,7 @@
         .expect("a follower");
     for other in 0..7 {
         if other != follower {
-            fleet.dark.insert(other);
+            fleet.stopped_nodes.insert(other);
         }
     }
     fleet.run(2_500);
@@ -106,7 +106,7 @@
     let mut fleet = Fleet::new(7, 1);
     fleet.run_with_platform(10_000, 1);
     let reader = fleet.readers()[0];
-    fleet.dark.insert(reader);
+    fleet.stopped_nodes.insert(reader);
     fleet.run_with_platform(1_100, 1);
     let live_readers: Vec<usize> = fleet
         .readers()
@@ -120,15 +120,15 @@
 fn partitioned_zones_catch_up_when_the_partition_heals() {
     let mut fleet = Fleet::new(9, 3);
     fleet.run_with_platform(10_000, 1);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     fleet.run(5_000);
     for number in (0..9).filter(|number| fleet.zones[*number] != 0) {
         fleet.nodes[number].apply(table_change(2), support::START);
-        fleet.nodes[number].record_confirmation(&known(2), fleet.now);
+        fleet.nodes[number].record_confirmation(&version_vector_up_to(2), fleet.now);
     }
     fleet.run(1_000);
     assert!(fleet.nodes[0].document_store().table_stamp().revision == 1.into());
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     fleet.run(2_500);
     for node in &fleet.nodes {
         assert_eq!(node.document_store().table_stamp().revision, 2.into());
@@ -141,10 +141,13 @@
     fleet.run_with_platform(10_000, 1);
     let before = fleet.fetches;
     let change = support::back_end_change(support::back_end("engine-1", 1, 0), 2);
-    fleet.read_change(2, change, 2);
+    fleet.apply_source_change(2, change, 2);
     fleet.run(1_000);
     for node in &fleet.nodes {
-        assert_eq!(node.document_store().version_vector(), &known(2));
+        assert_eq!(
+            node.document_store().version_vector(),
+            &version_vector_up_to(2)
+        );
         assert_eq!(node.document_store().back_ends().count(), 1);
     }
     assert_eq!(fleet.fetches, before);
@@ -154,15 +157,18 @@
 fn a_node_that_missed_an_announcement_fetches_the_missing_changes() {
     let mut fleet = Fleet::new(7, 1);
     fleet.run_with_platform(10_000, 1);
-    fleet.dark.insert(6);
+    fleet.stopped_nodes.insert(6);
     let change = support::back_end_change(support::back_end("engine-1", 1, 0), 2);
-    fleet.read_change(2, change, 2);
+    fleet.apply_source_change(2, change, 2);
     fleet.run(300);
-    fleet.dark.clear();
+    fleet.stopped_nodes.clear();
     let change = support::back_end_change(support::back_end("engine-2", 2, 0), 3);
-    fleet.read_change(2, change, 3);
+    fleet.apply_source_change(2, change, 3);
     fleet.run(1_000);
-    assert_eq!(fleet.nodes[6].document_store().version_vector(), &known(3));
+    assert_eq!(
+        fleet.nodes[6].document_store().version_vector(),
+        &version_vector_up_to(3)
+    );
     assert_eq!(fleet.nodes[6].document_store().back_ends().count(), 2);
 }
 
@@ -186,7 +192,7 @@
 #[test]
 fn a_node_that_starts_alone_reads_the_platform_within_half_a_second() {
     let mut fleet = Fleet::new(7, 3);
-    fleet.dark.extend(1..7);
+    fleet.stopped_nodes.extend(1..7);
     fleet.run_with_platform(600, 1);
     assert_eq!(
         fleet.nodes[0].document_store().table_stamp().revision,
@@ -208,7 +214,7 @@
     let mut fleet = Fleet::new(count, zones);
     fleet.run_with_platform(20_000, 1);
     let change = support::back_end_change(support::back_end("engine-1", 1, 0), 2);
-    fleet.read_change(0, change, 2);
+    fleet.apply_source_change(0, change, 2);
     fleet.run(500);
     let now = fleet.now;
     for own in 0..requests {
@@ -250,7 +256,7 @@
         .expect("a node of zone 1");
     let readers = fleet.readers();
     let dead = readers.into_iter().filter(|number| *number != reporter);
-    fleet.dark.extend(dead);
+    fleet.stopped_nodes.extend(dead);
     fleet.run_with_platform(2_500, 2);
     let now = fleet.now;
     for own in 0..70 {
@@ -259,7 +265,7 @@
     fleet.run(900);
     let now = fleet.now;
     let other = (0..71)
-        .find(|number| fleet.zones[*number] == 0 && !fleet.dark.contains(number))
+        .find(|number| fleet.zones[*number] == 0 && !fleet.stopped_nodes.contains(number))
         .expect("a live node of zone 0");
     let decisions = (0..100).map(|own| fleet.nodes[other].dispatch(&demand(2, 13_000, own), now));
     let granted = decisions.filter(|decision| matches!(decision, Decision::Grant(_)));
@@ -293,7 +299,7 @@
     let mut now = support::START;
     for node in [&mut one, &mut two] {
         node.apply(table_change(1), support::START);
-        node.record_confirmation(&known(1), now);
+        node.record_confirmation(&version_vector_up_to(1), now);
     }
     for _ in 0..500 {
         let message = one.gossip(false, now);
@@ -366,7 +372,7 @@
 #[case::larger(87)]
 fn a_silent_zone_gets_no_requests_until_it_is_heard_again(#[case] count: usize) {
     let mut fleet = Fleet::new(count, 3);
-    fleet.switch(HOMES_ANYWHERE);
+    fleet.restart_all_with(WITHOUT_LOCALITY_COSTS);
     for node in &mut fleet.nodes {
         for number in 0..9 {
             let engine = back_end(&format!("engine-{number}"), number, number % 3);
@@ -384,10 +390,10 @@
         all,
         "each zone gets some prompts"
     );
-    fleet.cut.insert((0, 1));
+    fleet.partitioned_zones.insert((0, 1));
     fleet.run_with_platform(1_700, 1);
     assert_eq!(zones_of(&mut fleet, 0..80), BTreeSet::from([0, 2]));
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     fleet.run_with_platform(2_500, 1);
     assert_eq!(zones_of(&mut fleet, 100..140), all);
 }
@@ -426,7 +432,7 @@
         }
         let last = format!("last-{check}");
         let last = back_end_change(back_end(&last, 60_000 + check as usize, 0), revision);
-        fleet.read_change(reader, last, revision);
+        fleet.apply_source_change(reader, last, revision);
         fleet.run(CHECK_INTERVAL_MS);
     }
     let sent = fleet.messages - before;
--- a/crates/coordination/dispatch/tests/leases.rs
+++ b/crates/coordination/dispatch/tests/leases.rs
@@ -4,14 +4,14 @@
 
 use eiderferry_dispatch::{Decision, Dispatcher, TICK};
 use eiderferry_types::{Reason, Span, Timestamp};
-use support::{START, demand, granted, with_engines};
+use support::{START, demand, dispatcher_with_engines, granted};
 
 /// Concurrent requests at which an engine with 64 slots counts as full.
 const MAX_REQUESTS_PER_ENGINE: usize = 84;
 
 /// A dispatcher with one engine that is full of requests, each with a different prompt.
 fn dispatcher_with_full_engine() -> Dispatcher {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     for number in 0..MAX_REQUESTS_PER_ENGINE {
         granted(subject.dispatch(&demand(number as u64 + 1, 100, 10), START));
     }
--- a/crates/coordination/dispatch/tests/leaving_back_ends.rs
+++ b/crates/coordination/dispatch/tests/leaving_back_ends.rs
@@ -9,7 +9,8 @@
 use eiderferry_types::{Reason, Span, Timestamp};
 use rstest::rstest;
 use support::{
-    START, back_end, back_end_change, demand, granted, lapsed_change, table_change, with_engines,
+    START, back_end, back_end_change, demand, dispatcher_with_engines, expired_change, granted,
+    table_change,
 };
 
 const FIRST_START: u64 = 1_760_000_000_000;
@@ -26,8 +27,8 @@
 }
 
 /// A node that knows `count` engines, each of which states its start time.
-fn dispatcher_with_engines(count: usize) -> Dispatcher {
-    let mut subject = with_engines(0);
+fn dispatcher_with_start_times(count: usize) -> Dispatcher {
+    let mut subject = dispatcher_with_engines(0);
     subject.apply(table_change(1), START);
     for number in 0..count {
         let engine = engine(&format!("engine-{number}"), number);
@@ -74,7 +75,7 @@
 #[case::one_of_a_few(4)]
 #[case::one_of_many(600)]
 fn a_leaving_back_end_gets_no_further_requests_and_others_do(#[case] engines: usize) {
-    let mut subject = dispatcher_with_engines(engines);
+    let mut subject = dispatcher_with_start_times(engines);
     let mut noticed = Vec::new();
     for prompt in 0..4_000 {
         let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), START));
@@ -89,7 +90,7 @@
 
 #[test]
 fn requests_are_refused_with_a_retry_time_when_all_back_ends_leave() {
-    let mut subject = dispatcher_with_engines(1);
+    let mut subject = dispatcher_with_start_times(1);
     receive_leaving_notice(&mut subject, START);
     match subject.dispatch(&demand(1, 1_000, 100), after_start(1)) {
         Decision::Refuse(reason, retry_after) => {
@@ -111,10 +112,10 @@
 /// During an outage of the platform entries expire, and return as they were before.
 #[rstest]
 #[case::written_again(vec![])]
-#[case::lapsed_and_back(vec![lapsed_change(LEAVING, 20)])]
+#[case::lapsed_and_back(vec![expired_change(LEAVING, 20)])]
 #[case::removed_and_back(vec![removal_change(20)])]
 fn an_entry_that_is_not_draining_does_not_revoke_leaving(#[case] between: Vec<Change>) {
-    let mut subject = dispatcher_with_engines(2);
+    let mut subject = dispatcher_with_start_times(2);
     receive_leaving_notice(&mut subject, START);
     for change in between {
         subject.apply(change, after_start(1_000));
@@ -127,7 +128,7 @@
 
 #[test]
 fn a_new_run_of_the_same_instance_gets_requests() {
-    let mut subject = dispatcher_with_engines(2);
+    let mut subject = dispatcher_with_start_times(2);
     receive_leaving_notice(&mut subject, START);
     let mut next_run = engine(LEAVING, 0);
     next_run.started_unix_ms = Some(FIRST_START + 9_000);
@@ -140,7 +141,7 @@
 /// A delayed response may belong to a run that has ended.
 #[test]
 fn a_leaving_notice_of_the_previous_run_does_not_affect_the_next() {
-    let mut subject = dispatcher_with_engines(1);
+    let mut subject = dispatcher_with_start_times(1);
     let lease = granted(subject.dispatch(&demand(1, 1_000, 100), START)).lease;
     let mut next_run = engine(LEAVING, 0);
     next_run.started_unix_ms = Some(FIRST_START + 9_000);
--- a/crates/coordination/dispatch/tests/limit_notices.rs
+++ b/crates/coordination/dispatch/tests/limit_notices.rs
@@ -8,7 +8,10 @@
 use eiderferry_routing::{BackEnd, InstanceId};
 use eiderferry_types::{Span, Timestamp};
 use rstest::rstest;
-use support::limits::{SETTLING_MS, alone, answer_with, give_documents, limit, sent_at};
+use support::limits::{
+    DISCOVERY_MS, apply_initial_documents, grant_times_ms, rate_limit, respond_with_limit,
+    single_node,
+};
 use support::{
     Fleet, back_end, back_end_change, demand, dispatcher, granted, node_address, table_change,
 };
@@ -19,14 +22,14 @@
 /// A starting node receives limits from its peers before it knows which back ends exist.
 #[test]
 fn a_limit_received_before_its_engine_is_listed_is_kept() {
-    let (mut reporter, now) = alone(1);
-    answer_with(&mut reporter, 0, Some(1.0), now);
+    let (mut reporter, now) = single_node(1);
+    respond_with_limit(&mut reporter, 0, Some(1.0), now);
     let reply = reporter.reply(node_address(1), now);
     let mut starting = dispatcher(1, 0, vec![node_address(0)]);
     starting.receive(node_address(0), &reply, now);
     starting.apply(table_change(1), now);
     starting.apply(back_end_change(back_end("engine-0", 0, 0), 2), now);
-    assert_eq!(sent_at(&mut starting, now, 1_000), []);
+    assert_eq!(grant_times_ms(&mut starting, now, 1_000), []);
 }
 
 /// Engines that state a limit at the same time, as when a whole rack is overloaded.
@@ -51,11 +54,11 @@
         let engine = back_end(&format!("engine-{number}"), number, number % zones);
         back_end_change(engine, 1)
     });
-    fleet.first_documents = engines.collect();
+    fleet.initial_documents = engines.collect();
     for number in 0..nodes {
-        give_documents(&mut fleet, number);
+        apply_initial_documents(&mut fleet, number);
     }
-    fleet.run_with_platform(SETTLING_MS, 1);
+    fleet.run_with_platform(DISCOVERY_MS, 1);
     fleet.measure_bytes();
     let now = fleet.now;
     for number in 0..LIMITED_ENGINES {
@@ -80,7 +83,7 @@
 #[case::large(295, 5)]
 fn limits_of_many_engines_reach_all_nodes_in_few_bytes(#[case] nodes: usize, #[case] zones: usize) {
     let [first_without, later_without] = bytes_after_limit(nodes, zones, None);
-    let [first, later] = bytes_after_limit(nodes, zones, Some(limit(1.0)));
+    let [first, later] = bytes_after_limit(nodes, zones, Some(rate_limit(1.0)));
     let (first, later) = (first - first_without, later - later_without);
     println!("{first} bytes per second and node at first, {later} later");
     assert!(
@@ -95,7 +98,7 @@
     LimitReport {
         back_end: InstanceId::from(back_end).digest() as u32,
         started_unix_ms,
-        limit: rate.map(limit),
+        limit: rate.map(rate_limit),
         age_ms: 0,
     }
 }
@@ -115,7 +118,7 @@
     #[case] reported: Option<u64>,
     #[case] listed: Option<u64>,
 ) {
-    let (mut subject, now) = alone(1);
+    let (mut subject, now) = single_node(1);
     let engine = BackEnd {
         started_unix_ms: listed,
         ..back_end("engine-0", 0, 0)
@@ -132,7 +135,7 @@
     subject.tick(settled);
     let later = settled + Span::from_milliseconds(1_500);
     subject.tick(later);
-    answer_with(&mut subject, 0, None, later);
+    respond_with_limit(&mut subject, 0, None, later);
     assert_eq!(subject.snapshot(later).limited_back_ends, 0);
 }
 
@@ -140,22 +143,22 @@
 /// limited forever.
 #[test]
 fn a_flood_of_limits_is_bounded_and_leaves_no_engine_limited_forever() {
-    let (mut subject, now) = alone(1);
-    answer_with(&mut subject, 0, Some(0.1), now);
+    let (mut subject, now) = single_node(1);
+    respond_with_limit(&mut subject, 0, Some(0.1), now);
     let later = now + Span::from_milliseconds(100);
     let flood = (0..5_000).map(|number| report(&format!("other-{number}"), None, Some(1.0)));
     receive_limits(&mut subject, flood.collect(), later);
     assert_eq!(subject.snapshot(later).limited_back_ends, 0);
     let reported = subject.reply(node_address(1), later).limits.len();
     assert!(reported <= 64, "{reported} limits in one message");
-    assert_eq!(sent_at(&mut subject, later, 300), [0, 100, 200]);
+    assert_eq!(grant_times_ms(&mut subject, later, 300), [0, 100, 200]);
 }
 
 /// A removed back end gets no requests, so its limit no longer concerns any node.
 #[test]
 fn the_limit_of_a_removed_back_end_stops_being_reported() {
-    let (mut subject, now) = alone(1);
-    answer_with(&mut subject, 0, Some(1.0), now);
+    let (mut subject, now) = single_node(1);
+    respond_with_limit(&mut subject, 0, Some(1.0), now);
     let removal = Change {
         key: DocumentKey::BackEnd(InstanceId::from("engine-0")),
         revision: 3.into(),
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -7,8 +7,8 @@
 use eiderferry_types::{Span, Timestamp};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
-use support::limits::{SETTLING_MS, give_documents, limit};
-use support::{Fleet, START, back_end, back_end_change, demand, most_within};
+use support::limits::{DISCOVERY_MS, apply_initial_documents, rate_limit};
+use support::{Fleet, START, back_end, back_end_change, demand, max_in_window};
 
 const LIMITED: &str = "engine-1";
 /// Window over which requests are counted. All nodes together may send 1.5 times as many in it as
@@ -52,11 +52,11 @@
     /// A fleet whose nodes know each other; the engine is in zone 1.
     fn new(nodes: usize, zones: usize) -> Self {
         let mut fleet = Fleet::new(nodes, zones);
-        fleet.first_documents = vec![back_end_change(back_end(LIMITED, 1, 1), 1)];
+        fleet.initial_documents = vec![back_end_change(back_end(LIMITED, 1, 1), 1)];
         for number in 0..nodes {
-            give_documents(&mut fleet, number);
+            apply_initial_documents(&mut fleet, number);
         }
-        fleet.run_with_platform(SETTLING_MS, 1);
+        fleet.run_with_platform(DISCOVERY_MS, 1);
         Self {
             fleet,
             limit: None,
@@ -82,7 +82,9 @@
     fn send_requests(&mut self) -> Vec<(usize, LeaseId)> {
         let nodes = 0..self.fleet.nodes.len();
         let active_nodes = nodes
-            .filter(|node| !self.fleet.dark.contains(node) && !self.idle_nodes.contains(node))
+            .filter(|node| {
+                !self.fleet.stopped_nodes.contains(node) && !self.idle_nodes.contains(node)
+            })
             .collect::<Vec<usize>>();
         let mut sent = Vec::new();
         for node in active_nodes {
@@ -102,8 +104,9 @@
     fn respond(&mut self, node: usize, lease: LeaseId) {
         let now = self.fleet.now;
         let zone = self.fleet.zones[node];
-        let is_cut = self.fleet.cut.contains(&(zone, 1)) || self.fleet.cut.contains(&(1, zone));
-        if is_cut {
+        let is_partitioned = self.fleet.partitioned_zones.contains(&(zone, 1))
+            || self.fleet.partitioned_zones.contains(&(1, zone));
+        if is_partitioned {
             self.fleet.nodes[node].release(lease, Outcome::Unreachable, now);
             return;
         }
@@ -118,7 +121,7 @@
         if self.limit.is_some() {
             self.informed_at.entry(node).or_insert(now);
         }
-        self.fleet.nodes[node].record_limit(lease, self.limit.map(limit), now);
+        self.fleet.nodes[node].record_limit(lease, self.limit.map(rate_limit), now);
         self.fleet.nodes[node].release(lease, Outcome::Completed, now);
     }
 
@@ -131,7 +134,7 @@
 
     fn restart(&mut self, node: usize) {
         self.fleet.restart(node);
-        give_documents(&mut self.fleet, node);
+        apply_initial_documents(&mut self.fleet, node);
         self.informed_at
             .insert(node, self.fleet.now + CATCH_UP_TIME);
     }
@@ -140,7 +143,7 @@
     fn max_in_window(&self) -> usize {
         let from_informed_nodes = self.arrivals.iter().filter(|arrival| arrival.was_informed);
         let times: Vec<Timestamp> = from_informed_nodes.map(|arrival| arrival.at).collect();
-        most_within(&times, WINDOW, self.limit_set_at + PROPAGATION_TIME)
+        max_in_window(&times, WINDOW, self.limit_set_at + PROPAGATION_TIME)
     }
 
     fn assert_within(&self, rate: f64) {
@@ -228,20 +231,23 @@
     }
     simulation.run(5_000);
     let stopped: Vec<usize> = in_zone.iter().copied().step_by(2).collect();
-    simulation.fleet.dark.extend(stopped.iter().copied());
+    simulation
+        .fleet
+        .stopped_nodes
+        .extend(stopped.iter().copied());
     simulation.run(3_000);
-    simulation.fleet.dark.clear();
+    simulation.fleet.stopped_nodes.clear();
     for node in stopped {
         simulation.restart(node);
     }
     simulation.run(4_000);
     let others = (0..zones).filter(|zone| *zone != 1);
-    simulation.fleet.cut = others.map(|zone| (zone, 1)).collect();
+    simulation.fleet.partitioned_zones = others.map(|zone| (zone, 1)).collect();
     simulation.run(4_000);
-    simulation.fleet.cut.clear();
-    simulation.fleet.isolated = [in_zone[0]].into();
+    simulation.fleet.partitioned_zones.clear();
+    simulation.fleet.isolated_nodes = [in_zone[0]].into();
     simulation.run(4_000);
-    simulation.fleet.isolated.clear();
+    simulation.fleet.isolated_nodes.clear();
     simulation.run(4_000);
     simulation.assert_within(1.0);
     simulation.set_limit(0.25);
@@ -275,9 +281,12 @@
         let stopped: Vec<usize> = in_zone
             .filter(|node| round % 3 == 2 || node / zones % 2 == round % 2)
             .collect();
-        simulation.fleet.dark.extend(stopped.iter().copied());
+        simulation
+            .fleet
+            .stopped_nodes
+            .extend(stopped.iter().copied());
         simulation.run(1_500);
-        simulation.fleet.dark.clear();
+        simulation.fleet.stopped_nodes.clear();
         for node in stopped {
             simulation.restart(node);
         }
@@ -331,19 +340,19 @@
     simulation.set_limit(1.0);
     simulation.run(4_000);
     let others = (0..zones).filter(|zone| *zone != 1);
-    simulation.fleet.cut = others.map(|zone| (zone, 1)).collect();
+    simulation.fleet.partitioned_zones = others.map(|zone| (zone, 1)).collect();
     simulation.run(20_000);
     assert!(
         simulation.used_share(1.0, 10) > 0.5,
         "the isolated zone doesn't use the limit"
     );
-    simulation.fleet.cut.clear();
+    simulation.fleet.partitioned_zones.clear();
     simulation.run(5_000);
     for node in [1, 1 + zones] {
-        simulation.fleet.isolated = [node].into();
+        simulation.fleet.isolated_nodes = [node].into();
         simulation.run(8_000);
     }
-    simulation.fleet.isolated.clear();
+    simulation.fleet.isolated_nodes.clear();
     simulation.run(5_000);
     simulation.assert_within(1.0);
 }
@@ -356,7 +365,7 @@
     #[case] zones: usize,
 ) {
     let mut simulation = Simulation::new(nodes, zones);
-    simulation.fleet.lost_each = Some(5);
+    simulation.fleet.loss_interval = Some(5);
     simulation.set_limit(1.0);
     simulation.run(24_000);
     simulation.assert_within(1.0);
--- a/crates/coordination/dispatch/tests/locality.rs
+++ b/crates/coordination/dispatch/tests/locality.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 use support::{
-    Fleet, HOMES_ANYWHERE, START, back_end, back_end_change, demand, dispatcher_with_features,
-    engine_number, granted, lapsed_change, table_change,
+    Fleet, START, WITHOUT_LOCALITY_COSTS, back_end, back_end_change, demand,
+    dispatcher_with_features, engine_number, expired_change, granted, table_change,
 };
 
 /// Number of zones of the fleet: 0 and 1 are in one region, 2 in another.
@@ -45,7 +45,7 @@
 /// With home engines in all three zones, two thirds of the bytes would cross a zone border.
 #[rstest]
 #[case::near(Features::ALL, &[0])]
-#[case::switched_off(HOMES_ANYWHERE, &[0, 1, 2])]
+#[case::switched_off(WITHOUT_LOCALITY_COSTS, &[0, 1, 2])]
 fn prompts_stay_in_a_zone_whose_engines_can_hold_them(
     #[case] features: Features,
     #[case] expected: &[usize],
@@ -86,7 +86,7 @@
     let mut subject = node_with_engines(6, Features::ALL);
     zones_used(&mut subject, 0..PROMPTS, LONG_PROMPT_TOKENS / 10);
     for number in (0..18).filter(|number| number % ZONES == 0) {
-        subject.apply(lapsed_change(&format!("engine-{number}"), 3), START);
+        subject.apply(expired_change(&format!("engine-{number}"), 3), START);
     }
     let later = START + Span::from_milliseconds(2_500);
     subject.tick(later);
@@ -140,11 +140,11 @@
         zones_chosen(&mut fleet.nodes[0], 0..PROMPTS, now),
         BTreeSet::from([0, 1])
     );
-    fleet.cut.insert((0, 1));
+    fleet.partitioned_zones.insert((0, 1));
     fleet.run_with_platform(1_700, 1);
     let now = fleet.now;
     assert!(!zones_chosen(&mut fleet.nodes[0], 0..PROMPTS, now).contains(&1));
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     fleet.run_with_platform(2_500, 1);
     let now = fleet.now;
     assert_eq!(
--- a/crates/coordination/dispatch/tests/placement.rs
+++ b/crates/coordination/dispatch/tests/placement.rs
@@ -10,13 +10,13 @@
 use eiderferry_types::{Reason, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use support::{
-    START, back_end, back_end_address, back_end_change, demand, granted, lapsed_change,
-    table_change, with_engines,
+    START, back_end, back_end_address, back_end_change, demand, dispatcher_with_engines,
+    expired_change, granted, table_change,
 };
 
 #[test]
 fn requests_with_the_same_prefix_go_to_the_same_engine() {
-    let mut subject = with_engines(9);
+    let mut subject = dispatcher_with_engines(9);
     for prompt in 1..20 {
         let mut engines = BTreeSet::new();
         for own in 0..5 {
@@ -31,7 +31,8 @@
 
 #[test]
 fn two_nodes_without_contact_choose_the_same_engine() {
-    let (mut first_node, mut second_node) = (with_engines(9), with_engines(9));
+    let (mut first_node, mut second_node) =
+        (dispatcher_with_engines(9), dispatcher_with_engines(9));
     for prompt in 1..50 {
         let first = granted(first_node.dispatch(&demand(prompt, 13_000, 400), START));
         let second = granted(second_node.dispatch(&demand(prompt, 13_000, 800), START));
@@ -43,7 +44,7 @@
 
 #[test]
 fn a_prefix_is_not_copied_from_an_engine_that_is_still_computing_it() {
-    let mut subject = with_engines(3);
+    let mut subject = dispatcher_with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let before = START + Span(first.candidate.time_to_first_event.0 - 1);
     for own in 0..40 {
@@ -54,7 +55,7 @@
 
 #[test]
 fn a_prefix_in_high_demand_spreads_and_is_copied() {
-    let mut subject = with_engines(3);
+    let mut subject = dispatcher_with_engines(3);
     let first = granted(subject.dispatch(&demand(1, 13_000, 400), START));
     let now = START + first.candidate.time_to_first_event;
     let mut copies = 0;
@@ -74,7 +75,7 @@
 
 #[test]
 fn a_short_prefix_is_copied_too() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let first = granted(subject.dispatch(&demand(1, 300, 400), START));
     let mut excluding_first = demand(1, 300, 500);
     excluding_first.excluded_back_ends = vec![first.instance];
@@ -86,9 +87,9 @@
 
 #[test]
 fn a_back_end_whose_entry_expired_serves_until_its_grace_period_ends() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.tick(START);
-    subject.apply(lapsed_change("engine-0", 3), START);
+    subject.apply(expired_change("engine-0", 3), START);
     granted(subject.dispatch(&demand(1, 13_000, 400), START));
     subject.tick(START + Span::from_milliseconds(1_900));
     granted(subject.dispatch(&demand(1, 13_000, 500), START));
@@ -100,9 +101,9 @@
 
 #[test]
 fn a_shorter_remaining_grace_period_removes_an_expired_back_end_sooner() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.tick(START);
-    let mut change = lapsed_change("engine-0", 3);
+    let mut change = expired_change("engine-0", 3);
     change.content = DocumentContent::Expired(Span::from_milliseconds(500));
     subject.apply(change, START);
     let later = START + Span::from_milliseconds(500);
@@ -113,10 +114,10 @@
 
 #[test]
 fn a_relisted_back_end_keeps_its_recorded_cache_contents() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.tick(START);
     granted(subject.dispatch(&demand(1, 13_000, 400), START));
-    subject.apply(lapsed_change("engine-0", 3), START);
+    subject.apply(expired_change("engine-0", 3), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 4), START);
     let later = START + Span::from_milliseconds(5_000);
     subject.tick(later);
@@ -126,7 +127,7 @@
 
 #[test]
 fn of_two_runs_at_one_address_only_the_newer_gets_requests() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     subject.apply(
         back_end_change(back_end("engine-0-restarted", 0, 0), 9),
         START,
@@ -139,7 +140,7 @@
 
 #[test]
 fn an_address_reassigned_to_another_pool_gets_no_requests_of_the_old_one() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let mut other = back_end("app-1", 0, 0);
     other.pool = eiderferry_routing::PoolName::from("app");
     subject.apply(back_end_change(other, 9), START);
@@ -151,7 +152,7 @@
 
 #[test]
 fn a_replaced_run_never_gets_requests_again() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     let replaced = grant.instance.clone();
     let health_changes = subject
@@ -173,7 +174,7 @@
 
 #[test]
 fn a_draining_back_end_gets_no_new_requests() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let mut draining_engine = back_end("engine-0", 0, 0);
     draining_engine.draining = true;
     subject.apply(back_end_change(draining_engine, 9), START);
@@ -185,7 +186,7 @@
 
 #[test]
 fn requests_are_refused_with_a_retry_time_when_all_back_ends_drain() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     let mut draining_engine = back_end("engine-0", 0, 0);
     draining_engine.draining = true;
     subject.apply(back_end_change(draining_engine, 9), START);
@@ -200,7 +201,7 @@
 
 #[test]
 fn a_retry_beyond_the_budget_is_refused_and_a_first_attempt_is_not() {
-    let mut subject = with_engines(4);
+    let mut subject = dispatcher_with_engines(4);
     let mut retry = demand(1, 1_000, 100);
     retry.is_retry = true;
     let mut granted_retries = 0;
@@ -216,10 +217,10 @@
 
 #[test]
 fn load_reported_by_peers_is_avoided_until_the_report_is_stale() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let home = granted(subject.dispatch(&demand(1, 1_000, 100), START));
     subject.release(home.lease, Outcome::Completed, START);
-    let mut peer = with_engines(2);
+    let mut peer = dispatcher_with_engines(2);
     for _ in 0..60 {
         let mut excluding_other = demand(1, 1_000, 20_000);
         excluding_other.excluded_back_ends =
@@ -231,7 +232,7 @@
         granted(peer.dispatch(&excluding_other, START));
     }
     let message = peer.gossip(false, START);
-    let mut later_subject = with_engines(2);
+    let mut later_subject = dispatcher_with_engines(2);
     later_subject.receive(support::node_address(5), &message, START);
     subject.receive(support::node_address(5), &message, START);
     let grant = granted(subject.dispatch(&demand(1, 1_000, 100), START));
@@ -276,7 +277,7 @@
 
 #[test]
 fn streams_with_a_tight_gap_target_are_separated_from_long_prompts() {
-    let mut subject = with_engines(4);
+    let mut subject = dispatcher_with_engines(4);
     observe_event_gaps(&mut subject, Span::from_milliseconds(330));
     let mut stream_engines = BTreeSet::new();
     let mut prompt_engines = BTreeSet::new();
@@ -296,7 +297,7 @@
 
 #[test]
 fn streams_that_long_prompts_do_not_delay_are_not_counted_as_exposed() {
-    let mut subject = with_engines(1);
+    let mut subject = dispatcher_with_engines(1);
     observe_event_gaps(&mut subject, Span::from_milliseconds(120));
     let mut stream = demand(1, 300, 1_000);
     stream.event_gap_target = Some(Span::from_milliseconds(300));
@@ -309,7 +310,7 @@
 
 #[test]
 fn an_engine_with_full_memory_gets_no_requests_despite_free_slots() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let large = demand(1, 100, 55_000);
     let mut counts: BTreeMap<InstanceId, u32> = BTreeMap::new();
     for _ in 0..14 {
@@ -323,7 +324,7 @@
 
 #[test]
 fn placements_by_other_nodes_evict_prefixes_from_the_estimated_cache() {
-    let (mut subject, mut peer) = (with_engines(1), with_engines(1));
+    let (mut subject, mut peer) = (dispatcher_with_engines(1), dispatcher_with_engines(1));
     let shared = demand(1, 13_000, 400);
     let first = granted(subject.dispatch(&shared, START));
     subject.release(first.lease, Outcome::Completed, START);
@@ -367,7 +368,7 @@
         event_gap_target: None,
         rank,
         traffic_splits: vec![TrafficSplit {
-            pool: PoolName::from(support::ENGINES),
+            pool: PoolName::from(support::ENGINE_POOL),
             weight: 1.0,
         }],
         maximum_attempts: 1,
@@ -379,7 +380,7 @@
 
 #[test]
 fn while_a_rank_is_refused_no_less_urgent_one_is_granted() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     subject.apply(table_with_two_ranks(), START);
     let request_of_rank = |rank| Demand {
         rank,
@@ -418,7 +419,7 @@
 
 #[test]
 fn in_a_large_pool_a_prompt_goes_to_the_engine_that_caches_its_prefix() {
-    let mut subject = with_engines(400);
+    let mut subject = dispatcher_with_engines(400);
     for prompt in 1..30 {
         let first = granted(subject.dispatch(&demand(prompt, 13_000, 400), START));
         subject.record_first_event(first.lease, START);
@@ -433,7 +434,7 @@
 /// Gossip of a node at which requests failed at the home engine of prompt 1 while others succeeded
 /// at the other engine. Returns the message and the home engine.
 fn gossip_of_failures(count: u64) -> (eiderferry_dispatch::Gossip, InstanceId) {
-    let mut peer = with_engines(2);
+    let mut peer = dispatcher_with_engines(2);
     let home = granted(peer.dispatch(&demand(1, 1_000, 100), START));
     peer.release(home.lease, Outcome::IncompleteResponse, START);
     for _ in 1..count {
@@ -452,7 +453,7 @@
 
 #[test]
 fn requests_that_may_not_be_retried_avoid_a_back_end_that_fails_for_peers() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let (message, failing) = gossip_of_failures(3);
     subject.receive(support::node_address(5), &message, START);
     let mut not_retryable = demand(1, 1_000, 100);
@@ -463,7 +464,7 @@
 
 #[test]
 fn failures_reported_by_peers_expire() {
-    let mut subject = with_engines(2);
+    let mut subject = dispatcher_with_engines(2);
     let (message, failing) = gossip_of_failures(3);
     subject.receive(support::node_address(5), &message, START);
     let later = START + Span::from_milliseconds(10_000);
@@ -538,7 +539,7 @@
 /// take over a share of their load.
 #[test]
 fn crashed_back_ends_do_not_make_the_rest_of_a_larger_zone_suspect() {
-    let mut subject = with_engines_in_three_zones(12, support::HOMES_ANYWHERE);
+    let mut subject = with_engines_in_three_zones(12, support::WITHOUT_LOCALITY_COSTS);
     let mut crashed = BTreeSet::new();
     for prompt in 0..200 {
         let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
@@ -563,7 +564,7 @@
 
 #[test]
 fn unreachable_back_ends_of_the_own_zone_do_not_make_others_suspect() {
-    let mut subject = with_engines(6);
+    let mut subject = dispatcher_with_engines(6);
     let mut failing = BTreeSet::new();
     for prompt in 0..40 {
         let grant = granted(subject.dispatch(&demand(prompt, 5_000, 400), START));
--- a/crates/coordination/dispatch/tests/plain_back_ends.rs
+++ b/crates/coordination/dispatch/tests/plain_back_ends.rs
@@ -10,7 +10,8 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use support::{
-    START, back_end, back_end_change, demand, dispatcher, granted, known, limits, node_address,
+    START, back_end, back_end_change, demand, dispatcher, granted, limits, node_address,
+    version_vector_up_to,
 };
 
 const SERVICE: &str = "service";
@@ -57,7 +58,7 @@
     };
     subject.apply(table(), START);
     subject.apply(back_end_change(back_end, 2), START);
-    subject.record_confirmation(&known(2), START);
+    subject.record_confirmation(&version_vector_up_to(2), START);
     subject
 }
 
--- a/crates/coordination/dispatch/tests/pool_split.rs
+++ b/crates/coordination/dispatch/tests/pool_split.rs
@@ -10,7 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
 use support::{
-    Fleet, START, back_end, back_end_change, demand, known, lapsed_change, table_change,
+    Fleet, START, back_end, back_end_change, demand, expired_change, table_change,
+    version_vector_up_to,
 };
 
 /// Without the split by load, a fixed share of the engines is reserved for streams.
@@ -118,7 +119,7 @@
 impl Simulation {
     fn new(engines: usize, features: Features) -> Self {
         let mut fleet = Fleet::new(12, 3);
-        fleet.switch(features);
+        fleet.restart_all_with(features);
         for node in &mut fleet.nodes {
             node.apply(table_change(1), START);
             for number in 0..engines {
@@ -128,7 +129,7 @@
                     START,
                 );
             }
-            node.record_confirmation(&known(2), START);
+            node.record_confirmation(&version_vector_up_to(2), START);
         }
         fleet.run(1_000);
         Self {
@@ -211,7 +212,7 @@
     fn dispatch_request(&mut self, kind: Kind, now: u64) {
         let demand = self.demand(kind);
         let live_nodes: Vec<usize> = (0..self.fleet.nodes.len())
-            .filter(|node| !self.fleet.dark.contains(node))
+            .filter(|node| !self.fleet.stopped_nodes.contains(node))
             .collect();
         let node = live_nodes[self.rng.random_range(0..live_nodes.len())];
         let decision = self.fleet.nodes[node].dispatch(&demand, at(now));
@@ -285,7 +286,8 @@
     }
 
     fn split_stats(&self) -> Vec<SplitStats> {
-        let live_nodes = (0..self.fleet.nodes.len()).filter(|node| !self.fleet.dark.contains(node));
+        let live_nodes =
+            (0..self.fleet.nodes.len()).filter(|node| !self.fleet.stopped_nodes.contains(node));
         live_nodes
             .map(|node| {
                 self.fleet.nodes[node]
@@ -454,10 +456,10 @@
     let mut simulation = warmed_up_simulation();
     let before = simulation.prompt_engines()[0];
     for number in 0..30 {
-        let expiry = lapsed_change(&format!("engine-{number}"), 3);
+        let expiry = expired_change(&format!("engine-{number}"), 3);
         for node in &mut simulation.fleet.nodes {
             node.apply(expiry.clone(), simulation.fleet.now);
-            node.record_confirmation(&known(3), simulation.fleet.now);
+            node.record_confirmation(&version_vector_up_to(3), simulation.fleet.now);
         }
     }
     simulation.run(BASE_LOAD, 3_000);
@@ -475,7 +477,7 @@
 #[test]
 fn isolated_zones_split_their_own_engines() {
     let mut simulation = warmed_up_simulation();
-    simulation.fleet.cut.extend([(0, 1), (0, 2)]);
+    simulation.fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     simulation.run(BASE_LOAD, 2_000);
     let min_engines = |simulation: &Simulation| {
         simulation
--- a/crates/coordination/dispatch/tests/few_readers.rs
+++ b/crates/coordination/dispatch/tests/reader_zones.rs
@@ -43,7 +43,7 @@
 ) {
     let mut fleet = settled_fleet(count, zones);
     let dead = fleet.readers();
-    fleet.dark.extend(dead.iter().copied());
+    fleet.stopped_nodes.extend(dead.iter().copied());
     fleet.run(3_000);
     assert!(fleet.readers().iter().any(|reader| !dead.contains(reader)));
 }
@@ -57,14 +57,14 @@
     let partitioned = (0..zones)
         .find(|zone| !reading_zones.contains(zone))
         .expect("a zone without readers");
-    fleet.cut.extend(
+    fleet.partitioned_zones.extend(
         (0..zones)
             .filter(|zone| *zone != partitioned)
             .map(|zone| (partitioned, zone)),
     );
     fleet.run_with_platform(3_000, 1);
     assert_eq!(reader_zones(&fleet).len(), 3);
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     fleet.run_with_platform(4_000, 1);
     assert_eq!(reader_zones(&fleet).len(), 2);
 }
@@ -79,7 +79,9 @@
     let mut fleet = settled_fleet(count, zones);
     for partitioned in reader_zones(&fleet) {
         let others = (0..zones).filter(|zone| *zone != partitioned);
-        fleet.cut.extend(others.map(|zone| (partitioned, zone)));
+        fleet
+            .partitioned_zones
+            .extend(others.map(|zone| (partitioned, zone)));
     }
     fleet.run_with_platform(3_000, 1);
     assert_eq!(
--- a/crates/coordination/dispatch/tests/regions.rs
+++ b/crates/coordination/dispatch/tests/regions.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 use support::{
-    HOMES_ANYWHERE, START, back_end, back_end_change, demand, dispatcher_with_features,
+    START, WITHOUT_LOCALITY_COSTS, back_end, back_end_change, demand, dispatcher_with_features,
     engine_number, granted, table_change,
 };
 
@@ -21,7 +21,7 @@
 /// A node with eight engines, two in each of the zones 0 to 3. Zones 0 and 1 are in region west,
 /// zone 2 is in region east, and the region of zone 3 is unknown.
 fn dispatcher_with_two_regions() -> Dispatcher {
-    let mut subject = dispatcher_with_features(0, HOMES_ANYWHERE);
+    let mut subject = dispatcher_with_features(0, WITHOUT_LOCALITY_COSTS);
     subject.tick(START);
     subject.apply(table_change(1), START);
     for number in 0..8 {
--- a/crates/coordination/dispatch/tests/restarted_back_ends.rs
+++ b/crates/coordination/dispatch/tests/restarted_back_ends.rs
@@ -5,7 +5,9 @@
 
 use eiderferry_dispatch::{Dispatcher, Outcome};
 use eiderferry_types::{Span, Timestamp};
-use support::{START, back_end, back_end_change, demand, granted, table_change, with_engines};
+use support::{
+    START, back_end, back_end_change, demand, dispatcher_with_engines, granted, table_change,
+};
 
 const FIRST_START: u64 = 1_760_000_000_000;
 
@@ -22,7 +24,7 @@
 }
 
 fn with_one_engine() -> Dispatcher {
-    let mut subject = with_engines(0);
+    let mut subject = dispatcher_with_engines(0);
     subject.apply(table_change(1), START);
     list_engine(&mut subject, Some(FIRST_START), 5, START);
     subject
--- a/crates/coordination/dispatch/tests/restored_source.rs
+++ b/crates/coordination/dispatch/tests/restored_source.rs
@@ -86,7 +86,7 @@
     let (mut fleet, mut source) = settled_fleet(count, zones);
     let mut newest = 1;
     for _ in 0..2 {
-        let backup_number = source.number();
+        let backup_number = source.write_count();
         for _ in 0..4 {
             newest += 3;
             source.write_table(newest);
@@ -133,7 +133,7 @@
 #[test]
 fn changes_known_only_to_an_isolated_zone_reach_all_nodes_when_it_reconnects() {
     let (mut fleet, mut source) = settled_fleet(9, 3);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.partitioned_zones.extend([(0, 1), (0, 2)]);
     source.unreachable.extend([1, 2, 4, 5, 7, 8]);
     source.write_table(5);
     source.write_back_end("i-1", 1, true);
@@ -143,7 +143,7 @@
     source.unreachable = [0, 3, 6].into();
     source.run(&mut fleet, 3_000);
     assert_eq!((version(&fleet, 0), version(&fleet, 1)), (5, 1));
-    fleet.cut.clear();
+    fleet.partitioned_zones.clear();
     source.unreachable.clear();
     source.run(&mut fleet, CATCH_UP_MS);
     assert_versions(&fleet, 5);
@@ -314,7 +314,7 @@
                 }
             }
             7 if step > 20 => {
-                let number = source.number();
+                let number = source.write_count();
                 let backup_number = rng.random_range(number.saturating_sub(12).max(4)..=number);
                 expected.last_restore = now;
                 for (key, content) in source.restore(backup_number) {
@@ -339,13 +339,13 @@
             }
             10 => {
                 let node = rng.random_range(0..9);
-                if !fleet.isolated.remove(&node) {
-                    fleet.isolated.insert(node);
+                if !fleet.isolated_nodes.remove(&node) {
+                    fleet.isolated_nodes.insert(node);
                 }
             }
             _ => {}
         }
-        for node in source.unreachable.iter().chain(&fleet.isolated) {
+        for node in source.unreachable.iter().chain(&fleet.isolated_nodes) {
             expected.connected_since[*node] = now;
         }
         source.step(&mut fleet);
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -8,15 +8,15 @@
 use eiderferry_routing::{InstanceId, PoolName, RegionName, ReplicaSpecification, ZoneName};
 use eiderferry_types::{Span, Timestamp};
 use support::{
-    ENGINES, START, back_end, back_end_change, demand, dispatcher_with_features, granted, known,
-    table_change, zone,
+    ENGINE_POOL, START, back_end, back_end_change, demand, dispatcher_with_features, granted,
+    table_change, version_vector_up_to, zone,
 };
 
 /// A table whose engines hold replicas of each other's runs.
 fn table_with_replicas(revision: u64) -> Change {
     let mut change = table_change(revision);
     if let DocumentContent::Table(table) = &mut change.content {
-        let pool = table.pools.get_mut(&PoolName::from(ENGINES));
+        let pool = table.pools.get_mut(&PoolName::from(ENGINE_POOL));
         let engine = pool.and_then(|pool| pool.engine.as_mut());
         engine.expect("a pool of engines").replicas = Some(ReplicaSpecification {
             lifetime: Span::from_milliseconds(5_000),
@@ -38,7 +38,7 @@
             START,
         );
     }
-    subject.record_confirmation(&known(2), START);
+    subject.record_confirmation(&version_vector_up_to(2), START);
     subject
 }
 
--- a/crates/coordination/dispatch/tests/scale.rs
+++ b/crates/coordination/dispatch/tests/scale.rs
@@ -8,7 +8,8 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use support::{
-    START, back_end, back_end_change, demand, engine_number, granted, known, with_engines,
+    START, back_end, back_end_change, demand, dispatcher_with_engines, engine_number, granted,
+    version_vector_up_to,
 };
 
 /// Number of engines of a fleet of 300 nodes, and of one four times as large.
@@ -32,7 +33,7 @@
 
 /// Mean number of back ends examined per request.
 fn examined_per_request(engines: usize) -> f64 {
-    let mut subject = with_engines(engines);
+    let mut subject = dispatcher_with_engines(engines);
     place_prompts(&mut subject, REQUESTS);
     subject.snapshot(START).examined_back_ends as f64 / REQUESTS as f64
 }
@@ -52,8 +53,8 @@
 #[case::large_pool(LARGE_POOL)]
 #[case::much_larger_pool(VERY_LARGE_POOL)]
 fn nodes_without_contact_send_a_prompt_to_the_same_engine(#[case] engines: usize) {
-    let first_engines = place_prompts(&mut with_engines(engines), REQUESTS);
-    let mut other_node = with_engines(engines);
+    let first_engines = place_prompts(&mut dispatcher_with_engines(engines), REQUESTS);
+    let mut other_node = dispatcher_with_engines(engines);
     // Advances its random number generator, so that it differs from that of the first node.
     place_prompts(&mut other_node, REQUESTS / 2);
     let second_engines = place_prompts(&mut other_node, REQUESTS);
@@ -67,7 +68,7 @@
 
 #[test]
 fn home_engines_are_spread_over_a_large_pool() {
-    let placed = place_prompts(&mut with_engines(LARGE_POOL), LARGE_POOL as u64);
+    let placed = place_prompts(&mut dispatcher_with_engines(LARGE_POOL), LARGE_POOL as u64);
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
     for engine in placed {
         *counts.entry(engine).or_default() += 1;
@@ -82,7 +83,7 @@
 /// another one: otherwise each release would empty the caches of the fleet.
 #[test]
 fn few_home_engines_change_when_a_tenth_of_a_large_pool_is_replaced() {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     let before = place_prompts(&mut subject, REQUESTS);
     for number in 0..LARGE_POOL / 10 {
         let removed = InstanceId::from(format!("engine-{number}"));
@@ -117,7 +118,7 @@
 /// neither its home engine nor sampled.
 #[test]
 fn an_engine_that_caches_a_prompt_is_found_in_a_large_pool() {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     let prompt = demand(7, SHARED_TOKENS, 100);
     let home = granted(subject.dispatch(&prompt, START));
     let mut excluding_home = prompt.clone();
@@ -140,7 +141,7 @@
 /// A run whose engine is lost continues at the one engine that holds its replica.
 #[test]
 fn the_holder_of_a_replica_is_found_in_a_large_pool() {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     for number in 0..REQUESTS as usize {
         let mut takeover = demand(1 + number as u64, SHARED_TOKENS, 100);
         takeover.required_instance = Some(InstanceId::from(format!("engine-{number}")));
@@ -152,11 +153,11 @@
 /// Allocations for announcing one change by a node that knows `back_ends` back ends. Each copied
 /// entry would count for several.
 fn allocations_of_an_announcement(back_ends: usize) -> u64 {
-    let mut subject = with_engines(back_ends);
+    let mut subject = dispatcher_with_engines(back_ends);
     subject.announce(true, START);
     let change = back_end_change(back_end("engine-0", 0, 0), 3);
     subject.apply(change, START);
-    subject.record_confirmation(&known(3), START);
+    subject.record_confirmation(&version_vector_up_to(3), START);
     let allocations = allocation_counter::measure(|| {
         let announcement = subject.announce(true, START);
         let batch = announcement.message.recent_changes.expect("the change");
@@ -179,13 +180,13 @@
 /// Documents that a node includes in its announcement after a release has changed `changed` back
 /// ends at once; `None` if it includes none.
 fn announced_changes(changed: usize) -> Option<BTreeSet<DocumentKey>> {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     subject.announce(true, START);
     for number in 0..changed {
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 3), START);
     }
-    subject.record_confirmation(&known(3), START);
+    subject.record_confirmation(&version_vector_up_to(3), START);
     let batch = subject.announce(true, START).message.recent_changes?;
     Some(batch.changes.into_iter().map(|change| change.key).collect())
 }
@@ -204,7 +205,7 @@
 /// too expensive to repeat in every tick.
 #[test]
 fn engines_to_follow_are_evaluated_only_after_changes() {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     let run = |subject: &mut Dispatcher, from: u64, ticks: u64| {
         let before = subject.snapshot(START).follow_evaluations;
         for tick in from..from + ticks {
--- a/crates/coordination/dispatch/tests/single_node_limits.rs
+++ b/crates/coordination/dispatch/tests/single_node_limits.rs
@@ -7,31 +7,36 @@
 use eiderferry_routing::BackEnd;
 use eiderferry_types::{Reason, Span};
 use rstest::rstest;
-use support::limits::{alone, answer_with, lease_at, limit, sent_at};
-use support::{back_end, back_end_change, demand, engine_number, granted, lapsed_change};
+use support::limits::{
+    grant_times_ms, lease_at_engine, rate_limit, respond_with_limit, single_node,
+};
+use support::{back_end, back_end_change, demand, engine_number, expired_change, granted};
 
 #[test]
 fn a_sender_keeps_the_limit_rate_without_accumulating_unused_requests() {
-    let (mut subject, now) = alone(1);
-    answer_with(&mut subject, 0, Some(0.5), now);
-    assert_eq!(sent_at(&mut subject, now, 6_000), [2_000, 4_000]);
+    let (mut subject, now) = single_node(1);
+    respond_with_limit(&mut subject, 0, Some(0.5), now);
+    assert_eq!(grant_times_ms(&mut subject, now, 6_000), [2_000, 4_000]);
     let later = now + Span::from_milliseconds(9_900);
-    assert_eq!(sent_at(&mut subject, later, 4_000), [0, 2_000]);
+    assert_eq!(grant_times_ms(&mut subject, later, 4_000), [0, 2_000]);
 }
 
 /// Without any request, nobody would learn that the back end accepts requests again, and it would
 /// be lost to its pool forever.
 #[test]
 fn a_limit_of_zero_allows_one_request_per_minute() {
-    let (mut subject, now) = alone(1);
-    answer_with(&mut subject, 0, Some(0.0), now);
-    assert_eq!(sent_at(&mut subject, now, 130_000), [60_000, 120_000]);
+    let (mut subject, now) = single_node(1);
+    respond_with_limit(&mut subject, 0, Some(0.0), now);
+    assert_eq!(
+        grant_times_ms(&mut subject, now, 130_000),
+        [60_000, 120_000]
+    );
 }
 
 #[test]
 fn requests_above_the_limit_go_to_other_engines() {
-    let (mut subject, now) = alone(2);
-    answer_with(&mut subject, 1, Some(1.0), now);
+    let (mut subject, now) = single_node(2);
+    respond_with_limit(&mut subject, 1, Some(1.0), now);
     for prompt in 0..40 {
         let grant = granted(subject.dispatch(&demand(prompt, 1_000, 100), now));
         assert_eq!(engine_number(&grant), 0);
@@ -48,10 +53,10 @@
     #[case] rates: [f64; 2],
     #[case] milliseconds: u64,
 ) {
-    let (mut subject, now) = alone(2);
+    let (mut subject, now) = single_node(2);
     for (number, rate) in rates.into_iter().enumerate() {
-        let lease = lease_at(&mut subject, number, now);
-        subject.record_limit(lease, Some(limit(rate)), now);
+        let lease = lease_at_engine(&mut subject, number, now);
+        subject.record_limit(lease, Some(rate_limit(rate)), now);
     }
     match subject.dispatch(&demand(7, 1_000, 100), now) {
         Decision::Refuse(reason, retry_after) => {
@@ -66,9 +71,9 @@
 /// show that the limit has ended.
 #[test]
 fn an_older_response_without_a_limit_does_not_end_it() {
-    let (mut subject, now) = alone(1);
-    let older_lease = lease_at(&mut subject, 0, now);
-    answer_with(
+    let (mut subject, now) = single_node(1);
+    let older_lease = lease_at_engine(&mut subject, 0, now);
+    respond_with_limit(
         &mut subject,
         0,
         Some(1.0),
@@ -76,29 +81,29 @@
     );
     let later = now + Span::from_milliseconds(500);
     subject.record_limit(older_lease, None, later);
-    assert_eq!(sent_at(&mut subject, later, 400), []);
+    assert_eq!(grant_times_ms(&mut subject, later, 400), []);
     let next = now + Span::from_milliseconds(1_100);
-    answer_with(&mut subject, 0, None, next);
-    assert_eq!(sent_at(&mut subject, next, 300), [0, 100, 200]);
+    respond_with_limit(&mut subject, 0, None, next);
+    assert_eq!(grant_times_ms(&mut subject, next, 300), [0, 100, 200]);
 }
 
 #[test]
 fn a_limit_survives_an_expired_entry_but_not_a_restart() {
-    let (mut subject, now) = alone(1);
+    let (mut subject, now) = single_node(1);
     let engine_started_at = |at: u64| BackEnd {
         started_unix_ms: Some(at),
         ..back_end("engine-0", 0, 0)
     };
     subject.apply(back_end_change(engine_started_at(1), 3), now);
-    answer_with(&mut subject, 0, Some(0.01), now);
-    subject.apply(lapsed_change("engine-0", 4), now);
+    respond_with_limit(&mut subject, 0, Some(0.01), now);
+    subject.apply(expired_change("engine-0", 4), now);
     subject.tick(now + Span::from_milliseconds(2_500));
     let relisted = now + Span::from_milliseconds(3_000);
     subject.apply(back_end_change(engine_started_at(1), 5), relisted);
-    assert_eq!(sent_at(&mut subject, relisted, 1_000), []);
+    assert_eq!(grant_times_ms(&mut subject, relisted, 1_000), []);
     let restarted = now + Span::from_milliseconds(5_000);
     subject.apply(back_end_change(engine_started_at(2), 6), restarted);
-    assert_eq!(sent_at(&mut subject, restarted, 300), [0, 100, 200]);
+    assert_eq!(grant_times_ms(&mut subject, restarted, 300), [0, 100, 200]);
 }
 
 #[rstest]
--- a/crates/coordination/dispatch/tests/stream_isolation.rs
+++ b/crates/coordination/dispatch/tests/stream_isolation.rs
@@ -5,7 +5,9 @@
 use eiderferry_dispatch::{Decision, Demand, Dispatcher, Features, Grant, Outcome, TICK};
 use eiderferry_types::{Span, Timestamp};
 use std::collections::BTreeSet;
-use support::{START, demand, granted, with_engines, with_engines_and};
+use support::{
+    START, demand, dispatcher_with_engines, dispatcher_with_engines_and_features, granted,
+};
 
 const LARGE_POOL: usize = 320;
 const SMALL_POOL: usize = 30;
@@ -33,7 +35,7 @@
 
 /// A dispatcher whose sensitive streams ran for 20 ticks and have just ended.
 fn dispatcher_after_streams(engines: usize) -> Dispatcher {
-    let mut subject = with_engines_and(engines, FIXED_SHARE);
+    let mut subject = dispatcher_with_engines_and_features(engines, FIXED_SHARE);
     let placed = place_streams(&mut subject, 600, START);
     for tick in 1..=20 {
         subject.tick(START + TICK * tick);
@@ -85,7 +87,7 @@
 
 #[test]
 fn without_sensitive_streams_no_engine_is_reserved() {
-    let mut subject = with_engines(LARGE_POOL);
+    let mut subject = dispatcher_with_engines(LARGE_POOL);
     let engines: BTreeSet<String> = (0..3_000)
         .map(|prompt| engine_of(&mut subject, &demand(prompt, 2_000, 100), START))
         .collect();
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -22,7 +22,7 @@
 mod traffic;
 
 pub const START: Timestamp = Timestamp(10_000_000_000);
-pub const ENGINES: &str = "engines";
+pub const ENGINE_POOL: &str = "engines";
 pub const RETRY_BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     allowance: 54.0,
@@ -76,7 +76,7 @@
 }
 
 /// The version vector that covers all changes up to a number, of a source never restored.
-pub fn known(number: u64) -> VersionVector {
+pub fn version_vector_up_to(number: u64) -> VersionVector {
     Revision::from(number).into()
 }
 
@@ -104,7 +104,7 @@
         content: DocumentContent::Table(TableDocument {
             version: revision,
             routes: Vec::new(),
-            pools: BTreeMap::from([(PoolName::from(ENGINES), pool)]),
+            pools: BTreeMap::from([(PoolName::from(ENGINE_POOL), pool)]),
             limits: limits(),
             tenants: Vec::new(),
         }),
@@ -114,7 +114,7 @@
 pub fn back_end(name: &str, number: usize, zone_number: usize) -> BackEnd {
     BackEnd {
         instance: InstanceId::from(name),
-        pool: PoolName::from(ENGINES),
+        pool: PoolName::from(ENGINE_POOL),
         address: back_end_address(number),
         zone: zone(zone_number),
         slots: 64,
@@ -132,7 +132,7 @@
     }
 }
 
-pub fn lapsed_change(name: &str, revision: u64) -> Change {
+pub fn expired_change(name: &str, revision: u64) -> Change {
     Change {
         key: DocumentKey::BackEnd(InstanceId::from(name)),
         revision: revision.into(),
@@ -153,7 +153,7 @@
 }
 
 /// All features except locality costs, so that engines of all zones are used alike.
-pub const HOMES_ANYWHERE: Features = Features {
+pub const WITHOUT_LOCALITY_COSTS: Features = Features {
     locality_costs: false,
     ..Features::ALL
 };
@@ -203,19 +203,19 @@
 }
 
 /// A dispatcher that knows `count` engines, all in its zone.
-pub fn with_engines(count: usize) -> Dispatcher {
-    with_engines_and(count, Features::ALL)
+pub fn dispatcher_with_engines(count: usize) -> Dispatcher {
+    dispatcher_with_engines_and_features(count, Features::ALL)
 }
 
-/// Like [`with_engines`], with the given features.
-pub fn with_engines_and(count: usize, features: Features) -> Dispatcher {
+/// Like [`dispatcher_with_engines`], with the given features.
+pub fn dispatcher_with_engines_and_features(count: usize, features: Features) -> Dispatcher {
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_change(1), START);
     for number in 0..count {
         let name = format!("engine-{number}");
         subject.apply(back_end_change(back_end(&name, number, 0), 2), START);
     }
-    subject.record_confirmation(&known(2), START);
+    subject.record_confirmation(&version_vector_up_to(2), START);
     subject
 }
 
@@ -225,7 +225,7 @@
     let mut subject = dispatcher_with_features(0, features);
     subject.apply(table_with_event_calls(1, cache_event_calls), START);
     subject.apply(back_end_change(back_end("engine-0", 0, 0), 2), START);
-    subject.record_confirmation(&known(2), START);
+    subject.record_confirmation(&version_vector_up_to(2), START);
     subject
 }
 
@@ -233,7 +233,7 @@
 pub fn demand(shared_part: u64, shared_tokens: u32, own_tokens: u32) -> Demand {
     Demand {
         digest: RequestDigest(shared_part.rotate_left(20) ^ u64::from(own_tokens)),
-        pool: PoolName::from(ENGINES),
+        pool: PoolName::from(ENGINE_POOL),
         rank: 2,
         parts: vec![
             PromptPart {
@@ -262,7 +262,7 @@
 
 /// The largest number of times in any window of length `span` that ends at one of them, counting
 /// only windows that end at `from` or later.
-pub fn most_within(times: &[Timestamp], span: Span, from: Timestamp) -> usize {
+pub fn max_in_window(times: &[Timestamp], span: Span, from: Timestamp) -> usize {
     let ends = times.iter().filter(|at| **at >= from);
     let counts = ends.map(|end| {
         let before = times.iter().filter(|at| *at <= end);
@@ -294,13 +294,13 @@
     pub nodes: Vec<Dispatcher>,
     pub zones: Vec<usize>,
     /// Pairs of zones without a connection between them.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitioned_zones: BTreeSet<(usize, usize)>,
     /// Nodes that are stopped: they neither tick, send nor receive.
-    pub dark: BTreeSet<usize>,
+    pub stopped_nodes: BTreeSet<usize>,
     /// Nodes that keep running without a connection to any other.
-    pub isolated: BTreeSet<usize>,
+    pub isolated_nodes: BTreeSet<usize>,
     /// Peers declared lost, each with the node that declared it.
-    pub lost: Vec<(usize, NodeName)>,
+    pub lost_peers: Vec<(usize, NodeName)>,
     pub messages: u64,
     pub fetches: u64,
     /// Bytes of all messages and of the largest one, counted after [`Fleet::measure_bytes`].
@@ -311,7 +311,7 @@
     /// Largest fraction of its link's capacity per tick that a node used for messages sent at once.
     pub peak_link_utilization: f64,
     /// One in this many messages is lost; `None` loses none.
-    pub lost_each: Option<u64>,
+    pub loss_interval: Option<u64>,
     measures_bytes: bool,
     /// Nodes that have read documents from the platform.
     pub platform_readers: BTreeSet<usize>,
@@ -326,7 +326,7 @@
     /// Nodes that are too busy to serve documents.
     pub busy: BTreeSet<usize>,
     /// Documents that the platform has besides the table.
-    pub first_documents: Vec<Change>,
+    pub initial_documents: Vec<Change>,
     /// Highest incarnation number given to any node.
     latest_incarnation: u32,
 }
@@ -379,31 +379,31 @@
             next_tick: START,
             nodes,
             zones,
-            cut: BTreeSet::new(),
-            dark: BTreeSet::new(),
-            isolated: BTreeSet::new(),
-            lost: Vec::new(),
+            partitioned_zones: BTreeSet::new(),
+            stopped_nodes: BTreeSet::new(),
+            isolated_nodes: BTreeSet::new(),
+            lost_peers: Vec::new(),
             messages: 0,
             fetches: 0,
             bytes: 0,
             largest_message_bytes: 0,
             traffic: BTreeMap::new(),
             peak_link_utilization: 0.0,
-            lost_each: None,
+            loss_interval: None,
             measures_bytes: false,
             platform_readers: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             cross_region_delay: MESSAGE_DELAY,
             features: Features::ALL,
             regions,
-            first_documents: Vec::new(),
+            initial_documents: Vec::new(),
             busy: BTreeSet::new(),
             latest_incarnation: 1,
         }
     }
 
     /// Restarts all nodes with the given features.
-    pub fn switch(&mut self, features: Features) {
+    pub fn restart_all_with(&mut self, features: Features) {
         self.features = features;
         for number in 0..self.nodes.len() {
             self.restart(number);
@@ -439,9 +439,11 @@
 
     fn is_connected(&self, from: usize, to: usize) -> bool {
         let (one, two) = (self.zones[from], self.zones[to]);
-        let is_cut = self.cut.contains(&(one, two)) || self.cut.contains(&(two, one));
-        let is_unreachable = |node| self.dark.contains(&node) || self.isolated.contains(&node);
-        !is_cut && !is_unreachable(from) && !is_unreachable(to)
+        let is_partitioned = self.partitioned_zones.contains(&(one, two))
+            || self.partitioned_zones.contains(&(two, one));
+        let is_unreachable =
+            |node| self.stopped_nodes.contains(&node) || self.isolated_nodes.contains(&node);
+        !is_partitioned && !is_unreachable(from) && !is_unreachable(to)
     }
 
     /// Runs one tick of every node and delivers the messages that follow from it. Documents
@@ -461,13 +463,13 @@
 
     fn tick_all(&mut self) {
         for number in 0..self.nodes.len() {
-            if self.dark.contains(&number) {
+            if self.stopped_nodes.contains(&number) {
                 continue;
             }
             let output = self.nodes[number].tick(self.now);
             for change in output.peer_changes {
                 if let PeerChange::Lost(name) = change {
-                    self.lost.push((number, name));
+                    self.lost_peers.push((number, name));
                 }
             }
             self.post(number, output.messages);
@@ -502,7 +504,7 @@
             for to in envelope.to {
                 self.messages += 1;
                 let is_lost = self
-                    .lost_each
+                    .loss_interval
                     .is_some_and(|each| self.messages.is_multiple_of(each));
                 if !is_lost {
                     self.send(from, to, &message);
@@ -549,7 +551,12 @@
     }
 
     /// Lets a node read a change from the platform and announce it.
-    pub fn read_change(&mut self, number: usize, change: Change, revision: impl Into<Revision>) {
+    pub fn apply_source_change(
+        &mut self,
+        number: usize,
+        change: Change,
+        revision: impl Into<Revision>,
+    ) {
         self.nodes[number].apply(change, self.now);
         self.confirm(number, &revision.into().into(), self.now, true);
     }
@@ -580,14 +587,14 @@
         for _ in 0..milliseconds / TICK.milliseconds() {
             self.step();
             for number in 0..self.nodes.len() {
-                let is_dark = self.dark.contains(&number);
-                if !is_dark && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
+                let is_stopped = self.stopped_nodes.contains(&number);
+                if !is_stopped && self.nodes[number].reader_role(self.now) == ReaderRole::Reader {
                     self.platform_readers.insert(number);
                     self.nodes[number].apply(table_change(revision), self.now);
-                    for change in &self.first_documents {
+                    for change in &self.initial_documents {
                         self.nodes[number].apply(change.clone(), self.now);
                     }
-                    self.confirm(number, &known(revision), self.now, true);
+                    self.confirm(number, &version_vector_up_to(revision), self.now, true);
                 }
             }
         }
--- a/crates/coordination/dispatch/tests/support/source.rs
+++ b/crates/coordination/dispatch/tests/support/source.rs
@@ -26,14 +26,14 @@
 }
 
 impl Source {
-    pub fn number(&self) -> u64 {
+    pub fn write_count(&self) -> u64 {
         self.history.len() as u64
     }
 
     pub fn revision(&self) -> Revision {
         Revision {
             epoch: self.epoch,
-            number: self.number(),
+            number: self.write_count(),
         }
     }
 
@@ -114,7 +114,10 @@
         fleet.step();
         for node in 0..fleet.nodes.len() {
             let is_reader = fleet.nodes[node].reader_role(fleet.now) == ReaderRole::Reader;
-            if is_reader && !fleet.dark.contains(&node) && !self.unreachable.contains(&node) {
+            if is_reader
+                && !fleet.stopped_nodes.contains(&node)
+                && !self.unreachable.contains(&node)
+            {
                 self.read(fleet, node);
             }
         }
