--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -308,8 +308,8 @@
         );
         let mut message = self.bare_gossip(false, now);
         message.members = self.members_to_list(now);
-        let round = TICK * summary_ticks;
-        message.limits = self.limits_for(Audience::ZoneMembers { round }, now);
+        let interval = TICK * summary_ticks;
+        message.limits = self.limits_for(Audience::ZoneMembers { interval }, now);
         message.summary = Some(FleetSummary {
             loads: self.fleet_loads(now),
             placements: self.aggregation.placements_to_send(),
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -74,7 +74,7 @@
     /// rounds.
     ZoneMembers {
         /// Time in which the aggregator sends to each of them once.
-        round: Span,
+        interval: Span,
     },
     /// Nodes in other zones.
     OtherZones,
@@ -96,7 +96,7 @@
         match self {
             Audience::OwnZone => SAME_ZONE_REPORTING_PERIOD,
             Audience::OtherZones => OTHER_ZONES_REPORTING_PERIOD,
-            Audience::ZoneMembers { round } => round.scaled(AGGREGATOR_REPORTING_ROUNDS),
+            Audience::ZoneMembers { interval } => interval.scaled(AGGREGATOR_REPORTING_ROUNDS),
         }
     }
 
--- a/crates/transport/relay/src/attempts.rs
+++ b/crates/transport/relay/src/attempts.rs
@@ -1,6 +1,5 @@
 //! The attempts of one request at back ends, from its head to its final response.
 
-use crate::answer::RelayBody;
 use crate::exchange::{AttemptEnd, Exchange, NOT_READY_RETRY_AFTER, RunReplica, Traffic};
 use crate::forwarding::{
     ForwardedRequest, forwarded_headers, is_event_stream, path_and_query, read_body, read_response,
@@ -10,6 +9,7 @@
 use crate::local_reply::LocalReply;
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
+use crate::response_body::RelayBody;
 use crate::stream::StreamRelay;
 use crate::upstream::Connection;
 use crate::{events, metrics};
--- a/crates/transport/relay/src/caller_socket.rs
+++ b/crates/transport/relay/src/caller_socket.rs
@@ -6,7 +6,7 @@
 //! ahead: 5 of 12 runs of `the_longest_answers_to_slow_callers_are_counted_until_they_are_taken`
 //! and its neighbour stalled with an empty socket. Such a connection is polled again.
 
-use crate::answer::{BrokenResponse, RelayBody};
+use crate::response_body::{BrokenResponse, RelayBody};
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
--- a/crates/transport/relay/src/exchange.rs
+++ b/crates/transport/relay/src/exchange.rs
@@ -1,6 +1,5 @@
 //! State of one request, from its head to its final response.
 
-use crate::answer::RelayBody;
 use crate::cancellation::Cancellations;
 use crate::control::{ControlHandle, SharedTable};
 use crate::forwarding::ForwardedRequest;
@@ -10,6 +9,7 @@
 use crate::progress::Progress;
 use crate::request_head::RequestHead;
 use crate::request_memory::Memory;
+use crate::response_body::RelayBody;
 use crate::upstream::Upstream;
 use crate::{events, metrics};
 use eiderferry_clock::Clock;
--- a/crates/transport/relay/src/forwarding.rs
+++ b/crates/transport/relay/src/forwarding.rs
@@ -1,11 +1,11 @@
 //! Requests as forwarded to back ends and responses as returned to callers, without hop-by-hop
 //! headers.
 
-use crate::answer::RelayBody;
 use crate::header_names::HeaderNames;
 use crate::local_reply::LocalReply;
 use crate::memory_budget::{MemoryFull, MemoryKind};
 use crate::request_memory::RequestMemory;
+use crate::response_body::RelayBody;
 use bytes::{Bytes, BytesMut};
 use eiderferry_dispatch::{Grant, Outcome};
 use eiderferry_types::Span;
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -7,7 +7,6 @@
 
 #![forbid(unsafe_code)]
 
-mod answer;
 mod attempts;
 mod buffered_body;
 mod cache_follower;
@@ -35,6 +34,7 @@
 mod read_ahead;
 mod request_head;
 mod request_memory;
+mod response_body;
 mod sending;
 mod server;
 mod settings;
--- a/crates/transport/relay/src/local_reply.rs
+++ b/crates/transport/relay/src/local_reply.rs
@@ -1,6 +1,6 @@
 //! Replies that this node generates itself.
 
-use crate::answer::RelayBody;
+use crate::response_body::RelayBody;
 use eiderferry_types::{Reason, RequestDigest, Span, Verdict};
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -5,9 +5,9 @@
 //! reading ahead, a caller that disconnects drops source and events at once, and no stream needs a
 //! task of its own.
 
-use crate::answer::{BrokenResponse, ChunkStream};
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
 use crate::request_memory::{EvictionPriority, RequestMemory};
+use crate::response_body::{BrokenResponse, ChunkStream};
 use bytes::Bytes;
 use futures_lite::Stream;
 use smol::Timer;
--- a/crates/transport/relay/src/server.rs
+++ b/crates/transport/relay/src/server.rs
@@ -1,6 +1,5 @@
 //! Callers' connections, and the readiness and metrics endpoints.
 
-use crate::answer::RelayBody;
 use crate::attempts;
 use crate::caller_socket::{CallerSocket, SendState, TrackedBody};
 use crate::exchange::Traffic;
@@ -8,6 +7,7 @@
 use crate::progress::Progress;
 use crate::read_ahead::{CallerStream, CurrentStream, ReadAhead, poll_read_ahead};
 use crate::request_memory::RequestMemory;
+use crate::response_body::RelayBody;
 use eiderferry_types::{Reason, Span};
 use futures_lite::FutureExt;
 use http::header::{CONNECTION, HeaderValue};
--- a/crates/transport/relay/src/stream.rs
+++ b/crates/transport/relay/src/stream.rs
@@ -1,10 +1,10 @@
 //! Event streams, forwarded as they arrive and failed over to another back end when they break.
 
-use crate::answer::{BrokenResponse, RelayBody};
 use crate::event_stream::EventSplitter;
 use crate::exchange::{AttemptEnd, Exchange};
 use crate::forwarding::response_for_caller;
 use crate::lease::Lease;
+use crate::response_body::{BrokenResponse, RelayBody};
 use crate::upstream::Connection;
 use crate::{events, metrics};
 use bytes::Bytes;
