--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -172,7 +172,7 @@
     pub confirmed_age_seconds: f64,
     /// Split of the largest pool that is split.
     pub largest_split: SplitStats,
-    /// Engines whose caches this node follows.
+    /// Number of engines whose caches this node follows.
     pub followed_cache_count: usize,
     /// Counts of cache following since the start.
     pub cache_counts: FollowCounts,
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -47,8 +47,8 @@
         changes
     }
 
-    /// Whether this node isn't stopping and knows the other nodes of its zone well enough to tell
-    /// which of them send.
+    /// Whether this node isn't stopping and knows enough of the other nodes of its zone to
+    /// determine which of them send.
     pub(super) fn may_be_sender(&self, now: Timestamp) -> bool {
         let is_settled = self.uptime(now) >= SENDER_SETTLING_TIME
             && self.peers.time_since_zone_grew(now) >= GROWTH_SETTLING_TIME;
--- a/crates/coordination/dispatch/src/dispatcher/document_source.rs
+++ b/crates/coordination/dispatch/src/dispatcher/document_source.rs
@@ -26,8 +26,8 @@
 
 /// Time for which changes of back ends are left to the announcements that carry them: a message of
 /// another kind may report them sooner, and a fetch costs a connection and a call. Announcements
-/// reach the last of 300 nodes after 0.3 s at the most. Without this delay 585 nodes made 650
-/// fetches while 325 changes were announced to them in 2 s (`tests/fleet.rs`).
+/// reach the last of 300 nodes within 0.3 s. Without this delay 585 nodes made 650 fetches while
+/// 325 changes were announced to them in 2 s (`tests/fleet.rs`).
 const ANNOUNCEMENT_DELAY: Span = Span::from_milliseconds(300);
 
 /// State of a node while others are known to have more documents.
@@ -140,8 +140,8 @@
         if has_same_zone_source {
             return MAX_CROSS_ZONE_DELAY;
         }
-        // A node that has documents of the epoch lacks only small changes, and few nodes hear of
-        // them from other zones.
+        // A node that has documents of the epoch lacks only small changes, and few nodes learn
+        // of them from other zones.
         if !lacks_newest_epoch {
             return Span::ZERO;
         }
--- a/crates/coordination/dispatch/src/dispatcher/reader_role.rs
+++ b/crates/coordination/dispatch/src/dispatcher/reader_role.rs
@@ -1,4 +1,4 @@
-//! Selects the nodes that read the platform; the others hear of changes from them.
+//! Selects the nodes that read the platform; the others receive changes from them.
 
 use super::Dispatcher;
 use crate::fleet::peers::RolePriority;
@@ -11,14 +11,14 @@
 /// one after the other, and for propagation to the others.
 const CONFIRMATION_SHARE: f64 = 0.65;
 /// Propagation deadline from which on only [`READING_ZONES`] zones read. A node of a third zone
-/// then hears of their confirmations 0.6 s later.
+/// then receives their confirmations 0.6 s later.
 const FEW_READERS_MIN_DEADLINE: Span = Span::from_milliseconds(3_500);
 /// Time beyond the confirmation limit after which nodes must have tried to read and failed: the
 /// first of them starts at once, and a response takes milliseconds.
 const FAILED_READ_TIME: Span = Span::from_milliseconds(1_000);
-/// Zones that read when the propagation deadline is long: one may be lost while the other goes on.
-/// 18 nodes in five zones made 98 calls on a quiet day of 57 s; with a reader in each zone they
-/// made 258.
+/// Zones that read when the propagation deadline is long: one may be lost while the other
+/// continues. 18 nodes in five zones made 98 calls on a quiet day of 57 s; with a reader in each
+/// zone they made 258.
 const READING_ZONES: usize = 2;
 /// Time after a start within which a node discovers the others of its zone.
 const SETTLING_TIME: Span = Span::from_milliseconds(1_500);
@@ -101,7 +101,8 @@
         limit.max(CONFIRMATION_LIMIT)
     }
 
-    /// Whether this node's zone is one of the reading ones among the zones that it hears.
+    /// Whether this node's zone is one of the reader zones among the zones that it has contact
+    /// with.
     fn is_zone_reading(&self) -> bool {
         if self.settings.propagation_deadline < FEW_READERS_MIN_DEADLINE {
             return true;
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! Indirect membership: what nodes tell each other about third nodes. A node of a large zone
+//! Indirect membership: what nodes report to each other about third nodes. A node of a large zone
 //! contacts only two nodes of each other zone directly. It learns about the others from the nodes
 //! of its own zone, which learn about them from the senders of zone digests.
 
@@ -18,8 +18,8 @@
 /// startup (`tests/cross_zone_traffic.rs`).
 const CONTACTS_PER_ZONE: usize = 2;
 /// Upper bound on the transit time of a message between two nodes of a zone, added to the
-/// reported silence. Without it, two nodes that report a third one to each other would make it
-/// look ever more recently heard.
+/// reported silence. Without it, two nodes that report a third one to each other would make its
+/// last contact appear ever more recent.
 const MEMBER_TRANSIT_TIME: Span = Span::from_milliseconds(10);
 
 impl Peers {
--- a/crates/coordination/dispatch/src/fleet/peers.rs
+++ b/crates/coordination/dispatch/src/fleet/peers.rs
@@ -51,7 +51,7 @@
     pub(super) zone: ZoneName,
     /// The changes that it knows, according to its last message.
     pub(super) version_vector: VersionVector,
-    /// Priority for roles that one node takes for its zone.
+    /// Priority for roles that one node has for its zone.
     pub(super) role_priority: RolePriority,
     pub(super) incarnation: u32,
     pub(super) last_heard: Timestamp,
@@ -85,7 +85,7 @@
     max_live_same_zone_since: Timestamp,
 }
 
-/// Priority of a node for roles that one node takes for its zone; the greatest comes first. Fast
+/// Priority of a node for roles that one node has for its zone; the greatest comes first. Fast
 /// links come before slow ones, since aggregators send a lot of data; ties are broken by hash.
 /// All nodes compute the same order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -303,8 +303,8 @@
         self.peers.values().any(|peer| peer.name.is_none())
     }
 
-    /// Other zones none of whose peers was heard for several rounds. The network path there is
-    /// probably cut, for requests too, but all their nodes may also have stopped or failed.
+    /// Other zones none of whose peers was heard for several rounds. They are probably partitioned
+    /// from this zone, for requests too, but all their nodes may also have stopped or failed.
     pub fn silent_zones(&self, now: Timestamp) -> BTreeSet<ZoneName> {
         let rounds = self.other_zone_count().div_ceil(self.cross_zone_fanout()) as u64;
         let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
--- a/crates/coordination/dispatch/src/load/engine_model.rs
+++ b/crates/coordination/dispatch/src/load/engine_model.rs
@@ -22,9 +22,9 @@
 /// Share of the streams whose longest pause is below the learned pause: mostly more than a tenth
 /// of the streams run beside a long prompt, and their pauses differ little.
 const PAUSE_QUANTILE: f64 = 0.9;
-/// The same for the engines that take long prompts in a split pool: few of the streams there run
+/// The same for the engines that serve long prompts in a split pool: few of the streams there run
 /// beside the longest prompts, and the estimate must still reflect those. With 0.9 the split of a
-/// pool of 90 engines sometimes ended by itself, with 52 of 2,000 streams late (generated load).
+/// pool of 90 engines sometimes ended by itself, with 52 of 2,000 streams late (simulated load).
 const MIXED_PAUSE_QUANTILE: f64 = 0.98;
 /// Share of the streams whose spacing is below the learned spacing: those that ran almost
 /// undisturbed.
@@ -132,7 +132,7 @@
             .observe(milliseconds(pacing.longest_pause()));
     }
 
-    /// Like `observe_stream`, for a stream at an engine that takes long prompts in a split pool.
+    /// Like `observe_stream`, for a stream at an engine that serves long prompts in a split pool.
     pub fn observe_mixed_stream(&mut self, pacing: &StreamPacing) {
         let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) else {
             return;
@@ -144,9 +144,9 @@
             .observe_at_level(pause, MIXED_PAUSE_QUANTILE);
     }
 
-    /// Like `observe_stream`, for a stream at an engine that takes no long prompts in a split
-    /// pool: its pauses say nothing about the effect of long prompts, and would make the model
-    /// forget it.
+    /// Like `observe_stream`, for a stream at an engine that serves no long prompts in a split
+    /// pool: its pauses do not show the effect of long prompts, and would make the model forget
+    /// it.
     pub fn observe_isolated_stream(&mut self, pacing: &StreamPacing) {
         if let Some(spacing) = pacing.spacing().filter(|_| has_enough_events(pacing)) {
             self.has_seen_streams = true;
--- a/crates/coordination/dispatch/src/load/health.rs
+++ b/crates/coordination/dispatch/src/load/health.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: takes back ends out of service by the outcomes of their requests.
+//! Outlier ejection: excludes back ends from placement by the outcomes of their requests.
 
 use crate::Outcome;
 use eiderferry_types::{Span, Timestamp};
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -1,5 +1,5 @@
-//! Rate limits stated by back ends, to this node or to others, and what nodes tell each other
-//! about them.
+//! Rate limits stated by back ends, to this node or to others, and the reports of them that nodes
+//! exchange.
 //!
 //! Nodes that send no requests to a back end don't learn directly that its limit has changed or
 //! been lifted, so each notice is forwarded; the most recent one applies. A notice holds until
@@ -23,7 +23,8 @@
 const SAME_ZONE_REPORTING_PERIOD: Span = Span::from_milliseconds(500);
 /// The same for other zones, which receive messages less often.
 const OTHER_ZONES_REPORTING_PERIOD: Span = Span::from_milliseconds(2_000);
-/// Number of rounds in which an aggregator reports a change; there are two aggregators.
+/// Time for which an aggregator reports a change, in its sending intervals; there are two
+/// aggregators.
 const AGGREGATOR_REPORTING_ROUNDS: f64 = 1.5;
 /// Changed notices in one message, at about 15 bytes each: they make a message a third longer
 /// than an aggregator's summary.
@@ -71,7 +72,7 @@
     /// Peers in the same zone, or its aggregators.
     OwnZone,
     /// Nodes in the same zone, when the sender is their aggregator and sends to all of them in
-    /// rounds.
+    /// turn.
     ZoneMembers {
         /// Time in which the aggregator sends to each of them once.
         interval: Span,
--- a/crates/coordination/dispatch/src/load/limiter.rs
+++ b/crates/coordination/dispatch/src/load/limiter.rs
@@ -26,7 +26,7 @@
 const SILENT_INTERVALS: f64 = 3.0;
 /// Share of the limit that the probes of all nodes use together.
 const PROBING_SHARE: f64 = 0.5;
-/// Time for which a node may send a probe once it is its turn.
+/// Time within which a node that is selected to probe may send its probe.
 pub(crate) const PROBE_WINDOW: Span = Span::from_milliseconds(1_000);
 
 /// Role of a node for a limited back end.
@@ -81,7 +81,7 @@
     sender_count.clamp(1, nodes.max(1))
 }
 
-/// Probability with which each of `nodes` nodes gets a turn to probe a back end without recent
+/// Probability with which each of `nodes` nodes is selected to probe a back end without recent
 /// notices.
 pub(crate) fn probing_probability(limit: RateLimit, nodes: usize) -> f64 {
     let turns = rate(limit) * PROBING_SHARE * PROBE_WINDOW.seconds();
--- a/crates/coordination/dispatch/src/load/notices.rs
+++ b/crates/coordination/dispatch/src/load/notices.rs
@@ -15,7 +15,7 @@
 /// What a run has stated about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Notice {
-    /// It is shutting down and takes no new requests.
+    /// It is shutting down and accepts no new requests.
     pub is_leaving: bool,
     /// Time until which it wants no requests from this node.
     backoff_until: Option<Timestamp>,
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -22,7 +22,7 @@
 /// Minimum cost of exceeding a full batch, where a request has to wait for another one to end.
 const QUEUEING_COST: Span = Span::from_milliseconds(1_000);
 /// Additional cost of recomputing a cached shared prompt token, in microseconds, on top of the
-/// prefill time: the cache space it takes from other prompts, and the duplicated work.
+/// prefill time: the cache space that other prompts lose, and the duplicated work.
 const RECOMPUTE_COST_PER_TOKEN: u64 = 70;
 /// Additional cost of copying a shared prompt token from another engine, in microseconds.
 pub(crate) const COPY_COST_PER_TOKEN: u64 = 30;
--- a/crates/coordination/dispatch/src/placement/pool_split.rs
+++ b/crates/coordination/dispatch/src/placement/pool_split.rs
@@ -236,7 +236,8 @@
     }
 
     fn record_placed(&mut self, placed_tokens: u64, elapsed_seconds: f64) {
-        // A falling total means that the reports of a node are gone; the measurement restarts.
+        // A falling total means that a node's reports are not counted anymore; the measurement
+        // restarts.
         if let Some(before) = self
             .last_placed_tokens
             .filter(|before| *before <= placed_tokens)
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -29,7 +29,7 @@
 /// replica is of use.
 const MINIMUM_OUTPUT_TOKENS: u32 = 100;
 /// Limits on the batch and the memory (with the replica) of an engine that holds a replica, as
-/// fractions, counting the requests and replicas of all nodes. A replica takes no slot in the
+/// fractions, counting the requests and replicas of all nodes. A replica occupies no slot in the
 /// batch, and after a takeover its run is admitted before all waiting requests.
 const MAX_BATCH_FRACTION: f64 = 1.0;
 const MAX_MEMORY_FRACTION: f64 = 0.6;
--- a/crates/coordination/dispatch/src/placement/sampling.rs
+++ b/crates/coordination/dispatch/src/placement/sampling.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Examines back ends of a request's pool. `may_be_home` tells whether a back end may be the
-/// prompt's home.
+/// Examines back ends of a request's pool. `may_be_home` returns whether a back end may be
+/// the prompt's home.
 pub(crate) fn examine<'a>(
     registry: &'a Registry,
     view: &View<'_>,
--- a/crates/coordination/dispatch/tests/backing_off_back_ends.rs
+++ b/crates/coordination/dispatch/tests/backing_off_back_ends.rs
@@ -1,5 +1,5 @@
-//! Back ends that ask this node to back off: when they get requests again, and what refused
-//! callers are told.
+//! Back ends that ask this node to back off: when they get requests again, and which retry delay
+//! refused callers get.
 
 mod support;
 
--- a/crates/coordination/dispatch/tests/limited_back_ends.rs
+++ b/crates/coordination/dispatch/tests/limited_back_ends.rs
@@ -1,5 +1,5 @@
 //! Back ends that state a rate limit: what all nodes together send them, while nodes fail, restart
-//! or are cut off.
+//! or are partitioned.
 
 mod support;
 
--- a/crates/transport/relay/src/crash.rs
+++ b/crates/transport/relay/src/crash.rs
@@ -1,9 +1,9 @@
 //! Detection of back ends that crash while running a request.
 //!
-//! A broken connection alone proves little: connections are reset, and back ends that keep serving
-//! truncate responses. A crashed back end refuses new connections until it is back, which takes
-//! seconds. A back end whose connection only fell silent has crashed too if it refuses new ones:
-//! the packet that closed the connection was lost.
+//! A broken connection alone is not evidence of a crash: connections are reset, and back ends that
+//! keep serving truncate responses. A crashed back end refuses new connections until it has
+//! restarted, which takes seconds. A back end whose connection became silent without being closed
+//! has crashed too if it refuses new ones: the packet that closed the connection was lost.
 
 use crate::control::ControlHandle;
 use crate::exchange::Exchange;
--- a/crates/transport/relay/src/logging.rs
+++ b/crates/transport/relay/src/logging.rs
@@ -79,7 +79,8 @@
         self.dropped_lines.swap(0, Ordering::Relaxed)
     }
 
-    /// Whether the budget has room for a line; one that it has no room for counts as dropped.
+    /// Uses the budget for one line. Returns false, and counts the line as dropped, if the budget
+    /// of the current second is used up.
     pub fn try_admit(&self, is_warning: bool) -> bool {
         let Ok(mut window) = self.window.lock() else {
             return false;
--- a/crates/transport/relay/src/memory_budget.rs
+++ b/crates/transport/relay/src/memory_budget.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Kinds of route distinguished in metrics; the last stands for all others.
+/// Kinds of route distinguished in metrics; the last covers all others.
 pub(crate) const ROUTE_LABELS: [&str; 5] = [
     "repeatable",
     "not_repeatable",
--- a/crates/transport/relay/src/pending_decision.rs
+++ b/crates/transport/relay/src/pending_decision.rs
@@ -1,4 +1,4 @@
-//! A pending decision on a lease, whose requester may be gone when it arrives.
+//! A pending decision on a lease, whose requester may have been dropped when it arrives.
 //!
 //! When a caller disconnects, its request is dropped at any point, including between the message to
 //! the control thread and the decision. A lease granted then has no holder that would release it.
--- a/crates/transport/relay/src/read_ahead.rs
+++ b/crates/transport/relay/src/read_ahead.rs
@@ -1,9 +1,9 @@
 //! Reading streams ahead while their callers lag.
 //!
-//! A stream's source is polled by the caller's connection while that takes events, and otherwise
+//! A stream's source is polled by the caller's connection while that accepts events, and otherwise
 //! after it from the same task. So the events of a fast caller take the same path as without
 //! reading ahead, a caller that disconnects drops source and events at once, and no stream needs a
-//! task of its own.
+//! separate task.
 
 use crate::memory_budget::{MemoryFull, MemoryKind, MemoryReservation};
 use crate::request_memory::{EvictionPriority, RequestMemory};
@@ -28,7 +28,7 @@
     source: Option<ChunkStream>,
     buffered: VecDeque<Bytes>,
     reservation: MemoryReservation,
-    /// How the source ended, until the caller's connection has been told.
+    /// How the source ended, until this has been passed to the caller's connection.
     end: Option<Result<(), BrokenResponse>>,
     /// The caller's connection has taken a chunk and not asked for the next one.
     is_lagging: bool,
--- a/crates/transport/relay/tests/backoff.rs
+++ b/crates/transport/relay/tests/backoff.rs
@@ -141,8 +141,8 @@
     assert_eq!(call(&relay, "read", 1).status, 200);
 }
 
-/// Without another back end the caller is told at once that the request has not run. It should
-/// retry soon, as another node may have no backoff in effect.
+/// Without another back end the request is refused at once as not run. The caller should retry
+/// soon, as another node may have no backoff in effect.
 #[test]
 fn requests_are_refused_at_once_with_retry_after_while_all_back_ends_back_off() {
     let backing_off = BackEndRequestingBackoff::start(refuse_as_not_run);
--- a/crates/transport/relay/tests/cache_follower.rs
+++ b/crates/transport/relay/tests/cache_follower.rs
@@ -38,7 +38,7 @@
         let target = head.split(' ').nth(1).unwrap_or_default().to_owned();
         let wait = request.header("wait").map(str::to_owned);
         let received_at = Instant::now();
-        // The receiver is gone once the test has received enough calls.
+        // The receiver is dropped once the test has received enough calls.
         let _ = call_sender.send(Call {
             target,
             wait,
--- a/crates/transport/relay/tests/callers.rs
+++ b/crates/transport/relay/tests/callers.rs
@@ -191,9 +191,9 @@
 }
 
 /// A caller may disconnect after its request was passed to the control thread for dispatch and
-/// before the reply, which takes long on a node with little CPU time. The lease was then granted
+/// before the reply, which is slow on a node with little CPU time. The lease was then granted
 /// and never released: it counted at its back end, on all nodes, for the lifetime of the process.
-/// 24 such leases fill a pool of three back ends with 6 slots for good.
+/// 24 such leases fill a pool of three back ends with 6 slots permanently.
 ///
 /// Here each dispatch takes milliseconds, as it examines thousands of draining back ends.
 #[test]
--- a/crates/transport/relay/tests/crashing_requests.rs
+++ b/crates/transport/relay/tests/crashing_requests.rs
@@ -8,7 +8,7 @@
 //! minute, and later again.
 //!
 //! Formerly failures were recorded for back ends only: an exchange forgot its failures when it
-//! ended, and nodes told each other nothing about requests. Before each crash that was
+//! ended, and nodes exchanged nothing about requests. Before each crash that was
 //! examined, a request of the same route had started at that engine; all nodes lost their
 //! connections to it within 0.2 s, and new ones were refused for seconds. Below, back ends crash
 //! on one body and on no other, and callers never stop sending it.
--- a/crates/transport/relay/tests/rate_limited_back_ends.rs
+++ b/crates/transport/relay/tests/rate_limited_back_ends.rs
@@ -1,8 +1,8 @@
 //! Back ends that state a rate limit, in requests per second, in their responses.
 //!
-//! Formerly the header was not read, and nodes shared nothing that a back end had told one of
-//! them. Two engines in difficulty each stated a limit of one request per second for all nodes
-//! together, and got 12 and 13 requests in 4 s from nodes of four zones that had forwarded
+//! Formerly the header was not read, and nodes did not share limits that a back end had stated to
+//! one of them. Two engines in difficulty each stated a limit of one request per second for all
+//! nodes together, and got 12 and 13 requests in 4 s from nodes of four zones that had forwarded
 //! responses with the limit. Of the first twelve at one engine eight came from two nodes, two of
 //! these 63 ms apart; six came from nodes that had sent it another more than a second before. Had
 //! each node kept the limit for itself, eight nodes would have sent eight times as much. While the
@@ -157,8 +157,8 @@
     );
 }
 
-/// Without another back end the caller is told at once that the request has not run, and when the
-/// limit allows the next one.
+/// Without another back end the request is refused at once as not run, with the time when the limit
+/// allows the next one.
 #[test]
 fn requests_are_refused_with_retry_after_when_all_back_ends_are_at_their_limit() {
     let limited = rate_limited_back_end(0.25, respond_ok);
