--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -25,7 +25,7 @@
 const OTHER_ZONES_REPORTING_PERIOD: Span = Span::from_milliseconds(2_000);
 /// Time for which an aggregator reports a change, in its sending intervals; there are two
 /// aggregators.
-const AGGREGATOR_REPORTING_ROUNDS: f64 = 1.5;
+const AGGREGATOR_REPORTING_INTERVALS: f64 = 1.5;
 /// Changed notices in one message, at about 15 bytes each: they make a message a third longer
 /// than an aggregator's summary.
 const MAX_CHANGED_REPORTS: usize = 96;
@@ -97,7 +97,7 @@
         match self {
             Audience::OwnZone => SAME_ZONE_REPORTING_PERIOD,
             Audience::OtherZones => OTHER_ZONES_REPORTING_PERIOD,
-            Audience::ZoneMembers { interval } => interval.scaled(AGGREGATOR_REPORTING_ROUNDS),
+            Audience::ZoneMembers { interval } => interval.scaled(AGGREGATOR_REPORTING_INTERVALS),
         }
     }
 
