--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -22,7 +22,7 @@
 /// Minimum cost of exceeding a full batch, where a request has to wait for another one to end.
 const QUEUEING_COST: Span = Span::from_milliseconds(1_000);
 /// Additional cost of recomputing a cached shared prompt token, in microseconds, on top of the
-/// prefill time: the cache space it takes from other prompts, and the duplicated work.
+/// prefill time: the cache space that other prompts lose, and the duplicated work.
 const RECOMPUTE_COST_PER_TOKEN: u64 = 70;
 /// Additional cost of copying a shared prompt token from another engine, in microseconds.
 pub(crate) const COPY_COST_PER_TOKEN: u64 = 30;
@@ -34,14 +34,14 @@
 const FULL_MEMORY_COST: Span = Span::from_milliseconds(2_000);
 
 /// Costs of a failure of a request that may be retried, and of one that may not.
-const RETRYABLE_FAILURE: Span = Span::from_milliseconds(800);
-pub(crate) const PERMANENT_FAILURE: Span = Span::from_milliseconds(4_000);
+const RETRYABLE_FAILURE_COST: Span = Span::from_milliseconds(800);
+pub(crate) const PERMANENT_FAILURE_COST: Span = Span::from_milliseconds(4_000);
 
 /// A back end that may get a request, with the inputs of its cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
     /// Expected time to the first event.
-    pub first_event: Span,
+    pub time_to_first_event: Span,
     /// Target for the time to the first event.
     pub target: Span,
     /// Shared prompt tokens that it would have to recompute although another engine has them
@@ -87,7 +87,7 @@
     fn first_event_cost(&self) -> Span {
         let weight =
             MAX_FULL_WEIGHT_TARGET.0 as f64 / self.target.max(MAX_FULL_WEIGHT_TARGET).0 as f64;
-        self.first_event.scaled(weight)
+        self.time_to_first_event.scaled(weight)
     }
 
     /// Probability that the first event misses its target. Prompts that other nodes sent a moment
@@ -96,7 +96,7 @@
         if self.target == Span::ZERO {
             return 0.0;
         }
-        let target_share = self.first_event.0 as f64 / self.target.0 as f64;
+        let target_share = self.time_to_first_event.0 as f64 / self.target.0 as f64;
         target_share.min(1.0).powi(2)
     }
 
@@ -125,16 +125,16 @@
 
     fn failure_cost(&self) -> Span {
         let failure = if self.may_retry {
-            RETRYABLE_FAILURE
+            RETRYABLE_FAILURE_COST
         } else {
-            PERMANENT_FAILURE
+            PERMANENT_FAILURE_COST
         };
         failure.scaled(self.excess_failures)
     }
 }
 
 /// Index of the cheapest candidate.
-pub fn choose(candidates: &[Candidate]) -> Option<usize> {
+pub fn cheapest(candidates: &[Candidate]) -> Option<usize> {
     let costs = candidates.iter().enumerate();
     costs
         .min_by_key(|(_, candidate)| candidate.cost())
--- a/crates/transport/relay/src/lib.rs
+++ b/crates/transport/relay/src/lib.rs
@@ -7,7 +7,6 @@
 
 #![forbid(unsafe_code)]
 
-mod answer;
 mod attempts;
 mod buffered_body;
 mod cache_follower;
@@ -35,6 +34,7 @@
 mod read_ahead;
 mod request_head;
 mod request_memory;
+mod response_body;
 mod sending;
 mod server;
 mod settings;
@@ -52,5 +52,5 @@
 pub use logging::{LogBudget, LogQueue, start as start_logging};
 pub use memory_budget::{MemoryBudget, MemoryKind};
 pub use metrics::{SourceCall, source_call};
-pub use node::{Relay, Source, StartError};
+pub use node::{DocumentSource, Relay, StartError};
 pub use settings::{RelaySettings, ShutdownSettings};
