--- a/crates/transport/entry/src/bulk.rs
+++ b/crates/transport/entry/src/bulk.rs
@@ -12,7 +12,7 @@
 /// Largest frame accepted: a whole configuration with its envelope.
 const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
 /// Transfers that may wait; more are dropped, and asked for again by their peers.
-const QUEUED_TRANSFERS: usize = 64;
+const MAX_QUEUED_TRANSFERS: usize = 64;
 
 /// Sends large frames in the background.
 #[derive(Clone)]
@@ -23,8 +23,8 @@
 impl BulkSender {
     /// Starts the background task.
     pub fn start() -> Self {
-        let (frames, queue) = async_channel::bounded(QUEUED_TRANSFERS);
-        smol::spawn(Compat::new(send_all(queue))).detach();
+        let (frames, queue) = async_channel::bounded(MAX_QUEUED_TRANSFERS);
+        smol::spawn(Compat::new(send_queued(queue))).detach();
         Self { frames }
     }
 
@@ -36,18 +36,20 @@
     }
 }
 
-async fn send_all(queue: async_channel::Receiver<(SocketAddr, Vec<u8>)>) {
+async fn send_queued(queue: async_channel::Receiver<(SocketAddr, Vec<u8>)>) {
     while let Ok((address, frame)) = queue.recv().await {
-        if let Err(error) = send_one(address, frame).await {
+        if let Err(error) = send_frame(address, frame).await {
             log::warn!(peer:% = address; "a bulk transfer failed: {error}");
         }
     }
 }
 
-async fn send_one(address: SocketAddr, frame: Vec<u8>) -> std::io::Result<()> {
-    let mut connect = tarpc::serde_transport::tcp::connect(address, Bincode::default);
-    connect.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
-    let transport = connect.await?;
+async fn send_frame(address: SocketAddr, frame: Vec<u8>) -> std::io::Result<()> {
+    let mut connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
+    connecting
+        .config_mut()
+        .max_frame_length(MAXIMUM_FRAME_BYTES);
+    let transport = connecting.await?;
     let client = BulkTransferClient::new(client::Config::default(), transport).spawn();
     client
         .deliver(context::current(), frame)
@@ -57,19 +59,19 @@
 }
 
 #[derive(Clone)]
-struct Receiver {
+struct BulkReceiver {
     commands: async_channel::Sender<Command>,
     from: SocketAddr,
 }
 
-impl BulkTransfer for Receiver {
+impl BulkTransfer for BulkReceiver {
     async fn deliver(self, _: context::Context, frame: Vec<u8>) -> bool {
-        let decodable = eiderferry_peer::decode(&frame).is_ok();
+        let is_decodable = eiderferry_peer::decode(&frame).is_ok();
         let command = Command::Frame {
             from: self.from,
             bytes: frame,
         };
-        decodable && self.commands.try_send(command).is_ok()
+        is_decodable && self.commands.try_send(command).is_ok()
     }
 }
 
@@ -78,12 +80,12 @@
     listener: std::net::TcpListener,
     commands: async_channel::Sender<Command>,
 ) {
-    if let Err(error) = Compat::new(accept(listener, commands)).await {
+    if let Err(error) = Compat::new(accept_connections(listener, commands)).await {
         log::error!("bulk transfers can't be received: {error}");
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: std::net::TcpListener,
     commands: async_channel::Sender<Command>,
 ) -> std::io::Result<()> {
@@ -98,15 +100,15 @@
         let Ok(from) = transport.peer_addr() else {
             continue;
         };
-        let receiver = Receiver {
+        let receiver = BulkReceiver {
             commands: commands.clone(),
             from,
         };
         let channel = server::BaseChannel::with_defaults(transport);
-        let serve = channel.execute(receiver.serve()).for_each(|response| {
+        let responses = channel.execute(receiver.serve()).for_each(|response| {
             smol::spawn(Compat::new(response)).detach();
         });
-        smol::spawn(Compat::new(serve)).detach();
+        smol::spawn(Compat::new(responses)).detach();
     }
     Ok(())
 }
--- a/crates/transport/entry/src/callers.rs
+++ b/crates/transport/entry/src/callers.rs
@@ -24,9 +24,9 @@
 }
 
 /// Serves callers.
-pub(crate) struct Callers(pub EntryState);
+pub(crate) struct CallerHandler(pub EntryState);
 
-impl Handler for Callers {
+impl Handler for CallerHandler {
     async fn run(&self, conn: Conn) -> Conn {
         let state = &self.0;
         let view = state.view.load_full();
@@ -41,7 +41,7 @@
             (Method::Post, "/v1/chat/completions") => {
                 chat_completion(conn, state, configuration).await
             }
-            (Method::Get, "/v1/models") => models(conn, configuration),
+            (Method::Get, "/v1/models") => list_models(conn, configuration),
             (Method::Post, "/v1/tickets") => issue_ticket(conn, state, configuration).await,
             (_, path) if path.starts_with("/v1/") => {
                 let path = path.to_owned();
@@ -54,24 +54,24 @@
 
 /// Tells the balancer whether to send callers here.
 fn readiness(conn: Conn, view: &TrafficView) -> Conn {
-    let (status, word) = match (view.ready, view.draining) {
+    let (status, body) = match (view.ready, view.draining) {
         (true, false) => (Status::Ok, "ready"),
         (_, true) => (Status::ServiceUnavailable, "draining"),
         (false, false) => (Status::ServiceUnavailable, "not ready"),
     };
-    conn.with_status(status).with_body(word).halt()
+    conn.with_status(status).with_body(body).halt()
 }
 
-fn models(conn: Conn, configuration: &Configuration) -> Conn {
+fn list_models(conn: Conn, configuration: &Configuration) -> Conn {
     let tenant = match authenticate(conn.request_headers(), configuration) {
         Ok(tenant) => tenant,
         Err(error) => return bad_request(conn, &error),
     };
-    let allowed = configuration
+    let allowed_pools = configuration
         .pools
         .iter()
         .filter(|pool| tenant.pools.contains(&pool.name));
-    let data: Vec<_> = allowed
+    let data: Vec<_> = allowed_pools
         .filter_map(|pool| pool.model.as_ref())
         .map(|model| serde_json::json!({ "id": model, "object": "model" }))
         .collect();
--- a/crates/transport/entry/src/control.rs
+++ b/crates/transport/entry/src/control.rs
@@ -45,7 +45,7 @@
         attempt: u8,
         end: AttemptEnd,
     },
-    CallerGone {
+    CallerDisconnected {
         request: RequestId,
     },
     SlowStream {
@@ -59,11 +59,11 @@
         from: SocketAddr,
         bytes: Vec<u8>,
     },
-    PlatformAnswered {
+    PlatformResponse {
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     },
-    BackEndReported {
+    LoadReport {
         back_end: BackEndId,
         report: LoadReport,
         cache: CacheUpdate,
@@ -82,7 +82,7 @@
 }
 
 impl ControlHandle {
-    pub(crate) fn tell(&self, command: Command) -> Result<(), ControlStopped> {
+    pub(crate) fn send(&self, command: Command) -> Result<(), ControlStopped> {
         self.commands
             .try_send(command)
             .map_err(|_| ControlStopped::Stopped)
@@ -98,19 +98,19 @@
             // The asker may have gone away; then nobody wants the result.
             let _ = sender.try_send(task(node));
         };
-        self.tell(Command::WithNode(Box::new(run)))?;
+        self.send(Command::WithNode(Box::new(run)))?;
         receiver.recv().await.map_err(|_| ControlStopped::Stopped)
     }
 
     /// Issues a ticket for one non-repeatable request.
     pub async fn issue_ticket(&self) -> Result<Result<KeyName, KeyTableFull>, ControlStopped> {
-        let (reply, answer) = async_channel::bounded(1);
-        self.tell(Command::IssueTicket { reply })?;
-        answer.recv().await.map_err(|_| ControlStopped::Stopped)
+        let (reply, response) = async_channel::bounded(1);
+        self.send(Command::IssueTicket { reply })?;
+        response.recv().await.map_err(|_| ControlStopped::Stopped)
     }
 
     /// Makes the control thread stand still, to provoke what a paused process does.
-    pub fn pause(&self, length: std::time::Duration) -> Result<(), ControlStopped> {
-        self.tell(Command::Pause(length))
+    pub fn pause(&self, duration: std::time::Duration) -> Result<(), ControlStopped> {
+        self.send(Command::Pause(duration))
     }
 }
--- a/crates/transport/entry/src/control_loop.rs
+++ b/crates/transport/entry/src/control_loop.rs
@@ -1,8 +1,8 @@
 //! The control thread.
 
 use crate::control::{Command, RequestEvent};
-use crate::peers::Peers;
-use crate::reads::Reads;
+use crate::fetch::Fetcher;
+use crate::peers::PeerSender;
 use crate::{Clock, TrafficView};
 use arc_swap::ArcSwap;
 use eiderferry_node::{Node, Output};
@@ -13,7 +13,7 @@
 
 /// Commands handled before the outputs are carried out; bounds the time a message
 /// waits to be sent together with others.
-const COMMANDS_PER_ROUND: usize = 256;
+const MAX_COMMANDS_PER_BATCH: usize = 256;
 
 /// Everything the control thread owns.
 pub(crate) struct ControlLoop {
@@ -21,31 +21,31 @@
     pub clock: Clock,
     pub commands: async_channel::Receiver<Command>,
     pub view: Arc<ArcSwap<TrafficView>>,
-    pub peers: Peers,
-    pub reads: Reads,
+    pub peers: PeerSender,
+    pub fetcher: Fetcher,
     pub last_tick: Timestamp,
     /// Requests of which something ended in this round.
-    pub touched: Vec<RequestId>,
-    pub waiting: HashMap<RequestId, async_channel::Sender<RequestEvent>>,
+    pub possibly_closed: Vec<RequestId>,
+    pub request_events: HashMap<RequestId, async_channel::Sender<RequestEvent>>,
 }
 
 impl ControlLoop {
     /// Runs until told to stop.
     pub async fn run(mut self) {
         while let Ok(command) = self.commands.recv().await {
-            if !self.handle(command) {
+            if !self.handle_command(command) {
                 return;
             }
-            for _ in 0..COMMANDS_PER_ROUND {
+            for _ in 0..MAX_COMMANDS_PER_BATCH {
                 let Ok(command) = self.commands.try_recv() else {
                     break;
                 };
-                if !self.handle(command) {
+                if !self.handle_command(command) {
                     return;
                 }
             }
             self.tick_if_due();
-            self.carry_out();
+            self.process_outputs();
             self.publish_view();
         }
     }
@@ -58,14 +58,14 @@
         }
     }
 
-    fn handle(&mut self, command: Command) -> bool {
+    fn handle_command(&mut self, command: Command) -> bool {
         let now = self.clock.now();
         match command {
             Command::Submit { submission, events } => {
                 let request = self.node.submit(now, submission);
                 // The channel has room: nothing has been sent on it yet.
                 let _ = events.try_send(RequestEvent::Accepted(request));
-                self.waiting.insert(request, events);
+                self.request_events.insert(request, events);
             }
             Command::AttemptEnded {
                 request,
@@ -73,11 +73,11 @@
                 end,
             } => {
                 self.node.attempt_ended(now, request, attempt, end);
-                self.touched.push(request);
+                self.possibly_closed.push(request);
             }
-            Command::CallerGone { request } => {
+            Command::CallerDisconnected { request } => {
                 self.node.caller_disconnected(now, request);
-                self.touched.push(request);
+                self.possibly_closed.push(request);
             }
             Command::SlowStream { request, per_token } => {
                 self.node.report_slow_stream(now, request, per_token);
@@ -86,10 +86,10 @@
                 let _ = reply.try_send(self.node.issue_ticket(now));
             }
             Command::Frame { from, bytes } => self.handle_frame(from, &bytes),
-            Command::PlatformAnswered { kind, answer } => {
-                self.node.handle_platform_response(now, kind, answer);
+            Command::PlatformResponse { kind, response } => {
+                self.node.handle_platform_response(now, kind, response);
             }
-            Command::BackEndReported {
+            Command::LoadReport {
                 back_end,
                 report,
                 cache,
@@ -99,7 +99,7 @@
             // It only wakes the loop, which ticks when it is time.
             Command::Tick => {}
             Command::WithNode(task) => task(&mut self.node),
-            Command::Pause(length) => std::thread::sleep(length),
+            Command::Pause(duration) => std::thread::sleep(duration),
             Command::Stop => return false,
         }
         true
@@ -109,7 +109,7 @@
         let now = self.clock.now();
         match eiderferry_peer::decode(bytes) {
             Ok(envelope) => {
-                self.peers.note_address(envelope.from, from);
+                self.peers.record_address(envelope.from, from);
                 self.node.receive(now, envelope);
             }
             Err(error) => log::warn!(peer:% = from; "dropped a frame: {error}"),
@@ -118,15 +118,15 @@
 
     /// Drops the channels of requests that have ended. Not before the outputs have
     /// been carried out: the last word of a request is among them.
-    fn forget_ended(&mut self) {
-        for request in std::mem::take(&mut self.touched) {
+    fn remove_closed(&mut self) {
+        for request in std::mem::take(&mut self.possibly_closed) {
             if !self.node.is_open(request) {
-                self.waiting.remove(&request);
+                self.request_events.remove(&request);
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    fn process_outputs(&mut self) {
         for output in self.node.take_outputs() {
             match output {
                 Output::Send { to, message } => self.peers.queue(to, message),
@@ -134,32 +134,32 @@
                     self.peers.queue_to_address(address, message);
                 }
                 Output::Dispatch(dispatch) => {
-                    if let Some(events) = self.waiting.get(&dispatch.request) {
+                    if let Some(events) = self.request_events.get(&dispatch.request) {
                         let _ = events.try_send(RequestEvent::Dispatch(dispatch));
                     }
                 }
                 Output::Reject { request, refusal } => {
-                    if let Some(events) = self.waiting.remove(&request) {
+                    if let Some(events) = self.request_events.remove(&request) {
                         let _ = events.try_send(RequestEvent::Rejected(refusal));
                     }
                 }
                 Output::ReadPlatform {
                     kind,
                     known_version,
-                } => self.reads.read_platform(kind, known_version),
+                } => self.fetcher.fetch_document(kind, known_version),
                 Output::PollBackEnd {
                     back_end,
                     address,
                     cache_cursor,
                 } => {
-                    self.reads.poll_back_end(back_end, address, cache_cursor);
+                    self.fetcher.poll_back_end(back_end, address, cache_cursor);
                 }
                 Output::QuarantineChanged(change) => log_quarantine(&change),
                 Output::Decided(_) => {}
             }
         }
         self.peers.flush(&self.node);
-        self.forget_ended();
+        self.remove_closed();
     }
 
     fn publish_view(&self) {
@@ -167,18 +167,18 @@
         let version = |view: &TrafficView| {
             view.configuration
                 .as_ref()
-                .map_or(0, |document| document.version)
+                .map_or(0, |configuration| configuration.version)
         };
-        let fresh = TrafficView {
+        let updated = TrafficView {
             configuration: self.node.configuration().cloned(),
             ready: self.node.is_ready(),
             draining: self.node.is_draining(),
         };
-        let unchanged = version(&current) == version(&fresh)
-            && current.ready == fresh.ready
-            && current.draining == fresh.draining;
+        let unchanged = version(&current) == version(&updated)
+            && current.ready == updated.ready
+            && current.draining == updated.draining;
         if !unchanged {
-            self.view.store(Arc::new(fresh));
+            self.view.store(Arc::new(updated));
         }
     }
 }
--- a/crates/transport/entry/src/reads.rs
+++ b/crates/transport/entry/src/fetch.rs
@@ -11,24 +11,24 @@
 use std::time::Duration;
 
 /// Time after which a read counts as failed.
-const READ_TIMEOUT: Duration = Duration::from_millis(2_000);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Starts reads and hands their results to the control thread.
-pub(crate) struct Reads {
-    pub platform: SocketAddr,
+pub(crate) struct Fetcher {
+    pub platform_address: SocketAddr,
     pub upstream: Upstream,
     pub commands: async_channel::Sender<Command>,
 }
 
-impl Reads {
-    pub fn read_platform(&self, kind: DocumentKind, have: u64) {
+impl Fetcher {
+    pub fn fetch_document(&self, kind: DocumentKind, known_version: u64) {
         let commands = self.commands.clone();
         let upstream = self.upstream.clone();
-        let address = self.platform;
-        let read = async move {
-            let path = document_path(kind, have);
-            let answer = match upstream
-                .get(address, &path, MAXIMUM_VALUE_BYTES, READ_TIMEOUT)
+        let address = self.platform_address;
+        let fetch = async move {
+            let path = document_path(kind, known_version);
+            let response = match upstream
+                .get(address, &path, MAXIMUM_VALUE_BYTES, FETCH_TIMEOUT)
                 .await
             {
                 Ok(None) => Ok(None),
@@ -40,9 +40,9 @@
                     Err(())
                 }
             };
-            let _ = commands.try_send(Command::PlatformAnswered { kind, answer });
+            let _ = commands.try_send(Command::PlatformResponse { kind, response });
         };
-        smol::spawn(read).detach();
+        smol::spawn(fetch).detach();
     }
 
     pub fn poll_back_end(&self, back_end: BackEndId, address: SocketAddr, cache_cursor: u64) {
@@ -50,17 +50,17 @@
         let upstream = self.upstream.clone();
         let poll = async move {
             let path = load_path(cache_cursor);
-            let answer = upstream
-                .get(address, &path, MAXIMUM_VALUE_BYTES, READ_TIMEOUT)
+            let response = upstream
+                .get(address, &path, MAXIMUM_VALUE_BYTES, FETCH_TIMEOUT)
                 .await;
-            let Ok(Some(text)) = answer else {
+            let Ok(Some(text)) = response else {
                 return;
             };
             match LoadDocument::parse(&text) {
                 Ok(document) => {
                     let report = document.load();
                     let cache = document.cache_update();
-                    let command = Command::BackEndReported {
+                    let command = Command::LoadReport {
                         back_end,
                         report,
                         cache,
--- a/crates/transport/entry/src/metrics_text.rs
+++ b/crates/transport/entry/src/metrics_text.rs
@@ -43,15 +43,19 @@
     );
     record_classes(&recorder, node);
     for (cell, snapshot) in node.held_cells() {
-        let label = || vec![Label::new("cell", cell.to_string())];
+        let cell_labels = || vec![Label::new("cell", cell.to_string())];
         let waiting: usize = snapshot.classes.iter().map(|class| class.waiting).sum();
         gauge(
             "eiderferry_cell_slots",
-            label(),
+            cell_labels(),
             f64::from(snapshot.total_slots),
         );
-        gauge("eiderferry_cell_running", label(), snapshot.leases as f64);
-        gauge("eiderferry_cell_waiting", label(), waiting as f64);
+        gauge(
+            "eiderferry_cell_running",
+            cell_labels(),
+            snapshot.leases as f64,
+        );
+        gauge("eiderferry_cell_waiting", cell_labels(), waiting as f64);
     }
     recorder.handle().render()
 }
@@ -62,14 +66,14 @@
     };
     for class in &configuration.classes {
         let counts = node.class_counts(class.id);
-        let values = [
+        let counters = [
             ("eiderferry_requests_total", counts.requests),
             ("eiderferry_completed_total", counts.completed),
             ("eiderferry_refused_total", counts.refused),
             ("eiderferry_attained_total", counts.attained),
             ("eiderferry_answer_tokens_total", counts.tokens),
         ];
-        for (name, value) in values {
+        for (name, value) in counters {
             let labels = vec![
                 Label::new("class", class.name.clone()),
                 Label::new("tier", class.tier.to_string()),
--- a/crates/transport/entry/src/operators.rs
+++ b/crates/transport/entry/src/operators.rs
@@ -21,7 +21,7 @@
 use trillium_grpc::{GrpcServerConn, Status, Stream};
 
 /// Time between two looks for new decisions to be watched.
-const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Everything served on the operators' address.
 pub(crate) fn operator_handler(
@@ -29,8 +29,8 @@
     token_digests: Vec<KeyDigest>,
 ) -> impl Handler {
     (
-        Authorization { token_digests },
-        MetricsPage {
+        TokenAuthorization { token_digests },
+        MetricsHandler {
             control: control.clone(),
         },
         OperatorServer::new(OperatorService { control }),
@@ -38,11 +38,11 @@
 }
 
 /// Lets in only callers with a known token, if any tokens are set.
-struct Authorization {
+struct TokenAuthorization {
     token_digests: Vec<KeyDigest>,
 }
 
-impl Handler for Authorization {
+impl Handler for TokenAuthorization {
     async fn run(&self, conn: Conn) -> Conn {
         if self.token_digests.is_empty() {
             return conn;
@@ -52,11 +52,11 @@
             .get_str(KnownHeaderName::Authorization)
             .and_then(|value| value.strip_prefix("Bearer "));
         let digest = KeyDigest::of(token.unwrap_or(""));
-        let mut known = false;
+        let mut is_authorized = false;
         for candidate in &self.token_digests {
-            known |= candidate.matches(&digest);
+            is_authorized |= candidate.matches(&digest);
         }
-        if known {
+        if is_authorized {
             return conn;
         }
         conn.with_status(HttpStatus::Unauthorized)
@@ -65,11 +65,11 @@
     }
 }
 
-struct MetricsPage {
+struct MetricsHandler {
     control: ControlHandle,
 }
 
-impl Handler for MetricsPage {
+impl Handler for MetricsHandler {
     async fn run(&self, conn: Conn) -> Conn {
         if conn.path() != "/metrics" {
             return conn;
@@ -89,12 +89,12 @@
 }
 
 impl OperatorService {
-    async fn ask<T: Send + 'static>(
+    async fn run_on_node<T: Send + 'static>(
         &self,
-        question: impl FnOnce(&mut Node) -> T + Send + 'static,
+        task: impl FnOnce(&mut Node) -> T + Send + 'static,
     ) -> Result<T, Status> {
-        let answer = self.control.with_node(question).await;
-        answer.map_err(|error| Status::unavailable(error.to_string()))
+        let result = self.control.with_node(task).await;
+        result.map_err(|error| Status::unavailable(error.to_string()))
     }
 }
 
@@ -104,7 +104,7 @@
         _: &mut GrpcServerConn,
         _: GetStatusRequest,
     ) -> Result<GetStatusResponse, Status> {
-        self.ask(|node| answers::status(node)).await
+        self.run_on_node(|node| answers::status(node)).await
     }
 
     async fn list_classes(
@@ -112,7 +112,7 @@
         _: &mut GrpcServerConn,
         _: ListClassesRequest,
     ) -> Result<ListClassesResponse, Status> {
-        self.ask(|node| answers::classes(node)).await
+        self.run_on_node(|node| answers::classes(node)).await
     }
 
     async fn list_back_ends(
@@ -120,7 +120,7 @@
         _: &mut GrpcServerConn,
         _: ListBackEndsRequest,
     ) -> Result<ListBackEndsResponse, Status> {
-        self.ask(|node| answers::back_ends(node)).await
+        self.run_on_node(|node| answers::back_ends(node)).await
     }
 
     async fn list_tenants(
@@ -128,7 +128,7 @@
         _: &mut GrpcServerConn,
         _: ListTenantsRequest,
     ) -> Result<ListTenantsResponse, Status> {
-        self.ask(|node| answers::tenants(node)).await
+        self.run_on_node(|node| answers::tenants(node)).await
     }
 
     async fn drain(
@@ -136,7 +136,7 @@
         _: &mut GrpcServerConn,
         _: DrainRequest,
     ) -> Result<DrainResponse, Status> {
-        self.ask(|node| {
+        self.run_on_node(|node| {
             let now = node.now();
             node.drain(now);
             DrainResponse {
@@ -151,7 +151,7 @@
         _: &mut GrpcServerConn,
         _: UndrainRequest,
     ) -> Result<UndrainResponse, Status> {
-        self.ask(|node| {
+        self.run_on_node(|node| {
             let now = node.now();
             node.undrain(now);
             UndrainResponse {}
@@ -169,7 +169,9 @@
             let message = format!("{text:?} is no request name; it has the form NODE-RUN-NUMBER");
             return Err(Status::invalid_argument(message));
         };
-        let decisions = self.ask(move |node| answers::explain(node, id)).await?;
+        let decisions = self
+            .run_on_node(move |node| answers::explain(node, id))
+            .await?;
         if decisions.is_empty() {
             let message = format!(
                 "nothing is remembered of request {text}: ask node {}, or it is too long ago",
@@ -186,7 +188,7 @@
         request: ListDecisionsRequest,
     ) -> Result<ListDecisionsResponse, Status> {
         let decisions = self
-            .ask(move |node| answers::decisions(node, &request))
+            .run_on_node(move |node| answers::decisions(node, &request))
             .await?;
         Ok(ListDecisionsResponse { decisions })
     }
@@ -196,11 +198,11 @@
         _: &mut GrpcServerConn,
         _: WatchDecisionsRequest,
     ) -> Result<impl Stream<Item = Result<Decision, Status>> + Send + use<>, Status> {
-        let (last, _) = self
-            .ask(|node| answers::decisions_after(node, u64::MAX))
+        let (last_number, _) = self
+            .run_on_node(|node| answers::decisions_after(node, u64::MAX))
             .await?;
-        let start = (self.control.clone(), last, VecDeque::new());
-        Ok(stream::unfold(start, next_decision))
+        let initial_state = (self.control.clone(), last_number, VecDeque::new());
+        Ok(stream::unfold(initial_state, next_decision))
     }
 
     async fn validate_configuration(
@@ -208,23 +210,23 @@
         _: &mut GrpcServerConn,
         request: ValidateConfigurationRequest,
     ) -> Result<ValidateConfigurationResponse, Status> {
-        self.ask(move |node| answers::validate(node, &request.document))
+        self.run_on_node(move |node| answers::validate(node, &request.document))
             .await
     }
 }
 
-type Watch = (ControlHandle, u64, VecDeque<Decision>);
+type WatchState = (ControlHandle, u64, VecDeque<Decision>);
 
 /// The next decision of a watch; ends when the node does.
-async fn next_decision(watch: Watch) -> Option<(Result<Decision, Status>, Watch)> {
-    let (control, mut last, mut waiting) = watch;
-    while waiting.is_empty() {
-        smol::Timer::after(WATCH_INTERVAL).await;
-        let look = control.with_node(move |node| answers::decisions_after(node, last));
-        let (newest, decisions) = look.await.ok()?;
-        last = newest;
-        waiting.extend(decisions);
+async fn next_decision(state: WatchState) -> Option<(Result<Decision, Status>, WatchState)> {
+    let (control, mut last_number, mut pending) = state;
+    while pending.is_empty() {
+        smol::Timer::after(WATCH_POLL_INTERVAL).await;
+        let query = control.with_node(move |node| answers::decisions_after(node, last_number));
+        let (newest_number, decisions) = query.await.ok()?;
+        last_number = newest_number;
+        pending.extend(decisions);
     }
-    let decision = waiting.pop_front()?;
-    Some((Ok(decision), (control, last, waiting)))
+    let decision = pending.pop_front()?;
+    Some((Ok(decision), (control, last_number, pending)))
 }
--- a/crates/transport/entry/src/peers.rs
+++ b/crates/transport/entry/src/peers.rs
@@ -9,26 +9,26 @@
 use std::sync::Arc;
 
 /// Messages put into one envelope at the most, so that it fits a datagram.
-const MESSAGES_PER_ENVELOPE: usize = 24;
+const MAX_MESSAGES_PER_ENVELOPE: usize = 24;
 
 /// Sends envelopes and counts what they cost.
-pub(crate) struct Peers {
+pub(crate) struct PeerSender {
     socket: Arc<UdpSocket>,
     bulk: BulkSender,
     /// Addresses of nodes that are not in the directory yet, as heard from.
-    heard_from: HashMap<NodeId, SocketAddr>,
+    observed_addresses: HashMap<NodeId, SocketAddr>,
     queued: BTreeMap<NodeId, Vec<Message>>,
     queued_to_address: Vec<(SocketAddr, Message)>,
     sent_bytes: u64,
     sent_datagrams: u64,
 }
 
-impl Peers {
+impl PeerSender {
     pub fn new(socket: Arc<UdpSocket>, bulk: BulkSender) -> Self {
         Self {
             socket,
             bulk,
-            heard_from: HashMap::new(),
+            observed_addresses: HashMap::new(),
             queued: BTreeMap::new(),
             queued_to_address: Vec::new(),
             sent_bytes: 0,
@@ -36,8 +36,8 @@
         }
     }
 
-    pub fn note_address(&mut self, node: NodeId, address: SocketAddr) {
-        self.heard_from.insert(node, address);
+    pub fn record_address(&mut self, node: NodeId, address: SocketAddr) {
+        self.observed_addresses.insert(node, address);
     }
 
     pub fn queue(&mut self, to: NodeId, message: Message) {
@@ -51,17 +51,19 @@
     /// Sends everything queued.
     pub fn flush(&mut self, node: &Node) {
         for (to, messages) in std::mem::take(&mut self.queued) {
-            let listed = node.catalog().node_address(to);
-            let Some(address) = listed.or_else(|| self.heard_from.get(&to).copied()) else {
+            let directory_address = node.catalog().node_address(to);
+            let Some(address) =
+                directory_address.or_else(|| self.observed_addresses.get(&to).copied())
+            else {
                 continue;
             };
             let receiver = node.incarnation_of(to).map(Incarnation::mark);
-            for chunk in messages.chunks(MESSAGES_PER_ENVELOPE) {
-                self.send(address, envelope(node, receiver, chunk.to_vec()));
+            for chunk in messages.chunks(MAX_MESSAGES_PER_ENVELOPE) {
+                self.send(address, build_envelope(node, receiver, chunk.to_vec()));
             }
         }
         for (address, message) in std::mem::take(&mut self.queued_to_address) {
-            self.send(address, envelope(node, None, vec![message]));
+            self.send(address, build_envelope(node, None, vec![message]));
         }
     }
 
@@ -84,7 +86,7 @@
     }
 }
 
-fn envelope(node: &Node, receiver: Option<u16>, messages: Vec<Message>) -> Envelope {
+fn build_envelope(node: &Node, receiver: Option<u16>, messages: Vec<Message>) -> Envelope {
     let identity = node.identity();
     Envelope {
         from: identity.node,
--- a/crates/transport/entry/src/server.rs
+++ b/crates/transport/entry/src/server.rs
@@ -1,12 +1,12 @@
 //! Starting and stopping one entry node.
 
 use crate::bulk::{self, BulkSender};
-use crate::callers::{Callers, EntryState};
+use crate::callers::{CallerHandler, EntryState};
 use crate::control::{Command, ControlHandle, ControlStopped};
 use crate::control_loop::ControlLoop;
+use crate::fetch::Fetcher;
 use crate::operators::operator_handler;
-use crate::peers::Peers;
-use crate::reads::Reads;
+use crate::peers::PeerSender;
 use crate::upstream::Upstream;
 use crate::{Clock, TrafficView};
 use arc_swap::ArcSwap;
@@ -35,8 +35,8 @@
     #[derive(Debug)]
     pub enum StartError {
         /// An address can't be listened on.
-        Listen(what: &'static str, address: SocketAddr, cause: std::io::Error) {
-            display("settings `{what}`: can't listen on {address}: {cause}; choose a free address of this machine")
+        Listen(setting: &'static str, address: SocketAddr, cause: std::io::Error) {
+            display("settings `{setting}`: can't listen on {address}: {cause}; choose a free address of this machine")
         }
         /// The operators' interface would be open to other machines.
         OpenOperator(address: SocketAddr) {
@@ -51,29 +51,29 @@
     pub control: ControlHandle,
     /// Address for callers, as bound.
     pub listen: SocketAddr,
-    drain_limit: Duration,
-    http: ServerHandle,
-    operator_http: Option<ServerHandle>,
+    drain_timeout: Duration,
+    caller_server: ServerHandle,
+    operator_server: Option<ServerHandle>,
     bulk_receiver: Option<smol::Task<()>>,
     control_thread: Option<JoinHandle<()>>,
 }
 
 /// Starts a node with these settings.
 pub fn start(settings: &Settings) -> Result<EntryNode, StartError> {
-    let callers = listen_tcp("listen", settings.listen)?;
-    let bulk_listener = listen_tcp("peer.listen", settings.peer.listen)?;
-    let datagrams = UdpSocket::bind(settings.peer.listen)
+    let caller_listener = bind_tcp("listen", settings.listen)?;
+    let bulk_listener = bind_tcp("peer.listen", settings.peer.listen)?;
+    let datagram_socket = UdpSocket::bind(settings.peer.listen)
         .map_err(|cause| StartError::Listen("peer.listen", settings.peer.listen, cause))?;
-    let operators = match &settings.operator {
+    let operator_listener = match &settings.operator {
         None => None,
         Some(operator)
             if operator.token_digests.is_empty() && !operator.listen.ip().is_loopback() =>
         {
             return Err(StartError::OpenOperator(operator.listen));
         }
-        Some(operator) => Some((listen_tcp("operator.listen", operator.listen)?, operator)),
+        Some(operator) => Some((bind_tcp("operator.listen", operator.listen)?, operator)),
     };
-    let listen = callers.local_addr().unwrap_or(settings.listen);
+    let listen = caller_listener.local_addr().unwrap_or(settings.listen);
     let clock = Clock::start(Span::ZERO);
     let (sender, commands) = async_channel::unbounded();
     let control = ControlHandle {
@@ -81,23 +81,23 @@
     };
     let view = Arc::new(ArcSwap::from_pointee(TrafficView::default()));
     let upstream = Upstream::new();
-    let datagrams = Arc::new(datagrams);
+    let datagram_socket = Arc::new(datagram_socket);
     let control_loop = ControlLoop {
         node: new_node(settings, clock),
         clock,
         commands,
         view: view.clone(),
-        peers: Peers::new(datagrams.clone(), BulkSender::start()),
-        reads: Reads {
-            platform: settings.platform,
+        peers: PeerSender::new(datagram_socket.clone(), BulkSender::start()),
+        fetcher: Fetcher {
+            platform_address: settings.platform,
             upstream: upstream.clone(),
             commands: sender.clone(),
         },
         last_tick: clock.now(),
-        touched: Vec::new(),
-        waiting: HashMap::new(),
+        possibly_closed: Vec::new(),
+        request_events: HashMap::new(),
     };
-    let control_thread = spawn_control(control_loop, &datagrams, &sender, settings);
+    let control_thread = spawn_control_thread(control_loop, &datagram_socket, &sender, settings);
     let bulk_receiver = smol::spawn(bulk::receive(bulk_listener, sender));
     let state = EntryState {
         control: control.clone(),
@@ -106,9 +106,9 @@
         clock,
         maximum_body_bytes: settings.maximum_body_bytes,
     };
-    let http = serve(callers, Callers(state));
-    let operator_http = operators.map(|(listener, operator)| {
-        serve(
+    let caller_server = spawn_server(caller_listener, CallerHandler(state));
+    let operator_server = operator_listener.map(|(listener, operator)| {
+        spawn_server(
             listener,
             operator_handler(control.clone(), operator.token_digests.clone()),
         )
@@ -116,16 +116,16 @@
     Ok(EntryNode {
         control,
         listen,
-        drain_limit: Duration::from_millis(settings.drain_limit_ms),
-        http,
-        operator_http,
+        drain_timeout: Duration::from_millis(settings.drain_limit_ms),
+        caller_server,
+        operator_server,
         bulk_receiver: Some(bulk_receiver),
         control_thread: Some(control_thread),
     })
 }
 
-fn listen_tcp(what: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
-    TcpListener::bind(address).map_err(|cause| StartError::Listen(what, address, cause))
+fn bind_tcp(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address).map_err(|cause| StartError::Listen(setting, address, cause))
 }
 
 fn new_node(settings: &Settings, clock: Clock) -> Node {
@@ -149,19 +149,21 @@
     Node::new(identity, limits, clock.now(), seed)
 }
 
-fn spawn_control(
+fn spawn_control_thread(
     control_loop: ControlLoop,
-    datagrams: &Arc<UdpSocket>,
+    datagram_socket: &Arc<UdpSocket>,
     sender: &async_channel::Sender<Command>,
     settings: &Settings,
 ) -> JoinHandle<()> {
-    let receiver = datagrams.clone();
-    let frames = sender.clone();
-    let ticks = sender.clone();
+    let datagram_receiver = datagram_socket.clone();
+    let frame_sender = sender.clone();
+    let tick_sender = sender.clone();
     let run = move || {
         let executor = smol::LocalExecutor::new();
-        executor.spawn(receive_datagrams(receiver, frames)).detach();
-        executor.spawn(send_ticks(ticks)).detach();
+        executor
+            .spawn(receive_datagrams(datagram_receiver, frame_sender))
+            .detach();
+        executor.spawn(send_ticks(tick_sender)).detach();
         smol::block_on(executor.run(control_loop.run()));
     };
     std::thread::Builder::new()
@@ -170,7 +172,7 @@
         .unwrap_or_else(|cause| panic!("can't start the control thread: {cause}"))
 }
 
-async fn receive_datagrams(socket: Arc<UdpSocket>, frames: async_channel::Sender<Command>) {
+async fn receive_datagrams(socket: Arc<UdpSocket>, commands: async_channel::Sender<Command>) {
     let socket = match socket.try_clone().and_then(smol::Async::<UdpSocket>::new) {
         Ok(socket) => socket,
         Err(error) => {
@@ -184,7 +186,7 @@
             continue;
         };
         let bytes = buffer[..length].to_vec();
-        if frames.send(Command::Frame { from, bytes }).await.is_err() {
+        if commands.send(Command::Frame { from, bytes }).await.is_err() {
             return;
         }
     }
@@ -204,7 +206,7 @@
     }
 }
 
-fn serve(listener: TcpListener, handler: impl Handler) -> ServerHandle {
+fn spawn_server(listener: TcpListener, handler: impl Handler) -> ServerHandle {
     let listener = smol::net::TcpListener::try_from(listener);
     let config = trillium_smol::config().without_signals().with_nodelay();
     match listener {
@@ -217,35 +219,35 @@
     /// Planned stop: takes nothing new, finishes what runs, and ends after that or
     /// when the drain limit is over. Returns whether everything was finished.
     pub async fn stop(mut self) -> Result<bool, ControlStopped> {
-        let clock_start = std::time::Instant::now();
-        let begin = |node: &mut Node| {
+        let started = std::time::Instant::now();
+        let start_drain = |node: &mut Node| {
             let now = node.now();
             node.drain(now);
         };
-        self.control.with_node(begin).await?;
-        let mut finished = false;
-        while !finished && clock_start.elapsed() < self.drain_limit {
+        self.control.with_node(start_drain).await?;
+        let mut is_drained = false;
+        while !is_drained && started.elapsed() < self.drain_timeout {
             smol::Timer::after(DRAIN_CHECK_INTERVAL).await;
-            finished = self.control.with_node(|node| node.is_drained()).await?;
+            is_drained = self.control.with_node(|node| node.is_drained()).await?;
         }
-        self.http.shut_down().await;
-        self.end_control();
-        Ok(finished)
+        self.caller_server.shut_down().await;
+        self.stop_services();
+        Ok(is_drained)
     }
 
     /// Ends at once, as a crash would: requests in flight are cut off.
     pub fn kill(mut self) {
-        self.end_control();
-        drop(self.http.shut_down());
+        self.stop_services();
+        drop(self.caller_server.shut_down());
     }
 
-    fn end_control(&mut self) {
+    fn stop_services(&mut self) {
         // Dropping the task closes its listener.
         drop(self.bulk_receiver.take());
-        if let Some(operator) = &self.operator_http {
+        if let Some(operator) = &self.operator_server {
             drop(operator.shut_down());
         }
-        let _ = self.control.tell(Command::Stop);
+        let _ = self.control.send(Command::Stop);
         self.control.commands.close();
         if let Some(thread) = self.control_thread.take() {
             let _ = thread.join();
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -110,7 +110,7 @@
     call: &ServiceCall,
 ) -> Result<ServiceAnswer, (Option<RequestId>, Refusal)> {
     let (sender, events) = async_channel::bounded(8);
-    let _ = state.control.tell(Command::Submit {
+    let _ = state.control.send(Command::Submit {
         submission,
         events: sender,
     });
@@ -180,7 +180,7 @@
             )
         }
     };
-    let _ = state.control.tell(Command::AttemptEnded {
+    let _ = state.control.send(Command::AttemptEnded {
         request: dispatch.request,
         attempt: dispatch.attempt,
         end,
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -90,7 +90,7 @@
     ) -> Self {
         let (sender, events) = async_channel::bounded(EVENT_QUEUE);
         // A stopped control thread shows as a closed event channel.
-        let _ = control.tell(Command::Submit {
+        let _ = control.send(Command::Submit {
             submission,
             events: sender,
         });
@@ -322,7 +322,7 @@
             let request = stream.dispatch.request;
             let _ = self
                 .control
-                .tell(Command::SlowStream { request, per_token });
+                .send(Command::SlowStream { request, per_token });
         }
     }
 
@@ -373,7 +373,7 @@
             attempt: dispatch.attempt,
             end,
         };
-        let _ = self.control.tell(command);
+        let _ = self.control.send(command);
     }
 }
 
@@ -389,9 +389,9 @@
                 AttemptEnd::CallerDisconnected(observation),
             );
         } else if let Some(request) = self.request {
-            let _ = self.control.tell(Command::CallerGone { request });
+            let _ = self.control.send(Command::CallerDisconnected { request });
         } else if let Ok(RequestEvent::Accepted(request)) = self.events.try_recv() {
-            let _ = self.control.tell(Command::CallerGone { request });
+            let _ = self.control.send(Command::CallerDisconnected { request });
         }
     }
 }
