--- a/crates/transport/entry/src/authorization.rs
+++ b/crates/transport/entry/src/authorization.rs
@@ -1,7 +1,7 @@
 //! Who calls, in which class, under which conditions.
 
 use crate::Clock;
-use crate::reply::BadRequest;
+use crate::error_response::BadRequest;
 use eiderferry_config::{Class, Configuration, Pool, Tenant};
 use eiderferry_node::NotRepeatable;
 use eiderferry_once::KeyName;
@@ -26,7 +26,7 @@
 const MAXIMUM_DEADLINE_MS: u64 = 600_000;
 
 /// What the headers say of a request.
-pub(crate) struct Terms<'a> {
+pub(crate) struct RequestParameters<'a> {
     pub tenant: &'a Tenant,
     pub class: &'a Class,
     pub first_token_due: Timestamp,
@@ -34,35 +34,35 @@
     pub marked_not_repeatable: Option<bool>,
 }
 
-impl<'a> Terms<'a> {
+impl<'a> RequestParameters<'a> {
     /// Reads the headers of a request.
-    pub fn read(
+    pub fn from_headers(
         headers: &Headers,
         configuration: &'a Configuration,
         clock: Clock,
     ) -> Result<Self, BadRequest> {
         let tenant = authenticate(headers, configuration)?;
         let class = class_for(headers, configuration, tenant)?;
-        let wait = match headers.get_str(DEADLINE_HEADER) {
+        let deadline = match headers.get_str(DEADLINE_HEADER) {
             None => class.first_token_target(),
             Some(text) => parse_deadline(text)?,
         };
         Ok(Self {
             tenant,
             class,
-            first_token_due: clock.now() + wait,
-            key: key_from(headers, tenant.id)?,
-            marked_not_repeatable: parse_mark(headers.get_str(NOT_REPEATABLE_HEADER))?,
+            first_token_due: clock.now() + deadline,
+            key: idempotency_key(headers, tenant.id)?,
+            marked_not_repeatable: parse_not_repeatable(headers.get_str(NOT_REPEATABLE_HEADER))?,
         })
     }
 
     /// How the request may be repeated. A call that the pool lists as not
     /// repeatable stays so whatever the caller says.
-    pub fn not_repeatable(&self, pool_forbids: bool) -> Option<NotRepeatable> {
-        let forbidden = pool_forbids || self.marked_not_repeatable == Some(true);
+    pub fn not_repeatable(&self, pool_forbids_repeats: bool) -> Option<NotRepeatable> {
+        let is_forbidden = pool_forbids_repeats || self.marked_not_repeatable == Some(true);
         match &self.key {
             Some(key) => Some(NotRepeatable::WithKey(key.clone())),
-            None => forbidden.then_some(NotRepeatable::WithoutKey),
+            None => is_forbidden.then_some(NotRepeatable::WithoutKey),
         }
     }
 
@@ -104,47 +104,55 @@
     configuration: &'a Configuration,
     tenant: &Tenant,
 ) -> Result<&'a Class, BadRequest> {
-    let default = tenant.classes.first().map_or("", String::as_str);
-    let name = headers.get_str(CLASS_HEADER).unwrap_or(default);
-    let allowed = tenant.classes.iter().any(|class| class == name);
-    let class = configuration.class_named(name).filter(|_| allowed);
+    let default_class = tenant.classes.first().map_or("", String::as_str);
+    let name = headers.get_str(CLASS_HEADER).unwrap_or(default_class);
+    let is_allowed = tenant.classes.iter().any(|class| class == name);
+    let class = configuration.class_named(name).filter(|_| is_allowed);
     class.ok_or_else(|| BadRequest::ClassNotAllowed(name.to_owned(), tenant.classes.join(", ")))
 }
 
 fn parse_deadline(text: &str) -> Result<Span, BadRequest> {
-    let parsed = text
+    let deadline_ms = text
         .parse()
         .ok()
         .filter(|value| (1..=MAXIMUM_DEADLINE_MS).contains(value));
-    parsed
+    deadline_ms
         .map(Span::from_milliseconds)
-        .ok_or(BadRequest::Header(
+        .ok_or(BadRequest::InvalidHeader(
             DEADLINE_HEADER,
             "1 to 600000 milliseconds",
         ))
 }
 
-fn parse_mark(text: Option<&str>) -> Result<Option<bool>, BadRequest> {
+fn parse_not_repeatable(text: Option<&str>) -> Result<Option<bool>, BadRequest> {
     match text {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(BadRequest::Header(NOT_REPEATABLE_HEADER, "true or false")),
+        Some(_) => Err(BadRequest::InvalidHeader(
+            NOT_REPEATABLE_HEADER,
+            "true or false",
+        )),
     }
 }
 
-fn key_from(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
+fn idempotency_key(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
     if let Some(text) = headers.get_str(TICKET_HEADER) {
-        return parse_ticket(text).map(Some).ok_or(BadRequest::Header(
-            TICKET_HEADER,
-            "a ticket from POST /v1/tickets",
-        ));
+        return parse_ticket(text)
+            .map(Some)
+            .ok_or(BadRequest::InvalidHeader(
+                TICKET_HEADER,
+                "a ticket from POST /v1/tickets",
+            ));
     }
     let Some(text) = headers.get_str(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
     if text.is_empty() || text.len() > MAXIMUM_KEY_BYTES {
-        return Err(BadRequest::Header(IDEMPOTENCY_HEADER, "1 to 256 bytes"));
+        return Err(BadRequest::InvalidHeader(
+            IDEMPOTENCY_HEADER,
+            "1 to 256 bytes",
+        ));
     }
     let hash = xxh3_128(format!("{tenant}\n{text}").as_bytes());
     Ok(Some(KeyName::Caller((hash >> 64) as u64, hash as u64)))
--- a/crates/transport/entry/src/callers.rs
+++ b/crates/transport/entry/src/callers.rs
@@ -3,7 +3,7 @@
 use crate::authorization::{authenticate, format_ticket};
 use crate::chat::chat_completion;
 use crate::control::ControlHandle;
-use crate::reply::{BadRequest, bad_request, refused};
+use crate::error_response::{BadRequest, bad_request, refusal_response};
 use crate::service::service_call;
 use crate::upstream::Upstream;
 use crate::{Clock, TrafficView};
@@ -35,7 +35,7 @@
         }
         let Some(configuration) = view.configuration.as_ref().filter(|_| view.ready) else {
             let retry_after = Some(Span::from_milliseconds(1_000));
-            return refused(conn, &Refusal::not_run(Reason::NotReady, retry_after), None);
+            return refusal_response(conn, &Refusal::not_run(Reason::NotReady, retry_after), None);
         };
         match (conn.method(), conn.path()) {
             (Method::Post, "/v1/chat/completions") => {
@@ -91,24 +91,24 @@
             conn.with_response_header(KnownHeaderName::ContentType, "application/json")
                 .ok(body.to_string())
         }
-        Ok(Err(_)) => refused(
+        Ok(Err(_)) => refusal_response(
             conn,
             &Refusal::not_run(Reason::KeyTableFull, retry_after),
             None,
         ),
-        Err(_) => refused(conn, &Refusal::not_run(Reason::Draining, retry_after), None),
+        Err(_) => refusal_response(conn, &Refusal::not_run(Reason::Draining, retry_after), None),
     }
 }
 
 /// Reads a request's body up to the limit.
 pub(crate) async fn read_body(conn: &mut Conn, limit: usize) -> Result<Vec<u8>, BadRequest> {
-    let declared = conn.request_body().content_length();
-    if declared.is_some_and(|length| length > limit as u64) {
-        return Err(BadRequest::TooLarge(limit));
+    let content_length = conn.request_body().content_length();
+    if content_length.is_some_and(|length| length > limit as u64) {
+        return Err(BadRequest::BodyTooLarge(limit));
     }
     let body = conn.request_body().with_max_len(limit as u64);
     body.read_bytes().await.map_err(|error| match error {
-        trillium_http::Error::ReceivedBodyTooLong(_) => BadRequest::TooLarge(limit),
-        _ => BadRequest::Incomplete,
+        trillium_http::Error::ReceivedBodyTooLong(_) => BadRequest::BodyTooLarge(limit),
+        _ => BadRequest::IncompleteBody,
     })
 }
--- a/crates/transport/entry/src/chat.rs
+++ b/crates/transport/entry/src/chat.rs
@@ -1,9 +1,11 @@
 //! Chat completions.
 
-use crate::authorization::Terms;
+use crate::authorization::RequestParameters;
 use crate::callers::{EntryState, read_body};
-use crate::reply::{BadRequest, REQUEST_ID_HEADER, bad_request, explanation, refused};
-use crate::session::{ChatCall, Progress, Session, SessionError};
+use crate::error_response::{
+    BadRequest, REQUEST_ID_HEADER, bad_request, refusal_message, refusal_response,
+};
+use crate::session::{ChatCall, Session, SessionError, SessionEvent};
 use eiderferry_config::Configuration;
 use eiderferry_node::Submission;
 use eiderferry_openai::{
@@ -19,7 +21,7 @@
 /// is no longer read.
 const RELAY_BUFFER_BYTES: usize = 16 * 1024;
 /// Finish reason given when the engine named none.
-const DEFAULT_FINISH: &str = "stop";
+const DEFAULT_FINISH_REASON: &str = "stop";
 
 /// Serves `POST /v1/chat/completions`.
 pub(crate) async fn chat_completion(
@@ -35,7 +37,7 @@
         Ok(prepared) => prepared,
         Err(error) => return bad_request(conn, &error),
     };
-    let session = Session::open(
+    let session = Session::submit(
         &state.control,
         state.clock,
         &state.upstream,
@@ -43,9 +45,9 @@
         call,
     );
     if request.stream {
-        stream_answer(conn, session, request.model).await
+        stream_response(conn, session, request.model).await
     } else {
-        whole_answer(conn, session, request.model).await
+        complete_response(conn, session, request.model).await
     }
 }
 
@@ -55,41 +57,42 @@
     configuration: &Configuration,
     body: &[u8],
 ) -> Result<(ChatRequest, Submission, ChatCall), BadRequest> {
-    let terms = Terms::read(conn.request_headers(), configuration, state.clock)?;
+    let parameters =
+        RequestParameters::from_headers(conn.request_headers(), configuration, state.clock)?;
     let request = ChatRequest::parse(body)?;
     let pool = configuration
         .pool_for_model(&request.model)
         .ok_or_else(|| {
-            let known = configuration
+            let models = configuration
                 .pools
                 .iter()
                 .filter_map(|pool| pool.model.as_deref());
-            let known: Vec<&str> = known.collect();
-            BadRequest::UnknownModel(request.model.clone(), known.join(", "))
+            let models: Vec<&str> = models.collect();
+            BadRequest::UnknownModel(request.model.clone(), models.join(", "))
         })?;
-    terms.check_pool(pool)?;
+    parameters.check_pool(pool)?;
     let prompt = request.prompt_text();
     let submission = Submission {
-        digest: terms.digest(conn, body),
-        class: terms.class.id,
-        tenant: terms.tenant.id,
+        digest: parameters.digest(conn, body),
+        class: parameters.class.id,
+        tenant: parameters.tenant.id,
         pool: pool.id,
         prompt_tokens: estimate_tokens(&prompt),
         prefixes: prefix_marks(&prompt),
-        first_token_due: terms.first_token_due,
-        not_repeatable: terms.not_repeatable(false),
+        first_token_due: parameters.first_token_due,
+        not_repeatable: parameters.not_repeatable(false),
     };
     let call = ChatCall {
         body: request.body.clone(),
-        priority: terms.class.tier.0,
-        per_token_target: terms.class.per_token_target(),
+        priority: parameters.class.tier.0,
+        per_token_target: parameters.class.per_token_target(),
     };
     Ok((request, submission, call))
 }
 
-fn refuse(conn: Conn, session: &Session, error: &SessionError) -> Conn {
+fn session_error_response(conn: Conn, session: &Session, error: &SessionError) -> Conn {
     match error {
-        SessionError::Refused(refusal) => refused(conn, refusal, session.request()),
+        SessionError::Refused(refusal) => refusal_response(conn, refusal, session.request_id()),
         SessionError::EngineRejected { status, body } => conn
             .with_status(*status)
             .with_response_header(KnownHeaderName::ContentType, "application/json")
@@ -98,99 +101,106 @@
     }
 }
 
-async fn whole_answer(mut conn: Conn, mut session: Session, model: String) -> Conn {
+async fn complete_response(mut conn: Conn, mut session: Session, model: String) -> Conn {
     let collect = async {
-        let mut finish = None;
+        let mut finish_reason = None;
         loop {
             match session.next().await {
-                Ok(Progress::Token(chunk)) => finish = chunk.finish_reason.or(finish),
-                Ok(Progress::Finished) => return Ok(finish),
+                Ok(SessionEvent::Chunk(chunk)) => {
+                    finish_reason = chunk.finish_reason.or(finish_reason)
+                }
+                Ok(SessionEvent::Finished) => return Ok(finish_reason),
                 Err(error) => return Err(error),
             }
         }
     };
     match conn.cancel_on_disconnect(collect).await {
         None => conn,
-        Some(Err(error)) => refuse(conn, &session, &error),
-        Some(Ok(finish)) => {
-            let name = name_of(&session);
-            let finish = finish.unwrap_or_else(|| DEFAULT_FINISH.into());
-            let document =
-                answer_document(&name, &model, session.text(), &finish, session.tokens());
+        Some(Err(error)) => session_error_response(conn, &session, &error),
+        Some(Ok(finish_reason)) => {
+            let request_id = request_id_text(&session);
+            let finish_reason = finish_reason.unwrap_or_else(|| DEFAULT_FINISH_REASON.into());
+            let document = answer_document(
+                &request_id,
+                &model,
+                session.text(),
+                &finish_reason,
+                session.tokens(),
+            );
             conn.with_status(Status::Ok)
                 .with_response_header(KnownHeaderName::ContentType, "application/json")
-                .with_response_header(REQUEST_ID_HEADER, name)
+                .with_response_header(REQUEST_ID_HEADER, request_id)
                 .with_body(document.to_string())
                 .halt()
         }
     }
 }
 
-async fn stream_answer(mut conn: Conn, mut session: Session, model: String) -> Conn {
-    let first = conn.cancel_on_disconnect(session.next()).await;
-    let first = match first {
+async fn stream_response(mut conn: Conn, mut session: Session, model: String) -> Conn {
+    let first_event = conn.cancel_on_disconnect(session.next()).await;
+    let first_chunk = match first_event {
         None => return conn,
-        Some(Err(error)) => return refuse(conn, &session, &error),
-        Some(Ok(Progress::Token(chunk))) => Some(chunk),
-        Some(Ok(Progress::Finished)) => None,
+        Some(Err(error)) => return session_error_response(conn, &session, &error),
+        Some(Ok(SessionEvent::Chunk(chunk))) => Some(chunk),
+        Some(Ok(SessionEvent::Finished)) => None,
     };
-    let name = name_of(&session);
+    let request_id = request_id_text(&session);
     let (reader, writer) = piper::pipe(RELAY_BUFFER_BYTES);
-    let relay = relay(session, first, writer, name.clone(), model);
+    let relay = relay_stream(session, first_chunk, writer, request_id.clone(), model);
     // The task ends with the answer, or when the caller's side of the pipe closes.
     drop(SmolRuntime::default().spawn(relay));
     conn.with_status(Status::Ok)
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
         .with_response_header(KnownHeaderName::CacheControl, "no-store")
-        .with_response_header(REQUEST_ID_HEADER, name)
+        .with_response_header(REQUEST_ID_HEADER, request_id)
         .with_body(Body::new_streaming(reader, None))
         .halt()
 }
 
 /// Passes an answer on; ends early if the caller goes away, which drops the
 /// session and so cancels the work.
-async fn relay(
+async fn relay_stream(
     mut session: Session,
-    first: Option<Chunk>,
+    first_chunk: Option<Chunk>,
     mut writer: piper::Writer,
-    name: String,
+    request_id: String,
     model: String,
 ) {
-    let mut finish = None;
-    let mut next = match first {
-        Some(chunk) => Ok(Progress::Token(chunk)),
-        None => Ok(Progress::Finished),
+    let mut finish_reason = None;
+    let mut next = match first_chunk {
+        Some(chunk) => Ok(SessionEvent::Chunk(chunk)),
+        None => Ok(SessionEvent::Finished),
     };
     loop {
-        let text = match next {
-            Ok(Progress::Token(chunk)) => {
-                finish = chunk.finish_reason.clone().or(finish);
-                chunk_event(chunk.data, &name)
+        let event = match next {
+            Ok(SessionEvent::Chunk(chunk)) => {
+                finish_reason = chunk.finish_reason.clone().or(finish_reason);
+                chunk_event(chunk.data, &request_id)
             }
-            Ok(Progress::Finished) => {
-                let finish = finish.unwrap_or_else(|| DEFAULT_FINISH.into());
-                let end = finish_event(&name, &model, &finish) + DONE_EVENT;
-                let _ = writer.write_all(end.as_bytes()).await;
+            Ok(SessionEvent::Finished) => {
+                let finish_reason = finish_reason.unwrap_or_else(|| DEFAULT_FINISH_REASON.into());
+                let final_events = finish_event(&request_id, &model, &finish_reason) + DONE_EVENT;
+                let _ = writer.write_all(final_events.as_bytes()).await;
                 return;
             }
             Err(error) => {
                 let _ = writer
-                    .write_all(error_event(&error, &name).as_bytes())
+                    .write_all(error_event(&error, &request_id).as_bytes())
                     .await;
                 return;
             }
         };
-        if writer.write_all(text.as_bytes()).await.is_err() {
+        if writer.write_all(event.as_bytes()).await.is_err() {
             return;
         }
         next = session.next().await;
     }
 }
 
-fn error_event(error: &SessionError, name: &str) -> String {
+fn error_event(error: &SessionError, request_id: &str) -> String {
     let document = match error {
         SessionError::Refused(refusal) => {
-            error_document(&explanation(refusal), refusal, Some(name))
+            error_document(&refusal_message(refusal), refusal, Some(request_id))
         }
         SessionError::EngineRejected { status, body } => serde_json::json!({
             "error": { "message": format!("the engine answered {status}: {body}") }
@@ -199,8 +209,8 @@
     format!("data: {document}\n\n")
 }
 
-fn name_of(session: &Session) -> String {
+fn request_id_text(session: &Session) -> String {
     session
-        .request()
+        .request_id()
         .map_or_else(String::new, |id| id.to_string())
 }
--- a/crates/transport/entry/src/reply.rs
+++ b/crates/transport/entry/src/error_response.rs
@@ -31,20 +31,20 @@
             display("nothing is served at {path:?}")
         }
         /// The body is longer than allowed.
-        TooLarge(limit: usize) {
+        BodyTooLarge(limit: usize) {
             display("the body is longer than {limit} bytes")
         }
         /// A header's value is not understood.
-        Header(name: &'static str, expected: &'static str) {
+        InvalidHeader(name: &'static str, expected: &'static str) {
             display("header `{name}`: expected {expected}")
         }
         /// The body is not understood.
-        Body(cause: eiderferry_openai::RequestError) {
+        InvalidBody(cause: eiderferry_openai::RequestError) {
             from()
             display("{cause}")
         }
         /// The connection ended before the body did.
-        Incomplete {
+        IncompleteBody {
             display("the request body ended early")
         }
     }
@@ -56,10 +56,10 @@
             BadRequest::Unauthorized => Status::Unauthorized,
             BadRequest::ClassNotAllowed(..) | BadRequest::PoolNotAllowed(_) => Status::Forbidden,
             BadRequest::UnknownModel(..) | BadRequest::UnknownPath(_) => Status::NotFound,
-            BadRequest::TooLarge(_) => Status::PayloadTooLarge,
-            BadRequest::Header(..) | BadRequest::Body(_) | BadRequest::Incomplete => {
-                Status::BadRequest
-            }
+            BadRequest::BodyTooLarge(_) => Status::PayloadTooLarge,
+            BadRequest::InvalidHeader(..)
+            | BadRequest::InvalidBody(_)
+            | BadRequest::IncompleteBody => Status::BadRequest,
         }
     }
 
@@ -70,10 +70,10 @@
             BadRequest::PoolNotAllowed(_) => "pool_not_allowed",
             BadRequest::UnknownModel(..) => "unknown_model",
             BadRequest::UnknownPath(_) => "unknown_path",
-            BadRequest::TooLarge(_) => "body_too_large",
-            BadRequest::Header(..) => "bad_header",
-            BadRequest::Body(_) => "bad_body",
-            BadRequest::Incomplete => "incomplete_body",
+            BadRequest::BodyTooLarge(_) => "body_too_large",
+            BadRequest::InvalidHeader(..) => "bad_header",
+            BadRequest::InvalidBody(_) => "bad_body",
+            BadRequest::IncompleteBody => "incomplete_body",
         }
     }
 }
@@ -104,33 +104,33 @@
 }
 
 /// Answers a request that was refused or failed.
-pub(crate) fn refused(conn: Conn, refusal: &Refusal, request: Option<RequestId>) -> Conn {
-    let name = request.map(|id| id.to_string());
-    let message = explanation(refusal);
-    let body = error_document(&message, refusal, name.as_deref());
+pub(crate) fn refusal_response(conn: Conn, refusal: &Refusal, request: Option<RequestId>) -> Conn {
+    let request_id = request.map(|id| id.to_string());
+    let message = refusal_message(refusal);
+    let body = error_document(&message, refusal, request_id.as_deref());
     let mut conn = conn
         .with_status(status_for(refusal))
         .with_response_header(KnownHeaderName::ContentType, "application/json")
         .with_response_header(VERDICT_HEADER, refusal.verdict.as_str())
         .with_response_header(REASON_HEADER, refusal.reason.as_str());
-    if let Some(span) = refusal.retry_after {
-        let seconds = span.0.div_ceil(MICROSECONDS_PER_SECOND);
+    if let Some(retry_after) = refusal.retry_after {
+        let seconds = retry_after.0.div_ceil(MICROSECONDS_PER_SECOND);
         conn.insert_response_header(KnownHeaderName::RetryAfter, seconds.to_string());
     }
-    if let Some(name) = name {
-        conn.insert_response_header(REQUEST_ID_HEADER, name);
+    if let Some(request_id) = request_id {
+        conn.insert_response_header(REQUEST_ID_HEADER, request_id);
     }
     conn.with_body(body.to_string()).halt()
 }
 
 /// One sentence for people.
-pub(crate) fn explanation(refusal: &Refusal) -> String {
-    let ran = match refusal.verdict {
+pub(crate) fn refusal_message(refusal: &Refusal) -> String {
+    let execution = match refusal.verdict {
         Verdict::NotRun => "It did not run.",
         Verdict::MayHaveRun => "It may have run.",
         Verdict::Ran => "It has run.",
     };
-    format!("the request got no answer: {}. {ran}", refusal.reason)
+    format!("the request got no answer: {}. {execution}", refusal.reason)
 }
 
 fn status_for(refusal: &Refusal) -> Status {
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -1,10 +1,10 @@
 //! Calls to plain services.
 
-use crate::authorization::Terms;
+use crate::authorization::RequestParameters;
 use crate::callers::{EntryState, read_body};
 use crate::control::{Command, RequestEvent};
-use crate::reply::{BadRequest, REQUEST_ID_HEADER, bad_request, refused};
-use crate::upstream::{Answer, UpstreamError};
+use crate::error_response::{BadRequest, REQUEST_ID_HEADER, bad_request, refusal_response};
+use crate::upstream::{UpstreamError, UpstreamResponse};
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Pool};
 use eiderferry_node::{AttemptEnd, Dispatch, Submission};
@@ -15,11 +15,11 @@
 /// Longest wait for a service's answer.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest answer relayed from a service.
-const MAXIMUM_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
+const MAXIMUM_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// A service's whole answer.
-struct ServiceAnswer {
-    request: RequestId,
+struct ServiceResponse {
+    request_id: RequestId,
     status: u16,
     content_type: Option<String>,
     body: Vec<u8>,
@@ -59,9 +59,9 @@
     };
     // A caller that goes away does not stop a call that may already run: its
     // outcome decides what a repetition of its key may be told.
-    match run(state, submission, &call).await {
-        Ok(answer) => reply(conn, answer),
-        Err((request, refusal)) => refused(conn, &refusal, request),
+    match execute(state, submission, &call).await {
+        Ok(response) => service_response(conn, response),
+        Err((request_id, refusal)) => refusal_response(conn, &refusal, request_id),
     }
 }
 
@@ -72,18 +72,19 @@
     pool: &Pool,
     body: &[u8],
 ) -> Result<Submission, BadRequest> {
-    let terms = Terms::read(conn.request_headers(), configuration, state.clock)?;
-    terms.check_pool(pool)?;
-    let forbids = !pool.is_repeatable(conn.method().as_str());
+    let parameters =
+        RequestParameters::from_headers(conn.request_headers(), configuration, state.clock)?;
+    parameters.check_pool(pool)?;
+    let pool_forbids_repeats = !pool.is_repeatable(conn.method().as_str());
     Ok(Submission {
-        digest: terms.digest(conn, body),
-        class: terms.class.id,
-        tenant: terms.tenant.id,
+        digest: parameters.digest(conn, body),
+        class: parameters.class.id,
+        tenant: parameters.tenant.id,
         pool: pool.id,
         prompt_tokens: 0,
         prefixes: Vec::new(),
-        first_token_due: terms.first_token_due,
-        not_repeatable: terms.not_repeatable(forbids),
+        first_token_due: parameters.first_token_due,
+        not_repeatable: parameters.not_repeatable(pool_forbids_repeats),
     })
 }
 
@@ -104,24 +105,24 @@
     FORWARDED.iter().filter_map(|name| value(name)).collect()
 }
 
-async fn run(
+async fn execute(
     state: &EntryState,
     submission: Submission,
     call: &ServiceCall,
-) -> Result<ServiceAnswer, (Option<RequestId>, Refusal)> {
+) -> Result<ServiceResponse, (Option<RequestId>, Refusal)> {
     let (sender, events) = async_channel::bounded(8);
     let _ = state.control.send(Command::Submit {
         submission,
         events: sender,
     });
-    let mut request = None;
+    let mut request_id = None;
     while let Ok(event) = events.recv().await {
         match event {
-            RequestEvent::Accepted(id) => request = Some(id),
-            RequestEvent::Rejected(refusal) => return Err((request, refusal)),
+            RequestEvent::Accepted(id) => request_id = Some(id),
+            RequestEvent::Rejected(refusal) => return Err((request_id, refusal)),
             RequestEvent::Dispatch(dispatch) => {
-                if let Some(answer) = attempt(state, &dispatch, call).await {
-                    return Ok(answer);
+                if let Some(response) = attempt(state, &dispatch, call).await {
+                    return Ok(response);
                 }
             }
         }
@@ -132,7 +133,7 @@
         reason: Reason::Draining,
         retry_after,
     };
-    Err((request, refusal))
+    Err((request_id, refusal))
 }
 
 /// One attempt; `None` if it failed and the control thread decides what follows.
@@ -140,25 +141,25 @@
     state: &EntryState,
     dispatch: &Dispatch,
     call: &ServiceCall,
-) -> Option<ServiceAnswer> {
+) -> Option<ServiceResponse> {
     let started = state.clock.now();
     let result = if started > dispatch.dispatch_by {
         Err(UpstreamError::NotConnected(
             "the order to send came too late".into(),
         ))
     } else {
-        send(state, dispatch, call).await
+        send_call(state, dispatch, call).await
     };
-    let after = state.clock.now().since(started);
-    let (end, answer) = match result {
-        Ok(answer) => {
+    let elapsed = state.clock.now().since(started);
+    let (end, response) = match result {
+        Ok(response) => {
             let observation = Observation {
                 outcome: Outcome::Completed,
                 tokens: 0,
-                first_token: Some(after),
+                first_token: Some(elapsed),
                 per_token: None,
             };
-            (AttemptEnd::Completed(observation), Some(answer))
+            (AttemptEnd::Completed(observation), Some(response))
         }
         Err(error) => {
             log::warn!(
@@ -185,17 +186,17 @@
         attempt: dispatch.attempt,
         end,
     });
-    answer
+    response
 }
 
-async fn send(
+async fn send_call(
     state: &EntryState,
     dispatch: &Dispatch,
     call: &ServiceCall,
-) -> Result<ServiceAnswer, UpstreamError> {
+) -> Result<ServiceResponse, UpstreamError> {
     let mut headers = call.headers.clone();
     headers.push(("x-request-id".into(), dispatch.request.to_string()));
-    let answer: Answer = state
+    let response: UpstreamResponse = state
         .upstream
         .call(
             call.method,
@@ -206,36 +207,36 @@
             SERVICE_TIMEOUT,
         )
         .await?;
-    let expected = dispatch.request.to_string();
-    if answer
+    let expected_id = dispatch.request.to_string();
+    if response
         .request_id
         .as_ref()
-        .is_some_and(|name| *name != expected)
+        .is_some_and(|id| *id != expected_id)
     {
-        return Err(UpstreamError::Unreadable(
+        return Err(UpstreamError::MalformedResponse(
             "the answer to another request".into(),
         ));
     }
-    let body = answer
+    let body = response
         .body
-        .with_max_len(MAXIMUM_ANSWER_BYTES)
+        .with_max_len(MAXIMUM_RESPONSE_BYTES)
         .read_bytes()
         .await
-        .map_err(|error| UpstreamError::Broken(error.to_string()))?;
-    Ok(ServiceAnswer {
-        request: dispatch.request,
-        status: answer.status,
-        content_type: answer.content_type,
+        .map_err(|error| UpstreamError::ConnectionBroken(error.to_string()))?;
+    Ok(ServiceResponse {
+        request_id: dispatch.request,
+        status: response.status,
+        content_type: response.content_type,
         body,
     })
 }
 
-fn reply(conn: Conn, answer: ServiceAnswer) -> Conn {
+fn service_response(conn: Conn, response: ServiceResponse) -> Conn {
     let mut conn = conn
-        .with_status(answer.status)
-        .with_response_header(REQUEST_ID_HEADER, answer.request.to_string())
-        .with_body(answer.body);
-    if let Some(content_type) = answer.content_type {
+        .with_status(response.status)
+        .with_response_header(REQUEST_ID_HEADER, response.request_id.to_string())
+        .with_body(response.body);
+    if let Some(content_type) = response.content_type {
         conn.insert_response_header(KnownHeaderName::ContentType, content_type);
     }
     conn.halt()
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::Clock;
 use crate::control::{Command, ControlHandle, RequestEvent};
-use crate::upstream::{Answer, Upstream, UpstreamError, within};
+use crate::upstream::{Upstream, UpstreamError, UpstreamResponse, with_timeout};
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_node::{AttemptEnd, Dispatch, ResponseProgress, Submission, TokenVerdict};
 use eiderferry_openai::{Chunk, EngineRequest, Event, EventParser, Resume};
@@ -19,14 +19,14 @@
 /// Longest wait for an engine's next token before it counts as broken.
 const NEXT_TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes read from an engine at once.
-const READ_BYTES: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 /// Tokens after which a stream's speed is judged for the first time.
 const SPEED_CHECK_TOKENS: u32 = 16;
 
 /// What a session yields.
-pub(crate) enum Progress {
+pub(crate) enum SessionEvent {
     /// One more chunk of the answer.
-    Token(Chunk),
+    Chunk(Chunk),
     /// The answer is complete.
     Finished,
 }
@@ -40,16 +40,16 @@
 }
 
 /// An answer being streamed by an engine.
-struct Stream {
+struct EngineStream {
     dispatch: Dispatch,
     body: ResponseBody<'static>,
     parser: EventParser,
-    events: VecDeque<Event>,
+    parsed_events: VecDeque<Event>,
     started: Timestamp,
     first_token: Option<Timestamp>,
     last_token: Timestamp,
     tokens: u32,
-    finished: bool,
+    has_finish_reason: bool,
 }
 
 /// What a session needs to send its request to engines.
@@ -67,28 +67,28 @@
     clock: Clock,
     upstream: Upstream,
     call: ChatCall,
-    events: async_channel::Receiver<RequestEvent>,
-    request: Option<RequestId>,
-    stream: Option<Stream>,
+    control_events: async_channel::Receiver<RequestEvent>,
+    request_id: Option<RequestId>,
+    stream: Option<EngineStream>,
     text: String,
     progress: ResponseProgress,
-    ended: bool,
+    is_closed: bool,
     reported_slow: bool,
 }
 
 /// Events that may wait between the control thread and a session.
-const EVENT_QUEUE: usize = 8;
+const EVENT_QUEUE_CAPACITY: usize = 8;
 
 impl Session {
     /// Submits a request.
-    pub fn open(
+    pub fn submit(
         control: &ControlHandle,
         clock: Clock,
         upstream: &Upstream,
         submission: Submission,
         call: ChatCall,
     ) -> Self {
-        let (sender, events) = async_channel::bounded(EVENT_QUEUE);
+        let (sender, control_events) = async_channel::bounded(EVENT_QUEUE_CAPACITY);
         // A stopped control thread shows as a closed event channel.
         let _ = control.send(Command::Submit {
             submission,
@@ -99,19 +99,19 @@
             clock,
             upstream: upstream.clone(),
             call,
-            events,
-            request: None,
+            control_events,
+            request_id: None,
             stream: None,
             text: String::new(),
             progress: ResponseProgress::default(),
-            ended: false,
+            is_closed: false,
             reported_slow: false,
         }
     }
 
     /// The request's name, once it has been taken in.
-    pub fn request(&self) -> Option<RequestId> {
-        self.request
+    pub fn request_id(&self) -> Option<RequestId> {
+        self.request_id
     }
 
     /// Answer tokens yielded so far.
@@ -125,7 +125,7 @@
     }
 
     /// Waits for the next piece of the answer, through moves to other engines.
-    pub async fn next(&mut self) -> Result<Progress, SessionError> {
+    pub async fn next(&mut self) -> Result<SessionEvent, SessionError> {
         loop {
             if self.stream.is_none() {
                 self.wait_for_stream().await?;
@@ -134,30 +134,30 @@
             match self.read_event().await {
                 Ok(Some(chunk)) => {
                     self.text.push_str(&chunk.text);
-                    return Ok(Progress::Token(chunk));
+                    return Ok(SessionEvent::Chunk(chunk));
                 }
                 Ok(None) => {
                     self.report_completed();
-                    return Ok(Progress::Finished);
+                    return Ok(SessionEvent::Finished);
                 }
-                Err(error) => self.report_broken(&error).await,
+                Err(error) => self.report_broken_stream(&error).await,
             }
         }
     }
 
     async fn wait_for_stream(&mut self) -> Result<(), SessionError> {
-        match self.events.recv().await {
+        match self.control_events.recv().await {
             Ok(RequestEvent::Accepted(request)) => {
-                self.request = Some(request);
+                self.request_id = Some(request);
                 Ok(())
             }
             Ok(RequestEvent::Rejected(refusal)) => {
-                self.ended = true;
+                self.is_closed = true;
                 Err(SessionError::Refused(refusal))
             }
             Ok(RequestEvent::Dispatch(dispatch)) => self.dispatch(dispatch).await,
             Err(_) => {
-                self.ended = true;
+                self.is_closed = true;
                 let verdict = if self.tokens() > 0 {
                     Verdict::MayHaveRun
                 } else {
@@ -176,7 +176,7 @@
         let started = self.clock.now();
         if started > dispatch.dispatch_by {
             log::warn!(request:% = dispatch.request; "an order to dispatch came too late");
-            self.tell_broken(&dispatch, Verdict::NotRun, failed_observation());
+            self.report_failure(&dispatch, Verdict::NotRun, failed_observation());
             return Ok(());
         }
         let request_id = format!("{}/{}", dispatch.request, dispatch.attempt);
@@ -196,7 +196,7 @@
         ];
         let body = engine_request.body(&self.call.body);
         let path = "/v1/chat/completions";
-        let answer = self
+        let response = self
             .upstream
             .call(
                 Method::Post,
@@ -207,9 +207,9 @@
                 FIRST_TOKEN_TIMEOUT,
             )
             .await;
-        match answer {
-            Ok(answer) => {
-                self.accept_answer(dispatch, answer, &request_id, started)
+        match response {
+            Ok(response) => {
+                self.handle_response(dispatch, response, &request_id, started)
                     .await
             }
             Err(error) => {
@@ -223,51 +223,51 @@
                     observation: failed_observation(),
                     has_crashed,
                 };
-                self.tell_end(&dispatch, end);
+                self.report_attempt_end(&dispatch, end);
                 Ok(())
             }
         }
     }
 
-    async fn accept_answer(
+    async fn handle_response(
         &mut self,
         dispatch: Dispatch,
-        answer: Answer,
+        response: UpstreamResponse,
         request_id: &str,
         started: Timestamp,
     ) -> Result<(), SessionError> {
-        let crossed = answer
+        let is_mismatched = response
             .request_id
             .as_deref()
-            .is_some_and(|name| name != request_id);
-        if crossed {
-            self.tell_broken(&dispatch, Verdict::MayHaveRun, failed_observation());
+            .is_some_and(|id| id != request_id);
+        if is_mismatched {
+            self.report_failure(&dispatch, Verdict::MayHaveRun, failed_observation());
             return Ok(());
         }
-        match answer.status {
+        match response.status {
             200 => {
-                self.stream = Some(Stream {
+                self.stream = Some(EngineStream {
                     dispatch,
-                    body: answer.body,
+                    body: response.body,
                     parser: EventParser::default(),
-                    events: VecDeque::new(),
+                    parsed_events: VecDeque::new(),
                     started,
                     first_token: None,
                     last_token: started,
                     tokens: 0,
-                    finished: false,
+                    has_finish_reason: false,
                 });
                 Ok(())
             }
             status @ 400..=499 if status != 429 => {
-                self.ended = true;
-                self.tell_end(
+                self.is_closed = true;
+                self.report_attempt_end(
                     &dispatch,
                     AttemptEnd::CallerDisconnected(Observation::UNUSED),
                 );
-                let body = answer
+                let body = response
                     .body
-                    .with_max_len(READ_BYTES as u64)
+                    .with_max_len(READ_BUFFER_BYTES as u64)
                     .read_string()
                     .await;
                 let body = body.unwrap_or_default();
@@ -275,7 +275,7 @@
             }
             status => {
                 let verdict = UpstreamError::Status(status).verdict();
-                self.tell_broken(&dispatch, verdict, failed_observation());
+                self.report_failure(&dispatch, verdict, failed_observation());
                 Ok(())
             }
         }
@@ -288,16 +288,16 @@
             return Err(UpstreamError::Timeout);
         };
         loop {
-            match stream.events.pop_front() {
-                Some(Event::Done) if stream.finished => return Ok(None),
+            match stream.parsed_events.pop_front() {
+                Some(Event::Done) if stream.has_finish_reason => return Ok(None),
                 Some(Event::Done) => {
-                    return Err(UpstreamError::Broken(
+                    return Err(UpstreamError::ConnectionBroken(
                         "done before the answer finished".into(),
                     ));
                 }
                 Some(Event::Data(data)) => {
-                    if let Some(chunk) = stream.take_chunk(&data, progress)? {
-                        stream.note_token(self.clock.now());
+                    if let Some(chunk) = stream.parse_chunk(&data, progress)? {
+                        stream.record_token(self.clock.now());
                         self.check_speed();
                         return Ok(Some(chunk));
                     }
@@ -327,14 +327,14 @@
     }
 
     fn report_completed(&mut self) {
-        self.ended = true;
+        self.is_closed = true;
         if let Some(stream) = self.stream.take() {
             let observation = stream.observation(Outcome::Completed);
-            self.tell_end(&stream.dispatch, AttemptEnd::Completed(observation));
+            self.report_attempt_end(&stream.dispatch, AttemptEnd::Completed(observation));
         }
     }
 
-    async fn report_broken(&mut self, error: &UpstreamError) {
+    async fn report_broken_stream(&mut self, error: &UpstreamError) {
         let Some(stream) = self.stream.take() else {
             return;
         };
@@ -352,12 +352,12 @@
             observation,
             has_crashed,
         };
-        self.tell_end(&stream.dispatch, end);
+        self.report_attempt_end(&stream.dispatch, end);
     }
 
     /// Tells of a failure of a back end that goes on serving.
-    fn tell_broken(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
-        self.tell_end(
+    fn report_failure(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
+        self.report_attempt_end(
             dispatch,
             AttemptEnd::Failed {
                 verdict,
@@ -367,7 +367,7 @@
         );
     }
 
-    fn tell_end(&self, dispatch: &Dispatch, end: AttemptEnd) {
+    fn report_attempt_end(&self, dispatch: &Dispatch, end: AttemptEnd) {
         let command = Command::AttemptEnded {
             request: dispatch.request,
             attempt: dispatch.attempt,
@@ -379,59 +379,61 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        if self.ended {
+        if self.is_closed {
             return;
         }
         if let Some(stream) = self.stream.take() {
             let observation = stream.observation(Outcome::Cancelled);
-            self.tell_end(
+            self.report_attempt_end(
                 &stream.dispatch,
                 AttemptEnd::CallerDisconnected(observation),
             );
-        } else if let Some(request) = self.request {
+        } else if let Some(request) = self.request_id {
             let _ = self.control.send(Command::CallerDisconnected { request });
-        } else if let Ok(RequestEvent::Accepted(request)) = self.events.try_recv() {
+        } else if let Ok(RequestEvent::Accepted(request)) = self.control_events.try_recv() {
             let _ = self.control.send(Command::CallerDisconnected { request });
         }
     }
 }
 
-impl Stream {
+impl EngineStream {
     async fn read_more(&mut self) -> Result<(), UpstreamError> {
         let timeout = match self.first_token {
             None => FIRST_TOKEN_TIMEOUT,
             Some(_) => NEXT_TOKEN_TIMEOUT,
         };
-        let mut buffer = [0; READ_BYTES];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         let body = &mut self.body;
         let read = async {
             body.read(&mut buffer)
                 .await
-                .map_err(|error| UpstreamError::Broken(error.to_string()))
+                .map_err(|error| UpstreamError::ConnectionBroken(error.to_string()))
         };
-        let count = within(timeout, read).await?;
+        let count = with_timeout(timeout, read).await?;
         if count == 0 {
-            return Err(UpstreamError::Broken("the stream ended early".into()));
+            return Err(UpstreamError::ConnectionBroken(
+                "the stream ended early".into(),
+            ));
         }
         let events = self
             .parser
             .push(&buffer[..count])
-            .map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
-        self.events.extend(events);
+            .map_err(|error| UpstreamError::MalformedResponse(error.to_string()))?;
+        self.parsed_events.extend(events);
         Ok(())
     }
 
     /// Reads a chunk; `None` if it carries no text. A token that is not the next
     /// one means that the stream can't be trusted.
-    fn take_chunk(
+    fn parse_chunk(
         &mut self,
         data: &str,
         progress: &mut ResponseProgress,
     ) -> Result<Option<Chunk>, UpstreamError> {
-        let chunk =
-            Chunk::parse(data).map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
+        let chunk = Chunk::parse(data)
+            .map_err(|error| UpstreamError::MalformedResponse(error.to_string()))?;
         if chunk.finish_reason.is_some() {
-            self.finished = true;
+            self.has_finish_reason = true;
         }
         if chunk.text.is_empty() {
             return Ok(None);
@@ -440,15 +442,15 @@
             TokenVerdict::Forward => {}
             TokenVerdict::Stale => return Ok(None),
             TokenVerdict::OutOfOrder { expected } => {
-                let found = chunk.token_index.unwrap_or_default();
-                let text = format!("token {found} came where {expected} was due");
-                return Err(UpstreamError::Unreadable(text));
+                let received = chunk.token_index.unwrap_or_default();
+                let message = format!("token {received} came where {expected} was due");
+                return Err(UpstreamError::MalformedResponse(message));
             }
         }
         Ok(Some(chunk))
     }
 
-    fn note_token(&mut self, now: Timestamp) {
+    fn record_token(&mut self, now: Timestamp) {
         self.first_token.get_or_insert(now);
         self.last_token = now;
         self.tokens += 1;
--- a/crates/transport/entry/src/upstream.rs
+++ b/crates/transport/entry/src/upstream.rs
@@ -15,7 +15,7 @@
 /// Time after which a connection attempt counts as failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Text that marks an error as having happened before any byte was sent.
-const NOT_CONNECTED: &str = "no connection was made";
+const NOT_CONNECTED_MARKER: &str = "no connection was made";
 
 quick_error! {
     /// A call to a back end or the platform that gave no usable answer.
@@ -26,7 +26,7 @@
             display("can't connect: {cause}")
         }
         /// The connection broke after bytes may have left.
-        Broken(cause: String) {
+        ConnectionBroken(cause: String) {
             display("the connection broke: {cause}")
         }
         /// No answer in time.
@@ -38,7 +38,7 @@
             display("answered with status {status}")
         }
         /// An answer longer than allowed, or not readable.
-        Unreadable(cause: String) {
+        MalformedResponse(cause: String) {
             display("unreadable answer: {cause}")
         }
     }
@@ -71,10 +71,15 @@
     }
 
     async fn connect_to(&self, destination: Destination) -> io::Result<Self::Transport> {
-        let connect = async { self.0.connect_to(destination).await.map_err(mark) };
+        let connect = async {
+            self.0
+                .connect_to(destination)
+                .await
+                .map_err(mark_not_connected)
+        };
         let timeout = async {
             smol::Timer::after(CONNECT_TIMEOUT).await;
-            Err(mark(io::ErrorKind::TimedOut.into()))
+            Err(mark_not_connected(io::ErrorKind::TimedOut.into()))
         };
         future::or(connect, timeout).await
     }
@@ -88,23 +93,23 @@
     }
 }
 
-fn mark(cause: io::Error) -> io::Error {
+fn mark_not_connected(cause: io::Error) -> io::Error {
     io::Error::new(
         io::ErrorKind::ConnectionRefused,
-        format!("{NOT_CONNECTED}: {cause}"),
+        format!("{NOT_CONNECTED_MARKER}: {cause}"),
     )
 }
 
-fn classify(error: &trillium_client::Error) -> UpstreamError {
+fn classify_error(error: &trillium_client::Error) -> UpstreamError {
     let text = error.to_string();
-    if text.contains(NOT_CONNECTED) {
+    if text.contains(NOT_CONNECTED_MARKER) {
         return UpstreamError::NotConnected(text);
     }
-    UpstreamError::Broken(text)
+    UpstreamError::ConnectionBroken(text)
 }
 
 /// The head of an answer, and its body to be read.
-pub(crate) struct Answer {
+pub(crate) struct UpstreamResponse {
     pub status: u16,
     pub content_type: Option<String>,
     pub request_id: Option<String>,
@@ -130,14 +135,14 @@
     /// Whether a call failed because its back end crashed: the connection broke, and the back end
     /// takes no new one.
     pub async fn has_crashed(&self, address: SocketAddr, error: &UpstreamError) -> bool {
-        if !matches!(error, UpstreamError::Broken(_)) {
+        if !matches!(error, UpstreamError::ConnectionBroken(_)) {
             return false;
         }
         let connect = async {
             let stream = TcpStream::connect(address).await;
             stream.map_err(|error| UpstreamError::NotConnected(error.to_string()))
         };
-        within(CONNECT_TIMEOUT, connect).await.is_err()
+        with_timeout(CONNECT_TIMEOUT, connect).await.is_err()
     }
 
     /// Sends a request and waits for the head of the answer.
@@ -149,7 +154,7 @@
         headers: &[(String, String)],
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Answer, UpstreamError> {
+    ) -> Result<UpstreamResponse, UpstreamError> {
         let url = format!("http://{address}{path}");
         let mut conn = self.client.build_conn(method, url.as_str());
         for (name, value) in headers {
@@ -158,8 +163,8 @@
         if !body.is_empty() {
             conn = conn.with_body(Body::from(body));
         }
-        let send = async { conn.await.map_err(|error| classify(&error)) };
-        let mut conn = within(timeout, send).await?;
+        let send = async { conn.await.map_err(|error| classify_error(&error)) };
+        let mut conn = with_timeout(timeout, send).await?;
         let status = conn.status().map_or(0, |status| status as u16);
         let header = |name: &str| {
             let headers = conn.response_headers();
@@ -169,8 +174,8 @@
         let request_id = header("x-request-id");
         let body = conn
             .take_response_body()
-            .ok_or_else(|| UpstreamError::Unreadable("no body".into()))?;
-        Ok(Answer {
+            .ok_or_else(|| UpstreamError::MalformedResponse("no body".into()))?;
+        Ok(UpstreamResponse {
             status,
             content_type,
             request_id,
@@ -187,34 +192,34 @@
         timeout: Duration,
     ) -> Result<Option<String>, UpstreamError> {
         let read = async {
-            let answer = self
+            let response = self
                 .call(Method::Get, address, path, &[], Vec::new(), timeout)
                 .await?;
-            if answer.status == Status::NotModified as u16 {
+            if response.status == Status::NotModified as u16 {
                 return Ok(None);
             }
-            if answer.status != Status::Ok as u16 {
-                return Err(UpstreamError::Status(answer.status));
+            if response.status != Status::Ok as u16 {
+                return Err(UpstreamError::Status(response.status));
             }
-            let body = answer.body.with_max_len(maximum_bytes as u64);
+            let body = response.body.with_max_len(maximum_bytes as u64);
             let text = body
                 .read_string()
                 .await
-                .map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
+                .map_err(|error| UpstreamError::MalformedResponse(error.to_string()))?;
             Ok(Some(text))
         };
-        within(timeout, read).await
+        with_timeout(timeout, read).await
     }
 }
 
 /// Runs `work`, giving up after `timeout`.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     timeout: Duration,
-    work: impl Future<Output = Result<T, UpstreamError>>,
+    operation: impl Future<Output = Result<T, UpstreamError>>,
 ) -> Result<T, UpstreamError> {
-    let give_up = async {
+    let expire = async {
         smol::Timer::after(timeout).await;
         Err(UpstreamError::Timeout)
     };
-    future::or(work, give_up).await
+    future::or(operation, expire).await
 }
