--- a/crates/transport/entry/src/bulk.rs
+++ b/crates/transport/entry/src/bulk.rs
@@ -1,4 +1,4 @@
-//! Frames too large for a datagram, sent and received by `tarpc` over TCP.
+//! Sends and receives frames that are too large for a datagram, with `tarpc` over TCP.
 
 use crate::control::Command;
 use async_compat::Compat;
@@ -9,12 +9,13 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Largest frame accepted: a whole configuration with its envelope.
+/// Largest frame sent or accepted; large enough for a whole configuration in its envelope.
 const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Transfers that may wait; more are dropped, and asked for again by their peers.
+/// Capacity of the send queue, in transfers. Further transfers are dropped, and peers request them
+/// again.
 const MAX_QUEUED_TRANSFERS: usize = 64;
 
-/// Sends large frames in the background.
+/// Handle to the background task that sends large frames.
 #[derive(Clone)]
 pub(crate) struct BulkSender {
     frames: async_channel::Sender<(SocketAddr, Vec<u8>)>,
@@ -28,10 +29,10 @@
         Self { frames }
     }
 
-    /// Queues a frame; drops it when too many wait.
+    /// Queues a frame; drops it if the queue is full.
     pub fn send(&self, address: SocketAddr, frame: Vec<u8>) {
         if self.frames.try_send((address, frame)).is_err() {
-            log::warn!(peer:% = address; "dropped a bulk transfer: too many wait");
+            log::warn!(peer:% = address; "dropped a bulk transfer: the send queue is full");
         }
     }
 }
@@ -39,7 +40,7 @@
 async fn send_queued(queue: async_channel::Receiver<(SocketAddr, Vec<u8>)>) {
     while let Ok((address, frame)) = queue.recv().await {
         if let Err(error) = send_frame(address, frame).await {
-            log::warn!(peer:% = address; "a bulk transfer failed: {error}");
+            log::warn!(peer:% = address; "bulk transfer failed: {error}");
         }
     }
 }
@@ -75,13 +76,13 @@
     }
 }
 
-/// Accepts large frames until the control thread has stopped.
+/// Accepts large frames and passes them to the control thread, until the task is dropped.
 pub(crate) async fn receive(
     listener: std::net::TcpListener,
     commands: async_channel::Sender<Command>,
 ) {
     if let Err(error) = Compat::new(accept_connections(listener, commands)).await {
-        log::error!("bulk transfers can't be received: {error}");
+        log::error!("failed to listen for bulk transfers: {error}");
     }
 }
 
--- a/crates/transport/entry/src/callers.rs
+++ b/crates/transport/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: which handler serves which path.
+//! HTTP interface for callers: readiness, routing of paths to handlers, and tickets.
 
 use crate::authorization::{authenticate, format_ticket};
 use crate::chat::chat_completion;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use trillium::{Conn, Handler, KnownHeaderName, Method, Status};
 
-/// What the handlers of all requests share.
+/// State shared by the handlers of all requests.
 #[derive(Clone)]
 pub(crate) struct EntryState {
     pub control: ControlHandle,
@@ -23,7 +23,7 @@
     pub maximum_body_bytes: usize,
 }
 
-/// Serves callers.
+/// Routes the requests of callers by method and path.
 pub(crate) struct CallerHandler(pub EntryState);
 
 impl Handler for CallerHandler {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Tells the balancer whether to send callers here.
+/// Responds to the readiness check of a load balancer.
 fn readiness(conn: Conn, view: &TrafficView) -> Conn {
     let (status, body) = match (view.ready, view.draining) {
         (true, false) => (Status::Ok, "ready"),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Reads a request's body up to the limit.
+/// Reads a request's body of at most `limit` bytes.
 pub(crate) async fn read_body(conn: &mut Conn, limit: usize) -> Result<Vec<u8>, BadRequest> {
     let content_length = conn.request_body().content_length();
     if content_length.is_some_and(|length| length > limit as u64) {
--- a/crates/transport/entry/src/control.rs
+++ b/crates/transport/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! The door to the control thread.
+//! Commands to the control thread, and the handle that sends them.
 
 use eiderferry_admission::LoadReport;
 use eiderferry_node::{
@@ -10,31 +10,31 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// The control thread has ended; the node is going down.
+    /// The control thread has stopped because the node is shutting down.
     #[derive(Debug, PartialEq)]
     pub enum ControlStopped {
-        /// It no longer takes commands.
+        /// The control thread no longer accepts commands.
         Stopped {
             display("the control thread has stopped")
         }
     }
 }
 
-/// What the control thread tells the task that serves a request.
+/// Event sent by the control thread to the task that serves a request.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEvent {
-    /// The request has been taken in under this name.
+    /// The request has been submitted and has this id.
     Accepted(RequestId),
-    /// It may be sent to a back end.
+    /// The request is to be sent to a back end.
     Dispatch(Dispatch),
-    /// It won't be answered.
+    /// The request is refused or has failed; no further event follows.
     Rejected(Refusal),
 }
 
-/// A look at, or a change of, the state machine from another thread.
+/// Function that reads or changes the state machine, run on the control thread.
 type NodeTask = Box<dyn FnOnce(&mut Node) + Send>;
 
-/// What other threads tell the control thread.
+/// Command from another thread to the control thread.
 pub(crate) enum Command {
     Submit {
         submission: Submission,
@@ -55,10 +55,12 @@
     IssueTicket {
         reply: async_channel::Sender<Result<KeyName, KeyTableFull>>,
     },
+    /// An encoded envelope received from a peer.
     Frame {
         from: SocketAddr,
         bytes: Vec<u8>,
     },
+    /// Result of fetching a document: `Ok(None)` if it has not changed.
     PlatformResponse {
         kind: DocumentKind,
         response: Result<Option<PlatformDocument>, ()>,
@@ -68,9 +70,10 @@
         report: LoadReport,
         cache: CacheUpdate,
     },
+    /// Wakes the loop, so that it ticks the state machine when a tick is due.
     Tick,
     WithNode(NodeTask),
-    /// Stand still for a while: used to provoke the consequences of a pause.
+    /// Blocks the thread for this time, to test the effects of a paused process.
     Pause(std::time::Duration),
     Stop,
 }
@@ -88,28 +91,28 @@
             .map_err(|_| ControlStopped::Stopped)
     }
 
-    /// Runs `task` on the state machine and returns its result.
+    /// Runs `task` on the control thread and returns its result.
     pub async fn with_node<T: Send + 'static>(
         &self,
         task: impl FnOnce(&mut Node) -> T + Send + 'static,
     ) -> Result<T, ControlStopped> {
         let (sender, receiver) = async_channel::bounded(1);
         let run = move |node: &mut Node| {
-            // The asker may have gone away; then nobody wants the result.
+            // Fails if the caller of `with_node` was cancelled; the result is then not needed.
             let _ = sender.try_send(task(node));
         };
         self.send(Command::WithNode(Box::new(run)))?;
         receiver.recv().await.map_err(|_| ControlStopped::Stopped)
     }
 
-    /// Issues a ticket for one non-repeatable request.
+    /// Issues a ticket: a server-assigned idempotency key for one non-repeatable request.
     pub async fn issue_ticket(&self) -> Result<Result<KeyName, KeyTableFull>, ControlStopped> {
         let (reply, response) = async_channel::bounded(1);
         self.send(Command::IssueTicket { reply })?;
         response.recv().await.map_err(|_| ControlStopped::Stopped)
     }
 
-    /// Makes the control thread stand still, to provoke what a paused process does.
+    /// Blocks the control thread for `duration`, to test the effects of a paused process.
     pub fn pause(&self, duration: std::time::Duration) -> Result<(), ControlStopped> {
         self.send(Command::Pause(duration))
     }
--- a/crates/transport/entry/src/control_loop.rs
+++ b/crates/transport/entry/src/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control thread.
+//! Event loop of the control thread.
 
 use crate::control::{Command, RequestEvent};
 use crate::fetch::Fetcher;
@@ -11,11 +11,11 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Commands handled before the outputs are carried out; bounds the time a message
-/// waits to be sent together with others.
+/// Most commands handled after the first of a batch before the outputs are processed; bounds the
+/// time that a message waits to be sent together with others.
 const MAX_COMMANDS_PER_BATCH: usize = 256;
 
-/// Everything the control thread owns.
+/// State owned by the control thread.
 pub(crate) struct ControlLoop {
     pub node: Node,
     pub clock: Clock,
@@ -24,13 +24,14 @@
     pub peers: PeerSender,
     pub fetcher: Fetcher,
     pub last_tick: Timestamp,
-    /// Requests of which something ended in this round.
+    /// Requests with an attempt that ended or a caller that disconnected in this batch.
     pub possibly_closed: Vec<RequestId>,
+    /// Channels to the tasks that serve the open requests.
     pub request_events: HashMap<RequestId, async_channel::Sender<RequestEvent>>,
 }
 
 impl ControlLoop {
-    /// Runs until told to stop.
+    /// Runs until [`Command::Stop`] arrives or the command channel is closed and empty.
     pub async fn run(mut self) {
         while let Ok(command) = self.commands.recv().await {
             if !self.handle_command(command) {
@@ -58,12 +59,13 @@
         }
     }
 
+    /// Handles a command; returns `false` if the loop is to stop.
     fn handle_command(&mut self, command: Command) -> bool {
         let now = self.clock.now();
         match command {
             Command::Submit { submission, events } => {
                 let request = self.node.submit(now, submission);
-                // The channel has room: nothing has been sent on it yet.
+                // The channel has capacity, since nothing has been sent on it yet.
                 let _ = events.try_send(RequestEvent::Accepted(request));
                 self.request_events.insert(request, events);
             }
@@ -96,7 +98,7 @@
             } => {
                 self.node.handle_load_report(now, back_end, &report, &cache);
             }
-            // It only wakes the loop, which ticks when it is time.
+            // Only wakes the loop, which ticks if a tick is due.
             Command::Tick => {}
             Command::WithNode(task) => task(&mut self.node),
             Command::Pause(duration) => std::thread::sleep(duration),
@@ -112,12 +114,12 @@
                 self.peers.record_address(envelope.from, from);
                 self.node.receive(now, envelope);
             }
-            Err(error) => log::warn!(peer:% = from; "dropped a frame: {error}"),
+            Err(error) => log::warn!(peer:% = from; "dropped an invalid frame: {error}"),
         }
     }
 
-    /// Drops the channels of requests that have ended. Not before the outputs have
-    /// been carried out: the last word of a request is among them.
+    /// Drops the channels of requests that are no longer open. Must run after the outputs have been
+    /// processed, since they contain the last event of such a request.
     fn remove_closed(&mut self) {
         for request in std::mem::take(&mut self.possibly_closed) {
             if !self.node.is_open(request) {
@@ -126,6 +128,7 @@
         }
     }
 
+    /// Processes the outputs of the state machine and sends the queued messages.
     fn process_outputs(&mut self) {
         for output in self.node.take_outputs() {
             match output {
@@ -162,6 +165,7 @@
         self.remove_closed();
     }
 
+    /// Publishes a new view if it differs from the current one.
     fn publish_view(&self) {
         let current = self.view.load();
         let version = |view: &TrafficView| {
--- a/crates/transport/entry/src/fetch.rs
+++ b/crates/transport/entry/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform and of back ends' load.
+//! Fetches documents from the platform and load reports from back ends.
 
 use crate::control::Command;
 use crate::upstream::Upstream;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time after which a read counts as failed.
+/// Timeout of one fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Starts reads and hands their results to the control thread.
+/// Starts fetches in the background and sends their results to the control thread.
 pub(crate) struct Fetcher {
     pub platform_address: SocketAddr,
     pub upstream: Upstream,
@@ -21,6 +21,7 @@
 }
 
 impl Fetcher {
+    /// Fetches a document unless `known_version` is current.
     pub fn fetch_document(&self, kind: DocumentKind, known_version: u64) {
         let commands = self.commands.clone();
         let upstream = self.upstream.clone();
@@ -33,10 +34,14 @@
             {
                 Ok(None) => Ok(None),
                 Ok(Some(text)) => parse_document(kind, &text).map(Some).map_err(|error| {
-                    log::error!("refused a document, the last good one stays in force: {error}");
+                    log::error!(
+                        "rejected an invalid document; the last valid one stays in force: {error}"
+                    );
                 }),
                 Err(error) => {
-                    log::warn!("the platform at {address} can't be read: {error}");
+                    log::warn!(
+                        "failed to fetch a document from the platform at {address}: {error}"
+                    );
                     Err(())
                 }
             };
@@ -45,6 +50,8 @@
         smol::spawn(fetch).detach();
     }
 
+    /// Fetches a back end's load report and its cache changes after `cache_cursor`. A failed call is
+    /// not reported to the control thread.
     pub fn poll_back_end(&self, back_end: BackEndId, address: SocketAddr, cache_cursor: u64) {
         let commands = self.commands.clone();
         let upstream = self.upstream.clone();
@@ -67,7 +74,9 @@
                     };
                     let _ = commands.try_send(command);
                 }
-                Err(error) => log::warn!("back end {back_end}: {error}"),
+                Err(error) => {
+                    log::warn!("back end {back_end} returned an invalid load report: {error}")
+                }
             }
         };
         smol::spawn(poll).detach();
--- a/crates/transport/entry/src/lib.rs
+++ b/crates/transport/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sockets, threads and relaying of one entry node.
+//! Network I/O, threads and response relaying of an entry node.
 //!
-//! One thread runs the control state machine ([`eiderferry_node::Node`]); it owns
-//! the datagram socket to the peers and never touches a request's bytes. The
-//! traffic threads serve callers, read published snapshots of the control state,
-//! and relay answers.
+//! One thread runs the control state machine ([`eiderferry_node::Node`]); it sends and
+//! receives the datagrams of the peers and never handles request bodies. The traffic
+//! threads serve callers, read the snapshots that the control thread publishes, and
+//! relay responses.
 
 #![forbid(unsafe_code)]
 
--- a/crates/transport/entry/src/metrics_text.rs
+++ b/crates/transport/entry/src/metrics_text.rs
@@ -1,8 +1,8 @@
-//! Metrics in the Prometheus text form.
+//! Metrics in the Prometheus text format.
 //!
-//! The control state is read when the metrics are asked for, so that nothing is
-//! spent on them in between. Labels are classes and cells: their number does not
-//! grow with tenants or requests.
+//! The metrics are computed from the control state when they are scraped, so that they cost nothing
+//! in between. Labels are classes, tiers and cells: the number of time series does not grow with
+//! tenants or requests.
 
 use eiderferry_node::Node;
 use metrics::{Key, Label, Level, Metadata, Recorder};
@@ -10,7 +10,7 @@
 
 const METADATA: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, None);
 
-/// The metrics of a node.
+/// Renders the metrics of a node.
 pub(crate) fn metrics_text(node: &Node) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
     let gauge = |name: &'static str, labels: Vec<Label>, value: f64| {
--- a/crates/transport/entry/src/operators.rs
+++ b/crates/transport/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over HTTP: gRPC calls, and metrics at `/metrics`.
+//! HTTP interface for operators: gRPC calls, and metrics at `/metrics`.
 
 use crate::control::ControlHandle;
 use crate::metrics_text::metrics_text;
@@ -20,10 +20,10 @@
 use trillium::{Conn, Handler, KnownHeaderName, Status as HttpStatus};
 use trillium_grpc::{GrpcServerConn, Status, Stream};
 
-/// Time between two looks for new decisions to be watched.
+/// Interval at which a `WatchDecisions` call polls for new decisions.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Everything served on the operators' address.
+/// Returns the handler for all requests on the operators' address.
 pub(crate) fn operator_handler(
     control: ControlHandle,
     token_digests: Vec<KeyDigest>,
@@ -37,7 +37,8 @@
     )
 }
 
-/// Lets in only callers with a known token, if any tokens are set.
+/// Requires a bearer token with one of the configured digests. Without configured digests, every
+/// request is accepted.
 struct TokenAuthorization {
     token_digests: Vec<KeyDigest>,
 }
@@ -52,6 +53,7 @@
             .get_str(KnownHeaderName::Authorization)
             .and_then(|value| value.strip_prefix("Bearer "));
         let digest = KeyDigest::of(token.unwrap_or(""));
+        // Compares with every digest, so that the duration does not depend on which one matches.
         let mut is_authorized = false;
         for candidate in &self.token_digests {
             is_authorized |= candidate.matches(&digest);
@@ -89,6 +91,7 @@
 }
 
 impl OperatorService {
+    /// Runs `task` on the control thread; fails with `UNAVAILABLE` if that thread has stopped.
     async fn run_on_node<T: Send + 'static>(
         &self,
         task: impl FnOnce(&mut Node) -> T + Send + 'static,
@@ -215,9 +218,10 @@
     }
 }
 
+/// Handle to the control thread, number of the last decision read, and decisions not yet emitted.
 type WatchState = (ControlHandle, u64, VecDeque<Decision>);
 
-/// The next decision of a watch; ends when the node does.
+/// Waits for the next decision. The stream ends when the control thread has stopped.
 async fn next_decision(state: WatchState) -> Option<(Result<Decision, Status>, WatchState)> {
     let (control, mut last_number, mut pending) = state;
     while pending.is_empty() {
--- a/crates/transport/entry/src/peers.rs
+++ b/crates/transport/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to other nodes.
+//! Sends messages to other nodes.
 
 use crate::bulk::BulkSender;
 use eiderferry_node::{Envelope, Message, Node};
@@ -8,14 +8,15 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// Messages put into one envelope at the most, so that it fits a datagram.
+/// Most messages in one envelope, so that it usually fits into a datagram. Larger
+/// envelopes are sent as bulk transfers.
 const MAX_MESSAGES_PER_ENVELOPE: usize = 24;
 
-/// Sends envelopes and counts what they cost.
+/// Queues messages, sends them in envelopes, and counts the bytes and datagrams sent.
 pub(crate) struct PeerSender {
     socket: Arc<UdpSocket>,
     bulk: BulkSender,
-    /// Addresses of nodes that are not in the directory yet, as heard from.
+    /// Source address of the last frame from each node, for nodes that the directory does not list.
     observed_addresses: HashMap<NodeId, SocketAddr>,
     queued: BTreeMap<NodeId, Vec<Message>>,
     queued_to_address: Vec<(SocketAddr, Message)>,
@@ -48,7 +49,7 @@
         self.queued_to_address.push((address, message));
     }
 
-    /// Sends everything queued.
+    /// Sends all queued messages. Drops those to nodes without a known address.
     pub fn flush(&mut self, node: &Node) {
         for (to, messages) in std::mem::take(&mut self.queued) {
             let directory_address = node.catalog().node_address(to);
@@ -71,7 +72,7 @@
         let frame = match eiderferry_peer::encode(&envelope) {
             Ok(frame) => frame,
             Err(error) => {
-                log::error!("can't encode a message: {error}");
+                log::error!("failed to encode an envelope: {error}");
                 return;
             }
         };
@@ -81,7 +82,7 @@
             return;
         }
         self.sent_datagrams += 1;
-        // A full buffer or an unreachable peer loses the datagram, like the network.
+        // Errors are ignored: a full buffer or an unreachable peer has the same effect as packet loss.
         let _ = self.socket.send_to(&frame, address);
     }
 }
--- a/crates/transport/entry/src/server.rs
+++ b/crates/transport/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping one entry node.
+//! Starts and stops an entry node.
 
 use crate::bulk::{self, BulkSender};
 use crate::callers::{CallerHandler, EntryState};
@@ -22,23 +22,24 @@
 use trillium::Handler;
 use trillium_server_common::ServerHandle;
 
-/// How often a planned stop looks whether everything has ended.
+/// Interval at which a planned stop checks whether the node has drained.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Incarnations count from the first day of 2026, so that they stay short.
+/// Start of 2026 as a Unix time. Incarnations count from there, which keeps them short.
 const INCARNATION_BASE: Duration = Duration::from_secs(1_767_225_600);
-/// Unit of incarnations: a process can't start twice within it.
+/// Unit of incarnations, in milliseconds; shorter than a restart of the process takes, so that two
+/// runs never have the same incarnation.
 const INCARNATION_UNIT_MS: u128 = 50;
 
 quick_error! {
-    /// A node that can't start. Nothing of it keeps running.
+    /// Error that prevents a node from starting. No thread or task of the node keeps running.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address can't be listened on.
+        /// Binding an address failed.
         Listen(setting: &'static str, address: SocketAddr, cause: std::io::Error) {
             display("settings `{setting}`: can't listen on {address}: {cause}; choose a free address of this machine")
         }
-        /// The operators' interface would be open to other machines.
+        /// The operators' interface would accept requests from other machines without a token.
         OpenOperator(address: SocketAddr) {
             display("settings `operator`: {address} can be reached from other machines; give `token_digests`, or listen on a loopback address")
         }
@@ -47,9 +48,9 @@
 
 /// A running entry node.
 pub struct EntryNode {
-    /// Handle to its control thread.
+    /// Handle to the node's control thread.
     pub control: ControlHandle,
-    /// Address for callers, as bound.
+    /// Bound address of the callers' interface.
     pub listen: SocketAddr,
     drain_timeout: Duration,
     caller_server: ServerHandle,
@@ -58,7 +59,7 @@
     control_thread: Option<JoinHandle<()>>,
 }
 
-/// Starts a node with these settings.
+/// Binds the addresses of `settings` and starts a node.
 pub fn start(settings: &Settings) -> Result<EntryNode, StartError> {
     let caller_listener = bind_tcp("listen", settings.listen)?;
     let bulk_listener = bind_tcp("peer.listen", settings.peer.listen)?;
@@ -169,14 +170,16 @@
     std::thread::Builder::new()
         .name(format!("control-{}", settings.node))
         .spawn(run)
-        .unwrap_or_else(|cause| panic!("can't start the control thread: {cause}"))
+        .unwrap_or_else(|cause| panic!("failed to spawn the control thread: {cause}"))
 }
 
 async fn receive_datagrams(socket: Arc<UdpSocket>, commands: async_channel::Sender<Command>) {
     let socket = match socket.try_clone().and_then(smol::Async::<UdpSocket>::new) {
         Ok(socket) => socket,
         Err(error) => {
-            log::error!("datagrams can't be received: {error}");
+            log::error!(
+                "failed to set up the datagram socket; no datagrams will be received: {error}"
+            );
             return;
         }
     };
@@ -196,7 +199,8 @@
     let interval = Duration::from_micros(Node::tick_interval().0);
     loop {
         smol::Timer::after(interval).await;
-        // Ticks that pile up behind a busy or paused thread say nothing new.
+        // Skips the tick while commands are queued, so that ticks don't pile up behind a busy or
+        // paused thread; after those commands the loop checks for a due tick anyway.
         if commands.is_empty() && commands.send(Command::Tick).await.is_err() {
             return;
         }
@@ -211,13 +215,13 @@
     let config = trillium_smol::config().without_signals().with_nodelay();
     match listener {
         Ok(listener) => config.with_prebound_server(listener).spawn(handler),
-        Err(cause) => panic!("can't watch a listening socket: {cause}"),
+        Err(cause) => panic!("failed to register a listening socket for asynchronous I/O: {cause}"),
     }
 }
 
 impl EntryNode {
-    /// Planned stop: takes nothing new, finishes what runs, and ends after that or
-    /// when the drain limit is over. Returns whether everything was finished.
+    /// Planned stop: refuses new requests, and stops when the open ones have finished or the drain
+    /// timeout has passed. Returns whether the node drained in time.
     pub async fn stop(mut self) -> Result<bool, ControlStopped> {
         let started = std::time::Instant::now();
         let start_drain = |node: &mut Node| {
@@ -235,14 +239,15 @@
         Ok(is_drained)
     }
 
-    /// Ends at once, as a crash would: requests in flight are cut off.
+    /// Stops at once, as a crash would: requests in flight are aborted.
     pub fn kill(mut self) {
         self.stop_services();
         drop(self.caller_server.shut_down());
     }
 
+    /// Stops all services except the callers' server, and joins the control thread.
     fn stop_services(&mut self) {
-        // Dropping the task closes its listener.
+        // Dropping the task cancels it and closes its listener.
         drop(self.bulk_receiver.take());
         if let Some(operator) = &self.operator_server {
             drop(operator.shut_down());
