--- a/crates/transport/entry/src/authorization.rs
+++ b/crates/transport/entry/src/authorization.rs
@@ -1,4 +1,4 @@
-//! Who calls, in which class, under which conditions.
+//! Authenticates callers, and parses the headers that select class, deadline and idempotency key.
 
 use crate::Clock;
 use crate::error_response::BadRequest;
@@ -10,22 +10,22 @@
 use trillium::{Conn, Headers, KnownHeaderName};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Header that names the request's class.
+/// Request header with the name of the request's class.
 pub(crate) const CLASS_HEADER: &str = "eiderferry-class";
-/// Header with the time until the first token is due, in milliseconds.
+/// Request header with the time until the first token is due, in milliseconds.
 pub(crate) const DEADLINE_HEADER: &str = "eiderferry-deadline-ms";
-/// Header that says that a request may not be repeated: `true` or `false`.
+/// Request header that states whether the request must not be repeated: `true` or `false`.
 pub(crate) const NOT_REPEATABLE_HEADER: &str = "eiderferry-not-repeatable";
-/// Header with a ticket from `POST /v1/tickets`.
+/// Request header with a ticket from `POST /v1/tickets`.
 pub(crate) const TICKET_HEADER: &str = "eiderferry-ticket";
-/// Header with a key chosen by the caller.
+/// Request header with an idempotency key chosen by the caller.
 pub(crate) const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Longest key accepted.
+/// Longest idempotency key accepted, in bytes.
 const MAXIMUM_KEY_BYTES: usize = 256;
-/// Longest deadline accepted.
+/// Longest deadline accepted, in milliseconds.
 const MAXIMUM_DEADLINE_MS: u64 = 600_000;
 
-/// What the headers say of a request.
+/// Tenant, class, deadline and idempotency key of a request, as given by its headers.
 pub(crate) struct RequestParameters<'a> {
     pub tenant: &'a Tenant,
     pub class: &'a Class,
@@ -35,7 +35,7 @@
 }
 
 impl<'a> RequestParameters<'a> {
-    /// Reads the headers of a request.
+    /// Authenticates the caller and parses the headers of a request.
     pub fn from_headers(
         headers: &Headers,
         configuration: &'a Configuration,
@@ -56,8 +56,8 @@
         })
     }
 
-    /// How the request may be repeated. A call that the pool lists as not
-    /// repeatable stays so whatever the caller says.
+    /// Returns the restriction on repeating the request, or `None` if it may be repeated freely. A
+    /// call that the pool lists as not repeatable stays so even if the header says `false`.
     pub fn not_repeatable(&self, pool_forbids_repeats: bool) -> Option<NotRepeatable> {
         let is_forbidden = pool_forbids_repeats || self.marked_not_repeatable == Some(true);
         match &self.key {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What a request asks: method, path, tenant and body, alike each time that it is sent.
+    /// Digest of method, path with query, tenant and body; equal whenever the same request is sent.
     pub fn digest(&self, conn: &Conn, body: &[u8]) -> RequestDigest {
         let method = conn.method();
         RequestDigest::of([
@@ -77,7 +77,7 @@
         ])
     }
 
-    /// Refuses a pool that the tenant may not use.
+    /// Fails if the tenant may not use the pool.
     pub fn check_pool(&self, pool: &Pool) -> Result<(), BadRequest> {
         if self.tenant.pools.contains(&pool.name) {
             return Ok(());
@@ -87,7 +87,7 @@
     }
 }
 
-/// Finds the tenant by its bearer key.
+/// Returns the tenant that holds the bearer key.
 pub(crate) fn authenticate<'a>(
     headers: &Headers,
     configuration: &'a Configuration,
@@ -136,6 +136,8 @@
     }
 }
 
+/// Returns the key from the ticket header or, without one, from the idempotency header. A caller's
+/// key is hashed together with its tenant, so that tenants can't collide.
 fn idempotency_key(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
     if let Some(text) = headers.get_str(TICKET_HEADER) {
         return parse_ticket(text)
@@ -158,7 +160,7 @@
     Ok(Some(KeyName::Caller((hash >> 64) as u64, hash as u64)))
 }
 
-/// A ticket as callers see it.
+/// Formats a ticket as `NODE-INCARNATION-NUMBER`, with the incarnation in hexadecimal.
 pub(crate) fn format_ticket(ticket: &KeyName) -> String {
     match ticket {
         KeyName::Ticket {
--- a/crates/transport/entry/src/chat.rs
+++ b/crates/transport/entry/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Serves chat completions.
 
 use crate::authorization::RequestParameters;
 use crate::callers::{EntryState, read_body};
@@ -17,10 +17,10 @@
 use trillium_http::Body;
 use trillium_smol::SmolRuntime;
 
-/// Bytes of an answer that may wait for a slow caller; then the engine's stream
-/// is no longer read.
+/// Capacity of the buffer between an engine's stream and its caller, in bytes. While it is full, as
+/// with a slow caller, the engine's stream is not read.
 const RELAY_BUFFER_BYTES: usize = 16 * 1024;
-/// Finish reason given when the engine named none.
+/// Finish reason reported if the engine sent none.
 const DEFAULT_FINISH_REASON: &str = "stop";
 
 /// Serves `POST /v1/chat/completions`.
@@ -101,6 +101,7 @@
     }
 }
 
+/// Collects the whole response and returns it as one document.
 async fn complete_response(mut conn: Conn, mut session: Session, model: String) -> Conn {
     let collect = async {
         let mut finish_reason = None;
@@ -136,6 +137,8 @@
     }
 }
 
+/// Waits for the first event, so that an early failure still gets an error status, then streams the
+/// response.
 async fn stream_response(mut conn: Conn, mut session: Session, model: String) -> Conn {
     let first_event = conn.cancel_on_disconnect(session.next()).await;
     let first_chunk = match first_event {
@@ -147,7 +150,7 @@
     let request_id = request_id_text(&session);
     let (reader, writer) = piper::pipe(RELAY_BUFFER_BYTES);
     let relay = relay_stream(session, first_chunk, writer, request_id.clone(), model);
-    // The task ends with the answer, or when the caller's side of the pipe closes.
+    // The task ends with the response, or when the caller's side of the pipe is closed.
     drop(SmolRuntime::default().spawn(relay));
     conn.with_status(Status::Ok)
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
@@ -157,8 +160,8 @@
         .halt()
 }
 
-/// Passes an answer on; ends early if the caller goes away, which drops the
-/// session and so cancels the work.
+/// Relays a response as server-sent events. Returns early if the caller disconnects, which drops
+/// the session and thereby cancels the work.
 async fn relay_stream(
     mut session: Session,
     first_chunk: Option<Chunk>,
@@ -197,6 +200,7 @@
     }
 }
 
+/// Formats an error as the last server-sent event of a stream.
 fn error_event(error: &SessionError, request_id: &str) -> String {
     let document = match error {
         SessionError::Refused(refusal) => {
--- a/crates/transport/entry/src/error_response.rs
+++ b/crates/transport/entry/src/error_response.rs
@@ -1,4 +1,4 @@
-//! Replies that are not the answer.
+//! Error responses to callers.
 
 use eiderferry_openai::error_document;
 use eiderferry_types::{MICROSECONDS_PER_SECOND, Reason, Refusal, RequestId, Verdict};
@@ -7,10 +7,10 @@
 use trillium_http::{KnownHeaderName, Status};
 
 quick_error! {
-    /// A request that can't be accepted as it is. Nothing has run.
+    /// Error that makes a request invalid. The request has not run.
     #[derive(Debug, PartialEq)]
     pub enum BadRequest {
-        /// No bearer key, or one that no tenant holds.
+        /// The bearer key is missing or belongs to no tenant.
         Unauthorized {
             display("no tenant holds this key: send `authorization: Bearer KEY`")
         }
@@ -26,7 +26,7 @@
         UnknownModel(model: String, known: String) {
             display("unknown model {model:?}; known: {known}")
         }
-        /// No service has this path.
+        /// No endpoint or service has this path.
         UnknownPath(path: String) {
             display("nothing is served at {path:?}")
         }
@@ -34,16 +34,16 @@
         BodyTooLarge(limit: usize) {
             display("the body is longer than {limit} bytes")
         }
-        /// A header's value is not understood.
+        /// A header has an invalid value.
         InvalidHeader(name: &'static str, expected: &'static str) {
             display("header `{name}`: expected {expected}")
         }
-        /// The body is not understood.
+        /// The body is not a valid chat completion request.
         InvalidBody(cause: eiderferry_openai::RequestError) {
             from()
             display("{cause}")
         }
-        /// The connection ended before the body did.
+        /// Reading the body failed, as when the connection closes early.
         IncompleteBody {
             display("the request body ended early")
         }
@@ -78,14 +78,14 @@
     }
 }
 
-/// Name of the header that carries the verdict.
+/// Response header with the verdict: whether the request may have run.
 const VERDICT_HEADER: &str = "eiderferry-verdict";
-/// Name of the header that carries the reason.
+/// Response header with the reason of a refusal or failure, or the code of an invalid request.
 const REASON_HEADER: &str = "eiderferry-reason";
-/// Name of the header that carries the request's name.
+/// Response header with the request id.
 pub(crate) const REQUEST_ID_HEADER: &str = "eiderferry-request-id";
 
-/// Answers a request that can't be accepted.
+/// Responds to an invalid request.
 pub(crate) fn bad_request(conn: Conn, error: &BadRequest) -> Conn {
     let body = serde_json::json!({
         "error": {
@@ -103,7 +103,7 @@
         .halt()
 }
 
-/// Answers a request that was refused or failed.
+/// Responds to a request that was refused or has failed.
 pub(crate) fn refusal_response(conn: Conn, refusal: &Refusal, request: Option<RequestId>) -> Conn {
     let request_id = request.map(|id| id.to_string());
     let message = refusal_message(refusal);
@@ -123,7 +123,7 @@
     conn.with_body(body.to_string()).halt()
 }
 
-/// One sentence for people.
+/// Returns the human-readable message of a refusal.
 pub(crate) fn refusal_message(refusal: &Refusal) -> String {
     let execution = match refusal.verdict {
         Verdict::NotRun => "It did not run.",
@@ -138,7 +138,7 @@
         Reason::TenantConcurrency | Reason::TenantTokenRate => Status::TooManyRequests,
         Reason::KeyInProgress | Reason::KeyFinished | Reason::KeyOwnerGone => Status::Conflict,
         Reason::BackEndFailed | Reason::RetryBudget => Status::BadGateway,
-        // Neither asks the caller to come again, nor says that a rule of the interface is broken.
+        // Not 503, which invites a retry, and not a 4xx status, since the request is valid.
         Reason::CrashesBackEnds => Status::InternalServerError,
         _ => Status::ServiceUnavailable,
     }
--- a/crates/transport/entry/src/fetch.rs
+++ b/crates/transport/entry/src/fetch.rs
@@ -50,8 +50,8 @@
         smol::spawn(fetch).detach();
     }
 
-    /// Fetches a back end's load report and its cache changes after `cache_cursor`. A failed call is
-    /// not reported to the control thread.
+    /// Fetches a back end's load report and its cache changes after `cache_cursor`. A failed call
+    /// is not reported to the control thread.
     pub fn poll_back_end(&self, back_end: BackEndId, address: SocketAddr, cache_cursor: u64) {
         let commands = self.commands.clone();
         let upstream = self.upstream.clone();
--- a/crates/transport/entry/src/peers.rs
+++ b/crates/transport/entry/src/peers.rs
@@ -82,7 +82,7 @@
             return;
         }
         self.sent_datagrams += 1;
-        // Errors are ignored: a full buffer or an unreachable peer has the same effect as packet loss.
+        // Errors are ignored: a full buffer or an unreachable peer has the effect of packet loss.
         let _ = self.socket.send_to(&frame, address);
     }
 }
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to services that are not language-model engines.
 
 use crate::authorization::RequestParameters;
 use crate::callers::{EntryState, read_body};
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use trillium::{Conn, KnownHeaderName, Method};
 
-/// Longest wait for a service's answer.
+/// Timeout for the status and headers of a service's response.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest answer relayed from a service.
+/// Longest response body relayed from a service.
 const MAXIMUM_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A service's whole answer.
+/// Complete response of a service.
 struct ServiceResponse {
     request_id: RequestId,
     status: u16,
@@ -25,7 +25,7 @@
     body: Vec<u8>,
 }
 
-/// A call as it goes to the service.
+/// Call to be sent to a service.
 struct ServiceCall {
     method: Method,
     path: String,
@@ -33,7 +33,7 @@
     body: Vec<u8>,
 }
 
-/// Serves any path that the configuration gives to a service.
+/// Serves the paths that the configuration assigns to services.
 pub(crate) async fn service_call(
     mut conn: Conn,
     state: &EntryState,
@@ -57,8 +57,8 @@
         headers: forwarded_headers(&conn),
         body,
     };
-    // A caller that goes away does not stop a call that may already run: its
-    // outcome decides what a repetition of its key may be told.
+    // A call that may already run is not cancelled when its caller disconnects: its outcome
+    // determines the response to a later request with the same key.
     match execute(state, submission, &call).await {
         Ok(response) => service_response(conn, response),
         Err((request_id, refusal)) => refusal_response(conn, &refusal, request_id),
@@ -88,6 +88,7 @@
     })
 }
 
+/// Returns the caller's headers that are forwarded to the service.
 fn forwarded_headers(conn: &Conn) -> Vec<(String, String)> {
     const FORWARDED: [&str; 4] = [
         "content-type",
@@ -105,6 +106,8 @@
     FORWARDED.iter().filter_map(|name| value(name)).collect()
 }
 
+/// Submits a request, and makes attempts until one succeeds or the control thread rejects the
+/// request.
 async fn execute(
     state: &EntryState,
     submission: Submission,
@@ -136,7 +139,8 @@
     Err((request_id, refusal))
 }
 
-/// One attempt; `None` if it failed and the control thread decides what follows.
+/// Makes one attempt and reports its outcome to the control thread. Returns `None` if it failed;
+/// the control thread then decides whether another attempt follows.
 async fn attempt(
     state: &EntryState,
     dispatch: &Dispatch,
@@ -145,7 +149,7 @@
     let started = state.clock.now();
     let result = if started > dispatch.dispatch_by {
         Err(UpstreamError::NotConnected(
-            "the order to send came too late".into(),
+            "the dispatch was received after its deadline".into(),
         ))
     } else {
         send_call(state, dispatch, call).await
@@ -164,7 +168,7 @@
         Err(error) => {
             log::warn!(
                 request:% = dispatch.request, back_end:% = dispatch.back_end;
-                "a service call failed: {error}"
+                "service call failed: {error}"
             );
             let observation = Observation {
                 outcome: Outcome::Failed,
@@ -214,7 +218,7 @@
         .is_some_and(|id| *id != expected_id)
     {
         return Err(UpstreamError::MalformedResponse(
-            "the answer to another request".into(),
+            "the response belongs to another request".into(),
         ));
     }
     let body = response
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! One request's dialogue with the control thread and its engines.
+//! Runs a chat completion: follows the control thread's decisions and reads the engines' streams.
 
 use crate::Clock;
 use crate::control::{Command, ControlHandle, RequestEvent};
@@ -14,32 +14,32 @@
 use trillium_client::ResponseBody;
 use trillium_http::Method;
 
-/// Longest wait for an engine's first token before it counts as broken.
+/// Longest wait for the response's headers and then for the first token, before the attempt fails.
 const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest wait for an engine's next token before it counts as broken.
+/// Longest wait for further bytes after the first token, before the attempt fails.
 const NEXT_TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read from an engine at once.
+/// Most bytes read from an engine at once; also the most of a rejection's body that is read.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Tokens after which a stream's speed is judged for the first time.
+/// Number of tokens after which a stream's time per token is compared with the class's target.
 const SPEED_CHECK_TOKENS: u32 = 16;
 
-/// What a session yields.
+/// Event returned by [`Session::next`].
 pub(crate) enum SessionEvent {
-    /// One more chunk of the answer.
+    /// The next chunk of the response.
     Chunk(Chunk),
-    /// The answer is complete.
+    /// The response is complete.
     Finished,
 }
 
-/// Why a session ended without the whole answer.
+/// Reason for a session to end before the response was complete.
 pub(crate) enum SessionError {
-    /// Refused or failed; the verdict says what may have run.
+    /// The request was refused or failed; the verdict says whether it may have run.
     Refused(Refusal),
-    /// The engine does not accept the request; its own words.
+    /// The engine rejected the request as invalid, with this status and body.
     EngineRejected { status: u16, body: String },
 }
 
-/// An answer being streamed by an engine.
+/// Response being streamed by an engine.
 struct EngineStream {
     dispatch: Dispatch,
     body: ResponseBody<'static>,
@@ -52,16 +52,16 @@
     has_finish_reason: bool,
 }
 
-/// What a session needs to send its request to engines.
+/// Parameters of a chat completion that are needed to send it to engines.
 pub(crate) struct ChatCall {
     pub body: Map<String, Value>,
     pub priority: u8,
     pub per_token_target: Span,
 }
 
-/// One request from its submission to its end. Dropping it early tells the
-/// control thread that the caller went away, and closes the engine's stream,
-/// which cancels the work there.
+/// One request from its submission to its end. Dropping it before the end reports to the control
+/// thread that the caller disconnected, and closes the engine's stream, which cancels the work
+/// there.
 pub(crate) struct Session {
     control: ControlHandle,
     clock: Clock,
@@ -72,15 +72,17 @@
     stream: Option<EngineStream>,
     text: String,
     progress: ResponseProgress,
+    /// Whether the end of the request is known to the control thread, or that thread has stopped.
     is_closed: bool,
+    /// Whether a slow stream has been reported; done at most once per request.
     reported_slow: bool,
 }
 
-/// Events that may wait between the control thread and a session.
+/// Capacity of the event channel from the control thread to a session.
 const EVENT_QUEUE_CAPACITY: usize = 8;
 
 impl Session {
-    /// Submits a request.
+    /// Submits a request to the control thread.
     pub fn submit(
         control: &ControlHandle,
         clock: Clock,
@@ -89,7 +91,7 @@
         call: ChatCall,
     ) -> Self {
         let (sender, control_events) = async_channel::bounded(EVENT_QUEUE_CAPACITY);
-        // A stopped control thread shows as a closed event channel.
+        // If the control thread has stopped, the event channel is closed, which `next` reports.
         let _ = control.send(Command::Submit {
             submission,
             events: sender,
@@ -109,22 +111,23 @@
         }
     }
 
-    /// The request's name, once it has been taken in.
+    /// The request's id, once the control thread has assigned it.
     pub fn request_id(&self) -> Option<RequestId> {
         self.request_id
     }
 
-    /// Answer tokens yielded so far.
+    /// Number of response tokens returned so far.
     pub fn tokens(&self) -> u32 {
         self.progress.tokens()
     }
 
-    /// The text yielded so far.
+    /// Response text returned so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Waits for the next piece of the answer, through moves to other engines.
+    /// Waits for the next event of the response; fails over to other engines as the control thread
+    /// decides.
     pub async fn next(&mut self) -> Result<SessionEvent, SessionError> {
         loop {
             if self.stream.is_none() {
@@ -175,7 +178,7 @@
     async fn dispatch(&mut self, dispatch: Dispatch) -> Result<(), SessionError> {
         let started = self.clock.now();
         if started > dispatch.dispatch_by {
-            log::warn!(request:% = dispatch.request; "an order to dispatch came too late");
+            log::warn!(request:% = dispatch.request; "a dispatch was received after its deadline");
             self.report_failure(&dispatch, Verdict::NotRun, failed_observation());
             return Ok(());
         }
@@ -215,7 +218,7 @@
             Err(error) => {
                 log::warn!(
                     request:% = dispatch.request, back_end:% = dispatch.back_end;
-                    "an engine could not be called: {error}"
+                    "call to an engine failed: {error}"
                 );
                 let has_crashed = self.upstream.has_crashed(dispatch.address, &error).await;
                 let end = AttemptEnd::Failed {
@@ -281,7 +284,7 @@
         }
     }
 
-    /// The next chunk; `None` at the mark that the answer is complete.
+    /// Returns the next chunk; `None` at the event that ends a complete response.
     async fn read_event(&mut self) -> Result<Option<Chunk>, UpstreamError> {
         let progress = &mut self.progress;
         let Some(stream) = &mut self.stream else {
@@ -292,7 +295,7 @@
                 Some(Event::Done) if stream.has_finish_reason => return Ok(None),
                 Some(Event::Done) => {
                     return Err(UpstreamError::ConnectionBroken(
-                        "done before the answer finished".into(),
+                        "the end event came before a finish reason".into(),
                     ));
                 }
                 Some(Event::Data(data)) => {
@@ -340,7 +343,7 @@
         };
         log::warn!(
             request:% = stream.dispatch.request, back_end:% = stream.dispatch.back_end;
-            "an answer broke off after {} tokens: {error}", stream.tokens
+            "response stream failed after {} tokens: {error}", stream.tokens
         );
         let observation = stream.observation(Outcome::Failed);
         let has_crashed = self
@@ -355,7 +358,7 @@
         self.report_attempt_end(&stream.dispatch, end);
     }
 
-    /// Tells of a failure of a back end that goes on serving.
+    /// Reports a failed attempt at a back end that has not crashed.
     fn report_failure(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
         self.report_attempt_end(
             dispatch,
@@ -423,8 +426,8 @@
         Ok(())
     }
 
-    /// Reads a chunk; `None` if it carries no text. A token that is not the next
-    /// one means that the stream can't be trusted.
+    /// Parses a chunk; `None` if it contains no text or belongs to an abandoned attempt. A token
+    /// out of order is an error, since the rest of the stream is unreliable.
     fn parse_chunk(
         &mut self,
         data: &str,
@@ -443,7 +446,7 @@
             TokenVerdict::Stale => return Ok(None),
             TokenVerdict::OutOfOrder { expected } => {
                 let received = chunk.token_index.unwrap_or_default();
-                let message = format!("token {received} came where {expected} was due");
+                let message = format!("received token {received}, expected token {expected}");
                 return Err(UpstreamError::MalformedResponse(message));
             }
         }
@@ -456,6 +459,7 @@
         self.tokens += 1;
     }
 
+    /// Mean time between tokens; `None` before the second token.
     fn per_token(&self) -> Option<Span> {
         let first = self.first_token?;
         let intervals = u64::from(self.tokens.checked_sub(1).filter(|count| *count > 0)?);
--- a/crates/transport/entry/src/upstream.rs
+++ b/crates/transport/entry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends and the platform.
+//! HTTP calls to back ends and the platform.
 
 use eiderferry_types::Verdict;
 use futures_lite::future;
@@ -12,34 +12,34 @@
 use trillium_server_common::{Connector, Destination, url::Url};
 use trillium_smol::{ClientConfig, SmolRuntime, SmolTransport};
 
-/// Time after which a connection attempt counts as failed.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Text that marks an error as having happened before any byte was sent.
+/// Text that marks an I/O error as having occurred before any byte was sent.
 const NOT_CONNECTED_MARKER: &str = "no connection was made";
 
 quick_error! {
-    /// A call to a back end or the platform that gave no usable answer.
+    /// Error of a call to a back end or the platform.
     #[derive(Debug)]
     pub enum UpstreamError {
-        /// No connection was made: no byte has left.
+        /// No connection was established, so no byte was sent.
         NotConnected(cause: String) {
             display("can't connect: {cause}")
         }
-        /// The connection broke after bytes may have left.
+        /// The connection broke, or the stream ended early, after bytes may have been sent.
         ConnectionBroken(cause: String) {
             display("the connection broke: {cause}")
         }
-        /// No answer in time.
+        /// No response within the timeout.
         Timeout {
-            display("no answer in time")
+            display("no response within the timeout")
         }
-        /// An answer with this status.
+        /// The response has an error status.
         Status(status: u16) {
-            display("answered with status {status}")
+            display("response with status {status}")
         }
-        /// An answer longer than allowed, or not readable.
+        /// The response is too long, malformed, or belongs to another request.
         MalformedResponse(cause: String) {
-            display("unreadable answer: {cause}")
+            display("malformed response: {cause}")
         }
     }
 }
@@ -49,15 +49,15 @@
     pub fn verdict(&self) -> Verdict {
         match self {
             UpstreamError::NotConnected(_) => Verdict::NotRun,
-            // Engines and services answer these before they start anything.
+            // Engines and services return these before they start to process a request.
             UpstreamError::Status(429 | 503) => Verdict::NotRun,
             _ => Verdict::MayHaveRun,
         }
     }
 }
 
-/// Connects over TCP; failures to connect are marked, so that they can be told
-/// from failures after bytes have left.
+/// Connects over TCP, and marks errors of connecting, so that they can be distinguished from
+/// errors after bytes were sent.
 #[derive(Clone, Copy, Debug)]
 struct MarkingConnector(ClientConfig);
 
@@ -108,7 +108,7 @@
     UpstreamError::ConnectionBroken(text)
 }
 
-/// The head of an answer, and its body to be read.
+/// Status and headers of a response, and its unread body.
 pub(crate) struct UpstreamResponse {
     pub status: u16,
     pub content_type: Option<String>,
@@ -116,9 +116,8 @@
     pub body: ResponseBody<'static>,
 }
 
-/// Makes calls, each over a connection of its own: a connection that was kept
-/// open may be found broken only after bytes have left, and closing one is how
-/// work is cancelled.
+/// HTTP client that opens a new connection for each call. A reused connection may turn out to be
+/// broken only after bytes were sent, and closing a call's connection cancels its work.
 #[derive(Clone)]
 pub(crate) struct Upstream {
     client: Client,
@@ -133,7 +132,7 @@
     }
 
     /// Whether a call failed because its back end crashed: the connection broke, and the back end
-    /// takes no new one.
+    /// accepts no new one.
     pub async fn has_crashed(&self, address: SocketAddr, error: &UpstreamError) -> bool {
         if !matches!(error, UpstreamError::ConnectionBroken(_)) {
             return false;
@@ -145,7 +144,7 @@
         with_timeout(CONNECT_TIMEOUT, connect).await.is_err()
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the status and headers of the response.
     pub async fn call(
         &self,
         method: Method,
@@ -183,7 +182,7 @@
         })
     }
 
-    /// Reads a text; `None` if it has not been modified.
+    /// Fetches a text; `None` if the response says that it has not been modified.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -212,7 +211,7 @@
     }
 }
 
-/// Runs `work`, giving up after `timeout`.
+/// Runs `operation`; fails with [`UpstreamError::Timeout`] after `timeout`.
 pub(crate) async fn with_timeout<T>(
     timeout: Duration,
     operation: impl Future<Output = Result<T, UpstreamError>>,
