--- a/crates/transport/entry/src/authorization.rs
+++ b/crates/transport/entry/src/authorization.rs
@@ -21,9 +21,9 @@
 /// Request header with an idempotency key chosen by the caller.
 pub(crate) const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 /// Longest idempotency key accepted, in bytes.
-const MAXIMUM_KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// Longest deadline accepted, in milliseconds.
-const MAXIMUM_DEADLINE_MS: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// Tenant, class, deadline and idempotency key of a request, as given by its headers.
 pub(crate) struct RequestParameters<'a> {
@@ -115,7 +115,7 @@
     let deadline_ms = text
         .parse()
         .ok()
-        .filter(|value| (1..=MAXIMUM_DEADLINE_MS).contains(value));
+        .filter(|value| (1..=MAX_DEADLINE_MS).contains(value));
     deadline_ms
         .map(Span::from_milliseconds)
         .ok_or(BadRequest::InvalidHeader(
@@ -150,7 +150,7 @@
     let Some(text) = headers.get_str(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
-    if text.is_empty() || text.len() > MAXIMUM_KEY_BYTES {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
         return Err(BadRequest::InvalidHeader(
             IDEMPOTENCY_HEADER,
             "1 to 256 bytes",
--- a/crates/transport/entry/src/bulk.rs
+++ b/crates/transport/entry/src/bulk.rs
@@ -10,7 +10,7 @@
 use tarpc::{client, context, server};
 
 /// Largest frame sent or accepted; large enough for a whole configuration in its envelope.
-const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 /// Capacity of the send queue, in transfers. Further transfers are dropped, and peers request them
 /// again.
 const MAX_QUEUED_TRANSFERS: usize = 64;
@@ -47,9 +47,7 @@
 
 async fn send_frame(address: SocketAddr, frame: Vec<u8>) -> std::io::Result<()> {
     let mut connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
-    connecting
-        .config_mut()
-        .max_frame_length(MAXIMUM_FRAME_BYTES);
+    connecting.config_mut().max_frame_length(MAX_FRAME_BYTES);
     let transport = connecting.await?;
     let client = BulkTransferClient::new(client::Config::default(), transport).spawn();
     client
@@ -93,7 +91,7 @@
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let mut incoming = tarpc::serde_transport::tcp::listen_on(listener, Bincode::default).await?;
-    incoming.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
+    incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
     while let Some(connection) = incoming.next().await {
         let Ok(transport) = connection else {
             continue;
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -15,7 +15,7 @@
 /// Timeout for the status and headers of a service's response.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest response body relayed from a service.
-const MAXIMUM_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Complete response of a service.
 struct ServiceResponse {
@@ -223,7 +223,7 @@
     }
     let body = response
         .body
-        .with_max_len(MAXIMUM_RESPONSE_BYTES)
+        .with_max_len(MAX_RESPONSE_BYTES)
         .read_bytes()
         .await
         .map_err(|error| UpstreamError::ConnectionBroken(error.to_string()))?;
