--- a/crates/transport/entry/src/authorization.rs
+++ b/crates/transport/entry/src/authorization.rs
@@ -137,7 +137,7 @@
 }
 
 /// Returns the key from the ticket header or, without one, from the idempotency header. A caller's
-/// key is hashed together with its tenant, so that tenants can't collide.
+/// key is hashed together with its tenant, so that equal keys of two tenants differ.
 fn idempotency_key(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
     if let Some(text) = headers.get_str(TICKET_HEADER) {
         return parse_ticket(text)
--- a/crates/transport/entry/src/bulk.rs
+++ b/crates/transport/entry/src/bulk.rs
@@ -9,7 +9,8 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Largest frame sent or accepted; large enough for a whole configuration in its envelope.
+/// Largest frame sent or accepted, in bytes; large enough for a whole configuration in its
+/// envelope.
 const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 /// Capacity of the send queue, in transfers. Further transfers are dropped, and peers request them
 /// again.
--- a/crates/transport/entry/src/service.rs
+++ b/crates/transport/entry/src/service.rs
@@ -14,7 +14,7 @@
 
 /// Timeout for the status and headers of a service's response.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest response body relayed from a service.
+/// Longest response body relayed from a service, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Complete response of a service.
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -14,9 +14,10 @@
 use trillium_client::ResponseBody;
 use trillium_http::Method;
 
-/// Longest wait for the response's headers and then for the first token, before the attempt fails.
+/// Longest wait for the response's headers, and then for each read before the first token. The
+/// attempt fails after it.
 const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest wait for further bytes after the first token, before the attempt fails.
+/// Longest wait for each read after the first token. The attempt fails after it.
 const NEXT_TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Most bytes read from an engine at once; also the most of a rejection's body that is read.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
