--- a/crates/transport/entry/src/authorization.rs
+++ b/crates/transport/entry/src/authorization.rs
@@ -1,7 +1,7 @@
-//! Who calls, in which class, under which conditions.
+//! Authenticates callers, and parses the headers that select class, deadline and idempotency key.
 
 use crate::Clock;
-use crate::reply::BadRequest;
+use crate::error_response::BadRequest;
 use eiderferry_config::{Class, Configuration, Pool, Tenant};
 use eiderferry_node::NotRepeatable;
 use eiderferry_once::KeyName;
@@ -10,23 +10,23 @@
 use trillium::{Conn, Headers, KnownHeaderName};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Header that names the request's class.
+/// Request header with the name of the request's class.
 pub(crate) const CLASS_HEADER: &str = "eiderferry-class";
-/// Header with the time until the first token is due, in milliseconds.
+/// Request header with the time until the first token is due, in milliseconds.
 pub(crate) const DEADLINE_HEADER: &str = "eiderferry-deadline-ms";
-/// Header that says that a request may not be repeated: `true` or `false`.
+/// Request header that states whether the request must not be repeated: `true` or `false`.
 pub(crate) const NOT_REPEATABLE_HEADER: &str = "eiderferry-not-repeatable";
-/// Header with a ticket from `POST /v1/tickets`.
+/// Request header with a ticket from `POST /v1/tickets`.
 pub(crate) const TICKET_HEADER: &str = "eiderferry-ticket";
-/// Header with a key chosen by the caller.
+/// Request header with an idempotency key chosen by the caller.
 pub(crate) const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-/// Longest key accepted.
-const MAXIMUM_KEY_BYTES: usize = 256;
-/// Longest deadline accepted.
-const MAXIMUM_DEADLINE_MS: u64 = 600_000;
+/// Longest idempotency key accepted, in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// Longest deadline accepted, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// What the headers say of a request.
-pub(crate) struct Terms<'a> {
+/// Tenant, class, deadline and idempotency key of a request, as given by its headers.
+pub(crate) struct RequestParameters<'a> {
     pub tenant: &'a Tenant,
     pub class: &'a Class,
     pub first_token_due: Timestamp,
@@ -34,39 +34,39 @@
     pub marked_not_repeatable: Option<bool>,
 }
 
-impl<'a> Terms<'a> {
-    /// Reads the headers of a request.
-    pub fn read(
+impl<'a> RequestParameters<'a> {
+    /// Authenticates the caller and parses the headers of a request.
+    pub fn from_headers(
         headers: &Headers,
         configuration: &'a Configuration,
         clock: Clock,
     ) -> Result<Self, BadRequest> {
         let tenant = authenticate(headers, configuration)?;
         let class = class_for(headers, configuration, tenant)?;
-        let wait = match headers.get_str(DEADLINE_HEADER) {
+        let deadline = match headers.get_str(DEADLINE_HEADER) {
             None => class.first_token_target(),
             Some(text) => parse_deadline(text)?,
         };
         Ok(Self {
             tenant,
             class,
-            first_token_due: clock.now() + wait,
-            key: key_from(headers, tenant.id)?,
-            marked_not_repeatable: parse_mark(headers.get_str(NOT_REPEATABLE_HEADER))?,
+            first_token_due: clock.now() + deadline,
+            key: idempotency_key(headers, tenant.id)?,
+            marked_not_repeatable: parse_not_repeatable(headers.get_str(NOT_REPEATABLE_HEADER))?,
         })
     }
 
-    /// How the request may be repeated. A call that the pool lists as not
-    /// repeatable stays so whatever the caller says.
-    pub fn not_repeatable(&self, pool_forbids: bool) -> Option<NotRepeatable> {
-        let forbidden = pool_forbids || self.marked_not_repeatable == Some(true);
+    /// Returns the restriction on repeating the request, or `None` if it may be repeated freely. A
+    /// call that the pool lists as not repeatable stays so even if the header says `false`.
+    pub fn not_repeatable(&self, pool_forbids_repeats: bool) -> Option<NotRepeatable> {
+        let is_forbidden = pool_forbids_repeats || self.marked_not_repeatable == Some(true);
         match &self.key {
             Some(key) => Some(NotRepeatable::WithKey(key.clone())),
-            None => forbidden.then_some(NotRepeatable::WithoutKey),
+            None => is_forbidden.then_some(NotRepeatable::WithoutKey),
         }
     }
 
-    /// What a request asks: method, path, tenant and body, alike each time that it is sent.
+    /// Digest of method, path with query, tenant and body; equal whenever the same request is sent.
     pub fn digest(&self, conn: &Conn, body: &[u8]) -> RequestDigest {
         let method = conn.method();
         RequestDigest::of([
@@ -77,7 +77,7 @@
         ])
     }
 
-    /// Refuses a pool that the tenant may not use.
+    /// Fails if the tenant may not use the pool.
     pub fn check_pool(&self, pool: &Pool) -> Result<(), BadRequest> {
         if self.tenant.pools.contains(&pool.name) {
             return Ok(());
@@ -87,7 +87,7 @@
     }
 }
 
-/// Finds the tenant by its bearer key.
+/// Returns the tenant that holds the bearer key.
 pub(crate) fn authenticate<'a>(
     headers: &Headers,
     configuration: &'a Configuration,
@@ -104,53 +104,63 @@
     configuration: &'a Configuration,
     tenant: &Tenant,
 ) -> Result<&'a Class, BadRequest> {
-    let default = tenant.classes.first().map_or("", String::as_str);
-    let name = headers.get_str(CLASS_HEADER).unwrap_or(default);
-    let allowed = tenant.classes.iter().any(|class| class == name);
-    let class = configuration.class_named(name).filter(|_| allowed);
+    let default_class = tenant.classes.first().map_or("", String::as_str);
+    let name = headers.get_str(CLASS_HEADER).unwrap_or(default_class);
+    let is_allowed = tenant.classes.iter().any(|class| class == name);
+    let class = configuration.class_named(name).filter(|_| is_allowed);
     class.ok_or_else(|| BadRequest::ClassNotAllowed(name.to_owned(), tenant.classes.join(", ")))
 }
 
 fn parse_deadline(text: &str) -> Result<Span, BadRequest> {
-    let parsed = text
+    let deadline_ms = text
         .parse()
         .ok()
-        .filter(|value| (1..=MAXIMUM_DEADLINE_MS).contains(value));
-    parsed
+        .filter(|value| (1..=MAX_DEADLINE_MS).contains(value));
+    deadline_ms
         .map(Span::from_milliseconds)
-        .ok_or(BadRequest::Header(
+        .ok_or(BadRequest::InvalidHeader(
             DEADLINE_HEADER,
             "1 to 600000 milliseconds",
         ))
 }
 
-fn parse_mark(text: Option<&str>) -> Result<Option<bool>, BadRequest> {
+fn parse_not_repeatable(text: Option<&str>) -> Result<Option<bool>, BadRequest> {
     match text {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(BadRequest::Header(NOT_REPEATABLE_HEADER, "true or false")),
+        Some(_) => Err(BadRequest::InvalidHeader(
+            NOT_REPEATABLE_HEADER,
+            "true or false",
+        )),
     }
 }
 
-fn key_from(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
+/// Returns the key from the ticket header or, without one, from the idempotency header. A caller's
+/// key is hashed together with its tenant, so that equal keys of two tenants differ.
+fn idempotency_key(headers: &Headers, tenant: TenantId) -> Result<Option<KeyName>, BadRequest> {
     if let Some(text) = headers.get_str(TICKET_HEADER) {
-        return parse_ticket(text).map(Some).ok_or(BadRequest::Header(
-            TICKET_HEADER,
-            "a ticket from POST /v1/tickets",
-        ));
+        return parse_ticket(text)
+            .map(Some)
+            .ok_or(BadRequest::InvalidHeader(
+                TICKET_HEADER,
+                "a ticket from POST /v1/tickets",
+            ));
     }
     let Some(text) = headers.get_str(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
-    if text.is_empty() || text.len() > MAXIMUM_KEY_BYTES {
-        return Err(BadRequest::Header(IDEMPOTENCY_HEADER, "1 to 256 bytes"));
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        return Err(BadRequest::InvalidHeader(
+            IDEMPOTENCY_HEADER,
+            "1 to 256 bytes",
+        ));
     }
     let hash = xxh3_128(format!("{tenant}\n{text}").as_bytes());
     Ok(Some(KeyName::Caller((hash >> 64) as u64, hash as u64)))
 }
 
-/// A ticket as callers see it.
+/// Formats a ticket as `NODE-INCARNATION-NUMBER`, with the incarnation in hexadecimal.
 pub(crate) fn format_ticket(ticket: &KeyName) -> String {
     match ticket {
         KeyName::Ticket {
--- a/crates/transport/entry/src/bulk.rs
+++ b/crates/transport/entry/src/bulk.rs
@@ -1,4 +1,4 @@
-//! Frames too large for a datagram, sent and received by `tarpc` over TCP.
+//! Sends and receives frames that are too large for a datagram, with `tarpc` over TCP.
 
 use crate::control::Command;
 use async_compat::Compat;
@@ -9,12 +9,14 @@
 use tarpc::tokio_serde::formats::Bincode;
 use tarpc::{client, context, server};
 
-/// Largest frame accepted: a whole configuration with its envelope.
-const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Transfers that may wait; more are dropped, and asked for again by their peers.
-const QUEUED_TRANSFERS: usize = 64;
+/// Largest frame sent or accepted, in bytes; large enough for a whole configuration in its
+/// envelope.
+const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
+/// Capacity of the send queue, in transfers. Further transfers are dropped, and peers request them
+/// again.
+const MAX_QUEUED_TRANSFERS: usize = 64;
 
-/// Sends large frames in the background.
+/// Handle to the background task that sends large frames.
 #[derive(Clone)]
 pub(crate) struct BulkSender {
     frames: async_channel::Sender<(SocketAddr, Vec<u8>)>,
@@ -23,31 +25,31 @@
 impl BulkSender {
     /// Starts the background task.
     pub fn start() -> Self {
-        let (frames, queue) = async_channel::bounded(QUEUED_TRANSFERS);
-        smol::spawn(Compat::new(send_all(queue))).detach();
+        let (frames, queue) = async_channel::bounded(MAX_QUEUED_TRANSFERS);
+        smol::spawn(Compat::new(send_queued(queue))).detach();
         Self { frames }
     }
 
-    /// Queues a frame; drops it when too many wait.
+    /// Queues a frame; drops it if the queue is full.
     pub fn send(&self, address: SocketAddr, frame: Vec<u8>) {
         if self.frames.try_send((address, frame)).is_err() {
-            log::warn!(peer:% = address; "dropped a bulk transfer: too many wait");
+            log::warn!(peer:% = address; "dropped a bulk transfer: the send queue is full");
         }
     }
 }
 
-async fn send_all(queue: async_channel::Receiver<(SocketAddr, Vec<u8>)>) {
+async fn send_queued(queue: async_channel::Receiver<(SocketAddr, Vec<u8>)>) {
     while let Ok((address, frame)) = queue.recv().await {
-        if let Err(error) = send_one(address, frame).await {
-            log::warn!(peer:% = address; "a bulk transfer failed: {error}");
+        if let Err(error) = send_frame(address, frame).await {
+            log::warn!(peer:% = address; "bulk transfer failed: {error}");
         }
     }
 }
 
-async fn send_one(address: SocketAddr, frame: Vec<u8>) -> std::io::Result<()> {
-    let mut connect = tarpc::serde_transport::tcp::connect(address, Bincode::default);
-    connect.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
-    let transport = connect.await?;
+async fn send_frame(address: SocketAddr, frame: Vec<u8>) -> std::io::Result<()> {
+    let mut connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
+    connecting.config_mut().max_frame_length(MAX_FRAME_BYTES);
+    let transport = connecting.await?;
     let client = BulkTransferClient::new(client::Config::default(), transport).spawn();
     client
         .deliver(context::current(), frame)
@@ -57,40 +59,40 @@
 }
 
 #[derive(Clone)]
-struct Receiver {
+struct BulkReceiver {
     commands: async_channel::Sender<Command>,
     from: SocketAddr,
 }
 
-impl BulkTransfer for Receiver {
+impl BulkTransfer for BulkReceiver {
     async fn deliver(self, _: context::Context, frame: Vec<u8>) -> bool {
-        let decodable = eiderferry_peer::decode(&frame).is_ok();
+        let is_decodable = eiderferry_peer::decode(&frame).is_ok();
         let command = Command::Frame {
             from: self.from,
             bytes: frame,
         };
-        decodable && self.commands.try_send(command).is_ok()
+        is_decodable && self.commands.try_send(command).is_ok()
     }
 }
 
-/// Accepts large frames until the control thread has stopped.
+/// Accepts large frames and passes them to the control thread, until the task is dropped.
 pub(crate) async fn receive(
     listener: std::net::TcpListener,
     commands: async_channel::Sender<Command>,
 ) {
-    if let Err(error) = Compat::new(accept(listener, commands)).await {
-        log::error!("bulk transfers can't be received: {error}");
+    if let Err(error) = Compat::new(accept_connections(listener, commands)).await {
+        log::error!("failed to listen for bulk transfers: {error}");
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: std::net::TcpListener,
     commands: async_channel::Sender<Command>,
 ) -> std::io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let mut incoming = tarpc::serde_transport::tcp::listen_on(listener, Bincode::default).await?;
-    incoming.config_mut().max_frame_length(MAXIMUM_FRAME_BYTES);
+    incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
     while let Some(connection) = incoming.next().await {
         let Ok(transport) = connection else {
             continue;
@@ -98,15 +100,15 @@
         let Ok(from) = transport.peer_addr() else {
             continue;
         };
-        let receiver = Receiver {
+        let receiver = BulkReceiver {
             commands: commands.clone(),
             from,
         };
         let channel = server::BaseChannel::with_defaults(transport);
-        let serve = channel.execute(receiver.serve()).for_each(|response| {
+        let responses = channel.execute(receiver.serve()).for_each(|response| {
             smol::spawn(Compat::new(response)).detach();
         });
-        smol::spawn(Compat::new(serve)).detach();
+        smol::spawn(Compat::new(responses)).detach();
     }
     Ok(())
 }
--- a/crates/transport/entry/src/reply.rs
+++ b/crates/transport/entry/src/error_response.rs
@@ -1,4 +1,4 @@
-//! Replies that are not the answer.
+//! Error responses to callers.
 
 use eiderferry_openai::error_document;
 use eiderferry_types::{MICROSECONDS_PER_SECOND, Reason, Refusal, RequestId, Verdict};
@@ -7,10 +7,10 @@
 use trillium_http::{KnownHeaderName, Status};
 
 quick_error! {
-    /// A request that can't be accepted as it is. Nothing has run.
+    /// Error that makes a request invalid. The request has not run.
     #[derive(Debug, PartialEq)]
     pub enum BadRequest {
-        /// No bearer key, or one that no tenant holds.
+        /// The bearer key is missing or belongs to no tenant.
         Unauthorized {
             display("no tenant holds this key: send `authorization: Bearer KEY`")
         }
@@ -26,25 +26,25 @@
         UnknownModel(model: String, known: String) {
             display("unknown model {model:?}; known: {known}")
         }
-        /// No service has this path.
+        /// No endpoint or service has this path.
         UnknownPath(path: String) {
             display("nothing is served at {path:?}")
         }
         /// The body is longer than allowed.
-        TooLarge(limit: usize) {
+        BodyTooLarge(limit: usize) {
             display("the body is longer than {limit} bytes")
         }
-        /// A header's value is not understood.
-        Header(name: &'static str, expected: &'static str) {
+        /// A header has an invalid value.
+        InvalidHeader(name: &'static str, expected: &'static str) {
             display("header `{name}`: expected {expected}")
         }
-        /// The body is not understood.
-        Body(cause: eiderferry_openai::RequestError) {
+        /// The body is not a valid chat completion request.
+        InvalidBody(cause: eiderferry_openai::RequestError) {
             from()
             display("{cause}")
         }
-        /// The connection ended before the body did.
-        Incomplete {
+        /// Reading the body failed, as when the connection closes early.
+        IncompleteBody {
             display("the request body ended early")
         }
     }
@@ -56,10 +56,10 @@
             BadRequest::Unauthorized => Status::Unauthorized,
             BadRequest::ClassNotAllowed(..) | BadRequest::PoolNotAllowed(_) => Status::Forbidden,
             BadRequest::UnknownModel(..) | BadRequest::UnknownPath(_) => Status::NotFound,
-            BadRequest::TooLarge(_) => Status::PayloadTooLarge,
-            BadRequest::Header(..) | BadRequest::Body(_) | BadRequest::Incomplete => {
-                Status::BadRequest
-            }
+            BadRequest::BodyTooLarge(_) => Status::PayloadTooLarge,
+            BadRequest::InvalidHeader(..)
+            | BadRequest::InvalidBody(_)
+            | BadRequest::IncompleteBody => Status::BadRequest,
         }
     }
 
@@ -70,22 +70,22 @@
             BadRequest::PoolNotAllowed(_) => "pool_not_allowed",
             BadRequest::UnknownModel(..) => "unknown_model",
             BadRequest::UnknownPath(_) => "unknown_path",
-            BadRequest::TooLarge(_) => "body_too_large",
-            BadRequest::Header(..) => "bad_header",
-            BadRequest::Body(_) => "bad_body",
-            BadRequest::Incomplete => "incomplete_body",
+            BadRequest::BodyTooLarge(_) => "body_too_large",
+            BadRequest::InvalidHeader(..) => "bad_header",
+            BadRequest::InvalidBody(_) => "bad_body",
+            BadRequest::IncompleteBody => "incomplete_body",
         }
     }
 }
 
-/// Name of the header that carries the verdict.
+/// Response header with the verdict: whether the request may have run.
 const VERDICT_HEADER: &str = "eiderferry-verdict";
-/// Name of the header that carries the reason.
+/// Response header with the reason of a refusal or failure, or the code of an invalid request.
 const REASON_HEADER: &str = "eiderferry-reason";
-/// Name of the header that carries the request's name.
+/// Response header with the request id.
 pub(crate) const REQUEST_ID_HEADER: &str = "eiderferry-request-id";
 
-/// Answers a request that can't be accepted.
+/// Responds to an invalid request.
 pub(crate) fn bad_request(conn: Conn, error: &BadRequest) -> Conn {
     let body = serde_json::json!({
         "error": {
@@ -103,34 +103,34 @@
         .halt()
 }
 
-/// Answers a request that was refused or failed.
-pub(crate) fn refused(conn: Conn, refusal: &Refusal, request: Option<RequestId>) -> Conn {
-    let name = request.map(|id| id.to_string());
-    let message = explanation(refusal);
-    let body = error_document(&message, refusal, name.as_deref());
+/// Responds to a request that was refused or has failed.
+pub(crate) fn refusal_response(conn: Conn, refusal: &Refusal, request: Option<RequestId>) -> Conn {
+    let request_id = request.map(|id| id.to_string());
+    let message = refusal_message(refusal);
+    let body = error_document(&message, refusal, request_id.as_deref());
     let mut conn = conn
         .with_status(status_for(refusal))
         .with_response_header(KnownHeaderName::ContentType, "application/json")
         .with_response_header(VERDICT_HEADER, refusal.verdict.as_str())
         .with_response_header(REASON_HEADER, refusal.reason.as_str());
-    if let Some(span) = refusal.retry_after {
-        let seconds = span.0.div_ceil(MICROSECONDS_PER_SECOND);
+    if let Some(retry_after) = refusal.retry_after {
+        let seconds = retry_after.0.div_ceil(MICROSECONDS_PER_SECOND);
         conn.insert_response_header(KnownHeaderName::RetryAfter, seconds.to_string());
     }
-    if let Some(name) = name {
-        conn.insert_response_header(REQUEST_ID_HEADER, name);
+    if let Some(request_id) = request_id {
+        conn.insert_response_header(REQUEST_ID_HEADER, request_id);
     }
     conn.with_body(body.to_string()).halt()
 }
 
-/// One sentence for people.
-pub(crate) fn explanation(refusal: &Refusal) -> String {
-    let ran = match refusal.verdict {
+/// Returns the human-readable message of a refusal.
+pub(crate) fn refusal_message(refusal: &Refusal) -> String {
+    let execution = match refusal.verdict {
         Verdict::NotRun => "It did not run.",
         Verdict::MayHaveRun => "It may have run.",
         Verdict::Ran => "It has run.",
     };
-    format!("the request got no answer: {}. {ran}", refusal.reason)
+    format!("the request got no answer: {}. {execution}", refusal.reason)
 }
 
 fn status_for(refusal: &Refusal) -> Status {
@@ -138,7 +138,7 @@
         Reason::TenantConcurrency | Reason::TenantTokenRate => Status::TooManyRequests,
         Reason::KeyInProgress | Reason::KeyFinished | Reason::KeyOwnerGone => Status::Conflict,
         Reason::BackEndFailed | Reason::RetryBudget => Status::BadGateway,
-        // Neither asks the caller to come again, nor says that a rule of the interface is broken.
+        // Not 503, which invites a retry, and not a 4xx status, since the request is valid.
         Reason::CrashesBackEnds => Status::InternalServerError,
         _ => Status::ServiceUnavailable,
     }
