--- a/bins/eiderferry/src/check.rs
+++ b/bins/eiderferry/src/check.rs
@@ -1,20 +1,20 @@
 //! `eiderferry check`.
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 use clap::ArgMatches;
 use eiderferry_config::{Configuration, ConfigurationError, Settings};
 use eiderferry_platform_adapter as platform;
 use std::path::{Path, PathBuf};
 
 /// Checks each document; the first bad one ends the run.
-pub fn run(arguments: &ArgMatches) -> Result<(), Failure> {
+pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     for path in arguments.get_many::<PathBuf>("files").into_iter().flatten() {
-        println!("{}: {}", path.display(), check(path)?);
+        println!("{}: {}", path.display(), check_file(path)?);
     }
     Ok(())
 }
 
-fn check(path: &Path) -> Result<String, Failure> {
+fn check_file(path: &Path) -> Result<String, CommandError> {
     let document = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|cause| ConfigurationError::Read(document.clone(), cause))?;
--- a/bins/eiderferry/src/command.rs
+++ b/bins/eiderferry/src/command.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::path::PathBuf;
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_argument(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
@@ -20,33 +20,39 @@
         .subcommand(serve())
         .subcommand(platform())
         .subcommand(check())
-        .subcommand(operator("status", "Show how a node and the fleet stand"))
-        .subcommand(operator(
+        .subcommand(node_command(
+            "status",
+            "Show how a node and the fleet stand",
+        ))
+        .subcommand(node_command(
             "classes",
             "Show the classes and what a node counted",
         ))
-        .subcommand(operator(
+        .subcommand(node_command(
             "back-ends",
             "Show the back ends of the cells that a node holds",
         ))
-        .subcommand(operator(
+        .subcommand(node_command(
             "tenants",
             "Show tenants with requests in the cells that a node holds",
         ))
-        .subcommand(operator("drain", "Begin a planned stop of a node"))
-        .subcommand(operator(
+        .subcommand(node_command("drain", "Begin a planned stop of a node"))
+        .subcommand(node_command(
             "undrain",
             "Let a draining node take requests again",
         ))
         .subcommand(explain())
         .subcommand(explain_logs())
         .subcommand(decisions())
-        .subcommand(operator("watch", "Print decisions as a node makes them"))
+        .subcommand(node_command(
+            "watch",
+            "Print decisions as a node makes them",
+        ))
         .subcommand(validate())
         .subcommand(completions())
 }
 
-fn operator(name: &'static str, about: &'static str) -> Command {
+fn node_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .arg(
@@ -74,7 +80,7 @@
 }
 
 fn explain() -> Command {
-    operator(
+    node_command(
         "explain",
         "Show every decision that a node made on one request",
     )
@@ -102,7 +108,7 @@
                 .help("Identity of the request, as its caller gave it"),
         )
         .arg(
-            file("files", "Logs; - for standard input")
+            file_argument("files", "Logs; - for standard input")
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..),
@@ -118,7 +124,7 @@
 
 fn decisions() -> Command {
     let filter = |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
-    operator("decisions", "Show a node's last decisions, newest first")
+    node_command("decisions", "Show a node's last decisions, newest first")
         .after_help("Example:\n  eiderferry decisions --step refused --class digest-check")
         .arg(
             Arg::new("count")
@@ -133,11 +139,11 @@
 }
 
 fn validate() -> Command {
-    operator(
+    node_command(
         "validate",
         "Check a configuration against a running node before it is published",
     )
-    .arg(file("file", "Configuration to check").required(true))
+    .arg(file_argument("file", "Configuration to check").required(true))
 }
 
 fn completions() -> Command {
@@ -155,7 +161,7 @@
         .about("Run one entry node until it is told to stop")
         .after_help("Example:\n  eiderferry serve --settings examples/settings.yaml")
         .arg(
-            file("settings", "Settings of this node")
+            file_argument("settings", "Settings of this node")
                 .long("settings")
                 .required(true),
         )
@@ -176,7 +182,7 @@
         .about("Check settings or a published configuration without running anything")
         .after_help("Example:\n  eiderferry check examples/quetzal.yaml examples/settings.yaml")
         .arg(
-            file("files", "Documents to check")
+            file_argument("files", "Documents to check")
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..),
--- /dev/null
+++ b/bins/eiderferry/src/explain_logs.rs
@@ -0,0 +1,270 @@
+//! `eiderferry explain-logs`: the story of one request from the logs of several nodes.
+
+use crate::error::CommandError;
+use crate::output::{OutputTable, print_table};
+use clap::ArgMatches;
+use serde_json::{Map, Value};
+use std::io::Read;
+use std::path::{Path, PathBuf};
+
+/// Lines about back ends that the request touched are shown if this close to it.
+const BACK_END_CONTEXT_SECONDS: f64 = 2.0;
+/// Name of standard input among the files.
+const STANDARD_INPUT: &str = "-";
+
+/// One line of a log.
+#[derive(Clone, Debug)]
+struct LogEntry {
+    node: String,
+    timestamp: String,
+    seconds: f64,
+    event: String,
+    fields: Map<String, Value>,
+}
+
+impl LogEntry {
+    fn field_text(&self, field: &str) -> String {
+        match self.fields.get(field) {
+            Some(Value::String(text)) => text.clone(),
+            Some(value) => value.to_string(),
+            None => String::new(),
+        }
+    }
+
+    fn belongs_to(&self, request: &str) -> bool {
+        self.field_text("request") == request
+    }
+
+    fn details(&self) -> String {
+        let omitted = ["event", "request"];
+        let fields = self.fields.iter();
+        let visible = fields.filter(|(name, _)| !omitted.contains(&name.as_str()));
+        let pairs = visible.map(|(name, _)| format!("{name}={}", self.field_text(name)));
+        pairs.collect::<Vec<_>>().join(" ")
+    }
+}
+
+/// Prints the story of a request.
+pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
+    let request = arguments.get_one::<String>("request");
+    let request = request.map(String::as_str).unwrap_or_default();
+    let files = arguments.get_many::<PathBuf>("files").into_iter().flatten();
+    let mut entries = Vec::new();
+    for file in files {
+        entries.extend(read_log(file)?);
+    }
+    entries.sort_by(|left, right| left.seconds.total_cmp(&right.seconds));
+    let timeline = timeline(&entries, request);
+    let Some(first) = timeline.first() else {
+        let message = format!(
+            "no line about request {request} in {} lines; name the logs of the node that \
+             took it, and of the time in which it ran",
+            entries.len()
+        );
+        return Err(CommandError::NotFound(message));
+    };
+    let json = arguments.get_one::<String>("format").map(String::as_str) == Some("json");
+    let start_seconds = first.seconds;
+    let mut table = OutputTable::new(&["at ms", "node", "event", "details"]);
+    for entry in &timeline {
+        let offset = format!("{:.0}", (entry.seconds - start_seconds) * 1_000.0);
+        table.push([&offset, &entry.node, &entry.event, &entry.details()]);
+    }
+    print_table(&table, json);
+    if !json {
+        println!("\nfirst line at {}", first.timestamp);
+        println!("cause: {}", describe_outcome(&timeline, request));
+    }
+    Ok(())
+}
+
+fn read_log(file: &Path) -> Result<Vec<LogEntry>, CommandError> {
+    let name = file.display().to_string();
+    let mut text = String::new();
+    let result = if name == STANDARD_INPUT {
+        std::io::stdin().read_to_string(&mut text).map(|_| ())
+    } else {
+        std::fs::read_to_string(file).map(|contents| text = contents)
+    };
+    result.map_err(|cause| {
+        CommandError::InvalidArgument(format!("{name}: can't be read: {cause}"))
+    })?;
+    let mut node = file
+        .file_stem()
+        .map_or(name.clone(), |stem| stem.to_string_lossy().into_owned());
+    let mut entries = Vec::new();
+    for line in text.lines() {
+        let Some(mut parsed) = parse_entry(line) else {
+            continue;
+        };
+        if parsed.event == "started" {
+            node = parsed.field_text("node");
+        }
+        if parsed.node.is_empty() {
+            parsed.node.clone_from(&node);
+        }
+        entries.push(parsed);
+    }
+    Ok(entries)
+}
+
+/// A line of the log; what stands before its JSON ends with the node's name.
+fn parse_entry(line: &str) -> Option<LogEntry> {
+    let start = line.find('{')?;
+    let value: Value = serde_json::from_str(&line[start..]).ok()?;
+    let fields = value.get("kvs")?.as_object()?.clone();
+    let timestamp = value.get("timestamp")?.as_str()?.to_owned();
+    let event = fields.get("event")?.as_str()?.to_owned();
+    let node = line[..start].split_whitespace().last();
+    Some(LogEntry {
+        node: node.unwrap_or_default().to_owned(),
+        seconds: seconds_since_month_start(&timestamp)?,
+        timestamp,
+        event,
+        fields,
+    })
+}
+
+/// Seconds since the beginning of the month; logs of one request span minutes.
+fn seconds_since_month_start(timestamp: &str) -> Option<f64> {
+    let (date, time) = timestamp.split_once('T')?;
+    let day: f64 = date.rsplit('-').next()?.parse().ok()?;
+    let time = time.trim_end_matches('Z');
+    let time = time.split(['+']).next()?;
+    let mut parts = time.split(':');
+    let mut next = || parts.next()?.parse::<f64>().ok();
+    Some(((day * 24.0 + next()?) * 60.0 + next()?) * 60.0 + next()?)
+}
+
+/// The lines about a request, and those about the back ends that it touched.
+fn timeline(entries: &[LogEntry], request: &str) -> Vec<LogEntry> {
+    let request_entries: Vec<&LogEntry> = entries
+        .iter()
+        .filter(|entry| entry.belongs_to(request))
+        .collect();
+    let (Some(first), Some(last)) = (request_entries.first(), request_entries.last()) else {
+        return Vec::new();
+    };
+    let back_ends: Vec<String> = request_entries
+        .iter()
+        .map(|entry| entry.field_text("back_end"))
+        .collect();
+    let nodes: Vec<&str> = request_entries
+        .iter()
+        .map(|entry| entry.node.as_str())
+        .collect();
+    let time_range =
+        first.seconds - BACK_END_CONTEXT_SECONDS..=last.seconds + BACK_END_CONTEXT_SECONDS;
+    let is_back_end_entry = |entry: &&LogEntry| {
+        let mentions_back_end = back_ends.iter().any(|back_end| {
+            !back_end.is_empty()
+                && (entry.field_text("back_end") == *back_end
+                    || entry.field_text("item") == *back_end)
+        });
+        entry.field_text("request").is_empty()
+            && mentions_back_end
+            && nodes.contains(&entry.node.as_str())
+            && time_range.contains(&entry.seconds)
+    };
+    let digests: Vec<String> = request_entries
+        .iter()
+        .map(|entry| entry.field_text("digest"))
+        .collect();
+    let is_quarantine_entry = |entry: &&LogEntry| {
+        let digest = entry.field_text("digest");
+        QUARANTINE_EVENTS.contains(&entry.event.as_str())
+            && !digest.is_empty()
+            && digests.contains(&digest)
+    };
+    let selected = entries.iter().filter(|entry| {
+        entry.belongs_to(request) || is_back_end_entry(entry) || is_quarantine_entry(entry)
+    });
+    selected.cloned().collect()
+}
+
+/// Lines that tell why a request is refused: under whichever id it was sent, back ends crashed.
+const QUARANTINE_EVENTS: [&str; 4] = [
+    "crashed_run",
+    "request_quarantined",
+    "quarantine_cleared",
+    "quarantine_expired",
+];
+
+/// The back ends that crashed under what a request asks, however often it was sent.
+fn crash_descriptions(timeline: &[LogEntry], digest: &str) -> Vec<String> {
+    let entries = timeline.iter();
+    let crashed = entries
+        .filter(|entry| entry.event == "crashed_run" && entry.field_text("digest") == digest);
+    crashed
+        .map(|entry| {
+            format!(
+                "{} (request {})",
+                entry.field_text("back_end"),
+                entry.field_text("request")
+            )
+        })
+        .collect()
+}
+
+/// What a line tells of a request's way over back ends.
+fn describe_attempt(entry: &LogEntry) -> Option<String> {
+    let back_end = entry.field_text("back_end");
+    match entry.event.as_str() {
+        "attempt_failed" => Some(format!("{back_end} {}", entry.field_text("outcome"))),
+        "taken_over" => Some(format!(
+            "continued from its replica at {back_end} after event {}",
+            entry.field_text("after_event")
+        )),
+        "replica_refused" => Some(format!(
+            "not continued at {back_end} ({})",
+            entry.field_text("reason")
+        )),
+        "resumed" => Some(format!(
+            "run anew at {back_end} after event {}",
+            entry.field_text("after_event")
+        )),
+        _ => None,
+    }
+}
+
+/// One sentence that names why a request ended as it did.
+fn describe_outcome(timeline: &[LogEntry], request: &str) -> String {
+    let request_entries: Vec<&LogEntry> = timeline
+        .iter()
+        .filter(|entry| entry.belongs_to(request))
+        .collect();
+    let failures: Vec<String> = request_entries
+        .iter()
+        .filter_map(|entry| describe_attempt(entry))
+        .collect();
+    let last_entry = request_entries
+        .iter()
+        .rev()
+        .find(|entry| matches!(entry.event.as_str(), "answered_here" | "ended"));
+    let Some(last_entry) = last_entry else {
+        return "the request has not ended in these logs: its node may have died".to_owned();
+    };
+    let mut preceding = if failures.is_empty() {
+        String::new()
+    } else {
+        format!(", after: {}", failures.join(", "))
+    };
+    let crashes = crash_descriptions(timeline, &last_entry.field_text("digest"));
+    if !crashes.is_empty() {
+        preceding.push_str("; back ends crashed under it: ");
+        preceding.push_str(&crashes.join(", "));
+    }
+    match last_entry.event.as_str() {
+        "answered_here" => format!(
+            "answered here with {} because of {}; {}{preceding}",
+            last_entry.field_text("status"),
+            last_entry.field_text("reason"),
+            last_entry.field_text("verdict")
+        ),
+        _ => format!(
+            "ended {} with status {}{preceding}",
+            last_entry.field_text("how"),
+            last_entry.field_text("status")
+        ),
+    }
+}
--- a/bins/eiderferry/src/main.rs
+++ b/bins/eiderferry/src/main.rs
@@ -5,8 +5,8 @@
 
 mod check;
 mod command;
-mod failure;
-mod log_story;
+mod error;
+mod explain_logs;
 mod logging;
 mod operator;
 mod output;
@@ -19,7 +19,7 @@
     let result = match matches.subcommand() {
         Some(("serve", arguments)) => serve::run(arguments),
         Some(("platform", _)) => eiderferry_platform_adapter::run().map_err(Into::into),
-        Some(("explain-logs", arguments)) => log_story::run(arguments),
+        Some(("explain-logs", arguments)) => explain_logs::run(arguments),
         Some(("check", arguments)) => check::run(arguments),
         Some(("completions", arguments)) => {
             if let Some(shell) = arguments.get_one::<clap_complete::Shell>("shell") {
@@ -33,9 +33,9 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("eiderferry: {failure}");
-            ExitCode::from(failure.exit_code())
+        Err(error) => {
+            eprintln!("eiderferry: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/bins/eiderferry/src/operator.rs
+++ b/bins/eiderferry/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' commands: a client of the schema in `proto/`.
 
-use crate::failure::Failure;
-use crate::output::{Rows, print};
+use crate::error::CommandError;
+use crate::output::{OutputTable, print_table};
 use clap::ArgMatches;
 use eiderferry_operator::schema::{
     Decision, DrainRequest, ExplainRequestRequest, GetStatusRequest, ListBackEndsRequest,
@@ -15,7 +15,7 @@
 use trillium_smol::ClientConfig;
 
 /// Runs one operators' command.
-pub fn run(name: &str, arguments: &ArgMatches) -> Result<(), Failure> {
+pub fn run(name: &str, arguments: &ArgMatches) -> Result<(), CommandError> {
     let json = arguments
         .get_one::<String>("format")
         .is_some_and(|format| format == "json");
@@ -35,7 +35,7 @@
     OperatorClient::from(client)
 }
 
-async fn run_command(name: &str, arguments: &ArgMatches, json: bool) -> Result<(), Failure> {
+async fn run_command(name: &str, arguments: &ArgMatches, json: bool) -> Result<(), CommandError> {
     let client = client(arguments);
     match name {
         "status" => status(&client, json).await,
@@ -43,29 +43,32 @@
         "back-ends" => back_ends(&client, json).await,
         "tenants" => tenants(&client, json).await,
         "drain" => {
-            let answer = client.drain(DrainRequest {}).await.map_err(failure)?;
-            let answer = answer.into_message().map_err(failure)?;
+            let response = client.drain(DrainRequest {}).await.map_err(call_error)?;
+            let response = response.into_message().map_err(call_error)?;
             println!(
                 "draining; {} requests are being finished",
-                answer.open_requests
+                response.open_requests
             );
             Ok(())
         }
         "undrain" => {
-            let answer = client.undrain(UndrainRequest {}).await.map_err(failure)?;
-            answer.into_message().map_err(failure)?;
+            let response = client
+                .undrain(UndrainRequest {})
+                .await
+                .map_err(call_error)?;
+            response.into_message().map_err(call_error)?;
             println!("taking new requests again");
             Ok(())
         }
         "explain" => {
             let request_id = text(arguments, "request").to_owned();
             let call = client.explain_request(ExplainRequestRequest { request_id });
-            let answer = call
+            let response = call
                 .await
-                .map_err(failure)?
+                .map_err(call_error)?
                 .into_message()
-                .map_err(failure)?;
-            print(&decision_rows(answer.decisions), json);
+                .map_err(call_error)?;
+            print_table(&decision_table(response.decisions), json);
             Ok(())
         }
         "decisions" => {
@@ -76,12 +79,12 @@
                 step: text(arguments, "step").to_owned(),
             };
             let call = client.list_decisions(request);
-            let answer = call
+            let response = call
                 .await
-                .map_err(failure)?
+                .map_err(call_error)?
                 .into_message()
-                .map_err(failure)?;
-            print(&decision_rows(answer.decisions), json);
+                .map_err(call_error)?;
+            print_table(&decision_table(response.decisions), json);
             Ok(())
         }
         "watch" => watch(&client).await,
@@ -89,37 +92,37 @@
     }
 }
 
-fn failure(status: Status) -> Failure {
+fn call_error(status: Status) -> CommandError {
     match status.code {
-        Code::NotFound => Failure::NotFound(status.message),
-        Code::InvalidArgument => Failure::BadArgument(status.message),
-        _ => Failure::Call(format!("{:?}: {}", status.code, status.message)),
+        Code::NotFound => CommandError::NotFound(status.message),
+        Code::InvalidArgument => CommandError::InvalidArgument(status.message),
+        _ => CommandError::CallFailed(format!("{:?}: {}", status.code, status.message)),
     }
 }
 
-async fn status(client: &OperatorClient, json: bool) -> Result<(), Failure> {
-    let answer = client
+async fn status(client: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = client
         .get_status(GetStatusRequest {})
         .await
-        .map_err(failure)?;
-    let answer = answer.into_message().map_err(failure)?;
-    let mut rows = Rows::new(&["what", "value"]);
-    rows.push([&"node", &answer.node]);
-    rows.push([&"zone", &answer.zone]);
-    rows.push([&"incarnation", &answer.incarnation]);
-    rows.push([&"ready", &answer.ready]);
-    rows.push([&"draining", &answer.draining]);
-    rows.push([&"configuration version", &answer.configuration_version]);
-    rows.push([&"directory version", &answer.directory_version]);
-    rows.push([
+        .map_err(call_error)?;
+    let response = response.into_message().map_err(call_error)?;
+    let mut table = OutputTable::new(&["what", "value"]);
+    table.push([&"node", &response.node]);
+    table.push([&"zone", &response.zone]);
+    table.push([&"incarnation", &response.incarnation]);
+    table.push([&"ready", &response.ready]);
+    table.push([&"draining", &response.draining]);
+    table.push([&"configuration version", &response.configuration_version]);
+    table.push([&"directory version", &response.directory_version]);
+    table.push([
         &"invalid configuration version",
-        &answer.invalid_configuration_version,
+        &response.invalid_configuration_version,
     ]);
-    rows.push([&"open requests", &answer.open_requests]);
-    rows.push([&"running requests", &answer.running_requests]);
-    print(&rows, json);
-    let mut cells = Rows::new(&["cell", "holder", "slots", "running", "waiting"]);
-    for cell in &answer.cells {
+    table.push([&"open requests", &response.open_requests]);
+    table.push([&"running requests", &response.running_requests]);
+    print_table(&table, json);
+    let mut cells = OutputTable::new(&["cell", "holder", "slots", "running", "waiting"]);
+    for cell in &response.cells {
         cells.push([
             &cell.cell,
             &cell.holder,
@@ -128,21 +131,21 @@
             &cell.waiting,
         ]);
     }
-    print(&cells, json);
-    let mut peers = Rows::new(&["peer", "health"]);
-    for peer in &answer.peers {
+    print_table(&cells, json);
+    let mut peers = OutputTable::new(&["peer", "health"]);
+    for peer in &response.peers {
         peers.push([&peer.node, &peer.health]);
     }
-    print(&peers, json);
+    print_table(&peers, json);
     Ok(())
 }
 
-async fn classes(client: &OperatorClient, json: bool) -> Result<(), Failure> {
-    let answer = client
+async fn classes(client: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = client
         .list_classes(ListClassesRequest {})
         .await
-        .map_err(failure)?;
-    let answer = answer.into_message().map_err(failure)?;
+        .map_err(call_error)?;
+    let response = response.into_message().map_err(call_error)?;
     let header = &[
         "class",
         "tier",
@@ -152,11 +155,11 @@
         "attained",
         "attainment",
     ];
-    let mut rows = Rows::new(header);
-    for class in &answer.classes {
-        let part = 100.0 * class.attained as f64 / class.requests.max(1) as f64;
-        let attainment = format!("{part:.1} %");
-        rows.push([
+    let mut table = OutputTable::new(header);
+    for class in &response.classes {
+        let percentage = 100.0 * class.attained as f64 / class.requests.max(1) as f64;
+        let attainment = format!("{percentage:.1} %");
+        table.push([
             &class.name,
             &class.tier,
             &class.requests,
@@ -166,20 +169,20 @@
             &attainment,
         ]);
     }
-    print(&rows, json);
+    print_table(&table, json);
     Ok(())
 }
 
-async fn back_ends(client: &OperatorClient, json: bool) -> Result<(), Failure> {
-    let answer = client
+async fn back_ends(client: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = client
         .list_back_ends(ListBackEndsRequest {})
         .await
-        .map_err(failure)?;
-    let answer = answer.into_message().map_err(failure)?;
-    let mut rows = Rows::new(&["back end", "cell", "running", "slowness", "leaving"]);
-    for back_end in &answer.back_ends {
+        .map_err(call_error)?;
+    let response = response.into_message().map_err(call_error)?;
+    let mut table = OutputTable::new(&["back end", "cell", "running", "slowness", "leaving"]);
+    for back_end in &response.back_ends {
         let slowness = format!("{:.2}", back_end.slowness);
-        rows.push([
+        table.push([
             &back_end.id,
             &back_end.cell,
             &back_end.running,
@@ -187,32 +190,33 @@
             &back_end.leaving,
         ]);
     }
-    print(&rows, json);
+    print_table(&table, json);
     Ok(())
 }
 
-async fn tenants(client: &OperatorClient, json: bool) -> Result<(), Failure> {
-    let answer = client
+async fn tenants(client: &OperatorClient, json: bool) -> Result<(), CommandError> {
+    let response = client
         .list_tenants(ListTenantsRequest {})
         .await
-        .map_err(failure)?;
-    let answer = answer.into_message().map_err(failure)?;
-    let mut rows = Rows::new(&["tenant", "cell", "running", "concurrency limit"]);
-    for tenant in &answer.tenants {
+        .map_err(call_error)?;
+    let response = response.into_message().map_err(call_error)?;
+    let mut table = OutputTable::new(&["tenant", "cell", "running", "concurrency limit"]);
+    for tenant in &response.tenants {
         let limit = match tenant.concurrency_limit {
             0 => "none".to_owned(),
             limit => limit.to_string(),
         };
-        rows.push([&tenant.name, &tenant.cell, &tenant.running, &limit]);
+        table.push([&tenant.name, &tenant.cell, &tenant.running, &limit]);
     }
-    print(&rows, json);
+    print_table(&table, json);
     Ok(())
 }
 
-fn decision_rows(decisions: Vec<Decision>) -> Rows {
-    let mut rows = Rows::new(&["at ms", "request", "class", "tenant", "step", "explanation"]);
+fn decision_table(decisions: Vec<Decision>) -> OutputTable {
+    let mut table =
+        OutputTable::new(&["at ms", "request", "class", "tenant", "step", "explanation"]);
     for decision in &decisions {
-        rows.push([
+        table.push([
             &decision.at_ms,
             &decision.request_id,
             &decision.class,
@@ -221,13 +225,13 @@
             &decision.explanation,
         ]);
     }
-    rows
+    table
 }
 
-async fn watch(client: &OperatorClient) -> Result<(), Failure> {
+async fn watch(client: &OperatorClient) -> Result<(), CommandError> {
     let mut decisions = client.watch_decisions(WatchDecisionsRequest {});
     while let Some(decision) = decisions.next().await {
-        let decision = decision.map_err(failure)?;
+        let decision = decision.map_err(call_error)?;
         println!(
             "{} {} {} {}: {}",
             decision.at_ms,
@@ -240,23 +244,23 @@
     Ok(())
 }
 
-async fn validate(client: &OperatorClient, arguments: &ArgMatches) -> Result<(), Failure> {
+async fn validate(client: &OperatorClient, arguments: &ArgMatches) -> Result<(), CommandError> {
     let Some(path) = arguments.get_one::<PathBuf>("file") else {
         return Ok(());
     };
     let document = std::fs::read_to_string(path)
-        .map_err(|cause| Failure::BadArgument(format!("{}: {cause}", path.display())))?;
+        .map_err(|cause| CommandError::InvalidArgument(format!("{}: {cause}", path.display())))?;
     let call = client.validate_configuration(ValidateConfigurationRequest { document });
-    let answer = call
+    let response = call
         .await
-        .map_err(failure)?
+        .map_err(call_error)?
         .into_message()
-        .map_err(failure)?;
-    if !answer.valid {
-        return Err(Failure::BadArgument(answer.problems));
+        .map_err(call_error)?;
+    if !response.valid {
+        return Err(CommandError::InvalidArgument(response.problems));
     }
     println!("valid; against the configuration in force:");
-    for change in &answer.changes {
+    for change in &response.changes {
         println!("  {change}");
     }
     Ok(())
--- a/bins/eiderferry/src/output.rs
+++ b/bins/eiderferry/src/output.rs
@@ -5,12 +5,12 @@
 use std::fmt::Display;
 
 /// A table as texts.
-pub struct Rows {
+pub struct OutputTable {
     header: Vec<&'static str>,
     rows: Vec<Vec<String>>,
 }
 
-impl Rows {
+impl OutputTable {
     /// A table with these columns.
     pub fn new(header: &[&'static str]) -> Self {
         Self {
@@ -38,15 +38,15 @@
 }
 
 /// Prints a table in the form asked for.
-pub fn print(rows: &Rows, json: bool) {
+pub fn print_table(output: &OutputTable, json: bool) {
     if json {
-        println!("{}", rows.to_json());
+        println!("{}", output.to_json());
         return;
     }
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
-    table.set_header(rows.header.clone());
-    for row in &rows.rows {
+    table.set_header(output.header.clone());
+    for row in &output.rows {
         table.add_row(row);
     }
     println!("{table}");
--- a/bins/eiderferry/src/serve.rs
+++ b/bins/eiderferry/src/serve.rs
@@ -1,6 +1,6 @@
 //! `eiderferry serve`.
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 use crate::logging;
 use async_signal::{Signal, Signals};
 use clap::ArgMatches;
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 
 /// Runs a node until a signal asks it to stop.
-pub fn run(arguments: &ArgMatches) -> Result<(), Failure> {
+pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     let Some(path) = arguments.get_one::<PathBuf>("settings") else {
         return Ok(());
     };
@@ -18,8 +18,9 @@
     smol::block_on(serve(&settings))
 }
 
-async fn serve(settings: &Settings) -> Result<(), Failure> {
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(Failure::Signals)?;
+async fn serve(settings: &Settings) -> Result<(), CommandError> {
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int]).map_err(CommandError::SignalSetup)?;
     let node = eiderferry_entry::start(settings)?;
     log::info!(
         node:% = settings.node, zone:% = settings.zone, listen:% = node.listen;
@@ -31,5 +32,5 @@
         log::info!("stopped; every request was finished");
         return Ok(());
     }
-    Err(Failure::CutOff)
+    Err(CommandError::DrainTimeout)
 }
--- a/bins/eiderferry/tests/explain_logs.rs
+++ b/bins/eiderferry/tests/explain_logs.rs
@@ -12,10 +12,10 @@
 {"timestamp":"2026-12-02T10:00:05.190000+00:00","level":"INFO","kvs":{"event":"granted","request":"other","back_end":"i-1"}}
 "#;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_log(name: &str, contents: &str) -> PathBuf {
     let name = format!("eiderferry-{}-{name}.log", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).expect("a writable folder");
+    std::fs::write(&path, contents).expect("a writable folder");
     path
 }
 
@@ -25,58 +25,58 @@
     command
 }
 
-fn text(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn a_request_is_told_from_its_lines_and_those_of_its_back_ends() {
-    let path = file("a", NODE_A);
+fn timeline_includes_lines_of_the_request_and_of_its_back_ends() {
+    let path = write_log("a", NODE_A);
     let output = command("abc").arg(path).output().expect("the program runs");
     assert!(output.status.success());
-    let story = text(&output);
-    assert!(story.contains("edge-a"), "{story}");
-    assert!(story.contains("back_end_ejected"), "{story}");
-    assert!(!story.contains("other"), "{story}");
+    let output_text = stdout_text(&output);
+    assert!(output_text.contains("edge-a"), "{output_text}");
+    assert!(output_text.contains("back_end_ejected"), "{output_text}");
+    assert!(!output_text.contains("other"), "{output_text}");
     let cause = "cause: answered here with 502 because of answer_lost; may_have_run, \
                  after: i-1 broken";
-    assert!(story.contains(cause), "{story}");
+    assert!(output_text.contains(cause), "{output_text}");
 }
 
-const TAKEN_OVER: &str = r#"{"timestamp":"2026-12-02T10:00:05.100000+00:00","level":"INFO","kvs":{"attempt":1,"back_end":"i-1","event":"granted","request":"run","replica_at":"i-2"}}
+const REPLICA_TAKEOVER: &str = r#"{"timestamp":"2026-12-02T10:00:05.100000+00:00","level":"INFO","kvs":{"attempt":1,"back_end":"i-1","event":"granted","request":"run","replica_at":"i-2"}}
 {"timestamp":"2026-12-02T10:00:05.180000+00:00","level":"WARN","kvs":{"attempt":1,"back_end":"i-1","event":"attempt_failed","outcome":"broken","request":"run"}}
 {"timestamp":"2026-12-02T10:00:05.191000+00:00","level":"WARN","kvs":{"after_event":7,"back_end":"i-2","event":"taken_over","request":"run","waited_ms":11}}
 {"timestamp":"2026-12-02T10:00:06.000000+00:00","level":"INFO","kvs":{"attempts":2,"elapsed_ms":900,"event":"ended","how":"whole","request":"run","status":200}}
 "#;
 
 #[test]
-fn a_runs_way_over_engines_is_told() {
-    let path = file("over", TAKEN_OVER);
+fn cause_names_each_back_end_that_the_request_ran_on() {
+    let path = write_log("over", REPLICA_TAKEOVER);
     let output = command("run").arg(path).output().expect("the program runs");
-    let story = text(&output);
+    let output_text = stdout_text(&output);
     let cause = "cause: ended whole with status 200, after: i-1 broken, continued from its \
                  replica at i-2 after event 7";
-    assert!(story.contains(cause), "{story}");
-    assert!(story.contains("replica_at=i-2"), "{story}");
+    assert!(output_text.contains(cause), "{output_text}");
+    assert!(output_text.contains("replica_at=i-2"), "{output_text}");
 }
 
 #[test]
-fn lines_of_several_nodes_are_put_in_the_order_of_their_times() {
+fn lines_of_several_nodes_are_sorted_by_time() {
     let late = NODE_A
         .replace("edge-a", "edge-b")
         .replace("10:00:05", "10:00:07");
-    let (one, two) = (file("late", &late), file("early", NODE_A));
+    let (late_log, early_log) = (write_log("late", &late), write_log("early", NODE_A));
     let output = command("abc")
-        .args([one, two])
+        .args([late_log, early_log])
         .output()
         .expect("the program runs");
-    let story = text(&output);
-    let position = |name: &str| story.find(name).expect("named");
-    assert!(position("edge-a") < position("edge-b"), "{story}");
+    let output_text = stdout_text(&output);
+    let position = |name: &str| output_text.find(name).expect("named");
+    assert!(position("edge-a") < position("edge-b"), "{output_text}");
 }
 
 #[test]
-fn logs_come_from_standard_input_with_words_before_them() {
+fn standard_input_lines_may_have_a_prefix_before_the_json() {
     let mut child = command("abc")
         .arg("-")
         .stdin(Stdio::piped())
@@ -88,13 +88,13 @@
         writeln!(input, "  12.5 edge-c {line}").expect("piped");
     }
     drop(input);
-    let story = text(&child.wait_with_output().expect("ends"));
-    assert!(story.contains("edge-c"), "{story}");
+    let output_text = stdout_text(&child.wait_with_output().expect("ends"));
+    assert!(output_text.contains("edge-c"), "{output_text}");
 }
 
 #[test]
-fn a_request_without_a_line_is_not_found() {
-    let path = file("none", NODE_A);
+fn request_without_log_lines_exits_with_not_found() {
+    let path = write_log("none", NODE_A);
     let output = command("nowhere")
         .arg(path)
         .output()
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_log_that_cannot_be_read_is_named() {
+fn unreadable_log_file_is_named_in_the_error() {
     let output = command("abc")
         .arg("/nowhere/x.log")
         .output()
@@ -115,31 +115,31 @@
     assert!(message.contains("/nowhere/x.log"), "{message}");
 }
 
-const CRASHING_ELSEWHERE: &str = r#"{"timestamp":"2026-12-02T10:00:01.000000+00:00","level":"INFO","kvs":{"event":"started","node":"edge-b","zone":"z"}}
+const CRASHES_ON_NODE_B: &str = r#"{"timestamp":"2026-12-02T10:00:01.000000+00:00","level":"INFO","kvs":{"event":"started","node":"edge-b","zone":"z"}}
 {"timestamp":"2026-12-02T10:00:05.180000+00:00","level":"WARN","kvs":{"back_end":"i-1","connection":"refused","digest":"00ab","event":"crashed_run","request":"first"}}
 {"timestamp":"2026-12-02T10:00:06.180000+00:00","level":"WARN","kvs":{"back_end":"i-2","connection":"refused","digest":"00ab","event":"crashed_run","request":"second"}}
 {"timestamp":"2026-12-02T10:00:06.280000+00:00","level":"WARN","kvs":{"back_end":"i-9","connection":"refused","digest":"00cd","event":"crashed_run","request":"another"}}
 {"timestamp":"2026-12-02T10:00:07.180000+00:00","level":"WARN","kvs":{"crashes":3,"digest":"00ab","event":"request_quarantined","for_ms":600000,"source":"own"}}
 "#;
-const REFUSED_HERE: &str = r#"{"timestamp":"2026-12-02T10:00:01.000000+00:00","level":"INFO","kvs":{"event":"started","node":"edge-a","zone":"z"}}
+const REFUSAL_ON_NODE_A: &str = r#"{"timestamp":"2026-12-02T10:00:01.000000+00:00","level":"INFO","kvs":{"event":"started","node":"edge-a","zone":"z"}}
 {"timestamp":"2026-12-02T10:02:00.000000+00:00","level":"WARN","kvs":{"event":"not_granted","reason":"crashes_back_ends","request":"late","retry_after_ms":480000}}
 {"timestamp":"2026-12-02T10:02:00.001000+00:00","level":"WARN","kvs":{"digest":"00ab","elapsed_ms":1,"event":"answered_here","reason":"crashes_back_ends","request":"late","status":500,"verdict":"not_run"}}
 "#;
 
 #[test]
-fn of_a_request_that_crashes_back_ends_it_is_told_which_and_where() {
-    let (here, elsewhere) = (
-        file("refused", REFUSED_HERE),
-        file("crashes", CRASHING_ELSEWHERE),
+fn cause_of_a_quarantined_request_names_back_ends_and_requests_that_crashed() {
+    let (refusal_log, crash_log) = (
+        write_log("refused", REFUSAL_ON_NODE_A),
+        write_log("crashes", CRASHES_ON_NODE_B),
     );
     let output = command("late")
-        .args([here, elsewhere])
+        .args([refusal_log, crash_log])
         .output()
         .expect("the program runs");
-    let story = text(&output);
+    let output_text = stdout_text(&output);
     let cause = "cause: answered here with 500 because of crashes_back_ends; not_run; back ends \
                  crashed under it: i-1 (request first), i-2 (request second)";
-    assert!(story.contains(cause), "{story}");
-    assert!(story.contains("request_quarantined"), "{story}");
-    assert!(!story.contains("i-9"), "{story}");
+    assert!(output_text.contains(cause), "{output_text}");
+    assert!(output_text.contains("request_quarantined"), "{output_text}");
+    assert!(!output_text.contains("i-9"), "{output_text}");
 }
