--- a/bins/eiderferry/src/check.rs
+++ b/bins/eiderferry/src/check.rs
@@ -1,4 +1,4 @@
-//! `eiderferry check`.
+//! `eiderferry check`: validates settings and configuration files.
 
 use crate::error::CommandError;
 use clap::ArgMatches;
@@ -6,7 +6,7 @@
 use eiderferry_platform_adapter as platform;
 use std::path::{Path, PathBuf};
 
-/// Checks each document; the first bad one ends the run.
+/// Checks the documents in order and stops at the first invalid one.
 pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     for path in arguments.get_many::<PathBuf>("files").into_iter().flatten() {
         println!("{}: {}", path.display(), check_file(path)?);
@@ -35,12 +35,12 @@
     ))
 }
 
-/// Configurations of the platform are JSON, our own are YAML.
+/// The platform's configurations are JSON; the router's own are YAML.
 fn looks_like_json(text: &str) -> bool {
     text.trim_start().starts_with('{')
 }
 
-/// Settings name the node they belong to; a configuration never does.
+/// Only settings have a `node` key at the top level; a configuration has none.
 fn looks_like_settings(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("node:"))
 }
--- a/bins/eiderferry/src/command.rs
+++ b/bins/eiderferry/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
         .help(help)
 }
 
-/// The whole command line.
+/// The command with all its subcommands.
 pub fn command() -> Command {
     Command::new("eiderferry")
         .version(clap::crate_version!())
@@ -22,11 +22,11 @@
         .subcommand(check())
         .subcommand(node_command(
             "status",
-            "Show how a node and the fleet stand",
+            "Show the status of a node and of the fleet as the node sees it",
         ))
         .subcommand(node_command(
             "classes",
-            "Show the classes and what a node counted",
+            "Show the request classes and a node's counters for each",
         ))
         .subcommand(node_command(
             "back-ends",
@@ -34,19 +34,22 @@
         ))
         .subcommand(node_command(
             "tenants",
-            "Show tenants with requests in the cells that a node holds",
+            "Show the tenants with running requests in the cells that a node holds",
+        ))
+        .subcommand(node_command(
+            "drain",
+            "Stop accepting new requests on a node and let running ones finish",
         ))
-        .subcommand(node_command("drain", "Begin a planned stop of a node"))
         .subcommand(node_command(
             "undrain",
-            "Let a draining node take requests again",
+            "Let a draining node accept new requests again",
         ))
         .subcommand(explain())
         .subcommand(explain_logs())
         .subcommand(decisions())
         .subcommand(node_command(
             "watch",
-            "Print decisions as a node makes them",
+            "Print a node's decisions as they are made",
         ))
         .subcommand(validate())
         .subcommand(completions())
@@ -60,7 +63,7 @@
                 .long("node")
                 .value_name("ADDRESS")
                 .default_value("127.0.0.1:9000")
-                .help("The node's operator address"),
+                .help("Address of the node's operator interface"),
         )
         .arg(
             Arg::new("token")
@@ -68,36 +71,36 @@
                 .value_name("TOKEN")
                 .env("EIDERFERRY_TOKEN")
                 .hide_env_values(true)
-                .help("Operator token"),
+                .help("Bearer token for the operator interface"),
         )
         .arg(
             Arg::new("format")
                 .long("format")
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("Form of the output"),
+                .help("Output format"),
         )
 }
 
 fn explain() -> Command {
     node_command(
         "explain",
-        "Show every decision that a node made on one request",
+        "Show every decision on one request that a node still has in its log",
     )
     .after_help("Example:\n  eiderferry explain 1-2c9f3a1-42")
     .arg(
         Arg::new("request")
             .value_name("REQUEST")
             .required(true)
-            .help("Name of the request, from the header eiderferry-request-id"),
+            .help("Request id, from the header eiderferry-request-id"),
     )
 }
 
 fn explain_logs() -> Command {
     Command::new("explain-logs")
-        .about("Tell the story of one request from the logs of one or several nodes")
+        .about("Show the timeline of one request from the logs of one or more nodes")
         .after_help(
-            "Lines are put in the order of their times of day; clocks of nodes may differ.\n\n\
+            "Lines are sorted by timestamp; the clocks of the nodes may differ.\n\n\
              Examples:\n  eiderferry explain-logs 9c41d07be2a35f68 node-a.log node-b.log\n  \
              journalctl -u relay -o cat | eiderferry explain-logs 9c41d07be2a35f68 -",
         )
@@ -105,10 +108,10 @@
             Arg::new("request")
                 .value_name("REQUEST")
                 .required(true)
-                .help("Identity of the request, as its caller gave it"),
+                .help("Request id, as the caller sent it"),
         )
         .arg(
-            file_argument("files", "Logs; - for standard input")
+            file_argument("files", "Log files; - for standard input")
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..),
@@ -118,24 +121,33 @@
                 .long("format")
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("Form of the output"),
+                .help("Output format"),
         )
 }
 
 fn decisions() -> Command {
     let filter = |name: &'static str, help: &'static str| Arg::new(name).long(name).help(help);
-    node_command("decisions", "Show a node's last decisions, newest first")
+    node_command("decisions", "Show a node's latest decisions, newest first")
         .after_help("Example:\n  eiderferry decisions --step refused --class digest-check")
         .arg(
             Arg::new("count")
                 .long("count")
                 .value_parser(value_parser!(u32).range(1..=1_000))
                 .default_value("20")
-                .help("How many"),
+                .help("Maximum number of decisions to show"),
         )
-        .arg(filter("class", "Only of this class"))
-        .arg(filter("tenant", "Only of this tenant"))
-        .arg(filter("step", "Only of this step, such as refused"))
+        .arg(filter(
+            "class",
+            "Show only decisions on requests of this class",
+        ))
+        .arg(filter(
+            "tenant",
+            "Show only decisions on requests of this tenant",
+        ))
+        .arg(filter(
+            "step",
+            "Show only decisions of this step, such as refused",
+        ))
 }
 
 fn validate() -> Command {
@@ -148,7 +160,7 @@
 
 fn completions() -> Command {
     Command::new("completions")
-        .about("Print completions for a shell")
+        .about("Print the completion script for a shell")
         .arg(
             Arg::new("shell")
                 .required(true)
@@ -158,10 +170,10 @@
 
 fn serve() -> Command {
     Command::new("serve")
-        .about("Run one entry node until it is told to stop")
+        .about("Run one entry node until it receives SIGTERM or SIGINT")
         .after_help("Example:\n  eiderferry serve --settings examples/settings.yaml")
         .arg(
-            file_argument("settings", "Settings of this node")
+            file_argument("settings", "Settings file of this node")
                 .long("settings")
                 .required(true),
         )
@@ -171,18 +183,18 @@
     Command::new("platform")
         .about("Run one relay on the users' platform, with the platform's settings file")
         .after_help(
-            "The path of the settings file is taken from the environment, as the platform\n\
-             sets it. SIGTERM begins a planned stop, SIGHUP reads the settings again.\n\n\
+            "The path of the settings file comes from an environment variable that the\n\
+             platform sets. SIGTERM starts a graceful shutdown; SIGHUP reloads the settings.\n\n\
              Example:\n  eiderferry platform",
         )
 }
 
 fn check() -> Command {
     Command::new("check")
-        .about("Check settings or a published configuration without running anything")
+        .about("Validate settings or configuration files without starting a node")
         .after_help("Example:\n  eiderferry check examples/quetzal.yaml examples/settings.yaml")
         .arg(
-            file_argument("files", "Documents to check")
+            file_argument("files", "Settings or configuration files to check")
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..),
--- a/bins/eiderferry/src/error.rs
+++ b/bins/eiderferry/src/error.rs
@@ -1,76 +1,76 @@
-//! Why the program ends without success.
+//! Errors of the commands and their exit codes.
 
 use eiderferry_config::ConfigurationError;
 use eiderferry_entry::{ControlStopped, StartError};
 use eiderferry_platform_adapter::{CheckError, RunError};
 use quick_error::quick_error;
 
-/// Exit code for a document that can't be used.
+/// Exit code for an invalid document or argument.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// Exit code for a node that can't start.
+/// Exit code for a node or relay that can't start or run.
 const EXIT_START_FAILED: u8 = 3;
-/// Exit code for a planned stop that cut requests off.
+/// Exit code for a graceful shutdown that terminated requests at the drain limit.
 const EXIT_DRAIN_TIMEOUT: u8 = 4;
 
-/// Exit code for a node that gave no answer.
+/// Exit code for a failed call to a node.
 const EXIT_CALL_FAILED: u8 = 5;
-/// Exit code for something that the node does not know.
+/// Exit code for a request that the node or the logs don't contain.
 const EXIT_NOT_FOUND: u8 = 6;
 
 quick_error! {
-    /// Why the program ends without success.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum CommandError {
-        /// A document can't be used.
+        /// Settings or a configuration can't be read or are invalid.
         InvalidDocument(cause: ConfigurationError) {
             from()
             display("{cause}")
         }
-        /// The node can't start.
+        /// The entry node can't start.
         StartFailed(cause: StartError) {
             from()
             display("{cause}")
         }
-        /// A document of the platform can't be used.
+        /// A document in the platform's format is invalid.
         InvalidPlatformDocument(cause: CheckError) {
             from()
             display("{cause}")
         }
-        /// A relay on the platform can't run.
+        /// The relay on the users' platform can't run.
         RelayFailed(cause: RunError) {
             from()
             display("{cause}")
         }
-        /// The control thread ended by itself.
+        /// The control thread ended unexpectedly.
         ControlStopped(cause: ControlStopped) {
             from()
             display("{cause}")
         }
-        /// Signals can't be watched.
+        /// The signal handlers can't be installed.
         SignalSetup(cause: std::io::Error) {
-            display("can't watch for signals: {cause}")
+            display("can't install signal handlers: {cause}")
         }
-        /// The node could not be asked.
+        /// A call to the node's operator interface failed.
         CallFailed(message: String) {
-            display("the node gave no answer: {message}; check --node and --token")
+            display("the call to the node failed: {message}; check --node and --token")
         }
-        /// The node knows nothing of it.
+        /// The node or the logs have no record of the request.
         NotFound(message: String) {
             display("{message}")
         }
-        /// An argument is not understood.
+        /// An argument, or a file that it names, is invalid.
         InvalidArgument(message: String) {
             display("{message}")
         }
-        /// The drain limit passed with requests still running.
+        /// Requests were still running at the drain limit and were terminated.
         DrainTimeout {
-            display("the drain limit passed with requests still running; raise `drain_limit_ms`")
+            display("requests were still running at the drain limit and were terminated; raise `drain_limit_ms`")
         }
     }
 }
 
 impl CommandError {
-    /// The process's exit code.
+    /// Exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::InvalidDocument(_) => EXIT_INVALID_INPUT,
--- a/bins/eiderferry/src/explain_logs.rs
+++ b/bins/eiderferry/src/explain_logs.rs
@@ -1,4 +1,4 @@
-//! `eiderferry explain-logs`: the story of one request from the logs of several nodes.
+//! `eiderferry explain-logs`: the timeline of one request from the logs of several nodes.
 
 use crate::error::CommandError;
 use crate::output::{OutputTable, print_table};
@@ -7,12 +7,13 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// Lines about back ends that the request touched are shown if this close to it.
+/// Log lines about the request's back ends are included up to this many seconds
+/// before its first line and after its last.
 const BACK_END_CONTEXT_SECONDS: f64 = 2.0;
-/// Name of standard input among the files.
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// One line of a log.
+/// One parsed log line.
 #[derive(Clone, Debug)]
 struct LogEntry {
     node: String,
@@ -44,7 +45,7 @@
     }
 }
 
-/// Prints the story of a request.
+/// Prints the timeline of a request and a sentence on how it ended.
 pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     let request = arguments.get_one::<String>("request");
     let request = request.map(String::as_str).unwrap_or_default();
@@ -57,8 +58,8 @@
     let timeline = timeline(&entries, request);
     let Some(first) = timeline.first() else {
         let message = format!(
-            "no line about request {request} in {} lines; name the logs of the node that \
-             took it, and of the time in which it ran",
+            "no line about request {request} in {} lines; pass the logs of the node that \
+             received it, from the time when it ran",
             entries.len()
         );
         return Err(CommandError::NotFound(message));
@@ -108,7 +109,8 @@
     Ok(entries)
 }
 
-/// A line of the log; what stands before its JSON ends with the node's name.
+/// Parses a JSON log line. If there is a prefix before the JSON, its last word is
+/// the node's name. Returns `None` for a line that is not a structured log event.
 fn parse_entry(line: &str) -> Option<LogEntry> {
     let start = line.find('{')?;
     let value: Value = serde_json::from_str(&line[start..]).ok()?;
@@ -125,7 +127,8 @@
     })
 }
 
-/// Seconds since the beginning of the month; logs of one request span minutes.
+/// Seconds since the start of the month, which suffice to sort lines because the
+/// logs of one request span minutes.
 fn seconds_since_month_start(timestamp: &str) -> Option<f64> {
     let (date, time) = timestamp.split_once('T')?;
     let day: f64 = date.rsplit('-').next()?.parse().ok()?;
@@ -136,7 +139,8 @@
     Some(((day * 24.0 + next()?) * 60.0 + next()?) * 60.0 + next()?)
 }
 
-/// The lines about a request, and those about the back ends that it touched.
+/// The lines about a request, those about its back ends at about the same time and
+/// on the same nodes, and quarantine events with its digest.
 fn timeline(entries: &[LogEntry], request: &str) -> Vec<LogEntry> {
     let request_entries: Vec<&LogEntry> = entries
         .iter()
@@ -182,7 +186,8 @@
     selected.cloned().collect()
 }
 
-/// Lines that tell why a request is refused: under whichever id it was sent, back ends crashed.
+/// Events that explain why a request is quarantined. They are matched by digest,
+/// because the same request may have crashed back ends under other request ids.
 const QUARANTINE_EVENTS: [&str; 4] = [
     "crashed_run",
     "request_quarantined",
@@ -190,7 +195,8 @@
     "quarantine_expired",
 ];
 
-/// The back ends that crashed under what a request asks, however often it was sent.
+/// The back ends that crashed while running a request with this digest, each with
+/// the id under which the request was sent.
 fn crash_descriptions(timeline: &[LogEntry], digest: &str) -> Vec<String> {
     let entries = timeline.iter();
     let crashed = entries
@@ -206,7 +212,7 @@
         .collect()
 }
 
-/// What a line tells of a request's way over back ends.
+/// Describes a failed attempt or a failover; `None` for any other event.
 fn describe_attempt(entry: &LogEntry) -> Option<String> {
     let back_end = entry.field_text("back_end");
     match entry.event.as_str() {
@@ -216,18 +222,18 @@
             entry.field_text("after_event")
         )),
         "replica_refused" => Some(format!(
-            "not continued at {back_end} ({})",
+            "replica at {back_end} refused to continue ({})",
             entry.field_text("reason")
         )),
         "resumed" => Some(format!(
-            "run anew at {back_end} after event {}",
+            "resumed with a new run at {back_end} after event {}",
             entry.field_text("after_event")
         )),
         _ => None,
     }
 }
 
-/// One sentence that names why a request ended as it did.
+/// One sentence on how a request ended and which failures came before.
 fn describe_outcome(timeline: &[LogEntry], request: &str) -> String {
     let request_entries: Vec<&LogEntry> = timeline
         .iter()
@@ -242,7 +248,8 @@
         .rev()
         .find(|entry| matches!(entry.event.as_str(), "answered_here" | "ended"));
     let Some(last_entry) = last_entry else {
-        return "the request has not ended in these logs: its node may have died".to_owned();
+        return "these logs don't contain the end of the request: its node may have crashed"
+            .to_owned();
     };
     let mut preceding = if failures.is_empty() {
         String::new()
--- a/bins/eiderferry/src/logging.rs
+++ b/bins/eiderferry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Where log lines go, and in which form.
+//! Logging setup of an entry node.
 
 use eiderferry_config::LogFormat;
 use log::LevelFilter;
@@ -6,7 +6,7 @@
 use logforth::layout::{JsonLayout, TextLayout};
 use logforth::record::{Level, LevelFilter as RecordFilter};
 
-/// Starts logging to the standard error stream.
+/// Starts logging to standard error at level info and above.
 pub fn start(format: LogFormat) {
     let builder = logforth::starter_log::builder();
     let builder = match format {
--- a/bins/eiderferry/src/main.rs
+++ b/bins/eiderferry/src/main.rs
@@ -1,5 +1,5 @@
-//! The router's program: runs an entry node, checks documents, talks to running
-//! nodes.
+//! Command-line program of the router: runs an entry node or a relay, checks
+//! documents, queries running nodes and reads their logs.
 
 #![forbid(unsafe_code)]
 
--- a/bins/eiderferry/src/operator.rs
+++ b/bins/eiderferry/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' commands: a client of the schema in `proto/`.
+//! Commands that call a node's operator interface, a gRPC service defined in `proto/`.
 
 use crate::error::CommandError;
 use crate::output::{OutputTable, print_table};
@@ -14,7 +14,7 @@
 use trillium_grpc::{Code, Status};
 use trillium_smol::ClientConfig;
 
-/// Runs one operators' command.
+/// Runs the operator command `name`.
 pub fn run(name: &str, arguments: &ArgMatches) -> Result<(), CommandError> {
     let json = arguments
         .get_one::<String>("format")
@@ -46,7 +46,7 @@
             let response = client.drain(DrainRequest {}).await.map_err(call_error)?;
             let response = response.into_message().map_err(call_error)?;
             println!(
-                "draining; {} requests are being finished",
+                "draining; {} open requests left to finish",
                 response.open_requests
             );
             Ok(())
@@ -57,7 +57,7 @@
                 .await
                 .map_err(call_error)?;
             response.into_message().map_err(call_error)?;
-            println!("taking new requests again");
+            println!("accepting new requests again");
             Ok(())
         }
         "explain" => {
@@ -259,7 +259,7 @@
     if !response.valid {
         return Err(CommandError::InvalidArgument(response.problems));
     }
-    println!("valid; against the configuration in force:");
+    println!("valid; changes from the active configuration:");
     for change in &response.changes {
         println!("  {change}");
     }
--- a/bins/eiderferry/src/output.rs
+++ b/bins/eiderferry/src/output.rs
@@ -1,17 +1,17 @@
-//! Output of commands: aligned tables for people, JSON for machines.
+//! Command output as aligned text tables or JSON.
 
 use comfy_table::{Table, presets};
 use serde_json::{Map, Value};
 use std::fmt::Display;
 
-/// A table as texts.
+/// A table of formatted cells.
 pub struct OutputTable {
     header: Vec<&'static str>,
     rows: Vec<Vec<String>>,
 }
 
 impl OutputTable {
-    /// A table with these columns.
+    /// Creates an empty table with these column names.
     pub fn new(header: &[&'static str]) -> Self {
         Self {
             header: header.to_vec(),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Adds a row.
+    /// Appends a row.
     pub fn push<const COLUMNS: usize>(&mut self, cells: [&dyn Display; COLUMNS]) {
         self.rows
             .push(cells.iter().map(ToString::to_string).collect());
@@ -37,7 +37,7 @@
     }
 }
 
-/// Prints a table in the form asked for.
+/// Prints a table as JSON if `json` is set, as aligned text otherwise.
 pub fn print_table(output: &OutputTable, json: bool) {
     if json {
         println!("{}", output.to_json());
--- a/bins/eiderferry/src/serve.rs
+++ b/bins/eiderferry/src/serve.rs
@@ -1,4 +1,4 @@
-//! `eiderferry serve`.
+//! `eiderferry serve`: runs an entry node.
 
 use crate::error::CommandError;
 use crate::logging;
@@ -8,7 +8,7 @@
 use futures_lite::StreamExt;
 use std::path::PathBuf;
 
-/// Runs a node until a signal asks it to stop.
+/// Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.
 pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     let Some(path) = arguments.get_one::<PathBuf>("settings") else {
         return Ok(());
@@ -24,12 +24,12 @@
     let node = eiderferry_entry::start(settings)?;
     log::info!(
         node:% = settings.node, zone:% = settings.zone, listen:% = node.listen;
-        "serving callers"
+        "entry node started; accepting requests"
     );
     signals.next().await;
-    log::info!("stopping: no new requests are taken, running ones are finished");
+    log::info!("draining: rejecting new requests, waiting for running ones to finish");
     if node.stop().await? {
-        log::info!("stopped; every request was finished");
+        log::info!("stopped; all requests finished");
         return Ok(());
     }
     Err(CommandError::DrainTimeout)
--- a/bins/eiderferry/tests/explain_logs.rs
+++ b/bins/eiderferry/tests/explain_logs.rs
@@ -1,4 +1,4 @@
-//! The story of a request from logs, as the program prints it.
+//! Output of `eiderferry explain-logs` for the logs of one or more nodes.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 fn write_log(name: &str, contents: &str) -> PathBuf {
     let name = format!("eiderferry-{}-{name}.log", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, contents).expect("a writable folder");
+    std::fs::write(&path, contents).expect("the temporary directory is writable");
     path
 }
 
@@ -32,7 +32,10 @@
 #[test]
 fn timeline_includes_lines_of_the_request_and_of_its_back_ends() {
     let path = write_log("a", NODE_A);
-    let output = command("abc").arg(path).output().expect("the program runs");
+    let output = command("abc")
+        .arg(path)
+        .output()
+        .expect("the program starts");
     assert!(output.status.success());
     let output_text = stdout_text(&output);
     assert!(output_text.contains("edge-a"), "{output_text}");
@@ -52,7 +55,10 @@
 #[test]
 fn cause_names_each_back_end_that_the_request_ran_on() {
     let path = write_log("over", REPLICA_TAKEOVER);
-    let output = command("run").arg(path).output().expect("the program runs");
+    let output = command("run")
+        .arg(path)
+        .output()
+        .expect("the program starts");
     let output_text = stdout_text(&output);
     let cause = "cause: ended whole with status 200, after: i-1 broken, continued from its \
                  replica at i-2 after event 7";
@@ -69,9 +75,9 @@
     let output = command("abc")
         .args([late_log, early_log])
         .output()
-        .expect("the program runs");
+        .expect("the program starts");
     let output_text = stdout_text(&output);
-    let position = |name: &str| output_text.find(name).expect("named");
+    let position = |name: &str| output_text.find(name).expect("the node is listed");
     assert!(position("edge-a") < position("edge-b"), "{output_text}");
 }
 
@@ -82,13 +88,13 @@
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the program runs");
-    let mut input = child.stdin.take().expect("piped");
+        .expect("the program starts");
+    let mut input = child.stdin.take().expect("standard input is piped");
     for line in NODE_A.lines() {
-        writeln!(input, "  12.5 edge-c {line}").expect("piped");
+        writeln!(input, "  12.5 edge-c {line}").expect("standard input is piped");
     }
     drop(input);
-    let output_text = stdout_text(&child.wait_with_output().expect("ends"));
+    let output_text = stdout_text(&child.wait_with_output().expect("the program exits"));
     assert!(output_text.contains("edge-c"), "{output_text}");
 }
 
@@ -98,7 +104,7 @@
     let output = command("nowhere")
         .arg(path)
         .output()
-        .expect("the program runs");
+        .expect("the program starts");
     assert_eq!(output.status.code(), Some(6));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(message.contains("nowhere"), "{message}");
@@ -109,7 +115,7 @@
     let output = command("abc")
         .arg("/nowhere/x.log")
         .output()
-        .expect("the program runs");
+        .expect("the program starts");
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(message.contains("/nowhere/x.log"), "{message}");
@@ -135,7 +141,7 @@
     let output = command("late")
         .args([refusal_log, crash_log])
         .output()
-        .expect("the program runs");
+        .expect("the program starts");
     let output_text = stdout_text(&output);
     let cause = "cause: answered here with 500 because of crashes_back_ends; not_run; back ends \
                  crashed under it: i-1 (request first), i-2 (request second)";
