--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -1,6 +1,6 @@
 //! `eiderferry-lab capacity`: the slopes behind docs/CAPACITY.md.
 
-use crate::table::plain_table;
+use crate::table::right_aligned_table;
 use clap::ArgMatches;
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_config::{Configuration, Directory, DirectoryEntry, EntryState, Tenant, Versioned};
@@ -17,15 +17,15 @@
 use std::time::Instant;
 
 /// Fleet sizes simulated: nodes and workers of one zone.
-const SIZES: [(u32, u32); 3] = [(25, 120), (50, 240), (100, 480)];
+const ZONE_SIZES: [(u32, u32); 3] = [(25, 120), (50, 240), (100, 480)];
 /// Seconds simulated.
 const SIMULATED_SECONDS: f64 = 10.0;
 /// Hollow nodes over which the memory of documents is averaged.
-const HOLLOW_NODES: u32 = 40;
+const MEASURED_NODES: u32 = 40;
 /// Requests whose processor time is measured.
-const REQUESTS: u64 = 200_000;
+const REQUEST_COUNT: u64 = 200_000;
 /// Sizes of documents measured: tenants, nodes, back ends.
-const DOCUMENTS: [(u16, u32, u32); 3] = [
+const DOCUMENT_SIZES: [(u16, u32, u32); 3] = [
     (975, 550, 2_500),
     (1_950, 1_100, 5_000),
     (3_900, 2_200, 10_000),
@@ -33,17 +33,17 @@
 
 /// Prints all slopes.
 pub fn run(_: &ArgMatches) -> Result<(), String> {
-    messages()?;
-    documents()?;
-    requests()
+    measure_messages()?;
+    measure_documents()?;
+    measure_requests()
 }
 
 /// Control messages of one zone at its share of the target load.
-fn messages() -> Result<(), String> {
+fn measure_messages() -> Result<(), String> {
     let mut rows = Vec::new();
-    for (nodes, workers) in SIZES {
+    for (nodes, workers) in ZONE_SIZES {
         let mut scenario = Scenario::load("zone-100-steady").map_err(|error| error.to_string())?;
-        let part = f64::from(nodes) / 100.0;
+        let load_fraction = f64::from(nodes) / 100.0;
         scenario.duration_seconds = SIMULATED_SECONDS;
         scenario.nodes_per_zone = vec![nodes];
         for counts in scenario.back_ends_per_zone.values_mut() {
@@ -51,7 +51,7 @@
         }
         for load in &mut scenario.load {
             for step in &mut load.rate {
-                step.per_second *= part;
+                step.per_second *= load_fraction;
             }
         }
         let report =
@@ -74,11 +74,11 @@
         "datagrams/s a node",
         "platform calls/s",
     ];
-    println!("{}\n", plain_table(&header, rows));
+    println!("{}\n", right_aligned_table(&header, rows));
     Ok(())
 }
 
-fn address(number: u32) -> SocketAddr {
+fn node_address(number: u32) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + number), 9))
 }
 
@@ -88,14 +88,14 @@
         id: NodeId(number),
         zone: zone(number),
         role: (),
-        address: address(number),
+        address: node_address(number),
         state: EntryState::Live,
     });
     let back_ends = (1..=back_ends).map(|number| DirectoryEntry {
         id: BackEndId(number),
         zone: zone(number),
         role: PoolId((number % 5) as u8 + 1),
-        address: address(number),
+        address: node_address(number),
         state: EntryState::Live,
     });
     Directory {
@@ -142,46 +142,46 @@
 }
 
 /// Time and memory that the documents take on a node.
-fn documents() -> Result<(), String> {
+fn measure_documents() -> Result<(), String> {
     let mut rows = Vec::new();
-    for (tenants, nodes, back_ends) in DOCUMENTS {
-        let known = configuration(tenants, 21)?;
-        let listed = directory(nodes, back_ends, 21);
-        let mut hollow: Vec<Node> = (0..HOLLOW_NODES).map(|_| new_node()).collect();
-        let before = resident_kib()?;
-        let took = Instant::now();
-        for node in &mut hollow {
-            give(node, known.clone(), listed.clone());
+    for (tenants, nodes, back_ends) in DOCUMENT_SIZES {
+        let initial_configuration = configuration(tenants, 21)?;
+        let directory = directory(nodes, back_ends, 21);
+        let mut measured_nodes: Vec<Node> = (0..MEASURED_NODES).map(|_| new_node()).collect();
+        let kib_before = resident_kib()?;
+        let started = Instant::now();
+        for node in &mut measured_nodes {
+            apply_documents(node, initial_configuration.clone(), directory.clone());
         }
-        let first = took.elapsed() / HOLLOW_NODES;
-        let memory = resident_kib()?.saturating_sub(before) / u64::from(HOLLOW_NODES);
-        let Some(mut node) = hollow.pop() else {
+        let apply_time = started.elapsed() / MEASURED_NODES;
+        let kib_per_node = resident_kib()?.saturating_sub(kib_before) / u64::from(MEASURED_NODES);
+        let Some(mut node) = measured_nodes.pop() else {
             return Ok(());
         };
-        let mut changed = known.clone();
-        changed.version = 2;
-        if let Some(tenant) = changed.tenants.last_mut() {
+        let mut updated_configuration = initial_configuration.clone();
+        updated_configuration.version = 2;
+        if let Some(tenant) = updated_configuration.tenants.last_mut() {
             tenant.classes.push("class-7".into());
         }
-        let delta = known.delta_to(&changed);
+        let delta = initial_configuration.delta_to(&updated_configuration);
         let update = eiderferry_dissemination::Update::Deltas(vec![delta]);
         let message = Message::ConfigurationUpdate(update);
         let envelope = envelope_of(message);
         let bytes = eiderferry_peer::encode(&envelope).map_or(0, |frame| frame.len());
-        let took = Instant::now();
+        let started = Instant::now();
         node.receive(Timestamp(2_000), envelope);
-        let change = took.elapsed();
-        let in_force = node.configuration().map_or(0, |document| document.version);
-        if in_force != 2 {
+        let change_time = started.elapsed();
+        let active_version = node.configuration().map_or(0, |document| document.version);
+        if active_version != 2 {
             return Err("the change did not come into force".into());
         }
         rows.push(vec![
             tenants.to_string(),
             nodes.to_string(),
             back_ends.to_string(),
-            format!("{:.1}", memory as f64 / 1_024.0),
-            format!("{:.1}", first.as_secs_f64() * 1_000.0),
-            format!("{:.2}", change.as_secs_f64() * 1_000.0),
+            format!("{:.1}", kib_per_node as f64 / 1_024.0),
+            format!("{:.1}", apply_time.as_secs_f64() * 1_000.0),
+            format!("{:.2}", change_time.as_secs_f64() * 1_000.0),
             bytes.to_string(),
         ]);
     }
@@ -195,7 +195,7 @@
         "one change ms",
         "one change bytes",
     ];
-    println!("{}\n", plain_table(&header, rows));
+    println!("{}\n", right_aligned_table(&header, rows));
     Ok(())
 }
 
@@ -217,7 +217,7 @@
     Node::new(identity, NodeLimits::default(), Timestamp::default(), 1)
 }
 
-fn give(node: &mut Node, configuration: Configuration, directory: Directory) {
+fn apply_documents(node: &mut Node, configuration: Configuration, directory: Directory) {
     let now = Timestamp(1_000);
     let document = PlatformDocument::Directory(directory);
     node.platform_answered(now, DocumentKind::Directory, Ok(Some(document)));
@@ -228,51 +228,53 @@
 
 /// Processor time of the decision code per request, entry node and holder together,
 /// and of encoding and decoding its messages.
-fn requests() -> Result<(), String> {
+fn measure_requests() -> Result<(), String> {
     let mut node = new_node();
     // One node that holds one cell of eight workers: it asks itself.
-    let mut listed = directory(1, 0, 1);
-    listed.nodes[0].zone = ZoneId(2);
-    listed.back_ends = (1..=8)
+    let mut directory = directory(1, 0, 1);
+    directory.nodes[0].zone = ZoneId(2);
+    directory.back_ends = (1..=8)
         .map(|number| DirectoryEntry {
             id: BackEndId(number),
             zone: ZoneId(2),
             role: PoolId(1),
-            address: address(number),
+            address: node_address(number),
             state: EntryState::Live,
         })
         .collect();
-    give(&mut node, configuration(100, 21)?, listed);
+    apply_documents(&mut node, configuration(100, 21)?, directory);
     let mut now = Timestamp(2_000_000);
     for step in 0..40 {
         now = Timestamp(2_000_000 + step * 50_000);
         node.tick(now);
-        carry_out(&mut node, now);
+        process_outputs(&mut node, now);
     }
-    let took = Instant::now();
+    let started = Instant::now();
     let mut completed = 0;
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         now = now + Span(300);
         if number % 160 == 0 {
             node.tick(now);
-            carry_out(&mut node, now);
+            process_outputs(&mut node, now);
         }
         node.submit(now, submission(number, now));
-        completed += carry_out(&mut node, now);
+        completed += process_outputs(&mut node, now);
     }
-    let per_request = took.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
-    println!("Requests: {completed} of {REQUESTS} decided on one node that is entry and holder:");
-    println!("  decision code  {per_request:.1} us a request, entry node and holder together");
+    let us_per_request = started.elapsed().as_secs_f64() * 1e6 / REQUEST_COUNT as f64;
+    println!(
+        "Requests: {completed} of {REQUEST_COUNT} decided on one node that is entry and holder:"
+    );
+    println!("  decision code  {us_per_request:.1} us a request, entry node and holder together");
     println!(
         "  codec          {:.2} us a message, encoded and decoded",
-        codec_microseconds()?
+        measure_codec_us()?
     );
     Ok(())
 }
 
 /// Carries out what the node wants: every dispatched request completes at once,
 /// every poll is answered. Returns the requests completed.
-fn carry_out(node: &mut Node, now: Timestamp) -> u64 {
+fn process_outputs(node: &mut Node, now: Timestamp) -> u64 {
     let mut completed = 0;
     loop {
         let outputs = node.take_outputs();
@@ -288,8 +290,8 @@
                         first_token: Some(Span::from_milliseconds(50)),
                         per_token: Some(Span::from_milliseconds(40)),
                     };
-                    let end = AttemptEnd::Completed(observation);
-                    node.attempt_ended(now, dispatch.request, dispatch.attempt, end);
+                    let attempt_end = AttemptEnd::Completed(observation);
+                    node.attempt_ended(now, dispatch.request, dispatch.attempt, attempt_end);
                     completed += 1;
                 }
                 Output::PollBackEnd { back_end, .. } => {
@@ -315,7 +317,7 @@
     }
 }
 
-fn codec_microseconds() -> Result<f64, String> {
+fn measure_codec_us() -> Result<f64, String> {
     const ROUNDS: u32 = 200_000;
     let envelope = envelope_of(Message::Ping {
         configuration: 1_000,
@@ -323,12 +325,12 @@
         draining: false,
         echo: 0,
     });
-    let took = Instant::now();
+    let started = Instant::now();
     for _ in 0..ROUNDS {
         let frame = eiderferry_peer::encode(&envelope).map_err(|error| error.to_string())?;
         eiderferry_peer::decode(&frame).map_err(|error| error.to_string())?;
     }
-    Ok(took.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS))
+    Ok(started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS))
 }
 
 fn resident_kib() -> Result<u64, String> {
--- a/bins/eiderferry-lab/src/command.rs
+++ b/bins/eiderferry-lab/src/command.rs
@@ -18,7 +18,11 @@
         .subcommand(simulate())
 }
 
-pub(crate) fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+pub(crate) fn number_argument(
+    name: &'static str,
+    default: &'static str,
+    help: &'static str,
+) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
@@ -30,9 +34,13 @@
 fn demo() -> Command {
     Command::new("demo")
         .about("Run a small fleet with stand-ins over loopback and show what it did")
-        .arg(number("seconds", "8", "Time during which requests start"))
-        .arg(number("seed", "1", "Seed of the load"))
-        .arg(flag(
+        .arg(number_argument(
+            "seconds",
+            "8",
+            "Time during which requests start",
+        ))
+        .arg(number_argument("seed", "1", "Seed of the load"))
+        .arg(flag_argument(
             "faults",
             "Kill, stop and pause nodes and crash engines meanwhile",
         ))
@@ -64,7 +72,11 @@
                 .action(ArgAction::Append)
                 .help("An entry node to be listed, with its peer address; may be repeated"),
         )
-        .arg(number("back-ends", "2", "Back ends per pool and zone"))
+        .arg(number_argument(
+            "back-ends",
+            "2",
+            "Back ends per pool and zone",
+        ))
 }
 
 fn load() -> Command {
@@ -86,8 +98,8 @@
             "Examples:\n  eiderferry-lab simulate --scenario quetzal-news-morning --policy eiderferry,oracle\n  \
              eiderferry-lab simulate --chaos --seeds 0..100",
         )
-        .arg(flag("list", "List the scenarios that come with the program"))
-        .arg(flag("chaos", "Run a random schedule of faults per seed"))
+        .arg(flag_argument("list", "List the scenarios that come with the program"))
+        .arg(flag_argument("chaos", "Run a random schedule of faults per seed"))
         .arg(
             Arg::new("scenario")
                 .long("scenario")
@@ -101,7 +113,7 @@
                 .default_value("eiderferry")
                 .help("Policies, with commas between: eiderferry, random, round-robin, least-loaded, oracle, without-..."),
         )
-        .arg(number("seed", "1", "Seed of all random choices"))
+        .arg(number_argument("seed", "1", "Seed of all random choices"))
         .arg(
             Arg::new("seeds")
                 .long("seeds")
@@ -124,7 +136,7 @@
         )
 }
 
-fn flag(name: &'static str, help: &'static str) -> Arg {
+fn flag_argument(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .action(ArgAction::SetTrue)
--- a/bins/eiderferry-lab/src/emulate.rs
+++ b/bins/eiderferry-lab/src/emulate.rs
@@ -1,6 +1,6 @@
 //! `eiderferry-lab emulate`.
 
-use crate::fleet::StandIns;
+use crate::fleet::Emulators;
 use clap::ArgMatches;
 use eiderferry_config::{Configuration, DirectoryEntry, EntryState};
 use eiderferry_emulator::EngineTiming;
@@ -27,15 +27,22 @@
         .flatten()
         .map(|text| parse_node(text))
         .collect::<Result<Vec<_>, _>>()?;
-    let per_pool = arguments.get_one::<u64>("back-ends").copied().unwrap_or(2);
+    let back_ends_per_pool = arguments.get_one::<u64>("back-ends").copied().unwrap_or(2);
     let timing = EngineTiming::default();
-    let stand_ins = StandIns::start(platform, &text, &configuration, nodes, per_pool, timing)
-        .map_err(|error| format!("can't start the stand-ins: {error}"))?;
+    let emulators = Emulators::start(
+        platform,
+        &text,
+        &configuration,
+        nodes,
+        back_ends_per_pool,
+        timing,
+    )
+    .map_err(|error| format!("can't start the stand-ins: {error}"))?;
     println!(
         "platform on {}, {} engines, {} services; interrupt to end",
-        stand_ins.platform.address(),
-        stand_ins.engines.len(),
-        stand_ins.services.len()
+        emulators.platform.address(),
+        emulators.engines.len(),
+        emulators.services.len()
     );
     loop {
         std::thread::park();
@@ -43,12 +50,12 @@
 }
 
 fn parse_node(text: &str) -> Result<DirectoryEntry<NodeId, ()>, String> {
-    let wrong = || format!("--node {text}: expected ID:ZONE:ADDRESS, such as 1:1:127.0.0.1:7101");
+    let invalid = || format!("--node {text}: expected ID:ZONE:ADDRESS, such as 1:1:127.0.0.1:7101");
     let mut parts = text.splitn(3, ':');
-    let mut next = || parts.next().ok_or_else(wrong);
-    let id = next()?.parse().map_err(|_| wrong())?;
-    let zone = next()?.parse().map_err(|_| wrong())?;
-    let address = next()?.parse().map_err(|_| wrong())?;
+    let mut next = || parts.next().ok_or_else(invalid);
+    let id = next()?.parse().map_err(|_| invalid())?;
+    let zone = next()?.parse().map_err(|_| invalid())?;
+    let address = next()?.parse().map_err(|_| invalid())?;
     Ok(DirectoryEntry {
         id: NodeId(id),
         zone: ZoneId(zone),
--- a/bins/eiderferry-lab/src/faults.rs
+++ b/bins/eiderferry-lab/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults for the demo: nodes killed, stopped and paused, engines crashed, while
 //! non-repeatable calls are made and counted.
 
-use crate::fleet::{NodePlace, StandIns};
+use crate::fleet::{Emulators, NodeAddresses};
 use eiderferry_entry::EntryNode;
 use eiderferry_load::{LoadClient, ServiceOutcome};
 use std::collections::BTreeMap;
@@ -9,19 +9,19 @@
 use std::time::{Duration, Instant};
 
 /// Time between two faults.
-const STEP: Duration = Duration::from_millis(1_500);
+const FAULT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How long a killed or stopped node stays away.
-const AWAY: Duration = Duration::from_millis(800);
+const RESTART_DELAY: Duration = Duration::from_millis(800);
 /// How long the control thread of a paused node stands still.
-const PAUSE: Duration = Duration::from_millis(1_800);
+const PAUSE_DURATION: Duration = Duration::from_millis(1_800);
 /// Time between two non-repeatable calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(25);
 /// Tries of one call at different nodes.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// What was done to the fleet.
 #[derive(Debug, Default)]
-pub struct Injected {
+pub struct FaultCounts {
     /// Nodes killed.
     pub killed: u32,
     /// Nodes stopped as planned.
@@ -34,33 +34,33 @@
 
 /// Kills, stops and pauses nodes in turn, and crashes engines, until `end`.
 pub async fn inject(
-    places: &[NodePlace],
+    addresses: &[NodeAddresses],
     nodes: &mut [Option<EntryNode>],
-    stand_ins: &StandIns,
-    end: Instant,
-) -> Result<Injected, String> {
-    let mut injected = Injected::default();
-    let platform = stand_ins.platform.address();
+    emulators: &Emulators,
+    deadline: Instant,
+) -> Result<FaultCounts, String> {
+    let mut fault_counts = FaultCounts::default();
+    let platform = emulators.platform.address();
     let mut step = 0;
-    while Instant::now() + STEP < end {
-        smol::Timer::after(STEP).await;
+    while Instant::now() + FAULT_INTERVAL < deadline {
+        smol::Timer::after(FAULT_INTERVAL).await;
         let target = step % nodes.len();
         match step % 4 {
             0 => {
                 if let Some(node) = nodes[target].take() {
                     node.kill();
                 }
-                injected.killed += 1;
-                smol::Timer::after(AWAY).await;
-                nodes[target] = Some(places[target].start(platform)?);
+                fault_counts.killed += 1;
+                smol::Timer::after(RESTART_DELAY).await;
+                nodes[target] = Some(addresses[target].start(platform)?);
             }
             1 => {
                 if let Some(node) = &nodes[target] {
                     node.control
-                        .pause(PAUSE)
+                        .pause(PAUSE_DURATION)
                         .map_err(|error| error.to_string())?;
                 }
-                injected.paused += 1;
+                fault_counts.paused += 1;
             }
             2 => {
                 if let Some(node) = nodes[target].take() {
@@ -69,43 +69,47 @@
                         return Err("a planned stop cut requests off".into());
                     }
                 }
-                injected.stopped += 1;
-                smol::Timer::after(AWAY).await;
-                nodes[target] = Some(places[target].start(platform)?);
+                fault_counts.stopped += 1;
+                smol::Timer::after(RESTART_DELAY).await;
+                nodes[target] = Some(addresses[target].start(platform)?);
             }
             _ => {
-                if let Some(engine) = stand_ins
+                if let Some(engine) = emulators
                     .engines
                     .values()
-                    .nth(step % stand_ins.engines.len())
+                    .nth(step % emulators.engines.len())
                 {
                     engine.crash();
                 }
-                injected.crashed_engines += 1;
+                fault_counts.crashed_engines += 1;
             }
         }
         step += 1;
     }
-    Ok(injected)
+    Ok(fault_counts)
 }
 
 /// What the callers of non-repeatable calls were told last, by call.
-pub type LastWords = BTreeMap<String, ServiceOutcome>;
+pub type FinalOutcomes = BTreeMap<String, ServiceOutcome>;
 
 /// Makes non-repeatable calls with tickets until `end`; each is tried at several
 /// nodes until it is answered or settled.
-pub async fn call_service(entries: Vec<SocketAddr>, key: String, end: Instant) -> LastWords {
+pub async fn make_service_calls(
+    entries: Vec<SocketAddr>,
+    key: String,
+    deadline: Instant,
+) -> FinalOutcomes {
     let client = LoadClient::new();
-    let mut words = LastWords::new();
-    let mut number = 0_usize;
-    while Instant::now() < end {
+    let mut outcomes = FinalOutcomes::new();
+    let mut call_number = 0_usize;
+    while Instant::now() < deadline {
         smol::Timer::after(CALL_INTERVAL).await;
-        let body = format!("tally {number}");
-        let first = number;
-        number += 1;
+        let body = format!("tally {call_number}");
+        let first_entry = call_number;
+        call_number += 1;
         let mut ticket = None;
         for offset in 0..entries.len() {
-            let entry = entries[(first + offset) % entries.len()];
+            let entry = entries[(first_entry + offset) % entries.len()];
             if let Ok(issued) = client.ticket(entry, &key).await {
                 ticket = Some(issued);
                 break;
@@ -118,23 +122,23 @@
             ("authorization", format!("Bearer {key}")),
             ("eiderferry-ticket", ticket),
         ];
-        for attempt in 0..TRIES {
-            let entry = entries[(first + attempt) % entries.len()];
+        for attempt in 0..MAX_ATTEMPTS {
+            let entry = entries[(first_entry + attempt) % entries.len()];
             let outcome = client
                 .service(entry, "/playback/resume", &headers, &body)
                 .await;
-            let settled = is_settled(&outcome);
-            words.insert(body.clone(), outcome);
-            if settled {
+            let is_final_outcome = is_final(&outcome);
+            outcomes.insert(body.clone(), outcome);
+            if is_final_outcome {
                 break;
             }
         }
     }
-    words
+    outcomes
 }
 
 /// Whether trying again can tell the caller nothing new.
-fn is_settled(outcome: &ServiceOutcome) -> bool {
+fn is_final(outcome: &ServiceOutcome) -> bool {
     match outcome {
         ServiceOutcome::Answered(_) => true,
         ServiceOutcome::Refused { reason, .. } => {
@@ -146,14 +150,17 @@
 
 /// Compares what callers were told with what the services executed; returns the
 /// number of calls that ran twice, and of calls told "not run" that ran.
-pub fn judge(words: &LastWords, executions: &BTreeMap<String, u32>) -> (usize, usize) {
-    let twice = executions.values().filter(|count| **count > 1).count();
-    let untrue = words.iter().filter(|(body, outcome)| {
-        let told_not_run = matches!(
+pub fn count_violations(
+    outcomes: &FinalOutcomes,
+    executions: &BTreeMap<String, u32>,
+) -> (usize, usize) {
+    let duplicate_executions = executions.values().filter(|count| **count > 1).count();
+    let wrong_not_run = outcomes.iter().filter(|(body, outcome)| {
+        let reported_not_run = matches!(
             outcome,
             ServiceOutcome::Refused { verdict, .. } if verdict == "not_run"
         );
-        told_not_run && executions.contains_key(*body)
+        reported_not_run && executions.contains_key(*body)
     });
-    (twice, untrue.count())
+    (duplicate_executions, wrong_not_run.count())
 }
--- a/bins/eiderferry-lab/src/fleet.rs
+++ b/bins/eiderferry-lab/src/fleet.rs
@@ -15,13 +15,13 @@
 /// Lag of the engines' load reports.
 const REPORT_LAG: Duration = Duration::from_millis(1_000);
 /// Time that the plain service takes for a call.
-const SERVICE_TIME: Duration = Duration::from_millis(20);
+const SERVICE_CALL_DURATION: Duration = Duration::from_millis(20);
 
 /// Longest wait for the nodes to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Back ends and platform.
-pub struct StandIns {
+pub struct Emulators {
     /// The platform.
     pub platform: PlatformServer,
     /// Engines by number.
@@ -35,25 +35,25 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-impl StandIns {
+impl Emulators {
     /// Starts `per_pool` back ends for each pool in each zone.
     pub fn start(
         platform: SocketAddr,
         configuration_text: &str,
         configuration: &Configuration,
         nodes: Vec<DirectoryEntry<NodeId, ()>>,
-        per_pool: u64,
+        back_ends_per_pool: u64,
         timing: EngineTiming,
     ) -> std::io::Result<Self> {
         let mut engines = BTreeMap::new();
         let mut services = BTreeMap::new();
         let mut back_ends = Vec::new();
-        let mut next = 1;
+        let mut next_id = 1;
         for zone in &configuration.zones {
             for pool in &configuration.pools {
-                for _ in 0..per_pool {
-                    let id = BackEndId(next);
-                    next += 1;
+                for _ in 0..back_ends_per_pool {
+                    let id = BackEndId(next_id);
+                    next_id += 1;
                     let address = match pool.kind {
                         PoolKind::Engine => {
                             let engine = EngineServer::start(any_address(), timing, REPORT_LAG)?;
@@ -62,13 +62,14 @@
                             address
                         }
                         PoolKind::Service => {
-                            let service = ServiceServer::start(any_address(), SERVICE_TIME)?;
+                            let service =
+                                ServiceServer::start(any_address(), SERVICE_CALL_DURATION)?;
                             let address = service.address();
                             services.insert(id, service);
                             address
                         }
                     };
-                    back_ends.push(back_end(id, zone.id, pool.id, address));
+                    back_ends.push(live_back_end(id, zone.id, pool.id, address));
                 }
             }
         }
@@ -95,7 +96,7 @@
     }
 }
 
-fn back_end(
+fn live_back_end(
     id: BackEndId,
     zone: ZoneId,
     pool: PoolId,
@@ -112,7 +113,7 @@
 
 /// Where an entry node listens.
 #[derive(Clone, Copy, Debug)]
-pub struct NodePlace {
+pub struct NodeAddresses {
     /// Its number.
     pub node: NodeId,
     /// Its zone.
@@ -123,9 +124,9 @@
     pub peer: SocketAddr,
 }
 
-impl NodePlace {
+impl NodeAddresses {
     /// Finds free addresses for a node.
-    pub fn find(node: NodeId, zone: ZoneId) -> std::io::Result<Self> {
+    pub fn find_free(node: NodeId, zone: ZoneId) -> std::io::Result<Self> {
         let listen = TcpListener::bind(any_address())?.local_addr()?;
         Ok(Self {
             node,
@@ -136,7 +137,7 @@
     }
 
     /// Its entry in the directory.
-    pub fn entry(&self) -> DirectoryEntry<NodeId, ()> {
+    pub fn directory_entry(&self) -> DirectoryEntry<NodeId, ()> {
         DirectoryEntry {
             id: self.node,
             zone: self.zone,
@@ -170,28 +171,28 @@
 
 /// An address whose port is free for both UDP and TCP.
 fn free_peer_address() -> std::io::Result<SocketAddr> {
-    const TRIES: usize = 20;
-    let mut last = std::io::Error::other("no free port");
-    for _ in 0..TRIES {
+    const MAX_ATTEMPTS: usize = 20;
+    let mut last_error = std::io::Error::other("no free port");
+    for _ in 0..MAX_ATTEMPTS {
         let address = UdpSocket::bind(any_address())?.local_addr()?;
         match TcpListener::bind(address) {
             Ok(_) => return Ok(address),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 /// Waits until every node can decide on requests.
 pub async fn wait_until_ready(nodes: &[EntryNode]) -> Result<(), String> {
-    let end = Instant::now() + READY_TIMEOUT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     for node in nodes {
         loop {
-            let ready = node.control.with_node(|state| state.is_ready()).await;
-            if ready.map_err(|error| error.to_string())? {
+            let is_ready = node.control.with_node(|state| state.is_ready()).await;
+            if is_ready.map_err(|error| error.to_string())? {
                 break;
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(format!("the node at {} did not become ready", node.listen));
             }
             smol::Timer::after(Duration::from_millis(20)).await;
--- a/bins/eiderferry-lab/src/load.rs
+++ b/bins/eiderferry-lab/src/load.rs
@@ -1,6 +1,6 @@
 //! `eiderferry-lab load`.
 
-use crate::table::load_table;
+use crate::table::load_report_table;
 use clap::ArgMatches;
 use eiderferry_load::LoadPlan;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
         ));
     }
     let report = smol::block_on(eiderferry_load::run(&plan));
-    println!("{}", load_table(&report));
+    println!("{}", load_report_table(&report));
     println!(
         "goodput {:.0} tokens/s, {} tokens in {:.1} s",
         report.goodput_tokens_per_second, report.delivered_tokens, report.seconds
--- a/bins/eiderferry-lab/src/overhead.rs
+++ b/bins/eiderferry-lab/src/overhead.rs
@@ -1,8 +1,8 @@
 //! `eiderferry-lab overhead`: what the router adds to calling an engine directly.
 
-use crate::fleet::{NodePlace, StandIns, any_address, wait_until_ready};
+use crate::fleet::{Emulators, NodeAddresses, any_address, wait_until_ready};
 use crate::logging;
-use crate::table::plain_table;
+use crate::table::right_aligned_table;
 use clap::ArgMatches;
 use eiderferry_config::Configuration;
 use eiderferry_emulator::EngineTiming;
@@ -14,25 +14,25 @@
 
 /// Slots enough that nothing ever waits for one.
 const SLOTS: u32 = 2_048;
-/// Concurrent streams measured.
-const STREAMS: [usize; 3] = [1, 64, 512];
+/// Concurrent streams measurement.
+const STREAM_COUNTS: [usize; 3] = [1, 64, 512];
 /// Answer length in tokens.
 const ANSWER_TOKENS: u32 = 16;
 /// Requests made by all streams together, at least.
-const REQUESTS: usize = 60;
+const MIN_REQUESTS: usize = 60;
 /// Requests made on each stream, at least.
-const REQUESTS_PER_STREAM: usize = 4;
-/// Streams held open while memory is measured.
-const IDLE_STREAMS: usize = 1_000;
+const MIN_REQUESTS_PER_STREAM: usize = 4;
+/// Streams held open while memory is measurement.
+const OPEN_STREAMS: usize = 1_000;
 /// Time between the starts of two streams.
-const START_GAP: Duration = Duration::from_millis(2);
+const STREAM_START_INTERVAL: Duration = Duration::from_millis(2);
 /// Clock ticks a second in `/proc`, as on every common Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What one run measured.
-struct Measured {
-    first_tokens: Vec<Duration>,
-    per_tokens: Vec<Duration>,
+/// What one run measurement.
+struct Measurement {
+    times_to_first_token: Vec<Duration>,
+    times_per_token: Vec<Duration>,
     tokens: u64,
     cpu_seconds: f64,
 }
@@ -47,7 +47,8 @@
     let text = configuration_text();
     let configuration =
         Configuration::from_yaml("overhead", &text).map_err(|error| error.to_string())?;
-    let place = NodePlace::find(NodeId(1), ZoneId(1)).map_err(|error| error.to_string())?;
+    let node_addresses =
+        NodeAddresses::find_free(NodeId(1), ZoneId(1)).map_err(|error| error.to_string())?;
     let timing = EngineTiming {
         step_base_us: 20_000,
         step_per_sequence_us: 0,
@@ -57,27 +58,34 @@
         kv_tokens: u64::MAX / 2,
         prefix_cache_tokens: 0,
     };
-    let listed = vec![place.entry()];
-    let stand_ins = StandIns::start(any_address(), &text, &configuration, listed, 1, timing)
-        .map_err(|error| error.to_string())?;
-    let node = place.start(stand_ins.platform.address())?;
+    let listed_nodes = vec![node_addresses.directory_entry()];
+    let emulators = Emulators::start(
+        any_address(),
+        &text,
+        &configuration,
+        listed_nodes,
+        1,
+        timing,
+    )
+    .map_err(|error| error.to_string())?;
+    let node = node_addresses.start(emulators.platform.address())?;
     wait_until_ready(std::slice::from_ref(&node)).await?;
-    let engine = stand_ins
+    let engine = emulators
         .engines
         .values()
         .next()
         .map(eiderferry_emulator::EngineServer::address)
         .ok_or("no engine")?;
     let mut rows = Vec::new();
-    for streams in STREAMS {
+    for streams in STREAM_COUNTS {
         let _warm_up = run_streams(engine, streams, streams).await?;
         let _warm_up = run_streams(node.listen, streams, streams).await?;
-        let requests = REQUESTS.max(streams * REQUESTS_PER_STREAM);
+        let requests = MIN_REQUESTS.max(streams * MIN_REQUESTS_PER_STREAM);
         let direct = run_streams(engine, streams, requests).await?;
         let routed = run_streams(node.listen, streams, requests).await?;
-        rows.push(row(streams, direct, routed));
+        rows.push(table_row(streams, direct, routed));
     }
-    println!("{}", plain_table(HEADER, rows));
+    println!("{}", right_aligned_table(HEADER, rows));
     measure_memory(node.listen).await?;
     node.stop().await.map_err(|error| error.to_string())?;
     Ok(())
@@ -96,27 +104,36 @@
     "CPU ms per 1,000 tokens added",
 ];
 
-fn row(streams: usize, mut direct: Measured, mut routed: Measured) -> Vec<String> {
+fn table_row(streams: usize, mut direct: Measurement, mut routed: Measurement) -> Vec<String> {
     let mut cells = vec![streams.to_string()];
-    for part in [0.5, 0.99] {
-        let before = quantile_ms(&mut direct.first_tokens, part);
-        let after = quantile_ms(&mut routed.first_tokens, part);
-        cells.push(format!("{before:.2}"));
-        cells.push(format!("{after:.2}"));
-        cells.push(format!("{:.2}", after - before));
+    for quantile in [0.5, 0.99] {
+        let direct_ms = quantile_ms(&mut direct.times_to_first_token, quantile);
+        let routed_ms = quantile_ms(&mut routed.times_to_first_token, quantile);
+        cells.push(format!("{direct_ms:.2}"));
+        cells.push(format!("{routed_ms:.2}"));
+        cells.push(format!("{:.2}", routed_ms - direct_ms));
     }
-    cells.push(format!("{:.2}", quantile_ms(&mut direct.per_tokens, 0.5)));
-    cells.push(format!("{:.2}", quantile_ms(&mut routed.per_tokens, 0.5)));
-    let cost = |run: &Measured| run.cpu_seconds * 1e6 / run.tokens as f64;
-    cells.push(format!("{:.1}", cost(&routed) - cost(&direct)));
+    cells.push(format!(
+        "{:.2}",
+        quantile_ms(&mut direct.times_per_token, 0.5)
+    ));
+    cells.push(format!(
+        "{:.2}",
+        quantile_ms(&mut routed.times_per_token, 0.5)
+    ));
+    let cpu_ms_per_1000_tokens = |run: &Measurement| run.cpu_seconds * 1e6 / run.tokens as f64;
+    cells.push(format!(
+        "{:.1}",
+        cpu_ms_per_1000_tokens(&routed) - cpu_ms_per_1000_tokens(&direct)
+    ));
     cells
 }
 
-fn quantile_ms(values: &mut [Duration], part: f64) -> f64 {
+fn quantile_ms(values: &mut [Duration], quantile: f64) -> f64 {
     values.sort_unstable();
-    let position = (values.len().saturating_sub(1) as f64 * part).round() as usize;
+    let index = (values.len().saturating_sub(1) as f64 * quantile).round() as usize;
     values
-        .get(position)
+        .get(index)
         .map_or(0.0, |value| value.as_secs_f64() * 1_000.0)
 }
 
@@ -125,41 +142,41 @@
     entry: SocketAddr,
     streams: usize,
     requests: usize,
-) -> Result<Measured, String> {
-    let cpu = cpu_seconds()?;
-    let each = requests.div_ceil(streams);
+) -> Result<Measurement, String> {
+    let cpu_before = cpu_seconds()?;
+    let requests_per_stream = requests.div_ceil(streams);
     let tasks: Vec<_> = (0..streams)
-        .map(|stream| smol::spawn(one_stream(entry, stream, each)))
+        .map(|stream| smol::spawn(run_stream(entry, stream, requests_per_stream)))
         .collect();
-    let mut measured = Measured {
-        first_tokens: Vec::new(),
-        per_tokens: Vec::new(),
+    let mut measurement = Measurement {
+        times_to_first_token: Vec::new(),
+        times_per_token: Vec::new(),
         tokens: 0,
         cpu_seconds: 0.0,
     };
     for task in tasks {
         for (first_token, per_token) in task.await? {
-            measured.first_tokens.push(first_token);
-            measured.per_tokens.push(per_token);
-            measured.tokens += u64::from(ANSWER_TOKENS);
+            measurement.times_to_first_token.push(first_token);
+            measurement.times_per_token.push(per_token);
+            measurement.tokens += u64::from(ANSWER_TOKENS);
         }
     }
-    measured.cpu_seconds = cpu_seconds()? - cpu;
-    Ok(measured)
+    measurement.cpu_seconds = cpu_seconds()? - cpu_before;
+    Ok(measurement)
 }
 
-async fn one_stream(
+async fn run_stream(
     entry: SocketAddr,
     stream: usize,
     requests: usize,
 ) -> Result<Vec<(Duration, Duration)>, String> {
     // Streams start one after the other: a burst of connections to one stand-in
     // would measure the length of its accept queue.
-    smol::Timer::after(START_GAP * stream as u32).await;
+    smol::Timer::after(STREAM_START_INTERVAL * stream as u32).await;
     let client = LoadClient::new();
     let mut times = Vec::with_capacity(requests);
     for number in 0..requests {
-        let call = call(format!("stream {stream} request {number}"), ANSWER_TOKENS);
+        let call = chat_call(format!("stream {stream} request {number}"), ANSWER_TOKENS);
         match client.chat(entry, &call).await {
             CallOutcome::Completed {
                 first_token,
@@ -174,7 +191,7 @@
     Ok(times)
 }
 
-fn call(prompt: String, answer_tokens: u32) -> ChatCall {
+fn chat_call(prompt: String, answer_tokens: u32) -> ChatCall {
     ChatCall {
         key: "overhead-key".into(),
         class: "only".into(),
@@ -189,22 +206,22 @@
 /// router together, so the difference is an upper bound for the router.
 async fn measure_memory(entry: SocketAddr) -> Result<(), String> {
     const LONG_ANSWER: u32 = 2_000;
-    let before = resident_mib()?;
-    let tasks: Vec<_> = (0..IDLE_STREAMS)
+    let mib_before = resident_mib()?;
+    let tasks: Vec<_> = (0..OPEN_STREAMS)
         .map(|stream| {
-            let call = call(format!("idle {stream}"), LONG_ANSWER);
+            let call = chat_call(format!("idle {stream}"), LONG_ANSWER);
             smol::spawn(async move {
-                smol::Timer::after(START_GAP * stream as u32).await;
+                smol::Timer::after(STREAM_START_INTERVAL * stream as u32).await;
                 LoadClient::new().chat(entry, &call).await
             })
         })
         .collect();
     smol::Timer::after(Duration::from_secs(4)).await;
-    let during = resident_mib()?;
+    let mib_during = resident_mib()?;
     drop(tasks);
     println!(
-        "\nresident memory of the whole process (router, engine, callers): {before:.0} MiB before, \
-         {during:.0} MiB with {IDLE_STREAMS} open streams"
+        "\nresident memory of the whole process (router, engine, callers): {mib_before:.0} MiB before, \
+         {mib_during:.0} MiB with {OPEN_STREAMS} open streams"
     );
     Ok(())
 }
--- a/bins/eiderferry-lab/src/simulate.rs
+++ b/bins/eiderferry-lab/src/simulate.rs
@@ -11,46 +11,47 @@
 /// Runs one scenario, or a range of random fault schedules.
 pub fn run(arguments: &ArgMatches) -> Result<(), String> {
     if arguments.get_flag("list") {
-        return list();
+        return list_scenarios();
     }
     let json = arguments
         .get_one::<String>("format")
         .is_some_and(|format| format == "json");
-    let seeds = seeds(arguments)?;
-    let policies = policies(arguments)?;
+    let seeds = parse_seeds(arguments)?;
+    let policies = parse_policies(arguments)?;
     let mut jobs = Vec::new();
     for policy in &policies {
         for seed in seeds.clone() {
-            jobs.push((job_scenario(arguments, seed)?, *policy, seed));
+            jobs.push((load_scenario(arguments, seed)?, *policy, seed));
         }
     }
-    let reports = run_all(&jobs)?;
+    let reports = run_jobs(&jobs)?;
     if json {
         print_json(&reports)?;
     } else {
         print_text(&reports, arguments.get_flag("chaos"));
     }
-    let broken: Vec<&Report> = reports
+    let violating: Vec<&Report> = reports
         .iter()
         .filter(|report| report.violation_count > 0)
         .collect();
-    if let (Some(path), Some(report)) = (arguments.get_one::<PathBuf>("shrink"), broken.first()) {
-        shrink_to(path, &jobs, report)?;
+    if let (Some(path), Some(report)) = (arguments.get_one::<PathBuf>("shrink"), violating.first())
+    {
+        write_shrunk_scenario(path, &jobs, report)?;
     }
-    match broken.len() {
+    match violating.len() {
         0 => Ok(()),
         count => Err(format!("{count} of {} runs broke a promise", reports.len())),
     }
 }
 
-fn list() -> Result<(), String> {
+fn list_scenarios() -> Result<(), String> {
     for (name, description) in Scenario::built_in().map_err(|error| error.to_string())? {
         println!("{name:28} {description}");
     }
     Ok(())
 }
 
-fn seeds(arguments: &ArgMatches) -> Result<Range<u64>, String> {
+fn parse_seeds(arguments: &ArgMatches) -> Result<Range<u64>, String> {
     if let Some(text) = arguments.get_one::<String>("seeds") {
         let parsed = text
             .split_once("..")
@@ -62,7 +63,7 @@
     Ok(seed..seed + 1)
 }
 
-fn policies(arguments: &ArgMatches) -> Result<Vec<Policy>, String> {
+fn parse_policies(arguments: &ArgMatches) -> Result<Vec<Policy>, String> {
     let names = arguments
         .get_one::<String>("policy")
         .map_or("eiderferry", String::as_str);
@@ -72,7 +73,7 @@
         .collect()
 }
 
-fn job_scenario(arguments: &ArgMatches, seed: u64) -> Result<Scenario, String> {
+fn load_scenario(arguments: &ArgMatches, seed: u64) -> Result<Scenario, String> {
     let scenario = if arguments.get_flag("chaos") {
         chaos_scenario(seed)
     } else {
@@ -85,7 +86,7 @@
 }
 
 /// Runs simulations side by side; each by itself is deterministic.
-fn run_all(jobs: &[(Scenario, Policy, u64)]) -> Result<Vec<Report>, String> {
+fn run_jobs(jobs: &[(Scenario, Policy, u64)]) -> Result<Vec<Report>, String> {
     let next = AtomicU64::new(0);
     let results = Mutex::new(Vec::new());
     let workers = std::thread::available_parallelism()
@@ -125,8 +126,8 @@
         for report in reports.iter().filter(|report| report.violation_count > 0) {
             print_violations(report);
         }
-        let broken: u64 = reports.iter().map(|report| report.violation_count).sum();
-        println!("{} runs, {broken} violations", reports.len());
+        let violations: u64 = reports.iter().map(|report| report.violation_count).sum();
+        println!("{} runs, {violations} violations", reports.len());
         return;
     }
     for report in reports {
@@ -134,7 +135,7 @@
             "\n{} by {}, seed {}",
             report.scenario, report.policy, report.seed
         );
-        println!("{}", table(report));
+        println!("{}", class_table(report));
         println!(
             "goodput {:.0} tokens/s, delivered {:.0} tokens/s, wasted {:.2} %, prefilled {:.0} tokens/s",
             report.goodput_tokens_per_second,
@@ -170,7 +171,7 @@
     }
 }
 
-fn table(report: &Report) -> Table {
+fn class_table(report: &Report) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
     table.set_header([
@@ -202,7 +203,7 @@
             format!("{:.1}", class.per_token_p95_ms),
             class
                 .minimum_share_met
-                .map_or("-".into(), |part| format!("{:.0} %", part * 100.0)),
+                .map_or("-".into(), |share| format!("{:.0} %", share * 100.0)),
         ]);
     }
     for column in table.column_iter_mut().skip(1) {
@@ -211,7 +212,7 @@
     table
 }
 
-fn shrink_to(
+fn write_shrunk_scenario(
     path: &PathBuf,
     jobs: &[(Scenario, Policy, u64)],
     report: &Report,
@@ -224,13 +225,13 @@
     let (Some((scenario, policy, seed)), Some(violation)) = (job, report.violations.first()) else {
         return Ok(());
     };
-    let smallest =
+    let shrunk =
         shrink(scenario, *policy, *seed, violation.promise).map_err(|error| error.to_string())?;
-    let text = smallest.to_yaml().map_err(|error| error.to_string())?;
+    let text = shrunk.to_yaml().map_err(|error| error.to_string())?;
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     println!(
         "shrunk to {} faults, written to {}; run it with --seed {seed}",
-        smallest.faults.len(),
+        shrunk.faults.len(),
         path.display()
     );
     Ok(())
--- a/bins/eiderferry-lab/src/table.rs
+++ b/bins/eiderferry-lab/src/table.rs
@@ -4,7 +4,7 @@
 use eiderferry_load::LoadReport;
 
 /// The figures of a load run.
-pub fn load_table(report: &LoadReport) -> Table {
+pub fn load_report_table(report: &LoadReport) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
     table.set_header([
@@ -40,7 +40,7 @@
 }
 
 /// A table of texts, numbers to the right.
-pub fn plain_table(header: &[&str], rows: Vec<Vec<String>>) -> Table {
+pub fn right_aligned_table(header: &[&str], rows: Vec<Vec<String>>) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
     table.set_header(header.iter().copied());
