--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -1,4 +1,5 @@
-//! `eiderferry-lab capacity`: the slopes behind docs/CAPACITY.md.
+//! `eiderferry-lab capacity`: measures how the cost of messages, documents and
+//! requests grows with size, for docs/CAPACITY.md.
 
 use crate::table::right_aligned_table;
 use clap::ArgMatches;
@@ -16,29 +17,30 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Fleet sizes simulated: nodes and workers of one zone.
+/// Simulated zone sizes: nodes and back ends.
 const ZONE_SIZES: [(u32, u32); 3] = [(25, 120), (50, 240), (100, 480)];
-/// Seconds simulated.
+/// Simulated time of each run, in seconds.
 const SIMULATED_SECONDS: f64 = 10.0;
-/// Hollow nodes over which the memory of documents is averaged.
+/// Number of nodes, without any network, over which the memory and the time that
+/// documents take are averaged.
 const MEASURED_NODES: u32 = 40;
-/// Requests whose processor time is measured.
+/// Requests over which the time per request is averaged.
 const REQUEST_COUNT: u64 = 200_000;
-/// Sizes of documents measured: tenants, nodes, back ends.
+/// Document sizes: tenants, nodes, back ends.
 const DOCUMENT_SIZES: [(u16, u32, u32); 3] = [
     (975, 550, 2_500),
     (1_950, 1_100, 5_000),
     (3_900, 2_200, 10_000),
 ];
 
-/// Prints all slopes.
+/// Runs all measurements and prints the results.
 pub fn run(_: &ArgMatches) -> Result<(), String> {
     measure_messages()?;
     measure_documents()?;
     measure_requests()
 }
 
-/// Control messages of one zone at its share of the target load.
+/// Measures the control messages of one zone, with the load scaled to its node count.
 fn measure_messages() -> Result<(), String> {
     let mut rows = Vec::new();
     for (nodes, workers) in ZONE_SIZES {
@@ -141,7 +143,7 @@
     Ok(configuration)
 }
 
-/// Time and memory that the documents take on a node.
+/// Measures the time and memory that documents take on a node.
 fn measure_documents() -> Result<(), String> {
     let mut rows = Vec::new();
     for (tenants, nodes, back_ends) in DOCUMENT_SIZES {
@@ -173,7 +175,7 @@
         let change_time = started.elapsed();
         let active_version = node.configuration().map_or(0, |document| document.version);
         if active_version != 2 {
-            return Err("the change did not come into force".into());
+            return Err("the node did not apply the configuration change".into());
         }
         rows.push(vec![
             tenants.to_string(),
@@ -226,11 +228,12 @@
     node.take_outputs();
 }
 
-/// Processor time of the decision code per request, entry node and holder together,
-/// and of encoding and decoding its messages.
+/// Measures the time of the decision code per request, entry node and holder
+/// together, and that of encoding and decoding a message.
 fn measure_requests() -> Result<(), String> {
     let mut node = new_node();
-    // One node that holds one cell of eight workers: it asks itself.
+    // One node that holds the only cell, with eight back ends, so it is both entry
+    // node and holder.
     let mut directory = directory(1, 0, 1);
     directory.nodes[0].zone = ZoneId(2);
     directory.back_ends = (1..=8)
@@ -262,7 +265,7 @@
     }
     let us_per_request = started.elapsed().as_secs_f64() * 1e6 / REQUEST_COUNT as f64;
     println!(
-        "Requests: {completed} of {REQUEST_COUNT} decided on one node that is entry and holder:"
+        "Requests: {completed} of {REQUEST_COUNT} completed on one node that is both entry node and holder:"
     );
     println!("  decision code  {us_per_request:.1} us a request, entry node and holder together");
     println!(
@@ -272,8 +275,8 @@
     Ok(())
 }
 
-/// Carries out what the node wants: every dispatched request completes at once,
-/// every poll is answered. Returns the requests completed.
+/// Processes the node's outputs until there are none: completes each dispatched
+/// request at once and answers each poll. Returns the number of completed requests.
 fn process_outputs(node: &mut Node, now: Timestamp) -> u64 {
     let mut completed = 0;
     loop {
@@ -337,5 +340,5 @@
     let text = std::fs::read_to_string("/proc/self/status").map_err(|error| error.to_string())?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    kib.ok_or_else(|| "can't read the process's memory".into())
+    kib.ok_or_else(|| "can't read VmRSS from /proc/self/status".into())
 }
--- a/bins/eiderferry-lab/src/demo.rs
+++ b/bins/eiderferry-lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! `eiderferry-lab demo`: the whole path at work.
+//! `eiderferry-lab demo`: runs a small fleet end to end, with emulated back ends.
 
 use crate::faults;
 use crate::fleet::{Emulators, NodeAddresses, any_address, wait_until_ready};
@@ -15,17 +15,17 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The configuration that the demo's platform serves.
+/// Configuration that the emulated platform serves.
 const CONFIGURATION_YAML: &str = include_str!("../../../examples/quetzal.yaml");
-/// Zones used of those in the configuration.
+/// Number of the configuration's zones that are used.
 const ZONES: u8 = 2;
 /// Entry nodes per zone.
 const NODES_PER_ZONE: u32 = 2;
 /// Back ends per pool and zone.
 const BACK_ENDS_PER_POOL: u64 = 2;
-/// Non-repeatable service calls made.
+/// Number of non-repeatable service calls.
 const SERVICE_CALLS: u32 = 40;
-/// Bearer key of the tenant whose requests the demo makes.
+/// API key of the tenant that sends the demo's requests.
 const API_KEY: &str = "demo-key-radio-nacional-sur";
 
 /// Runs the demo.
@@ -39,7 +39,7 @@
     smol::block_on(run_without_faults(seconds, seed))
 }
 
-/// A fleet with its stand-ins.
+/// Running entry nodes with the emulators that they use.
 struct Fleet {
     configuration: Configuration,
     addresses: Vec<NodeAddresses>,
@@ -64,7 +64,7 @@
         BACK_ENDS_PER_POOL,
         EngineTiming::default(),
     )
-    .map_err(|error| format!("can't start the stand-ins: {error}"))?;
+    .map_err(|error| format!("can't start the emulators: {error}"))?;
     let nodes = start_nodes(&addresses, emulators.platform.address())?;
     wait_until_ready(&nodes).await?;
     println!(
@@ -81,7 +81,8 @@
     })
 }
 
-/// The demo under faults: what callers were told is compared with what ran.
+/// Runs the load while faults are injected, and compares the outcomes that callers
+/// got with what the services executed.
 async fn run_with_faults(seconds: u64, seed: u64) -> Result<(), String> {
     let fleet = start_fleet().await?;
     let entries: Vec<SocketAddr> = fleet.nodes.iter().map(|node| node.listen).collect();
@@ -100,7 +101,7 @@
     let report = load_task.await;
     println!("\n{}\n", load_report_table(&report));
     println!(
-        "faults        {} nodes killed, {} stopped as planned, {} paused, {} engines crashed",
+        "faults        {} nodes killed, {} stopped gracefully, {} paused, {} engines crashed",
         fault_counts.killed,
         fault_counts.stopped,
         fault_counts.paused,
@@ -109,8 +110,8 @@
     let executions = executions(&fleet.emulators);
     let (duplicate_executions, wrong_not_run) = faults::count_violations(&outcomes, &executions);
     println!(
-        "once only     {} calls with tickets: {} executed, {duplicate_executions} executed twice, \
-         {wrong_not_run} told not_run that ran",
+        "at most once  {} calls with tickets: {} executed, {duplicate_executions} executed more than once, \
+         {wrong_not_run} executed though reported as not_run",
         outcomes.len(),
         executions.len()
     );
@@ -118,7 +119,7 @@
     let wrong_answers: u64 = report.classes.iter().map(|class| class.wrong).sum();
     if wrong_answers + duplicate_executions as u64 + wrong_not_run as u64 > 0 {
         return Err(format!(
-            "{wrong_answers} wrong answers, {duplicate_executions} calls run twice, {wrong_not_run} untrue verdicts"
+            "{wrong_answers} wrong answers, {duplicate_executions} calls executed more than once, {wrong_not_run} executed though reported as not_run"
         ));
     }
     Ok(())
@@ -164,11 +165,13 @@
         .map(|class| class.wrong + class.failed)
         .sum();
     if wrong_or_failed > 0 {
-        return Err(format!("{wrong_or_failed} answers were wrong or broke off"));
+        return Err(format!(
+            "{wrong_or_failed} responses were wrong or incomplete"
+        ));
     }
     if duplicate_executions > 0 {
         return Err(format!(
-            "{duplicate_executions} non-repeatable calls ran more than once"
+            "{duplicate_executions} non-repeatable calls were executed more than once"
         ));
     }
     Ok(())
@@ -231,8 +234,8 @@
     }
 }
 
-/// Makes non-repeatable calls, each with a ticket and each sent twice, to two
-/// different nodes; returns how many ran more than once.
+/// Makes non-repeatable calls with a ticket, sending each to two different nodes;
+/// returns how many were executed more than once.
 async fn check_duplicate_calls(
     entries: &[SocketAddr],
     emulators: &Emulators,
@@ -266,8 +269,8 @@
     let executions = executions(emulators);
     let duplicate_executions = executions.values().filter(|count| **count > 1).count();
     println!(
-        "once only     {SERVICE_CALLS} calls, each sent to two nodes: {answered} answered, \
-         {} executed, {duplicate_executions} executed twice; repetitions were told {refusals:?}",
+        "at most once  {SERVICE_CALLS} calls, each sent to two nodes: {answered} answered, \
+         {} executed, {duplicate_executions} executed more than once; refusals: {refusals:?}",
         executions.len()
     );
     Ok(duplicate_executions)
@@ -277,7 +280,7 @@
     for node in nodes {
         let finished = node.stop().await.map_err(|error| error.to_string())?;
         if !finished {
-            return Err("a planned stop cut requests off".into());
+            return Err("a graceful shutdown terminated running requests".into());
         }
     }
     Ok(())
--- a/bins/eiderferry-lab/src/emulate.rs
+++ b/bins/eiderferry-lab/src/emulate.rs
@@ -1,4 +1,4 @@
-//! `eiderferry-lab emulate`.
+//! `eiderferry-lab emulate`: runs emulators of the platform and of back ends.
 
 use crate::fleet::Emulators;
 use clap::ArgMatches;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Runs stand-ins until the process is ended.
+/// Starts the emulators and runs until the process is terminated.
 pub fn run(arguments: &ArgMatches) -> Result<(), String> {
     let path = arguments
         .get_one::<PathBuf>("configuration")
@@ -37,9 +37,9 @@
         back_ends_per_pool,
         timing,
     )
-    .map_err(|error| format!("can't start the stand-ins: {error}"))?;
+    .map_err(|error| format!("can't start the emulators: {error}"))?;
     println!(
-        "platform on {}, {} engines, {} services; interrupt to end",
+        "platform on {}, {} engines, {} services; press Ctrl-C to stop",
         emulators.platform.address(),
         emulators.engines.len(),
         emulators.services.len()
--- a/bins/eiderferry-lab/src/faults.rs
+++ b/bins/eiderferry-lab/src/faults.rs
@@ -1,5 +1,5 @@
-//! Faults for the demo: nodes killed, stopped and paused, engines crashed, while
-//! non-repeatable calls are made and counted.
+//! Fault injection for the demo: kills, stops and pauses nodes and crashes engines
+//! while non-repeatable calls are made, and checks that none is executed more than once.
 
 use crate::fleet::{Emulators, NodeAddresses};
 use eiderferry_entry::EntryNode;
@@ -8,23 +8,23 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time between two faults.
+/// Time before each fault.
 const FAULT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long a killed or stopped node stays away.
+/// Time until a killed or stopped node is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(800);
-/// How long the control thread of a paused node stands still.
+/// Time for which the control thread of a paused node is blocked.
 const PAUSE_DURATION: Duration = Duration::from_millis(1_800);
-/// Time between two non-repeatable calls.
+/// Time before each non-repeatable call.
 const CALL_INTERVAL: Duration = Duration::from_millis(25);
-/// Tries of one call at different nodes.
+/// Attempts for one call, each at the next node.
 const MAX_ATTEMPTS: usize = 4;
 
-/// What was done to the fleet.
+/// Number of injected faults by kind.
 #[derive(Debug, Default)]
 pub struct FaultCounts {
     /// Nodes killed.
     pub killed: u32,
-    /// Nodes stopped as planned.
+    /// Nodes stopped gracefully.
     pub stopped: u32,
     /// Nodes paused.
     pub paused: u32,
@@ -32,7 +32,7 @@
     pub crashed_engines: u32,
 }
 
-/// Kills, stops and pauses nodes in turn, and crashes engines, until `end`.
+/// Kills, pauses and stops nodes and crashes engines, in turn, until `deadline`.
 pub async fn inject(
     addresses: &[NodeAddresses],
     nodes: &mut [Option<EntryNode>],
@@ -66,7 +66,7 @@
                 if let Some(node) = nodes[target].take() {
                     let finished = node.stop().await.map_err(|error| error.to_string())?;
                     if !finished {
-                        return Err("a planned stop cut requests off".into());
+                        return Err("a graceful shutdown terminated running requests".into());
                     }
                 }
                 fault_counts.stopped += 1;
@@ -89,11 +89,11 @@
     Ok(fault_counts)
 }
 
-/// What the callers of non-repeatable calls were told last, by call.
+/// Last outcome that the caller got for each non-repeatable call, by request body.
 pub type FinalOutcomes = BTreeMap<String, ServiceOutcome>;
 
-/// Makes non-repeatable calls with tickets until `end`; each is tried at several
-/// nodes until it is answered or settled.
+/// Makes non-repeatable calls with tickets until `deadline`, retrying each at the
+/// next node until its outcome is final or its attempts are used up.
 pub async fn make_service_calls(
     entries: Vec<SocketAddr>,
     key: String,
@@ -137,7 +137,7 @@
     outcomes
 }
 
-/// Whether trying again can tell the caller nothing new.
+/// Whether a retry can't change the outcome.
 fn is_final(outcome: &ServiceOutcome) -> bool {
     match outcome {
         ServiceOutcome::Answered(_) => true,
@@ -148,8 +148,9 @@
     }
 }
 
-/// Compares what callers were told with what the services executed; returns the
-/// number of calls that ran twice, and of calls told "not run" that ran.
+/// Compares the callers' outcomes with what the services executed; returns the
+/// number of calls executed more than once, and of calls that were reported as
+/// "not run" though executed.
 pub fn count_violations(
     outcomes: &FinalOutcomes,
     executions: &BTreeMap<String, u32>,
--- a/bins/eiderferry-lab/src/load.rs
+++ b/bins/eiderferry-lab/src/load.rs
@@ -1,11 +1,11 @@
-//! `eiderferry-lab load`.
+//! `eiderferry-lab load`: sends the requests of a load plan.
 
 use crate::table::load_report_table;
 use clap::ArgMatches;
 use eiderferry_load::LoadPlan;
 use std::path::PathBuf;
 
-/// Runs a plan from a file.
+/// Runs the load plan in a file and prints the results.
 pub fn run(arguments: &ArgMatches) -> Result<(), String> {
     let path = arguments
         .get_one::<PathBuf>("plan")
@@ -16,7 +16,7 @@
         serde_saphyr::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?;
     if plan.entries.is_empty() || plan.classes.is_empty() {
         return Err(format!(
-            "{}: needs at least one entry and one class",
+            "{}: at least one entry and one class are required",
             path.display()
         ));
     }
--- a/bins/eiderferry-lab/src/logging.rs
+++ b/bins/eiderferry-lab/src/logging.rs
@@ -1,10 +1,10 @@
-//! Log lines of the lab: warnings and errors of the nodes under test.
+//! Logging setup of the lab, for the log lines of the nodes under test.
 
 use logforth::append::Stderr;
 use logforth::layout::TextLayout;
 use logforth::record::{Level, LevelFilter};
 
-/// Starts logging to the standard error stream.
+/// Starts logging to standard error at this level and above.
 pub fn start(level: Level) {
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
--- a/bins/eiderferry-lab/src/main.rs
+++ b/bins/eiderferry-lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Stand-ins and experiments: everything around the router that is needed to see
-//! it work and to measure it.
+//! Lab program of the router: emulates the platform and the back ends, makes load,
+//! runs simulations and measures the router's cost.
 
 #![forbid(unsafe_code)]
 
--- a/bins/eiderferry-lab/src/overhead.rs
+++ b/bins/eiderferry-lab/src/overhead.rs
@@ -1,4 +1,5 @@
-//! `eiderferry-lab overhead`: what the router adds to calling an engine directly.
+//! `eiderferry-lab overhead`: measures the latency and processor time that the
+//! router adds to calling an engine directly.
 
 use crate::fleet::{Emulators, NodeAddresses, any_address, wait_until_ready};
 use crate::logging;
@@ -12,24 +13,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Slots enough that nothing ever waits for one.
+/// Slots of the engine: enough that no request ever waits for one.
 const SLOTS: u32 = 2_048;
-/// Concurrent streams measurement.
+/// Numbers of concurrent streams to measure.
 const STREAM_COUNTS: [usize; 3] = [1, 64, 512];
-/// Answer length in tokens.
+/// Length of each answer, in tokens.
 const ANSWER_TOKENS: u32 = 16;
-/// Requests made by all streams together, at least.
+/// Minimum number of requests over all streams.
 const MIN_REQUESTS: usize = 60;
-/// Requests made on each stream, at least.
+/// Minimum number of requests on each stream.
 const MIN_REQUESTS_PER_STREAM: usize = 4;
-/// Streams held open while memory is measurement.
+/// Number of streams open while memory is measured.
 const OPEN_STREAMS: usize = 1_000;
-/// Time between the starts of two streams.
+/// Time between the starts of two consecutive streams.
 const STREAM_START_INTERVAL: Duration = Duration::from_millis(2);
-/// Clock ticks a second in `/proc`, as on every common Linux.
+/// Clock ticks per second in `/proc`: 100 on every common Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What one run measurement.
+/// Result of one run.
 struct Measurement {
     times_to_first_token: Vec<Duration>,
     times_per_token: Vec<Duration>,
@@ -37,7 +38,7 @@
     cpu_seconds: f64,
 }
 
-/// Runs the measurement.
+/// Runs the measurements and prints the results.
 pub fn run(_: &ArgMatches) -> Result<(), String> {
     logging::start(Level::Error);
     smol::block_on(measure())
@@ -137,7 +138,7 @@
         .map_or(0.0, |value| value.as_secs_f64() * 1_000.0)
 }
 
-/// Makes requests over `streams` streams at once, one after the other on each.
+/// Sends requests over `streams` concurrent streams, sequentially on each.
 async fn run_streams(
     entry: SocketAddr,
     streams: usize,
@@ -170,8 +171,8 @@
     stream: usize,
     requests: usize,
 ) -> Result<Vec<(Duration, Duration)>, String> {
-    // Streams start one after the other: a burst of connections to one stand-in
-    // would measure the length of its accept queue.
+    // Staggers the starts: with a burst of connections to one emulator, the length
+    // of its accept queue would be measured.
     smol::Timer::after(STREAM_START_INTERVAL * stream as u32).await;
     let client = LoadClient::new();
     let mut times = Vec::with_capacity(requests);
@@ -202,8 +203,8 @@
     }
 }
 
-/// Resident memory before and while many streams are open: engine, callers and
-/// router together, so the difference is an upper bound for the router.
+/// Prints the resident memory before and while many streams are open. It covers
+/// engine, callers and router, so the difference is an upper bound for the router.
 async fn measure_memory(entry: SocketAddr) -> Result<(), String> {
     const LONG_ANSWER: u32 = 2_000;
     let mib_before = resident_mib()?;
@@ -239,10 +240,11 @@
             .get(index)
             .and_then(|field| field.parse::<f64>().ok())
     };
-    // Fields 14 and 15 of the file, counted from the one after the name.
+    // utime and stime: fields 14 and 15 of the file. The fields here start after
+    // the process name, at field 3.
     match (ticks(11), ticks(12)) {
         (Some(user), Some(system)) => Ok((user + system) / TICKS_PER_SECOND),
-        _ => Err("can't read the process's times".into()),
+        _ => Err("can't read utime and stime from /proc/self/stat".into()),
     }
 }
 
@@ -251,7 +253,7 @@
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
     kib.map(|kib| kib / 1024.0)
-        .ok_or_else(|| "can't read the process's memory".into())
+        .ok_or_else(|| "can't read VmRSS from /proc/self/status".into())
 }
 
 fn configuration_text() -> String {
--- a/bins/eiderferry-lab/src/simulate.rs
+++ b/bins/eiderferry-lab/src/simulate.rs
@@ -1,4 +1,4 @@
-//! `eiderferry-lab simulate`.
+//! `eiderferry-lab simulate`: runs scenarios in the simulator.
 
 use clap::ArgMatches;
 use comfy_table::{CellAlignment, Table, presets};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Runs one scenario, or a range of random fault schedules.
+/// Runs a scenario, or random fault schedules, for each policy and seed.
 pub fn run(arguments: &ArgMatches) -> Result<(), String> {
     if arguments.get_flag("list") {
         return list_scenarios();
@@ -40,7 +40,7 @@
     }
     match violating.len() {
         0 => Ok(()),
-        count => Err(format!("{count} of {} runs broke a promise", reports.len())),
+        count => Err(format!("{count} of {} runs had violations", reports.len())),
     }
 }
 
@@ -85,7 +85,7 @@
     scenario.map_err(|error| error.to_string())
 }
 
-/// Runs simulations side by side; each by itself is deterministic.
+/// Runs the simulations in parallel; each one is deterministic.
 fn run_jobs(jobs: &[(Scenario, Policy, u64)]) -> Result<Vec<Report>, String> {
     let next = AtomicU64::new(0);
     let results = Mutex::new(Vec::new());
--- a/bins/eiderferry-lab/src/table.rs
+++ b/bins/eiderferry-lab/src/table.rs
@@ -1,9 +1,9 @@
-//! Tables for people.
+//! Markdown tables for text output.
 
 use comfy_table::{CellAlignment, Table, presets};
 use eiderferry_load::LoadReport;
 
-/// The figures of a load run.
+/// Table of a load run's results by class.
 pub fn load_report_table(report: &LoadReport) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
@@ -39,7 +39,7 @@
     table
 }
 
-/// A table of texts, numbers to the right.
+/// Table with all columns aligned to the right.
 pub fn right_aligned_table(header: &[&str], rows: Vec<Vec<String>>) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
