--- a/crates/protocol/operator/src/answers.rs
+++ b/crates/protocol/operator/src/answers.rs
@@ -7,14 +7,14 @@
 use eiderferry_types::{ClassId, RequestId, TenantId};
 
 /// Decisions given at once at the most.
-const MAXIMUM_DECISIONS: usize = 1_000;
+const MAX_DECISIONS: usize = 1_000;
 
 /// How the node and the fleet stand.
 pub fn status(node: &Node) -> schema::GetStatusResponse {
     let identity = node.identity();
-    let held: Vec<_> = node.held_cells().collect();
+    let held_cells: Vec<_> = node.held_cells().collect();
     let cells = node.catalog().cells().map(|cell| {
-        let snapshot = held
+        let snapshot = held_cells
             .iter()
             .find(|(id, _)| *id == cell)
             .map(|(_, snapshot)| snapshot);
@@ -128,23 +128,24 @@
     let decisions = node.decisions().of_request(request);
     decisions
         .into_iter()
-        .map(|decision| to_message(node, decision))
+        .map(|decision| decision_message(node, decision))
         .collect()
 }
 
 /// The last decisions that fit, newest first.
 pub fn decisions(node: &Node, request: &schema::ListDecisionsRequest) -> Vec<schema::Decision> {
-    let count = (request.count as usize).min(MAXIMUM_DECISIONS);
-    let all = node.decisions().latest(usize::MAX, |_| true);
-    let fits = |decision: &schema::Decision| {
+    let count = (request.count as usize).min(MAX_DECISIONS);
+    let latest = node.decisions().latest(usize::MAX, |_| true);
+    let matches_filter = |decision: &schema::Decision| {
         let class = request.class.is_empty() || decision.class == request.class;
         let tenant = request.tenant.is_empty() || decision.tenant == request.tenant;
         let step = request.step.is_empty() || decision.step == request.step;
         class && tenant && step
     };
-    all.into_iter()
-        .map(|decision| to_message(node, decision))
-        .filter(fits)
+    latest
+        .into_iter()
+        .map(|decision| decision_message(node, decision))
+        .filter(matches_filter)
         .take(count)
         .collect()
 }
@@ -152,18 +153,22 @@
 /// Decisions made after number `after`, and the number of the last one.
 pub fn decisions_after(node: &Node, after: u64) -> (u64, Vec<schema::Decision>) {
     let (last, decisions) = node.decisions().after(after);
-    let messages = decisions
+    let decision_messages = decisions
         .into_iter()
-        .map(|decision| to_message(node, decision));
-    (last, messages.collect())
+        .map(|decision| decision_message(node, decision));
+    (last, decision_messages.collect())
 }
 
-fn to_message(node: &Node, decision: &Decision) -> schema::Decision {
+fn decision_message(node: &Node, decision: &Decision) -> schema::Decision {
     let configuration = node.configuration();
     schema::Decision {
         request_id: decision.request.to_string(),
-        class: configuration.map_or_else(String::new, |known| class_name(known, decision.class)),
-        tenant: configuration.map_or_else(String::new, |known| tenant_name(known, decision.tenant)),
+        class: configuration.map_or_else(String::new, |configuration| {
+            class_name(configuration, decision.class)
+        }),
+        tenant: configuration.map_or_else(String::new, |configuration| {
+            tenant_name(configuration, decision.tenant)
+        }),
         at_ms: decision.at.0 / 1_000,
         step: decision.step.name().to_owned(),
         explanation: decision.step.to_string(),
@@ -171,75 +176,75 @@
 }
 
 fn class_name(configuration: &Configuration, class: ClassId) -> String {
-    let known = configuration.class(class);
-    known.map_or_else(|| class.to_string(), |class| class.name.clone())
+    let found = configuration.class(class);
+    found.map_or_else(|| class.to_string(), |class| class.name.clone())
 }
 
 fn tenant_name(configuration: &Configuration, tenant: TenantId) -> String {
-    let known = configuration.tenant(tenant);
-    known.map_or_else(|| tenant.to_string(), |tenant| tenant.name.clone())
+    let found = configuration.tenant(tenant);
+    found.map_or_else(|| tenant.to_string(), |tenant| tenant.name.clone())
 }
 
 /// Checks a configuration and says what it would change.
 pub fn validate(node: &Node, document: &str) -> schema::ValidateConfigurationResponse {
-    let checked = Configuration::from_yaml("document", document);
-    match checked {
+    let parsed = Configuration::from_yaml("document", document);
+    match parsed {
         Err(error) => schema::ValidateConfigurationResponse {
             valid: false,
             problems: error.to_string(),
             changes: Vec::new(),
         },
-        Ok(fresh) => schema::ValidateConfigurationResponse {
+        Ok(proposed) => schema::ValidateConfigurationResponse {
             valid: true,
             problems: String::new(),
             changes: node
                 .configuration()
-                .map_or_else(Vec::new, |known| changes(known, &fresh)),
+                .map_or_else(Vec::new, |current| changes(current, &proposed)),
         },
     }
 }
 
-fn changes(known: &Configuration, fresh: &Configuration) -> Vec<String> {
+fn changes(current: &Configuration, proposed: &Configuration) -> Vec<String> {
     let mut changes = Vec::new();
-    if fresh.version <= known.version {
+    if proposed.version <= current.version {
         changes.push(format!(
             "version {} is not newer than {}: it would be ignored",
-            fresh.version, known.version
+            proposed.version, current.version
         ));
     }
-    compare(
+    append_changes(
         "class",
-        &known.classes,
-        &fresh.classes,
+        &current.classes,
+        &proposed.classes,
         |class| &class.name,
         &mut changes,
     );
-    compare(
+    append_changes(
         "pool",
-        &known.pools,
-        &fresh.pools,
+        &current.pools,
+        &proposed.pools,
         |pool| &pool.name,
         &mut changes,
     );
-    compare(
+    append_changes(
         "tenant",
-        &known.tenants,
-        &fresh.tenants,
+        &current.tenants,
+        &proposed.tenants,
         |tenant| &tenant.name,
         &mut changes,
     );
     changes
 }
 
-fn compare<Entry: PartialEq>(
+fn append_changes<Entry: PartialEq>(
     kind: &str,
-    known: &[Entry],
-    fresh: &[Entry],
+    current: &[Entry],
+    proposed: &[Entry],
     name: impl Fn(&Entry) -> &String,
     changes: &mut Vec<String>,
 ) {
-    for entry in fresh {
-        match known.iter().find(|other| name(other) == name(entry)) {
+    for entry in proposed {
+        match current.iter().find(|other| name(other) == name(entry)) {
             None => changes.push(format!("{kind} {} is new", name(entry))),
             Some(other) if other != entry => {
                 changes.push(format!("{kind} {} changes", name(entry)))
@@ -247,8 +252,8 @@
             Some(_) => {}
         }
     }
-    for entry in known {
-        if !fresh.iter().any(|other| name(other) == name(entry)) {
+    for entry in current {
+        if !proposed.iter().any(|other| name(other) == name(entry)) {
             changes.push(format!("{kind} {} goes away", name(entry)));
         }
     }
