--- a/crates/protocol/platform/src/lib.rs
+++ b/crates/protocol/platform/src/lib.rs
@@ -28,18 +28,18 @@
             display("{cause}")
         }
         /// The body is not of the expected shape.
-        Malformed(what: &'static str, cause: String) {
-            display("{what} from the platform: {cause}")
+        Malformed(kind: &'static str, cause: String) {
+            display("{kind} from the platform: {cause}")
         }
     }
 }
 
 /// Path of a document, with the version known.
-pub fn document_path(kind: DocumentKind, have: u64) -> String {
+pub fn document_path(kind: DocumentKind, known_version: u64) -> String {
     match kind {
-        DocumentKind::Configuration => format!("/configuration?after={have}"),
+        DocumentKind::Configuration => format!("/configuration?after={known_version}"),
         DocumentKind::Directory => {
-            let (epoch, version) = unpack_directory_version(have);
+            let (epoch, version) = unpack_directory_version(known_version);
             format!("/directory?after={version}&epoch={epoch}")
         }
     }
