--- a/crates/protocol/operator/src/answers.rs
+++ b/crates/protocol/operator/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to operators, taken from the state machine.
+//! Builds the responses to operator calls from the node's state.
 
 use crate::schema;
 use eiderferry_config::Configuration;
@@ -6,10 +6,10 @@
 use eiderferry_node::{Decision, Node};
 use eiderferry_types::{ClassId, RequestId, TenantId};
 
-/// Decisions given at once at the most.
+/// Maximum number of decisions in one response.
 const MAX_DECISIONS: usize = 1_000;
 
-/// How the node and the fleet stand.
+/// Status of the node, and of cells and peers as this node sees them.
 pub fn status(node: &Node) -> schema::GetStatusResponse {
     let identity = node.identity();
     let held_cells: Vec<_> = node.held_cells().collect();
@@ -56,7 +56,7 @@
     }
 }
 
-/// The classes and what this node counted.
+/// The classes in the configuration, with this node's counters.
 pub fn classes(node: &Node) -> schema::ListClassesResponse {
     let Some(configuration) = node.configuration() else {
         return schema::ListClassesResponse::default();
@@ -77,7 +77,7 @@
     }
 }
 
-/// The back ends of the cells held here.
+/// The back ends of the cells that this node holds.
 pub fn back_ends(node: &Node) -> schema::ListBackEndsResponse {
     let back_ends = node.held_cells().flat_map(|(cell, snapshot)| {
         let entries = snapshot.back_ends.into_iter();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Tenants with requests in the cells held here.
+/// Tenants with running requests in the cells that this node holds.
 pub fn tenants(node: &Node) -> schema::ListTenantsResponse {
     let Some(configuration) = node.configuration() else {
         return schema::ListTenantsResponse::default();
@@ -123,7 +123,7 @@
     }
 }
 
-/// Every remembered decision on one request.
+/// All decisions on a request that are still in the decision log.
 pub fn explain(node: &Node, request: RequestId) -> Vec<schema::Decision> {
     let decisions = node.decisions().of_request(request);
     decisions
@@ -132,7 +132,7 @@
         .collect()
 }
 
-/// The last decisions that fit, newest first.
+/// The latest decisions that match the request's filters, newest first.
 pub fn decisions(node: &Node, request: &schema::ListDecisionsRequest) -> Vec<schema::Decision> {
     let count = (request.count as usize).min(MAX_DECISIONS);
     let latest = node.decisions().latest(usize::MAX, |_| true);
@@ -150,7 +150,7 @@
         .collect()
 }
 
-/// Decisions made after number `after`, and the number of the last one.
+/// The number of the last decision, and the logged decisions with numbers above `after`.
 pub fn decisions_after(node: &Node, after: u64) -> (u64, Vec<schema::Decision>) {
     let (last, decisions) = node.decisions().after(after);
     let decision_messages = decisions
@@ -185,7 +185,7 @@
     found.map_or_else(|| tenant.to_string(), |tenant| tenant.name.clone())
 }
 
-/// Checks a configuration and says what it would change.
+/// Validates a configuration and lists its changes from the active one.
 pub fn validate(node: &Node, document: &str) -> schema::ValidateConfigurationResponse {
     let parsed = Configuration::from_yaml("document", document);
     match parsed {
@@ -208,7 +208,7 @@
     let mut changes = Vec::new();
     if proposed.version <= current.version {
         changes.push(format!(
-            "version {} is not newer than {}: it would be ignored",
+            "version {} is not newer than the active version {}: nodes would ignore it",
             proposed.version, current.version
         ));
     }
@@ -245,16 +245,16 @@
 ) {
     for entry in proposed {
         match current.iter().find(|other| name(other) == name(entry)) {
-            None => changes.push(format!("{kind} {} is new", name(entry))),
+            None => changes.push(format!("{kind} {} is added", name(entry))),
             Some(other) if other != entry => {
-                changes.push(format!("{kind} {} changes", name(entry)))
+                changes.push(format!("{kind} {} is changed", name(entry)))
             }
             Some(_) => {}
         }
     }
     for entry in current {
         if !proposed.iter().any(|other| name(other) == name(entry)) {
-            changes.push(format!("{kind} {} goes away", name(entry)));
+            changes.push(format!("{kind} {} is removed", name(entry)));
         }
     }
 }
--- a/crates/protocol/operator/src/lib.rs
+++ b/crates/protocol/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' interface, as declared in `proto/eiderferry/operator/v1/operator.proto`.
+//! The gRPC operator interface, declared in `proto/eiderferry/operator/v1/operator.proto`.
 //!
-//! [`schema`] is generated; [`answers`] turns the node's state into its messages.
+//! [`schema`] is generated from it; [`answers`] converts the node's state into its messages.
 
 #![forbid(unsafe_code)]
 
@@ -8,7 +8,7 @@
 #[allow(
     missing_docs,
     clippy::all,
-    reason = "generated code; the schema file documents it"
+    reason = "generated code, documented in the .proto file"
 )]
 #[rustfmt::skip]
 #[path = "generated.rs"]
