--- a/crates/protocol/platform/src/lib.rs
+++ b/crates/protocol/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the platform's read-only service and the back ends publish.
+//! Documents of the platform's read-only service, and load reports of the back ends.
 //!
-//! `GET /configuration?after=V` and `GET /directory?after=V` answer with the
-//! document if its version is newer than `V`, else with "not modified".
+//! `GET /configuration?after=V` and `GET /directory?after=V` return the document if
+//! its version is newer than `V`, and "not modified" otherwise.
 //! `GET /directory` also takes `epoch=E`, the epoch of version `V`, 0 if absent.
-//! The platform raises the epoch of the directory with each restore from an
-//! older copy; directories are ordered by epoch, then by version.
-//! `GET /load?cache_after=N` is an engine's lagging word on its load, with the
-//! cache events after number `N`.
+//! The platform increments the directory's epoch with each restore from an older
+//! copy; directories are ordered by epoch, then by version.
+//! `GET /load?cache_after=N` returns an engine's load report, which lags behind its
+//! actual load, with the cache events after number `N`.
 
 #![forbid(unsafe_code)]
 
@@ -16,25 +16,25 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Largest value the platform holds, in bytes.
+/// Maximum size of a value that the platform stores, in bytes.
 pub const MAXIMUM_VALUE_BYTES: usize = 1_000_000;
 
 quick_error! {
-    /// A document or report that can't be used; what was known before stays.
+    /// A document or report is unusable; the last valid one stays in use.
     #[derive(Debug)]
     pub enum PlatformError {
-        /// The configuration is malformed or invalid.
+        /// The configuration is malformed or fails validation.
         Configuration(cause: eiderferry_config::ConfigurationError) {
             display("{cause}")
         }
-        /// The body is not of the expected shape.
+        /// The body can't be parsed.
         Malformed(kind: &'static str, cause: String) {
             display("{kind} from the platform: {cause}")
         }
     }
 }
 
-/// Path of a document, with the version known.
+/// Request path for a document newer than `known_version`.
 pub fn document_path(kind: DocumentKind, known_version: u64) -> String {
     match kind {
         DocumentKind::Configuration => format!("/configuration?after={known_version}"),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a document as published.
+/// Parses a published document.
 pub fn parse_document(kind: DocumentKind, text: &str) -> Result<PlatformDocument, PlatformError> {
     match kind {
         DocumentKind::Configuration => Configuration::from_yaml("published configuration", text)
@@ -57,42 +57,42 @@
     }
 }
 
-/// Path of a back end's load report.
+/// Request path for a back end's load report, with the cache events after `cache_cursor`.
 pub fn load_path(cache_cursor: u64) -> String {
     format!("/load?cache_after={cache_cursor}")
 }
 
-/// A back end's load report with cache events.
+/// A back end's load report, with cache events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Default)]
 pub struct LoadDocument {
-    /// Requests in the batch.
+    /// Requests in the engine's current batch.
     pub running: u32,
-    /// Requests waiting inside the back end.
+    /// Requests queued inside the back end.
     pub waiting: u32,
-    /// Tokens held for running requests.
+    /// Tokens in the KV cache for running requests.
     pub kv_tokens: u64,
     /// Number of the last cache event.
     #[serde(default)]
     pub cache_cursor: u64,
-    /// Whether events between the asked number and the first one given are missing.
+    /// Whether events between the requested number and the first one returned are missing.
     #[serde(default)]
     pub cache_gap: bool,
-    /// Hashes of prefixes stored.
+    /// Hashes of prefixes added to the cache.
     #[serde(default)]
     pub cache_stored: Vec<u32>,
-    /// Hashes of prefixes dropped.
+    /// Hashes of prefixes evicted from the cache.
     #[serde(default)]
     pub cache_removed: Vec<u32>,
 }
 
 impl LoadDocument {
-    /// Reads a report.
+    /// Parses a load report in JSON.
     pub fn parse(text: &str) -> Result<Self, PlatformError> {
         serde_json::from_str(text)
             .map_err(|cause| PlatformError::Malformed("load report", cause.to_string()))
     }
 
-    /// The load part.
+    /// The load, without the cache events.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.running,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The cache part.
+    /// The cache events.
     pub fn cache_update(self) -> CacheUpdate {
         CacheUpdate {
             cursor: self.cache_cursor,
