--- a/bins/eiderferry/src/operator.rs
+++ b/bins/eiderferry/src/operator.rs
@@ -22,13 +22,13 @@
     smol::block_on(run_command(name, arguments, json))
 }
 
-fn text<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
+fn string_argument<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
     arguments.get_one::<String>(name).map_or("", String::as_str)
 }
 
 fn client(arguments: &ArgMatches) -> OperatorClient {
-    let address = text(arguments, "node");
-    let token = text(arguments, "token");
+    let address = string_argument(arguments, "node");
+    let token = string_argument(arguments, "token");
     let client = Client::new(ClientConfig::new().with_nodelay(true))
         .with_base(format!("http://{address}"))
         .with_default_header("authorization", format!("Bearer {token}"));
@@ -61,7 +61,7 @@
             Ok(())
         }
         "explain" => {
-            let request_id = text(arguments, "request").to_owned();
+            let request_id = string_argument(arguments, "request").to_owned();
             let call = client.explain_request(ExplainRequestRequest { request_id });
             let response = call
                 .await
@@ -74,9 +74,9 @@
         "decisions" => {
             let request = ListDecisionsRequest {
                 count: arguments.get_one::<u32>("count").copied().unwrap_or(20),
-                class: text(arguments, "class").to_owned(),
-                tenant: text(arguments, "tenant").to_owned(),
-                step: text(arguments, "step").to_owned(),
+                class: string_argument(arguments, "class").to_owned(),
+                tenant: string_argument(arguments, "tenant").to_owned(),
+                step: string_argument(arguments, "step").to_owned(),
             };
             let call = client.list_decisions(request);
             let response = call
--- a/bins/eiderferry/src/output.rs
+++ b/bins/eiderferry/src/output.rs
@@ -26,14 +26,14 @@
     }
 
     fn to_json(&self) -> Value {
-        let object = |row: &Vec<String>| {
+        let row_to_object = |row: &Vec<String>| {
             let cells = self.header.iter().zip(row);
             let fields: Map<String, Value> = cells
                 .map(|(name, cell)| ((*name).replace(' ', "_"), Value::String(cell.clone())))
                 .collect();
             Value::Object(fields)
         };
-        Value::Array(self.rows.iter().map(object).collect())
+        Value::Array(self.rows.iter().map(row_to_object).collect())
     }
 }
 
