--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -43,13 +43,13 @@
 /// Measures the control messages of one zone, with the load scaled to its node count.
 fn measure_messages() -> Result<(), String> {
     let mut rows = Vec::new();
-    for (nodes, workers) in ZONE_SIZES {
+    for (nodes, back_ends) in ZONE_SIZES {
         let mut scenario = Scenario::load("zone-100-steady").map_err(|error| error.to_string())?;
         let load_fraction = f64::from(nodes) / 100.0;
         scenario.duration_seconds = SIMULATED_SECONDS;
         scenario.nodes_per_zone = vec![nodes];
         for counts in scenario.back_ends_per_zone.values_mut() {
-            *counts = vec![workers];
+            *counts = vec![back_ends];
         }
         for load in &mut scenario.load {
             for step in &mut load.rate {
@@ -60,7 +60,7 @@
             simulate(&scenario, Policy::Eiderferry, 1).map_err(|error| error.to_string())?;
         rows.push(vec![
             nodes.to_string(),
-            workers.to_string(),
+            back_ends.to_string(),
             format!("{:.0}", report.control_bytes_per_second_per_node),
             format!("{:.0}", report.control_bytes_per_second_busiest),
             format!("{:.0}", report.control_messages_per_second_per_node),
--- a/bins/eiderferry-lab/src/emulate.rs
+++ b/bins/eiderferry-lab/src/emulate.rs
@@ -52,10 +52,10 @@
 fn parse_node(text: &str) -> Result<DirectoryEntry<NodeId, ()>, String> {
     let invalid = || format!("--node {text}: expected ID:ZONE:ADDRESS, such as 1:1:127.0.0.1:7101");
     let mut parts = text.splitn(3, ':');
-    let mut next = || parts.next().ok_or_else(invalid);
-    let id = next()?.parse().map_err(|_| invalid())?;
-    let zone = next()?.parse().map_err(|_| invalid())?;
-    let address = next()?.parse().map_err(|_| invalid())?;
+    let mut next_part = || parts.next().ok_or_else(invalid);
+    let id = next_part()?.parse().map_err(|_| invalid())?;
+    let zone = next_part()?.parse().map_err(|_| invalid())?;
+    let address = next_part()?.parse().map_err(|_| invalid())?;
     Ok(DirectoryEntry {
         id: NodeId(id),
         zone: ZoneId(zone),
