--- a/bins/eiderferry-lab/src/capacity.rs
+++ b/bins/eiderferry-lab/src/capacity.rs
@@ -232,8 +232,8 @@
 /// together, and that of encoding and decoding a message.
 fn measure_requests() -> Result<(), String> {
     let mut node = new_node();
-    // One node that holds the only cell, with eight back ends, so it is both entry
-    // node and holder.
+    // The only node holds the only cell that has back ends (eight), so it is both
+    // entry node and holder.
     let mut directory = directory(1, 0, 1);
     directory.nodes[0].zone = ZoneId(2);
     directory.back_ends = (1..=8)
--- a/bins/eiderferry-lab/src/demo.rs
+++ b/bins/eiderferry-lab/src/demo.rs
@@ -110,7 +110,8 @@
     let executions = executions(&fleet.emulators);
     let (duplicate_executions, wrong_not_run) = faults::count_violations(&outcomes, &executions);
     println!(
-        "at most once  {} calls with tickets: {} executed, {duplicate_executions} executed more than once, \
+        "at most once  {} calls with tickets: {} executed, \
+         {duplicate_executions} executed more than once, \
          {wrong_not_run} executed though reported as not_run",
         outcomes.len(),
         executions.len()
@@ -119,7 +120,8 @@
     let wrong_answers: u64 = report.classes.iter().map(|class| class.wrong).sum();
     if wrong_answers + duplicate_executions as u64 + wrong_not_run as u64 > 0 {
         return Err(format!(
-            "{wrong_answers} wrong answers, {duplicate_executions} calls executed more than once, {wrong_not_run} executed though reported as not_run"
+            "{wrong_answers} wrong answers, {duplicate_executions} calls executed more than once, \
+             {wrong_not_run} executed though reported as not_run"
         ));
     }
     Ok(())
--- a/bins/eiderferry-lab/src/faults.rs
+++ b/bins/eiderferry-lab/src/faults.rs
@@ -1,5 +1,5 @@
 //! Fault injection for the demo: kills, stops and pauses nodes and crashes engines
-//! while non-repeatable calls are made, and checks that none is executed more than once.
+//! while non-repeatable calls are made, and counts violations of at-most-once execution.
 
 use crate::fleet::{Emulators, NodeAddresses};
 use eiderferry_entry::EntryNode;
--- a/bins/eiderferry-lab/src/main.rs
+++ b/bins/eiderferry-lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Lab program of the router: emulates the platform and the back ends, makes load,
-//! runs simulations and measures the router's cost.
+//! Lab program of the router: emulates the platform and the back ends, generates
+//! load, runs simulations and measures the router's cost.
 
 #![forbid(unsafe_code)]
 
