--- a/bins/eiderferry/src/error.rs
+++ b/bins/eiderferry/src/error.rs
@@ -64,7 +64,10 @@
         }
         /// Requests were still running at the drain limit and were terminated.
         DrainTimeout {
-            display("requests were still running at the drain limit and were terminated; raise `drain_limit_ms`")
+            display(
+                "requests were still running at the drain limit and were terminated; \
+                 raise `drain_limit_ms`"
+            )
         }
     }
 }
