--- a/crates/protocol/operator/src/answers.rs
+++ b/crates/protocol/operator/src/answers.rs
@@ -208,7 +208,7 @@
     let mut changes = Vec::new();
     if proposed.version <= current.version {
         changes.push(format!(
-            "version {} is not newer than the active version {}: nodes would ignore it",
+            "version {} is not newer than {}: it would be ignored",
             proposed.version, current.version
         ));
     }
@@ -245,16 +245,16 @@
 ) {
     for entry in proposed {
         match current.iter().find(|other| name(other) == name(entry)) {
-            None => changes.push(format!("{kind} {} is added", name(entry))),
+            None => changes.push(format!("{kind} {} is new", name(entry))),
             Some(other) if other != entry => {
-                changes.push(format!("{kind} {} is changed", name(entry)))
+                changes.push(format!("{kind} {} changes", name(entry)))
             }
             Some(_) => {}
         }
     }
     for entry in current {
         if !proposed.iter().any(|other| name(other) == name(entry)) {
-            changes.push(format!("{kind} {} is removed", name(entry)));
+            changes.push(format!("{kind} {} goes away", name(entry)));
         }
     }
 }
