--- a/bins/eiderferry/src/check.rs
+++ b/bins/eiderferry/src/check.rs
@@ -1,20 +1,20 @@
-//! `eiderferry check`.
+//! `eiderferry check`: validates settings and configuration files.
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 use clap::ArgMatches;
 use eiderferry_config::{Configuration, ConfigurationError, Settings};
 use eiderferry_platform_adapter as platform;
 use std::path::{Path, PathBuf};
 
-/// Checks each document; the first bad one ends the run.
-pub fn run(arguments: &ArgMatches) -> Result<(), Failure> {
+/// Checks the documents in order and stops at the first invalid one.
+pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     for path in arguments.get_many::<PathBuf>("files").into_iter().flatten() {
-        println!("{}: {}", path.display(), check(path)?);
+        println!("{}: {}", path.display(), check_file(path)?);
     }
     Ok(())
 }
 
-fn check(path: &Path) -> Result<String, Failure> {
+fn check_file(path: &Path) -> Result<String, CommandError> {
     let document = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|cause| ConfigurationError::Read(document.clone(), cause))?;
@@ -35,12 +35,12 @@
     ))
 }
 
-/// Configurations of the platform are JSON, our own are YAML.
+/// The platform's configurations are JSON; the router's own are YAML.
 fn looks_like_json(text: &str) -> bool {
     text.trim_start().starts_with('{')
 }
 
-/// Settings name the node they belong to; a configuration never does.
+/// Only settings have a `node` key at the top level; a configuration has none.
 fn looks_like_settings(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("node:"))
 }
--- a/crates/protocol/operator/src/answers.rs
+++ b/crates/protocol/operator/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to operators, taken from the state machine.
+//! Builds the responses to operator calls from the node's state.
 
 use crate::schema;
 use eiderferry_config::Configuration;
@@ -6,15 +6,15 @@
 use eiderferry_node::{Decision, Node};
 use eiderferry_types::{ClassId, RequestId, TenantId};
 
-/// Decisions given at once at the most.
-const MAXIMUM_DECISIONS: usize = 1_000;
+/// Maximum number of decisions in one response.
+const MAX_DECISIONS: usize = 1_000;
 
-/// How the node and the fleet stand.
+/// Status of the node, and of cells and peers as this node sees them.
 pub fn status(node: &Node) -> schema::GetStatusResponse {
     let identity = node.identity();
-    let held: Vec<_> = node.held_cells().collect();
+    let held_cells: Vec<_> = node.held_cells().collect();
     let cells = node.catalog().cells().map(|cell| {
-        let snapshot = held
+        let snapshot = held_cells
             .iter()
             .find(|(id, _)| *id == cell)
             .map(|(_, snapshot)| snapshot);
@@ -56,7 +56,7 @@
     }
 }
 
-/// The classes and what this node counted.
+/// The classes in the configuration, with this node's counters.
 pub fn classes(node: &Node) -> schema::ListClassesResponse {
     let Some(configuration) = node.configuration() else {
         return schema::ListClassesResponse::default();
@@ -77,7 +77,7 @@
     }
 }
 
-/// The back ends of the cells held here.
+/// The back ends of the cells that this node holds.
 pub fn back_ends(node: &Node) -> schema::ListBackEndsResponse {
     let back_ends = node.held_cells().flat_map(|(cell, snapshot)| {
         let entries = snapshot.back_ends.into_iter();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Tenants with requests in the cells held here.
+/// Tenants with running requests in the cells that this node holds.
 pub fn tenants(node: &Node) -> schema::ListTenantsResponse {
     let Some(configuration) = node.configuration() else {
         return schema::ListTenantsResponse::default();
@@ -123,47 +123,52 @@
     }
 }
 
-/// Every remembered decision on one request.
+/// All decisions on a request that are still in the decision log.
 pub fn explain(node: &Node, request: RequestId) -> Vec<schema::Decision> {
     let decisions = node.decisions().for_request(request);
     decisions
         .into_iter()
-        .map(|decision| to_message(node, decision))
+        .map(|decision| decision_message(node, decision))
         .collect()
 }
 
-/// The last decisions that fit, newest first.
+/// The latest decisions that match the request's filters, newest first.
 pub fn decisions(node: &Node, request: &schema::ListDecisionsRequest) -> Vec<schema::Decision> {
-    let count = (request.count as usize).min(MAXIMUM_DECISIONS);
-    let all = node.decisions().latest(usize::MAX, |_| true);
-    let fits = |decision: &schema::Decision| {
+    let count = (request.count as usize).min(MAX_DECISIONS);
+    let latest = node.decisions().latest(usize::MAX, |_| true);
+    let matches_filter = |decision: &schema::Decision| {
         let class = request.class.is_empty() || decision.class == request.class;
         let tenant = request.tenant.is_empty() || decision.tenant == request.tenant;
         let step = request.step.is_empty() || decision.step == request.step;
         class && tenant && step
     };
-    all.into_iter()
-        .map(|decision| to_message(node, decision))
-        .filter(fits)
+    latest
+        .into_iter()
+        .map(|decision| decision_message(node, decision))
+        .filter(matches_filter)
         .take(count)
         .collect()
 }
 
-/// Decisions made after number `after`, and the number of the last one.
+/// The number of the last decision, and the logged decisions with numbers above `after`.
 pub fn decisions_after(node: &Node, after: u64) -> (u64, Vec<schema::Decision>) {
     let (last, decisions) = node.decisions().since(after);
-    let messages = decisions
+    let decision_messages = decisions
         .into_iter()
-        .map(|decision| to_message(node, decision));
-    (last, messages.collect())
+        .map(|decision| decision_message(node, decision));
+    (last, decision_messages.collect())
 }
 
-fn to_message(node: &Node, decision: &Decision) -> schema::Decision {
+fn decision_message(node: &Node, decision: &Decision) -> schema::Decision {
     let configuration = node.configuration();
     schema::Decision {
         request_id: decision.request.to_string(),
-        class: configuration.map_or_else(String::new, |known| class_name(known, decision.class)),
-        tenant: configuration.map_or_else(String::new, |known| tenant_name(known, decision.tenant)),
+        class: configuration.map_or_else(String::new, |configuration| {
+            class_name(configuration, decision.class)
+        }),
+        tenant: configuration.map_or_else(String::new, |configuration| {
+            tenant_name(configuration, decision.tenant)
+        }),
         at_ms: decision.at.0 / 1_000,
         step: decision.step.name().to_owned(),
         explanation: decision.step.to_string(),
@@ -171,75 +176,75 @@
 }
 
 fn class_name(configuration: &Configuration, class: ClassId) -> String {
-    let known = configuration.class(class);
-    known.map_or_else(|| class.to_string(), |class| class.name.clone())
+    let found = configuration.class(class);
+    found.map_or_else(|| class.to_string(), |class| class.name.clone())
 }
 
 fn tenant_name(configuration: &Configuration, tenant: TenantId) -> String {
-    let known = configuration.tenant(tenant);
-    known.map_or_else(|| tenant.to_string(), |tenant| tenant.name.clone())
+    let found = configuration.tenant(tenant);
+    found.map_or_else(|| tenant.to_string(), |tenant| tenant.name.clone())
 }
 
-/// Checks a configuration and says what it would change.
+/// Validates a configuration and lists its changes from the active one.
 pub fn validate(node: &Node, document: &str) -> schema::ValidateConfigurationResponse {
-    let checked = Configuration::from_yaml("document", document);
-    match checked {
+    let parsed = Configuration::from_yaml("document", document);
+    match parsed {
         Err(error) => schema::ValidateConfigurationResponse {
             valid: false,
             problems: error.to_string(),
             changes: Vec::new(),
         },
-        Ok(fresh) => schema::ValidateConfigurationResponse {
+        Ok(proposed) => schema::ValidateConfigurationResponse {
             valid: true,
             problems: String::new(),
             changes: node
                 .configuration()
-                .map_or_else(Vec::new, |known| changes(known, &fresh)),
+                .map_or_else(Vec::new, |current| changes(current, &proposed)),
         },
     }
 }
 
-fn changes(known: &Configuration, fresh: &Configuration) -> Vec<String> {
+fn changes(current: &Configuration, proposed: &Configuration) -> Vec<String> {
     let mut changes = Vec::new();
-    if fresh.version <= known.version {
+    if proposed.version <= current.version {
         changes.push(format!(
             "version {} is not newer than {}: it would be ignored",
-            fresh.version, known.version
+            proposed.version, current.version
         ));
     }
-    compare(
+    append_changes(
         "class",
-        &known.classes,
-        &fresh.classes,
+        &current.classes,
+        &proposed.classes,
         |class| &class.name,
         &mut changes,
     );
-    compare(
+    append_changes(
         "pool",
-        &known.pools,
-        &fresh.pools,
+        &current.pools,
+        &proposed.pools,
         |pool| &pool.name,
         &mut changes,
     );
-    compare(
+    append_changes(
         "tenant",
-        &known.tenants,
-        &fresh.tenants,
+        &current.tenants,
+        &proposed.tenants,
         |tenant| &tenant.name,
         &mut changes,
     );
     changes
 }
 
-fn compare<Entry: PartialEq>(
+fn append_changes<Entry: PartialEq>(
     kind: &str,
-    known: &[Entry],
-    fresh: &[Entry],
+    current: &[Entry],
+    proposed: &[Entry],
     name: impl Fn(&Entry) -> &String,
     changes: &mut Vec<String>,
 ) {
-    for entry in fresh {
-        match known.iter().find(|other| name(other) == name(entry)) {
+    for entry in proposed {
+        match current.iter().find(|other| name(other) == name(entry)) {
             None => changes.push(format!("{kind} {} is new", name(entry))),
             Some(other) if other != entry => {
                 changes.push(format!("{kind} {} changes", name(entry)))
@@ -247,8 +252,8 @@
             Some(_) => {}
         }
     }
-    for entry in known {
-        if !fresh.iter().any(|other| name(other) == name(entry)) {
+    for entry in current {
+        if !proposed.iter().any(|other| name(other) == name(entry)) {
             changes.push(format!("{kind} {} goes away", name(entry)));
         }
     }
