--- a/crates/lab/load/src/client.rs
+++ b/crates/lab/load/src/client.rs
@@ -114,13 +114,13 @@
             .await
             .map_err(|error| error.to_string())?;
         if conn.status().map(|status| status as u16) != Some(200) {
-            return Ok(refusal_of(&mut conn).await);
+            return Ok(read_refusal(&mut conn).await);
         }
-        let expected = expected_answer(&body.to_string(), call.answer_tokens);
+        let expected = expected_response(&body.to_string(), call.answer_tokens);
         if !call.stream {
-            return whole(conn, &expected, started, call.answer_tokens).await;
+            return read_complete_response(conn, &expected, started, call.answer_tokens).await;
         }
-        streamed(conn, &expected, started).await
+        read_stream(conn, &expected, started).await
     }
 
     /// Asks a node for a ticket.
@@ -171,7 +171,7 @@
                 Err(error) => ServiceOutcome::Failed(error.to_string()),
             };
         }
-        match refusal_of(&mut conn).await {
+        match read_refusal(&mut conn).await {
             CallOutcome::Refused { verdict, reason } => ServiceOutcome::Refused { verdict, reason },
             _ => ServiceOutcome::Failed("unreadable refusal".into()),
         }
@@ -179,14 +179,14 @@
 }
 
 /// The answer that the stand-in engine gives to this body.
-fn expected_answer(body: &str, tokens: u32) -> String {
+fn expected_response(body: &str, tokens: u32) -> String {
     match ChatRequest::parse(body.as_bytes()) {
         Ok(request) => answer_text(&request.prompt_text(), tokens),
         Err(_) => String::new(),
     }
 }
 
-async fn refusal_of(conn: &mut Conn) -> CallOutcome {
+async fn read_refusal(conn: &mut Conn) -> CallOutcome {
     let header = |name: &str| {
         let value = conn.response_headers().get_str(name.to_owned());
         value.unwrap_or("none").to_owned()
@@ -198,7 +198,7 @@
     CallOutcome::Refused { verdict, reason }
 }
 
-async fn whole(
+async fn read_complete_response(
     mut conn: Conn,
     expected: &str,
     started: Instant,
@@ -224,7 +224,11 @@
     })
 }
 
-async fn streamed(mut conn: Conn, expected: &str, started: Instant) -> Result<CallOutcome, String> {
+async fn read_stream(
+    mut conn: Conn,
+    expected: &str,
+    started: Instant,
+) -> Result<CallOutcome, String> {
     let mut body = conn.take_response_body().ok_or("no body")?;
     let mut parser = EventParser::default();
     let mut buffer = vec![0; 8 * 1024];
@@ -244,7 +248,13 @@
             .map_err(|error| error.to_string())?
         {
             let Event::Data(data) = event else {
-                return Ok(judge(&text, expected, tokens, first_token, started));
+                return Ok(check_streamed_response(
+                    &text,
+                    expected,
+                    tokens,
+                    first_token,
+                    started,
+                ));
             };
             let chunk = Chunk::parse(&data).map_err(|error| error.to_string())?;
             if chunk.text.is_empty() {
@@ -257,7 +267,7 @@
     }
 }
 
-fn judge(
+fn check_streamed_response(
     text: &str,
     expected: &str,
     tokens: u32,
@@ -267,10 +277,10 @@
     let Some(first_token) = first_token.filter(|_| text == expected) else {
         return CallOutcome::Wrong;
     };
-    let rest = started.elapsed() - first_token;
+    let decode_time = started.elapsed() - first_token;
     CallOutcome::Completed {
         tokens,
         first_token,
-        per_token: rest / tokens.saturating_sub(1).max(1),
+        per_token: decode_time / tokens.saturating_sub(1).max(1),
     }
 }
--- a/crates/lab/load/src/run.rs
+++ b/crates/lab/load/src/run.rs
@@ -8,7 +8,7 @@
 use trillium_smol::SmolRuntime;
 
 /// Shortest and longest answer asked for.
-const ANSWER_LIMITS: (f64, f64) = (4.0, 1_000.0);
+const ANSWER_TOKEN_LIMITS: (f64, f64) = (4.0, 1_000.0);
 
 /// Runs a plan to its end: until every request has its outcome.
 pub async fn run(plan: &LoadPlan) -> LoadReport {
@@ -16,7 +16,7 @@
     let (sender, outcomes) = async_channel::unbounded();
     for (index, load) in plan.classes.iter().enumerate() {
         let seed = plan.seed.wrapping_mul(31).wrapping_add(index as u64);
-        let task = class_load(load.clone(), index, plan.clone(), seed, sender.clone());
+        let task = generate_class_load(load.clone(), index, plan.clone(), seed, sender.clone());
         drop(SmolRuntime::default().spawn(task));
     }
     drop(sender);
@@ -27,15 +27,15 @@
         .collect();
     while let Ok((index, outcome)) = outcomes.recv().await {
         let load = &plan.classes[index];
-        let first_token = Duration::from_millis(load.time_to_first_token_ms);
-        let per_token = Duration::from_millis(load.time_per_token_ms);
-        reports[index].record(&outcome, first_token, per_token);
+        let first_token_target = Duration::from_millis(load.time_to_first_token_ms);
+        let per_token_target = Duration::from_millis(load.time_per_token_ms);
+        reports[index].record(&outcome, first_token_target, per_token_target);
     }
     LoadReport::new(reports, started.elapsed())
 }
 
 /// Starts the requests of one class; each runs in a task of its own.
-async fn class_load(
+async fn generate_class_load(
     load: ClassLoad,
     index: usize,
     plan: LoadPlan,
@@ -44,39 +44,39 @@
 ) {
     let client = LoadClient::new();
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let Ok(gaps) = Exp::new(load.requests_per_second.max(0.001)) else {
+    let Ok(intervals) = Exp::new(load.requests_per_second.max(0.001)) else {
         return;
     };
-    let end = Instant::now() + Duration::from_millis(plan.duration_ms);
-    let mut next = Instant::now();
+    let end_time = Instant::now() + Duration::from_millis(plan.duration_ms);
+    let mut next_start = Instant::now();
     let mut number = 0;
     loop {
-        next += Duration::from_secs_f64(gaps.sample(&mut random));
-        if next >= end {
+        next_start += Duration::from_secs_f64(intervals.sample(&mut random));
+        if next_start >= end_time {
             return;
         }
-        smol::Timer::at(next).await;
+        smol::Timer::at(next_start).await;
         let entry = plan.entries[random.random_range(0..plan.entries.len())];
         let call = chat_call(&load, &mut random, number);
         number += 1;
         let client = client.clone();
         let outcomes = outcomes.clone();
-        let make = async move {
+        let request = async move {
             let outcome = client.chat(entry, &call).await;
             let _ = outcomes.send((index, outcome)).await;
         };
-        drop(SmolRuntime::default().spawn(make));
+        drop(SmolRuntime::default().spawn(request));
     }
 }
 
 fn chat_call(load: &ClassLoad, random: &mut ChaCha8Rng, number: u64) -> ChatCall {
     let length = Exp::new(1.0 / load.mean_answer_tokens.max(1.0))
         .map_or(load.mean_answer_tokens, |lengths| lengths.sample(random));
-    let shared =
+    let shared_prefix =
         "The station's notes on today's programme. ".repeat(load.shared_prompt_bytes / 42 + 1);
     let prompt = format!(
         "{} [{}] item {number}-{}",
-        &shared[..load.shared_prompt_bytes],
+        &shared_prefix[..load.shared_prompt_bytes],
         load.class,
         random.random::<u64>()
     );
@@ -85,7 +85,7 @@
         class: load.class.clone(),
         model: load.model.clone(),
         prompt,
-        answer_tokens: length.clamp(ANSWER_LIMITS.0, ANSWER_LIMITS.1) as u32,
+        answer_tokens: length.clamp(ANSWER_TOKEN_LIMITS.0, ANSWER_TOKEN_LIMITS.1) as u32,
         stream: load.stream,
     }
 }
