--- a/crates/lab/load/src/client.rs
+++ b/crates/lab/load/src/client.rs
@@ -1,4 +1,4 @@
-//! One caller.
+//! HTTP client that sends requests to an entry node and checks the responses.
 
 use eiderferry_emulator::answer_text;
 use eiderferry_openai::{ChatRequest, Chunk, Event, EventParser};
@@ -9,65 +9,65 @@
 use trillium_client::{Body, Client, Conn};
 use trillium_smol::ClientConfig;
 
-/// A chat request to be made.
+/// Parameters of a chat completion request.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
-    /// Bearer key.
+    /// API key, sent as a bearer token.
     pub key: String,
-    /// Name of the class.
+    /// Name of the request class.
     pub class: String,
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Prompt.
+    /// Content of the single user message.
     pub prompt: String,
-    /// Answer length the stand-in engine is told to produce.
+    /// Response length in tokens that the emulated engine is told to produce.
     pub answer_tokens: u32,
-    /// Whether to stream.
+    /// Whether to request a streamed response.
     pub stream: bool,
 }
 
-/// What became of a chat request.
+/// Outcome of a chat request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// The whole right answer came.
+    /// The complete, expected response arrived.
     Completed {
-        /// Answer tokens.
+        /// Response tokens.
         tokens: u32,
-        /// Time to the first token; for answers not streamed, to the answer.
+        /// Time to the first token; without streaming, to the complete response.
         first_token: Duration,
-        /// Mean time between tokens.
+        /// Mean time between tokens; without streaming, the total time divided by the token count.
         per_token: Duration,
     },
-    /// An answer came that is not the right one.
+    /// A response arrived whose text differs from the expected one.
     Wrong,
-    /// It was refused.
+    /// The router refused the request.
     Refused {
-        /// The verdict given.
+        /// Value of the `eiderferry-verdict` header.
         verdict: String,
-        /// The reason given.
+        /// Value of the `eiderferry-reason` header.
         reason: String,
     },
-    /// The connection failed or the stream broke off.
+    /// The connection failed or the stream was cut short; carries the error text.
     Failed(String),
 }
 
-/// What became of a call to a plain service.
+/// Outcome of a call to a plain HTTP service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceOutcome {
-    /// The service answered.
+    /// The service responded, with this HTTP status.
     Answered(u16),
-    /// The router refused or gave up.
+    /// The router refused the call or ended it with a verdict.
     Refused {
-        /// The verdict given.
+        /// Value of the `eiderferry-verdict` header.
         verdict: String,
-        /// The reason given.
+        /// Value of the `eiderferry-reason` header.
         reason: String,
     },
-    /// The connection failed: nothing is known.
+    /// The connection failed, so whether the call was executed is unknown.
     Failed(String),
 }
 
-/// Makes calls, each over a connection of its own.
+/// Sends requests, each over its own connection.
 #[derive(Clone)]
 pub struct LoadClient {
     client: Client,
@@ -80,7 +80,7 @@
 }
 
 impl LoadClient {
-    /// A client.
+    /// Creates a client without connection reuse.
     pub fn new() -> Self {
         let config = ClientConfig::new().with_nodelay(true);
         Self {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Makes a chat request and checks its answer.
+    /// Sends a chat request and checks the response.
     pub async fn chat(&self, entry: SocketAddr, call: &ChatCall) -> CallOutcome {
         match self.try_chat(entry, call).await {
             Ok(outcome) => outcome,
@@ -123,7 +123,7 @@
         read_stream(conn, &expected, started).await
     }
 
-    /// Asks a node for a ticket.
+    /// Requests a ticket from an entry node.
     pub async fn ticket(&self, entry: SocketAddr, key: &str) -> Result<String, String> {
         let mut conn = self
             .client
@@ -141,7 +141,7 @@
         ticket.map(str::to_owned).ok_or(text)
     }
 
-    /// Calls a plain service.
+    /// Calls a plain HTTP service through an entry node.
     pub async fn service(
         &self,
         entry: SocketAddr,
@@ -173,12 +173,12 @@
         }
         match read_refusal(&mut conn).await {
             CallOutcome::Refused { verdict, reason } => ServiceOutcome::Refused { verdict, reason },
-            _ => ServiceOutcome::Failed("unreadable refusal".into()),
+            _ => ServiceOutcome::Failed("malformed refusal".into()),
         }
     }
 }
 
-/// The answer that the stand-in engine gives to this body.
+/// Returns the text that the emulated engine produces for this request body.
 fn expected_response(body: &str, tokens: u32) -> String {
     match ChatRequest::parse(body.as_bytes()) {
         Ok(request) => answer_text(&request.prompt_text(), tokens),
@@ -193,7 +193,7 @@
     };
     let verdict = header("eiderferry-verdict");
     let reason = header("eiderferry-reason");
-    // Reading the body to its end frees the connection in good order.
+    // The body is read to its end so that the connection closes cleanly.
     let _ = conn.response_body().read_string().await;
     CallOutcome::Refused { verdict, reason }
 }
@@ -229,7 +229,7 @@
     expected: &str,
     started: Instant,
 ) -> Result<CallOutcome, String> {
-    let mut body = conn.take_response_body().ok_or("no body")?;
+    let mut body = conn.take_response_body().ok_or("response has no body")?;
     let mut parser = EventParser::default();
     let mut buffer = vec![0; 8 * 1024];
     let mut text = String::new();
@@ -241,7 +241,9 @@
             .await
             .map_err(|error| error.to_string())?;
         if count == 0 {
-            return Ok(CallOutcome::Failed("the stream ended early".into()));
+            return Ok(CallOutcome::Failed(
+                "stream ended before the end marker".into(),
+            ));
         }
         for event in parser
             .push(&buffer[..count])
--- a/crates/lab/load/src/lib.rs
+++ b/crates/lab/load/src/lib.rs
@@ -1,8 +1,8 @@
-//! A load generator that speaks the callers' interface and checks every answer.
+//! Load generator that calls the router's HTTP interface and checks every response.
 //!
-//! The stand-in engines produce text that is a function of the prompt, so each
-//! answer is compared with what it must be: a lost, doubled or foreign token is
-//! counted as a wrong answer.
+//! The emulated engines derive their text from the prompt, so each response can be
+//! compared with the expected text: a response with lost, duplicated or foreign
+//! tokens counts as wrong.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lab/load/src/plan.rs
+++ b/crates/lab/load/src/plan.rs
@@ -1,29 +1,29 @@
-//! What load to produce.
+//! Configuration of a load run.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The requests of one class.
+/// Load of one request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
-    /// Name of the class.
+    /// Name of the request class.
     pub class: String,
-    /// Bearer key of the tenant.
+    /// API key of the tenant.
     pub key: String,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Requests a second, as a Poisson process.
+    /// Arrival rate of the Poisson process, in requests per second.
     pub requests_per_second: f64,
-    /// Mean answer length in tokens; lengths are exponential.
+    /// Mean of the exponentially distributed response length, in tokens.
     pub mean_answer_tokens: f64,
-    /// Length of the part of the prompt that the class's requests share, in bytes.
+    /// Length in bytes of the prompt prefix that all requests of the class share.
     pub shared_prompt_bytes: usize,
-    /// Target for the first token, in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub time_to_first_token_ms: u64,
     /// Target for the mean time between tokens, in milliseconds.
     pub time_per_token_ms: u64,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     #[serde(default = "yes")]
     pub stream: bool,
 }
@@ -32,16 +32,16 @@
     true
 }
 
-/// A bounded load.
+/// Load of limited duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Entry nodes, called in turn as a balancer would.
+    /// Addresses of entry nodes; each request goes to a randomly chosen one.
     pub entries: Vec<SocketAddr>,
-    /// Time during which requests start, in milliseconds.
+    /// Duration of the period in which requests are started, in milliseconds.
     pub duration_ms: u64,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The classes.
+    /// Load per request class.
     pub classes: Vec<ClassLoad>,
 }
--- a/crates/lab/load/src/report.rs
+++ b/crates/lab/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a load run measured.
+//! Results of a load run.
 
 use crate::CallOutcome;
 use hdrhistogram::Histogram;
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Figures of one class.
+/// Results of one request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
-    /// Name of the class.
+    /// Name of the request class.
     pub class: String,
-    /// Requests made.
+    /// Requests sent.
     pub requests: u64,
-    /// Whole right answers.
+    /// Complete, expected responses.
     pub completed: u64,
     /// Refusals.
     pub refused: u64,
-    /// Wrong answers: lost, doubled or foreign tokens.
+    /// Responses with lost, duplicated or foreign tokens.
     pub wrong: u64,
     /// Failures without a verdict.
     pub failed: u64,
-    /// Part of all requests answered within both targets.
+    /// Fraction of all requests that completed within both latency targets.
     pub attainment: f64,
     /// Median time to the first token, in milliseconds.
     pub first_token_p50_ms: f64,
@@ -41,25 +41,28 @@
     per_token: Histogram<u64>,
 }
 
-/// Figures of a whole run.
+/// Results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Per class.
+    /// Results per request class.
     pub classes: Vec<ClassReport>,
-    /// Answer tokens of whole answers, per second.
+    /// Tokens of completed responses per second.
     pub goodput_tokens_per_second: f64,
-    /// Answer tokens of whole answers.
+    /// Tokens of completed responses.
     pub delivered_tokens: u64,
-    /// Length of the run in seconds, until the last answer.
+    /// Duration of the run until the last outcome, in seconds.
     pub seconds: f64,
 }
 
+/// Significant decimal digits that the histograms preserve.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 fn histogram() -> Histogram<u64> {
     match Histogram::new(SIGNIFICANT_DIGITS) {
         Ok(histogram) => histogram,
-        Err(error) => unreachable!("{SIGNIFICANT_DIGITS} digits are allowed: {error}"),
+        Err(error) => {
+            unreachable!("histograms support {SIGNIFICANT_DIGITS} significant digits: {error}")
+        }
     }
 }
 
--- a/crates/lab/load/src/run.rs
+++ b/crates/lab/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a plan.
+//! Execution of a load plan.
 
 use crate::{CallOutcome, ChatCall, ClassLoad, ClassReport, LoadClient, LoadPlan, LoadReport};
 use rand::{Rng, SeedableRng};
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 use trillium_smol::SmolRuntime;
 
-/// Shortest and longest answer asked for.
+/// Minimum and maximum requested response length, in tokens.
 const ANSWER_TOKEN_LIMITS: (f64, f64) = (4.0, 1_000.0);
 
-/// Runs a plan to its end: until every request has its outcome.
+/// Runs a plan until every request has an outcome.
 pub async fn run(plan: &LoadPlan) -> LoadReport {
     let started = Instant::now();
     let (sender, outcomes) = async_channel::unbounded();
@@ -34,7 +34,7 @@
     LoadReport::new(reports, started.elapsed())
 }
 
-/// Starts the requests of one class; each runs in a task of its own.
+/// Starts the requests of one class, each in its own task.
 async fn generate_class_load(
     load: ClassLoad,
     index: usize,
