--- a/crates/lab/emulator/src/cache.rs
+++ b/crates/lab/emulator/src/cache.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Events kept for readers that come late; older ones are a gap.
-const KEPT_EVENTS: usize = 1_024;
+const MAX_EVENTS: usize = 1_024;
 
 /// A change of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     used_tokens: u64,
     clock: u64,
     entries: BTreeMap<u32, (u64, u32)>,
-    by_use: BTreeMap<u64, u32>,
+    by_last_use: BTreeMap<u64, u32>,
     events: VecDeque<(u64, CacheEvent)>,
     next_event: u64,
 }
@@ -37,26 +37,26 @@
     }
 
     /// Looks a prompt up and stores its prefixes; returns the tokens it held.
-    pub fn use_prompt(&mut self, prefixes: &[PrefixMark]) -> u32 {
-        let held = prefixes
+    pub fn look_up_and_store(&mut self, prefixes: &[PrefixMark]) -> u32 {
+        let cached_tokens = prefixes
             .iter()
             .rev()
             .find(|mark| self.entries.contains_key(&mark.hash))
             .map_or(0, |mark| mark.tokens);
-        let mut covered = 0;
+        let mut covered_tokens = 0;
         for mark in prefixes {
-            self.store(mark.hash, mark.tokens.saturating_sub(covered));
-            covered = mark.tokens;
+            self.store(mark.hash, mark.tokens.saturating_sub(covered_tokens));
+            covered_tokens = mark.tokens;
         }
-        held
+        cached_tokens
     }
 
     fn store(&mut self, hash: u32, tokens: u32) {
         self.clock += 1;
         match self.entries.get_mut(&hash) {
-            Some((used, _)) => {
-                self.by_use.remove(used);
-                *used = self.clock;
+            Some((last_use, _)) => {
+                self.by_last_use.remove(last_use);
+                *last_use = self.clock;
             }
             None => {
                 self.entries.insert(hash, (self.clock, tokens));
@@ -64,13 +64,13 @@
                 self.publish(CacheEvent::Stored(hash));
             }
         }
-        self.by_use.insert(self.clock, hash);
+        self.by_last_use.insert(self.clock, hash);
         self.evict();
     }
 
     fn evict(&mut self) {
         while self.used_tokens > self.capacity_tokens {
-            let Some((_, hash)) = self.by_use.pop_first() else {
+            let Some((_, hash)) = self.by_last_use.pop_first() else {
                 return;
             };
             if let Some((_, tokens)) = self.entries.remove(&hash) {
@@ -83,7 +83,7 @@
     fn publish(&mut self, event: CacheEvent) {
         self.next_event += 1;
         self.events.push_back((self.next_event, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/lab/emulator/src/engine.rs
+++ b/crates/lab/emulator/src/engine.rs
@@ -20,13 +20,13 @@
     /// First answer token to produce: more than zero if the answer is continued.
     pub first_index: u32,
     /// Answer length in tokens, counted from its very beginning.
-    pub answer_tokens: u32,
+    pub response_tokens: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Sequence {
     job: Job,
-    prefill_left: u32,
+    prefill_remaining: u32,
     next_index: u32,
     kv_tokens: u64,
 }
@@ -127,7 +127,7 @@
         if self.running.is_empty() {
             return None;
         }
-        let mut budget = self.timing.prefill_chunk_tokens;
+        let mut prefill_budget = self.timing.prefill_chunk_tokens;
         let mut prefilled = 0;
         let mut decoding = 0;
         let mut order: Vec<(u8, JobId)> = self
@@ -140,14 +140,14 @@
             let Some(sequence) = self.running.get_mut(&id) else {
                 continue;
             };
-            if sequence.prefill_left == 0 {
+            if sequence.prefill_remaining == 0 {
                 decoding += 1;
                 continue;
             }
-            let part = sequence.prefill_left.min(budget);
-            sequence.prefill_left -= part;
-            budget -= part;
-            prefilled += part;
+            let chunk = sequence.prefill_remaining.min(prefill_budget);
+            sequence.prefill_remaining -= chunk;
+            prefill_budget -= chunk;
+            prefilled += chunk;
         }
         self.prefilled_tokens += u64::from(prefilled);
         let microseconds = self.timing.step_base_us
@@ -160,13 +160,13 @@
     pub fn end_step(&mut self) -> Vec<Emission> {
         let mut emissions = Vec::new();
         for (id, sequence) in &mut self.running {
-            if sequence.prefill_left > 0 {
+            if sequence.prefill_remaining > 0 {
                 continue;
             }
             let index = sequence.next_index;
             sequence.next_index += 1;
             sequence.kv_tokens += 1;
-            let last = sequence.next_index >= sequence.job.answer_tokens;
+            let last = sequence.next_index >= sequence.job.response_tokens;
             emissions.push(Emission {
                 job: *id,
                 index,
@@ -193,9 +193,12 @@
                 self.waiting.insert(key, job);
                 return;
             }
-            let cached = self.cache.use_prompt(&job.prefixes).min(job.prompt_tokens);
+            let cached = self
+                .cache
+                .look_up_and_store(&job.prefixes)
+                .min(job.prompt_tokens);
             let sequence = Sequence {
-                prefill_left: job.prompt_tokens - cached,
+                prefill_remaining: job.prompt_tokens - cached,
                 next_index: job.first_index,
                 kv_tokens,
                 job,
--- a/crates/lab/emulator/src/engine_server.rs
+++ b/crates/lab/emulator/src/engine_server.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Emission, Engine, EngineLoad, Job, JobId};
 use crate::http::{Server, json, query_number, spawn};
-use crate::{CacheEvent, EngineTiming, default_answer_tokens, token_text};
+use crate::{CacheEvent, EngineTiming, default_response_tokens, token_text};
 use eiderferry_openai::{ChatRequest, DONE_EVENT, estimate_tokens, prefix_marks};
 use eiderferry_platform::LoadDocument;
 use futures_lite::{AsyncWriteExt, future};
@@ -18,7 +18,7 @@
 /// Bytes that may wait for a slow reader of a stream.
 const STREAM_BUFFER_BYTES: usize = 4 * 1024;
 
-enum Order {
+enum Command {
     Submit {
         job: Job,
         emissions: async_channel::Sender<Emission>,
@@ -37,14 +37,14 @@
 /// Counters of an engine server.
 #[derive(Debug, Default)]
 struct Counters {
-    generated: AtomicU64,
-    cancelled: AtomicU64,
+    generated_tokens: AtomicU64,
+    cancelled_jobs: AtomicU64,
 }
 
 /// A running engine.
 pub struct EngineServer {
     server: Server,
-    orders: async_channel::Sender<Order>,
+    commands: async_channel::Sender<Command>,
     counters: Arc<Counters>,
 }
 
@@ -55,25 +55,25 @@
         timing: EngineTiming,
         report_lag: Duration,
     ) -> std::io::Result<Self> {
-        let (orders, queue) = async_channel::unbounded();
+        let (commands, queue) = async_channel::unbounded();
         let counters = Arc::new(Counters::default());
         let driver = Driver {
             engine: Engine::new(timing),
-            orders: queue,
+            commands: queue,
             streams: HashMap::new(),
-            reports: Reports::new(report_lag),
+            load_history: LoadHistory::new(report_lag),
             counters: counters.clone(),
         };
         spawn(driver.run());
         let server = Server::start(
             address,
             EngineHandler {
-                orders: orders.clone(),
+                commands: commands.clone(),
             },
         )?;
         Ok(Self {
             server,
-            orders,
+            commands,
             counters,
         })
     }
@@ -85,38 +85,38 @@
 
     /// Tokens generated since the start.
     pub fn generated_tokens(&self) -> u64 {
-        self.counters.generated.load(Ordering::Relaxed)
+        self.counters.generated_tokens.load(Ordering::Relaxed)
     }
 
     /// Jobs cancelled since the start.
     pub fn cancelled_jobs(&self) -> u64 {
-        self.counters.cancelled.load(Ordering::Relaxed)
+        self.counters.cancelled_jobs.load(Ordering::Relaxed)
     }
 
     /// Breaks all streams off and forgets everything; goes on taking requests.
     pub fn crash(&self) {
-        let _ = self.orders.try_send(Order::Crash);
+        let _ = self.commands.try_send(Command::Crash);
     }
 
     /// Runs slower by this factor from now on.
     pub fn slow_down(&self, factor: f64) {
-        let _ = self.orders.try_send(Order::SlowDown(factor));
+        let _ = self.commands.try_send(Command::SlowDown(factor));
     }
 
     /// Ends the engine.
     pub fn stop(&self) {
         self.server.stop();
-        let _ = self.orders.try_send(Order::Stop);
+        let _ = self.commands.try_send(Command::Stop);
     }
 }
 
 /// Past loads, so that reports can lag.
-struct Reports {
+struct LoadHistory {
     lag: Duration,
     history: Vec<(Instant, EngineLoad, u64)>,
 }
 
-impl Reports {
+impl LoadHistory {
     fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -124,19 +124,19 @@
         }
     }
 
-    fn note(&mut self, load: EngineLoad, last_event: u64) {
+    fn record(&mut self, load: EngineLoad, last_event: u64) {
         let now = Instant::now();
         self.history.push((now, load, last_event));
         let lag = self.lag;
-        let old = self
+        let first_kept = self
             .history
             .iter()
             .rposition(|(at, _, _)| now.duration_since(*at) >= lag)
             .unwrap_or(0);
-        self.history.drain(..old);
+        self.history.drain(..first_kept);
     }
 
-    fn lagging(&self) -> (EngineLoad, u64) {
+    fn delayed(&self) -> (EngineLoad, u64) {
         self.history
             .first()
             .map_or((EngineLoad::default(), 0), |(_, load, event)| {
@@ -147,9 +147,9 @@
 
 struct Driver {
     engine: Engine,
-    orders: async_channel::Receiver<Order>,
+    commands: async_channel::Receiver<Command>,
     streams: HashMap<JobId, async_channel::Sender<Emission>>,
-    reports: Reports,
+    load_history: LoadHistory,
     counters: Arc<Counters>,
 }
 
@@ -157,10 +157,10 @@
     async fn run(mut self) {
         loop {
             let Some(step) = self.engine.begin_step() else {
-                let Ok(order) = self.orders.recv().await else {
+                let Ok(command) = self.commands.recv().await else {
                     return;
                 };
-                if !self.handle(order) {
+                if !self.handle(command) {
                     return;
                 }
                 continue;
@@ -173,18 +173,18 @@
         }
     }
 
-    /// Handles orders until the step is over; false when told to stop.
+    /// Handles commands until the step is over; false when told to stop.
     async fn wait_until(&mut self, end: Instant) -> bool {
         loop {
-            let order = async { Some(self.orders.recv().await) };
+            let command = async { Some(self.commands.recv().await) };
             let timer = async {
                 smol::Timer::at(end).await;
                 None
             };
-            match future::or(timer, order).await {
+            match future::or(timer, command).await {
                 None => return true,
-                Some(Ok(order)) => {
-                    if !self.handle(order) {
+                Some(Ok(command)) => {
+                    if !self.handle(command) {
                         return false;
                     }
                 }
@@ -196,37 +196,37 @@
     fn end_step(&mut self) {
         let emissions = self.engine.end_step();
         self.counters
-            .generated
+            .generated_tokens
             .fetch_add(emissions.len() as u64, Ordering::Relaxed);
         for emission in emissions {
             let Some(stream) = self.streams.get(&emission.job) else {
                 continue;
             };
-            let gone = stream.try_send(emission).is_err();
-            if gone || emission.last {
+            let disconnected = stream.try_send(emission).is_err();
+            if disconnected || emission.last {
                 self.streams.remove(&emission.job);
             }
-            if gone {
+            if disconnected {
                 self.cancel(emission.job);
             }
         }
-        self.note_load();
+        self.record_load();
     }
 
     fn cancel(&mut self, job: JobId) {
         self.streams.remove(&job);
         self.engine.cancel(job);
-        self.counters.cancelled.fetch_add(1, Ordering::Relaxed);
+        self.counters.cancelled_jobs.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let last_event = self.engine.cache.last_event();
-        self.reports.note(self.engine.load(), last_event);
+        self.load_history.record(self.engine.load(), last_event);
     }
 
-    fn handle(&mut self, order: Order) -> bool {
-        match order {
-            Order::Submit {
+    fn handle(&mut self, command: Command) -> bool {
+        match command {
+            Command::Submit {
                 job,
                 emissions,
                 reply,
@@ -234,30 +234,30 @@
                 let id = self.engine.submit(job);
                 self.streams.insert(id, emissions);
                 let _ = reply.try_send(id);
-                self.note_load();
+                self.record_load();
             }
-            Order::Cancel(job) => {
+            Command::Cancel(job) => {
                 if self.streams.contains_key(&job) {
                     self.cancel(job);
-                    self.note_load();
+                    self.record_load();
                 }
             }
-            Order::Report { cursor, reply } => {
-                self.note_load();
+            Command::Report { cursor, reply } => {
+                self.record_load();
                 let _ = reply.try_send(self.report(cursor));
             }
-            Order::Crash => {
+            Command::Crash => {
                 self.engine.crash();
                 self.streams.clear();
             }
-            Order::SlowDown(factor) => self.engine.slow_factor = factor,
-            Order::Stop => return false,
+            Command::SlowDown(factor) => self.engine.slow_factor = factor,
+            Command::Stop => return false,
         }
         true
     }
 
     fn report(&self, cursor: u64) -> LoadDocument {
-        let (load, last_event) = self.reports.lagging();
+        let (load, last_event) = self.load_history.delayed();
         let (gap, events) = self.engine.cache.events_between(cursor, last_event);
         let mut document = LoadDocument {
             running: load.running,
@@ -278,7 +278,7 @@
 }
 
 struct EngineHandler {
-    orders: async_channel::Sender<Order>,
+    commands: async_channel::Sender<Command>,
 }
 
 impl Handler for EngineHandler {
@@ -287,7 +287,7 @@
             (Method::Get, "/load") => self.report(conn).await,
             (Method::Post, "/v1/chat/completions") => {
                 let body = conn.request_body_string().await.unwrap_or_default();
-                self.complete(conn, &body).await
+                self.complete_chat(conn, &body).await
             }
             _ => conn.with_status(Status::NotFound).halt(),
         }
@@ -297,15 +297,15 @@
 impl EngineHandler {
     async fn report(&self, conn: Conn) -> Conn {
         let cursor = query_number(&conn, "cache_after");
-        let (reply, answer) = async_channel::bounded(1);
-        let _ = self.orders.try_send(Order::Report { cursor, reply });
-        match answer.recv().await {
+        let (reply, response) = async_channel::bounded(1);
+        let _ = self.commands.try_send(Command::Report { cursor, reply });
+        match response.recv().await {
             Ok(document) => json(conn, &document),
             Err(_) => conn.with_status(Status::ServiceUnavailable).halt(),
         }
     }
 
-    async fn complete(&self, conn: Conn, body: &str) -> Conn {
+    async fn complete_chat(&self, conn: Conn, body: &str) -> Conn {
         let request = match ChatRequest::parse(body.as_bytes()) {
             Ok(request) => request,
             Err(error) => {
@@ -317,15 +317,15 @@
             }
         };
         let prompt = request.prompt_text();
-        let job = job_for(&request, &prompt);
+        let job = build_job(&request, &prompt);
         let (emissions, tokens) = async_channel::unbounded();
-        let (reply, number) = async_channel::bounded(1);
-        let _ = self.orders.try_send(Order::Submit {
+        let (reply, job_id) = async_channel::bounded(1);
+        let _ = self.commands.try_send(Command::Submit {
             job,
             emissions,
             reply,
         });
-        let Ok(id) = number.recv().await else {
+        let Ok(id) = job_id.recv().await else {
             return conn.with_status(Status::ServiceUnavailable).halt();
         };
         let (reader, writer) = piper::pipe(STREAM_BUFFER_BYTES);
@@ -335,13 +335,13 @@
             .and_then(Value::as_str)
             .unwrap_or("");
         let model = request.model.clone();
-        let orders = self.orders.clone();
-        let relay = async move {
+        let commands = self.commands.clone();
+        let stream_task = async move {
             if !stream_tokens(tokens, writer, &prompt, &model).await {
-                let _ = orders.try_send(Order::Cancel(id));
+                let _ = commands.try_send(Command::Cancel(id));
             }
         };
-        spawn(relay);
+        spawn(stream_task);
         conn.with_status(Status::Ok)
             .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
             .with_response_header("x-request-id", request_id.to_owned())
@@ -350,19 +350,19 @@
     }
 }
 
-fn job_for(request: &ChatRequest, prompt: &str) -> Job {
+fn build_job(request: &ChatRequest, prompt: &str) -> Job {
     let number = |path: &str| {
         let value = request.body.get(path).and_then(Value::as_u64);
         value.and_then(|value| u32::try_from(value).ok())
     };
-    let resumed = request
+    let resumed_tokens = request
         .body
         .get("resume")
         .and_then(|resume| resume.get("tokens"));
-    let first_index = resumed.and_then(Value::as_u64).unwrap_or(0) as u32;
+    let first_index = resumed_tokens.and_then(Value::as_u64).unwrap_or(0) as u32;
     let limit = number("max_tokens").unwrap_or(u32::MAX);
-    let answer_tokens = number("emulated_answer_tokens")
-        .unwrap_or_else(|| default_answer_tokens(prompt))
+    let response_tokens = number("emulated_answer_tokens")
+        .unwrap_or_else(|| default_response_tokens(prompt))
         .min(limit)
         .max(first_index + 1);
     Job {
@@ -370,7 +370,7 @@
         prompt_tokens: estimate_tokens(prompt) + first_index,
         prefixes: prefix_marks(prompt),
         first_index,
-        answer_tokens,
+        response_tokens,
     }
 }
 
--- a/crates/lab/emulator/src/lib.rs
+++ b/crates/lab/emulator/src/lib.rs
@@ -20,5 +20,5 @@
 pub use engine_server::EngineServer;
 pub use platform_server::{PlatformServer, PlatformState};
 pub use service_server::ServiceServer;
-pub use text::{answer_text, default_answer_tokens, token_text};
+pub use text::{default_response_tokens, response_text, token_text};
 pub use timing::EngineTiming;
--- a/crates/lab/emulator/src/platform_server.rs
+++ b/crates/lab/emulator/src/platform_server.rs
@@ -43,7 +43,7 @@
         let server = Server::start(address, PlatformHandler(shared.clone()))?;
         let platform = Self { server, shared };
         platform.publish(configuration);
-        platform.change(|state| state.directory = directory);
+        platform.update(|state| state.directory = directory);
         Ok(platform)
     }
 
@@ -64,7 +64,7 @@
             |_| self.version() + 1,
             |configuration| configuration.version,
         );
-        self.change(|state| {
+        self.update(|state| {
             state.configuration = text.to_owned();
             state.configuration_version = version;
         });
@@ -75,8 +75,8 @@
     }
 
     /// Changes what is served.
-    pub fn change(&self, change: impl FnOnce(&mut PlatformState)) {
-        change(&mut self.lock());
+    pub fn update(&self, update: impl FnOnce(&mut PlatformState)) {
+        update(&mut self.lock());
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, PlatformState> {
@@ -92,7 +92,7 @@
 impl Handler for PlatformHandler {
     async fn run(&self, conn: Conn) -> Conn {
         self.0.calls.fetch_add(1, Ordering::Relaxed);
-        let mut have = query_number(&conn, "after");
+        let mut known_version = query_number(&conn, "after");
         let state = self
             .0
             .state
@@ -107,13 +107,13 @@
             "/directory" => {
                 let text = serde_json::to_string(&state.directory).ok();
                 let epoch = query_number(&conn, "epoch") as u16;
-                have = pack_directory_version(epoch, have);
+                known_version = pack_directory_version(epoch, known_version);
                 (state.directory.version(), text)
             }
             _ => return conn.with_status(Status::NotFound).halt(),
         };
         match body {
-            Some(body) if version > have => conn.ok(body),
+            Some(body) if version > known_version => conn.ok(body),
             Some(_) => conn.with_status(Status::NotModified).halt(),
             None => conn.with_status(Status::InternalServerError).halt(),
         }
--- a/crates/lab/emulator/src/service_server.rs
+++ b/crates/lab/emulator/src/service_server.rs
@@ -57,16 +57,16 @@
         let Ok(body) = conn.request_body_string().await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        let name = conn
+        let request_id = conn
             .request_headers()
             .get_str("x-request-id")
             .map(str::to_owned);
         let executions = {
-            let mut table = self
+            let mut counts = self
                 .executions
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let count = table.entry(body).or_default();
+            let count = counts.entry(body).or_default();
             *count += 1;
             *count
         };
@@ -74,8 +74,8 @@
         let path = conn.path().to_owned();
         let document = serde_json::json!({ "path": path, "executions": executions });
         let mut conn = json(conn, &document);
-        if let Some(name) = name {
-            conn.insert_response_header("x-request-id", name);
+        if let Some(request_id) = request_id {
+            conn.insert_response_header("x-request-id", request_id);
         }
         conn
     }
--- a/crates/lab/emulator/src/text.rs
+++ b/crates/lab/emulator/src/text.rs
@@ -22,29 +22,31 @@
     "north",
 ];
 /// Shortest answer when the request names no length.
-const SHORTEST_ANSWER: u64 = 20;
+const MIN_RESPONSE_TOKENS: u64 = 20;
 /// Spread of answer lengths when the request names none.
-const ANSWER_SPREAD: u64 = 100;
+const RESPONSE_TOKENS_SPREAD: u64 = 100;
 
 /// Token number `index` of the answer to a prompt.
 pub fn token_text(prompt: &str, index: u32) -> String {
-    token_for(xxh3_64(prompt.as_bytes()), index)
+    token_for_hash(xxh3_64(prompt.as_bytes()), index)
 }
 
-fn token_for(prompt_hash: u64, index: u32) -> String {
+fn token_for_hash(prompt_hash: u64, index: u32) -> String {
     let hash = xxh3_64_with_seed(&index.to_le_bytes(), prompt_hash);
     let word = WORDS[(hash % WORDS.len() as u64) as usize];
     format!("{word}{index} ")
 }
 
 /// The whole answer to a prompt.
-pub fn answer_text(prompt: &str, tokens: u32) -> String {
+pub fn response_text(prompt: &str, tokens: u32) -> String {
     let hash = xxh3_64(prompt.as_bytes());
-    (0..tokens).map(|index| token_for(hash, index)).collect()
+    (0..tokens)
+        .map(|index| token_for_hash(hash, index))
+        .collect()
 }
 
 /// Answer length when the request names none.
-pub fn default_answer_tokens(prompt: &str) -> u32 {
+pub fn default_response_tokens(prompt: &str) -> u32 {
     let hash = xxh3_64(prompt.as_bytes());
-    (SHORTEST_ANSWER + hash % ANSWER_SPREAD) as u32
+    (MIN_RESPONSE_TOKENS + hash % RESPONSE_TOKENS_SPREAD) as u32
 }
--- a/crates/lab/load/src/client.rs
+++ b/crates/lab/load/src/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client that sends requests to an entry node and checks the responses.
 
-use eiderferry_emulator::answer_text;
+use eiderferry_emulator::response_text;
 use eiderferry_openai::{ChatRequest, Chunk, Event, EventParser};
 use futures_lite::AsyncReadExt;
 use serde_json::{Value, json};
@@ -181,7 +181,7 @@
 /// Returns the text that the emulated engine produces for this request body.
 fn expected_response(body: &str, tokens: u32) -> String {
     match ChatRequest::parse(body.as_bytes()) {
-        Ok(request) => answer_text(&request.prompt_text(), tokens),
+        Ok(request) => response_text(&request.prompt_text(), tokens),
         Err(_) => String::new(),
     }
 }
--- a/crates/lab/load/src/run.rs
+++ b/crates/lab/load/src/run.rs
@@ -43,7 +43,7 @@
     outcomes: async_channel::Sender<(usize, CallOutcome)>,
 ) {
     let client = LoadClient::new();
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let Ok(intervals) = Exp::new(load.requests_per_second.max(0.001)) else {
         return;
     };
@@ -51,13 +51,13 @@
     let mut next_start = Instant::now();
     let mut number = 0;
     loop {
-        next_start += Duration::from_secs_f64(intervals.sample(&mut random));
+        next_start += Duration::from_secs_f64(intervals.sample(&mut rng));
         if next_start >= end_time {
             return;
         }
         smol::Timer::at(next_start).await;
-        let entry = plan.entries[random.random_range(0..plan.entries.len())];
-        let call = chat_call(&load, &mut random, number);
+        let entry = plan.entries[rng.random_range(0..plan.entries.len())];
+        let call = chat_call(&load, &mut rng, number);
         number += 1;
         let client = client.clone();
         let outcomes = outcomes.clone();
@@ -69,16 +69,16 @@
     }
 }
 
-fn chat_call(load: &ClassLoad, random: &mut ChaCha8Rng, number: u64) -> ChatCall {
+fn chat_call(load: &ClassLoad, rng: &mut ChaCha8Rng, number: u64) -> ChatCall {
     let length = Exp::new(1.0 / load.mean_answer_tokens.max(1.0))
-        .map_or(load.mean_answer_tokens, |lengths| lengths.sample(random));
+        .map_or(load.mean_answer_tokens, |lengths| lengths.sample(rng));
     let shared_prefix =
         "The station's notes on today's programme. ".repeat(load.shared_prompt_bytes / 42 + 1);
     let prompt = format!(
         "{} [{}] item {number}-{}",
         &shared_prefix[..load.shared_prompt_bytes],
         load.class,
-        random.random::<u64>()
+        rng.random::<u64>()
     );
     ChatCall {
         key: load.key.clone(),
--- a/crates/lab/simulator/src/engines.rs
+++ b/crates/lab/simulator/src/engines.rs
@@ -174,7 +174,7 @@
             prompt_tokens: state.prompt_tokens + dispatch.delivered_tokens,
             prefixes: state.prefixes.clone(),
             first_index: dispatch.delivered_tokens,
-            answer_tokens: state.answer_tokens,
+            response_tokens: state.answer_tokens,
         };
         let back_end = &mut self.back_ends[target];
         let id = back_end.engine.as_mut()?.submit(job);
