--- a/crates/lab/simulator/src/chaos.rs
+++ b/crates/lab/simulator/src/chaos.rs
@@ -6,43 +6,43 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The deployment and load under which faults are tried.
-const BASE: &str = include_str!("../scenarios/chaos-base.yaml");
+const BASE_SCENARIO: &str = include_str!("../scenarios/chaos-base.yaml");
 /// First moment of a fault, in seconds: the fleet has come up by then.
-const FIRST_FAULT: f64 = 5.0;
+const FIRST_FAULT_SECONDS: f64 = 5.0;
 /// Last moment of a fault, in seconds.
-const LAST_FAULT: f64 = 40.0;
+const LAST_FAULT_SECONDS: f64 = 40.0;
 /// Longest fault, in seconds.
-const LONGEST_FAULT: f64 = 12.0;
+const MAX_FAULT_SECONDS: f64 = 12.0;
 /// Faults in one schedule.
-const FAULTS: std::ops::RangeInclusive<u32> = 1..=8;
+const FAULT_COUNT: std::ops::RangeInclusive<u32> = 1..=8;
 /// Part of faults that come twice, and part that come together with another.
-const REPEATED: f64 = 0.25;
-const TOGETHER: f64 = 0.35;
+const REPEAT_PROBABILITY: f64 = 0.25;
+const SIMULTANEOUS_PROBABILITY: f64 = 0.35;
 
 /// The schedule of one seed.
 pub fn chaos_scenario(seed: u64) -> Result<Scenario, ScenarioError> {
-    let mut scenario = Scenario::from_yaml("chaos-base", BASE)?;
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x0063_6861_6f73);
+    let mut scenario = Scenario::from_yaml("chaos-base", BASE_SCENARIO)?;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0063_6861_6f73);
     scenario.name = format!("chaos-{seed}");
-    let mut last_start = FIRST_FAULT;
-    for _ in 0..random.random_range(FAULTS) {
-        let at = if random.random_bool(TOGETHER) {
+    let mut last_start = FIRST_FAULT_SECONDS;
+    for _ in 0..rng.random_range(FAULT_COUNT) {
+        let at = if rng.random_bool(SIMULTANEOUS_PROBABILITY) {
             last_start
         } else {
-            random.random_range(FIRST_FAULT..LAST_FAULT)
+            rng.random_range(FIRST_FAULT_SECONDS..LAST_FAULT_SECONDS)
         };
         last_start = at;
-        let lasts = random.random_range(0.3..LONGEST_FAULT);
+        let lasts = rng.random_range(0.3..MAX_FAULT_SECONDS);
         let fault = Fault {
             at,
             lasts,
-            kind: draw_kind(&mut random),
+            kind: random_fault_kind(&mut rng),
         };
         scenario.faults.push(fault);
-        if random.random_bool(REPEATED) {
-            let again = at + random.random_range(0.0..LONGEST_FAULT);
+        if rng.random_bool(REPEAT_PROBABILITY) {
+            let repeat_at = at + rng.random_range(0.0..MAX_FAULT_SECONDS);
             scenario.faults.push(Fault {
-                at: again.min(LAST_FAULT),
+                at: repeat_at.min(LAST_FAULT_SECONDS),
                 ..fault
             });
         }
@@ -50,10 +50,10 @@
     Ok(scenario)
 }
 
-fn draw_kind(random: &mut ChaCha8Rng) -> FaultKind {
-    let node = random.random_range(0..8);
-    let back_end = random.random_range(0..15);
-    let zone = random.random_range(1..=3);
+fn random_fault_kind(rng: &mut ChaCha8Rng) -> FaultKind {
+    let node = rng.random_range(0..8);
+    let back_end = rng.random_range(0..15);
+    let zone = rng.random_range(1..=3);
     let kinds = [
         FaultKind::NodeCrash { node },
         FaultKind::NodePause { node },
@@ -61,7 +61,7 @@
         FaultKind::BackEndCrash { back_end },
         FaultKind::BackEndSlow {
             back_end,
-            factor: random.random_range(1.5..6.0),
+            factor: rng.random_range(1.5..6.0),
         },
         FaultKind::BackEndFreeze { back_end },
         FaultKind::BackEndLeave { back_end },
@@ -69,19 +69,19 @@
         FaultKind::PlatformCut { zone },
         FaultKind::PlatformDown,
         FaultKind::PlatformStale {
-            age: random.random_range(5.0..40.0),
+            age: rng.random_range(5.0..40.0),
         },
         FaultKind::MessageLoss {
-            part: random.random_range(0.02..0.3),
+            part: rng.random_range(0.02..0.3),
         },
         FaultKind::ConfigurationChange,
         FaultKind::InvalidConfiguration,
         FaultKind::Burst {
-            factor: random.random_range(1.5..4.0),
+            factor: rng.random_range(1.5..4.0),
         },
     ];
     kinds
-        .choose(random)
+        .choose(rng)
         .copied()
         .unwrap_or(FaultKind::ConfigurationChange)
 }
--- a/crates/lab/simulator/src/checker.rs
+++ b/crates/lab/simulator/src/checker.rs
@@ -2,27 +2,27 @@
 //!
 //! Nothing here asks the decision code for its opinion.
 
-use crate::requests::{Fate, SimRequest};
+use crate::requests::{RequestStatus, SimRequest};
 use crate::scenario::CallKey;
 use crate::world::World;
 use eiderferry_types::{NodeId, PoolId, Reason, Refusal, Span, Tier, Timestamp, Verdict, ZoneId};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Time from the beginning of leaving within which new work may still arrive.
-const LEAVING_LIMIT: Span = Span::from_milliseconds(5_000);
+/// Time from the beginning of leaving within which new work may still handle_arrival.
+const LEAVING_GRACE_PERIOD: Span = Span::from_milliseconds(5_000);
 /// Starts of lower tiers this shortly after a request's arrival were decided before.
 const INVERSION_SLACK: Span = Span::from_milliseconds(50);
 /// The same while messages get lost: a lost grant is asked for again after this
 /// time at the most, and the start follows its decision that much later.
 const INVERSION_SLACK_WITH_LOSS: Span = Span::from_milliseconds(3_100);
 /// Violations of one promise kept in full; more are only counted.
-const KEPT_VIOLATIONS: usize = 20;
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 
 /// A promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Guarantee {
     /// No request of a higher tier is shed to make room for a lower one.
     TierInversion,
     /// No class with work gets less than its minimum share.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub promise: Guarantee,
     /// When, in seconds.
     pub at_seconds: f64,
     /// What was seen.
@@ -59,13 +59,13 @@
 pub(crate) struct Checker {
     violations: Vec<Violation>,
     count: u64,
-    counts: BTreeMap<Promise, usize>,
+    counts: BTreeMap<Guarantee, usize>,
     /// Last start outside minimum shares, per place and tier.
-    open_starts: BTreeMap<(ZoneId, PoolId, Tier), Timestamp>,
+    starts_outside_shares: BTreeMap<(ZoneId, PoolId, Tier), Timestamp>,
     /// When messages between nodes were last being lost.
     pub last_loss: Timestamp,
     versions: BTreeMap<NodeId, (u32, u64)>,
-    overdue: BTreeMap<NodeId, u64>,
+    reported_overdue: BTreeMap<NodeId, u64>,
 }
 
 impl Checker {
@@ -73,12 +73,12 @@
         self.count += 1;
         let count = self.counts.entry(violation.promise).or_default();
         *count += 1;
-        if *count <= KEPT_VIOLATIONS {
+        if *count <= MAX_REPORTED_VIOLATIONS {
             self.violations.push(violation);
         }
     }
 
-    fn broken(&mut self, promise: Promise, now: Timestamp, what: String) {
+    fn add_violation(&mut self, promise: Guarantee, now: Timestamp, what: String) {
         let at_seconds = now.0 as f64 / 1e6;
         self.add(Violation {
             promise,
@@ -96,7 +96,7 @@
     }
 
     /// A back end took up a request.
-    pub fn started(
+    pub fn record_start(
         &mut self,
         now: Timestamp,
         zone: ZoneId,
@@ -105,12 +105,12 @@
         within_share: bool,
     ) {
         if !within_share {
-            self.open_starts.insert((zone, pool, tier), now);
+            self.starts_outside_shares.insert((zone, pool, tier), now);
         }
     }
 
     /// A request was shed for want of capacity.
-    pub fn shed(
+    pub fn check_shed(
         &mut self,
         now: Timestamp,
         request: usize,
@@ -119,19 +119,21 @@
         disturbed: bool,
         reason: Reason,
     ) {
-        let lossy = now.since(self.last_loss) < INVERSION_SLACK_WITH_LOSS;
-        let slack = if lossy {
+        let had_recent_loss = now.since(self.last_loss) < INVERSION_SLACK_WITH_LOSS;
+        let slack = if had_recent_loss {
             INVERSION_SLACK_WITH_LOSS
         } else {
             INVERSION_SLACK
         };
-        let waited_from = state.waiting_since + slack;
+        let waiting_threshold = state.waiting_since + slack;
         let lower = (tier.0 + 1..=u8::MAX)
             .map(Tier)
             .take_while(|lower| lower.0 <= 7)
             .find(|lower| {
-                let start = self.open_starts.get(&(state.zone, state.pool, *lower));
-                start.is_some_and(|start| *start > waited_from)
+                let start = self
+                    .starts_outside_shares
+                    .get(&(state.zone, state.pool, *lower));
+                start.is_some_and(|start| *start > waiting_threshold)
             });
         if let Some(lower) = lower {
             let what = format!(
@@ -141,12 +143,12 @@
                 state.waiting_since.0 as f64 / 1e6,
                 if disturbed { " (zone disturbed)" } else { "" }
             );
-            self.broken(Promise::TierInversion, now, what);
+            self.add_violation(Guarantee::TierInversion, now, what);
         }
     }
 
     /// A caller got a refusal.
-    pub fn refused(
+    pub fn check_refusal(
         &mut self,
         now: Timestamp,
         request: usize,
@@ -156,90 +158,97 @@
         if refusal.verdict != Verdict::NotRun {
             return;
         }
-        let keyed = state
+        let has_key = state
             .service
             .as_ref()
             .is_some_and(|call| matches!(call.key, CallKey::Ticket | CallKey::Caller));
-        let executions = if keyed {
+        let executions = if has_key {
             state.executions
         } else {
-            state.executions_of_hand_in
+            state.executions_since_send
         };
         if executions > 0 {
             let what = format!(
                 "request {request} was told not_run ({}) and had run {executions} times",
                 refusal.reason
             );
-            self.broken(Promise::NotRunHolds, now, what);
+            self.add_violation(Guarantee::NotRunHolds, now, what);
         }
     }
 
     /// A token reached a caller.
-    pub fn token(&mut self, now: Timestamp, request: usize, expected: u32, index: u32) {
+    pub fn check_token(&mut self, now: Timestamp, request: usize, expected: u32, index: u32) {
         if index != expected {
             let what = format!("request {request} got token {index} where {expected} was due");
-            self.broken(Promise::WholeAnswer, now, what);
+            self.add_violation(Guarantee::WholeAnswer, now, what);
         }
     }
 
     /// A caller got the end of its answer.
-    pub fn completed(&mut self, now: Timestamp, request: usize, state: &SimRequest) {
-        let whole = state.service.is_some() || state.progress.tokens() == state.answer_tokens;
-        if !whole {
+    pub fn check_completion(&mut self, now: Timestamp, request: usize, state: &SimRequest) {
+        let complete = state.service.is_some() || state.progress.tokens() == state.response_tokens;
+        if !complete {
             let what = format!(
                 "request {request} got {} of {} tokens",
                 state.progress.tokens(),
-                state.answer_tokens
+                state.response_tokens
             );
-            self.broken(Promise::WholeAnswer, now, what);
+            self.add_violation(Guarantee::WholeAnswer, now, what);
         }
     }
 
     /// Work reached a back end that is leaving.
-    pub fn reached_leaving(&mut self, now: Timestamp, back_end: usize, since: Timestamp) {
-        let after = now.since(since);
-        if after > LEAVING_LIMIT {
+    pub fn check_leaving(&mut self, now: Timestamp, back_end: usize, since: Timestamp) {
+        let elapsed = now.since(since);
+        if elapsed > LEAVING_GRACE_PERIOD {
             let what = format!(
                 "back end {back_end} got new work {:.1} s after it began to leave",
-                after.seconds()
+                elapsed.seconds()
             );
-            self.broken(Promise::LeavingBackEnd, now, what);
+            self.add_violation(Guarantee::LeavingBackEnd, now, what);
         }
     }
 
     /// A node's process ended as planned with this many requests open.
-    pub fn planned_stop(&mut self, now: Timestamp, node: NodeId, open: usize) {
+    pub fn check_planned_stop(&mut self, now: Timestamp, node: NodeId, open: usize) {
         if open > 0 {
             let what = format!("node {node} stopped as planned and cut off {open} requests");
-            self.broken(Promise::PlannedStop, now, what);
+            self.add_violation(Guarantee::PlannedStop, now, what);
         }
     }
 
     /// A fresh node called itself ready.
-    pub fn became_ready(&mut self, now: Timestamp, node: NodeId, version: u64, known: u64) {
+    pub fn check_readiness(&mut self, now: Timestamp, node: NodeId, version: u64, known: u64) {
         if version < known {
             let what = format!(
                 "node {node} became ready with configuration {version} while all its peers had {known}"
             );
-            self.broken(Promise::ConfigurationReverts, now, what);
+            self.add_violation(Guarantee::ConfigurationReverts, now, what);
         }
     }
 
     /// A node has this configuration in force; `due` must be in force by now.
-    pub fn version(&mut self, now: Timestamp, node: NodeId, run: u32, version: u64, due: u64) {
+    pub fn check_version(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        run: u32,
+        version: u64,
+        due: u64,
+    ) {
         let last = self.versions.insert(node, (run, version));
         if let Some((last_run, last_version)) = last
             && last_run == run
             && version < last_version
         {
             let what = format!("node {node} went from configuration {last_version} to {version}");
-            self.broken(Promise::ConfigurationReverts, now, what);
+            self.add_violation(Guarantee::ConfigurationReverts, now, what);
         }
-        let reported = self.overdue.entry(node).or_default();
+        let reported = self.reported_overdue.entry(node).or_default();
         if version < due && *reported < due {
             *reported = due;
             let what = format!("node {node} still has configuration {version}, {due} is overdue");
-            self.broken(Promise::ConfigurationInForce, now, what);
+            self.add_violation(Guarantee::ConfigurationInForce, now, what);
         }
     }
 
@@ -252,13 +261,13 @@
             if call.key != CallKey::Repeatable && request.executions > 1 {
                 let what = format!(
                     "call {index} ({:?}) ran {} times; its caller saw {:?}",
-                    call.key, request.executions, request.fate
+                    call.key, request.executions, request.status
                 );
-                self.broken(Promise::AtMostOnce, request.arrived, what);
+                self.add_violation(Guarantee::AtMostOnce, request.arrived, what);
             }
-            if request.fate == Fate::Completed && request.executions == 0 {
+            if request.status == RequestStatus::Completed && request.executions == 0 {
                 let what = format!("call {index} was answered without having run");
-                self.broken(Promise::WholeAnswer, request.arrived, what);
+                self.add_violation(Guarantee::WholeAnswer, request.arrived, what);
             }
         }
     }
@@ -271,16 +280,18 @@
         let Some(since) = self.back_ends[back_end].leaving_since else {
             return;
         };
-        if self.policy_is_baseline() {
+        if self.is_baseline_policy() {
             return;
         }
         let zone = self.nodes[node].zone;
-        let platform_silent = !self.platform.is_undisturbed_since()
-            || self.now.since(self.platform.disturbed) < LEAVING_LIMIT;
-        let alone = self.network.is_isolated(zone, self.now, LEAVING_LIMIT);
-        let uninformed = platform_silent || alone;
-        if !uninformed {
-            self.checker.reached_leaving(self.now, back_end, since);
+        let platform_silent = !self.platform.is_undisturbed()
+            || self.now.since(self.platform.last_disturbed) < LEAVING_GRACE_PERIOD;
+        let isolated = self
+            .network
+            .is_isolated(zone, self.now, LEAVING_GRACE_PERIOD);
+        let unaware = platform_silent || isolated;
+        if !unaware {
+            self.checker.check_leaving(self.now, back_end, since);
         }
     }
 }
--- a/crates/lab/simulator/src/entry_logic.rs
+++ b/crates/lab/simulator/src/entry_logic.rs
@@ -30,7 +30,7 @@
     /// The back end of the zone with the least load by its lagging report.
     LeastLoaded,
     /// One scheduler over all zones with exact and instant knowledge, also of
-    /// answer lengths.
+    /// response lengths.
     Oracle,
 }
 
@@ -65,7 +65,7 @@
     AskingPeers,
 }
 
-const RULES: [(Rule, &str); 13] = [
+const RULE_NAMES: [(Rule, &str); 13] = [
     (Rule::TierOrder, "without-tier-order"),
     (Rule::MinimumShares, "without-minimum-shares"),
     (Rule::EarlyRefusal, "without-early-refusal"),
@@ -89,7 +89,7 @@
             Policy::RoundRobin => "round-robin",
             Policy::LeastLoaded => "least-loaded",
             Policy::Oracle => "oracle",
-            Policy::Without(rule) => RULES
+            Policy::Without(rule) => RULE_NAMES
                 .iter()
                 .find(|(known, _)| known == rule)
                 .map_or("without", |(_, name)| name),
@@ -104,7 +104,7 @@
 
 impl fmt::Display for UnknownPolicy {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let rules: Vec<&str> = RULES.iter().map(|(_, name)| *name).collect();
+        let rules: Vec<&str> = RULE_NAMES.iter().map(|(_, name)| *name).collect();
         write!(
             formatter,
             "unknown policy {:?}; known: eiderferry, random, round-robin, least-loaded, oracle, {}",
@@ -118,17 +118,17 @@
     type Err = UnknownPolicy;
 
     fn from_str(text: &str) -> Result<Self, UnknownPolicy> {
-        let plain = [
+        let named = [
             Policy::Eiderferry,
             Policy::Random,
             Policy::RoundRobin,
             Policy::LeastLoaded,
             Policy::Oracle,
         ];
-        let partial = RULES.iter().map(|(rule, _)| Policy::Without(*rule));
-        plain
+        let ablations = RULE_NAMES.iter().map(|(rule, _)| Policy::Without(*rule));
+        named
             .into_iter()
-            .chain(partial)
+            .chain(ablations)
             .find(|policy| policy.to_string() == text)
             .ok_or_else(|| UnknownPolicy(text.to_owned()))
     }
@@ -159,14 +159,14 @@
     /// The production state machine.
     Node(Box<Node>),
     /// A baseline.
-    Baseline(Box<Baseline>),
+    Baseline(Box<BaselineRouter>),
 }
 
 impl EntryLogic {
     pub fn new(policy: Policy, identity: Identity, now: Timestamp, seed: u64) -> Self {
         match policy {
             Policy::Random | Policy::RoundRobin | Policy::LeastLoaded => {
-                Self::Baseline(Box::new(Baseline::new(policy, identity, seed)))
+                Self::Baseline(Box::new(BaselineRouter::new(policy, identity, seed)))
             }
             _ => {
                 let limits = NodeLimits {
@@ -207,7 +207,7 @@
         }
     }
 
-    pub fn caller_gone(&mut self, now: Timestamp, id: RequestId) {
+    pub fn caller_disconnected(&mut self, now: Timestamp, id: RequestId) {
         match self {
             Self::Node(node) => node.caller_disconnected(now, id),
             Self::Baseline(baseline) => {
@@ -216,7 +216,7 @@
         }
     }
 
-    pub fn stream_is_slow(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
+    pub fn report_slow_stream(&mut self, now: Timestamp, id: RequestId, per_token: Span) {
         if let Self::Node(node) = self {
             node.report_slow_stream(now, id, per_token);
         }
@@ -229,23 +229,23 @@
         }
     }
 
-    pub fn platform_answered(
+    pub fn handle_platform_response(
         &mut self,
         now: Timestamp,
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     ) {
         match self {
-            Self::Node(node) => node.handle_platform_response(now, kind, answer),
+            Self::Node(node) => node.handle_platform_response(now, kind, response),
             Self::Baseline(baseline) => {
-                if let Ok(Some(PlatformDocument::Directory(directory))) = answer {
-                    baseline.take_directory(&directory);
+                if let Ok(Some(PlatformDocument::Directory(directory))) = response {
+                    baseline.apply_directory(&directory);
                 }
             }
         }
     }
 
-    pub fn back_end_reported(
+    pub fn handle_load_report(
         &mut self,
         now: Timestamp,
         back_end: BackEndId,
@@ -271,7 +271,7 @@
 }
 
 /// Attempts of one request at the most.
-const BASELINE_ATTEMPTS: u8 = 3;
+const BASELINE_MAX_ATTEMPTS: u8 = 3;
 /// Time between two reads of the directory.
 const BASELINE_READ_INTERVAL: Span = Span::from_milliseconds(1_000);
 /// Time between two polls of each back end.
@@ -289,31 +289,31 @@
 
 /// A router that sends each request to a back end of its zone at once, which
 /// queues by tier itself.
-pub(crate) struct Baseline {
+pub(crate) struct BaselineRouter {
     policy: Policy,
     identity: Identity,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     back_ends: BTreeMap<BackEndId, BaselineBackEnd>,
     requests: BTreeMap<u64, (Submission, u8, u32)>,
     next_sequence: u64,
-    turn: usize,
-    next_read: Timestamp,
+    next_round_robin: usize,
+    next_directory_read: Timestamp,
     next_poll: Timestamp,
     directory_version: u64,
     outputs: Vec<Output>,
 }
 
-impl Baseline {
+impl BaselineRouter {
     fn new(policy: Policy, identity: Identity, seed: u64) -> Self {
         Self {
             policy,
             identity,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             back_ends: BTreeMap::new(),
             requests: BTreeMap::new(),
             next_sequence: 0,
-            turn: 0,
-            next_read: Timestamp::default(),
+            next_round_robin: 0,
+            next_directory_read: Timestamp::default(),
             next_poll: Timestamp::default(),
             directory_version: 0,
             outputs: Vec::new(),
@@ -324,7 +324,7 @@
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.requests.insert(sequence, (submission, 0, 0));
-        self.send(now, sequence);
+        self.dispatch(now, sequence);
         self.id(sequence)
     }
 
@@ -336,13 +336,13 @@
         }
     }
 
-    fn send(&mut self, now: Timestamp, sequence: u64) {
+    fn dispatch(&mut self, now: Timestamp, sequence: u64) {
         let Some((submission, attempt, delivered_tokens)) = self.requests.get(&sequence).cloned()
         else {
             return;
         };
         let request = self.id(sequence);
-        let Some(back_end) = self.choose(submission.pool) else {
+        let Some(back_end) = self.choose_back_end(submission.pool) else {
             self.requests.remove(&sequence);
             let refusal = Refusal::not_run(Reason::NoBackEnd, None);
             self.outputs.push(Output::Reject { request, refusal });
@@ -358,25 +358,25 @@
         }));
     }
 
-    fn choose(&mut self, pool: PoolId) -> Option<BackEndId> {
+    fn choose_back_end(&mut self, pool: PoolId) -> Option<BackEndId> {
         let zone = self.identity.zone;
-        let usable: Vec<BackEndId> = self
+        let candidates: Vec<BackEndId> = self
             .back_ends
             .iter()
             .filter(|(_, entry)| entry.pool == pool && entry.zone == zone && !entry.leaving)
             .map(|(id, _)| *id)
             .collect();
-        if usable.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        self.turn += 1;
+        self.next_round_robin += 1;
         match self.policy {
-            Policy::RoundRobin => Some(usable[self.turn % usable.len()]),
-            Policy::LeastLoaded => usable
+            Policy::RoundRobin => Some(candidates[self.next_round_robin % candidates.len()]),
+            Policy::LeastLoaded => candidates
                 .iter()
                 .copied()
                 .min_by_key(|id| (self.back_ends[id].reported_load, *id)),
-            _ => Some(usable[self.random.random_range(0..usable.len())]),
+            _ => Some(candidates[self.rng.random_range(0..candidates.len())]),
         }
     }
 
@@ -396,11 +396,11 @@
             self.requests.remove(&id.sequence);
             return;
         };
-        let harmless = verdict == Verdict::NotRun || submission.not_repeatable.is_none();
-        if harmless && attempt + 1 < BASELINE_ATTEMPTS {
+        let may_retry = verdict == Verdict::NotRun || submission.not_repeatable.is_none();
+        if may_retry && attempt + 1 < BASELINE_MAX_ATTEMPTS {
             *current += 1;
             *delivered += observation.tokens;
-            self.send(now, id.sequence);
+            self.dispatch(now, id.sequence);
             return;
         }
         self.requests.remove(&id.sequence);
@@ -416,13 +416,13 @@
     }
 
     fn tick(&mut self, now: Timestamp) {
-        if now >= self.next_read {
-            self.next_read = now + BASELINE_READ_INTERVAL;
-            let have = self.directory_version;
+        if now >= self.next_directory_read {
+            self.next_directory_read = now + BASELINE_READ_INTERVAL;
+            let known_version = self.directory_version;
             let kind = DocumentKind::Directory;
             self.outputs.push(Output::ReadPlatform {
                 kind,
-                known_version: have,
+                known_version,
             });
         }
         if now >= self.next_poll && self.policy == Policy::LeastLoaded {
@@ -437,7 +437,7 @@
         }
     }
 
-    fn take_directory(&mut self, directory: &Directory) {
+    fn apply_directory(&mut self, directory: &Directory) {
         self.directory_version = directory.version;
         let known = std::mem::take(&mut self.back_ends);
         for entry in &directory.back_ends {
--- a/crates/lab/simulator/src/event.rs
+++ b/crates/lab/simulator/src/event.rs
@@ -1,4 +1,4 @@
-//! What can happen.
+//! What can handle_event.
 
 use crate::network::Destination;
 use eiderferry_node::{Dispatch, DocumentKind, Envelope, PlatformDocument};
@@ -14,9 +14,9 @@
     /// A caller tries a service call at another node.
     ServiceRetry { request: usize },
     /// A caller gives up waiting for the first token.
-    PatienceOver { request: usize },
+    FirstTokenTimeout { request: usize },
     /// A caller tries another node because one took no connection.
-    TryNextNode { request: usize },
+    RetryAtNextNode { request: usize },
     /// Messages reach a node.
     Deliver { to: Destination, envelope: Envelope },
     /// A node's regular work.
@@ -34,7 +34,7 @@
         dispatch: Dispatch,
     },
     /// A caller's request reaches a node that had been paused.
-    HandIn {
+    ReceiveRequest {
         request: usize,
         node: usize,
         run: u32,
@@ -46,7 +46,7 @@
         since: Timestamp,
     },
     /// A node learns that an attempt has broken off.
-    AttemptBroken {
+    AttemptFailed {
         request: usize,
         attempt: u8,
         connected: bool,
@@ -54,25 +54,25 @@
     /// An engine's step ends.
     StepEnd { engine: usize, run: u32 },
     /// Tokens reach a node that had been paused.
-    LateToken {
+    DeferredToken {
         request: usize,
         attempt: u8,
         index: u32,
         last: bool,
     },
-    /// A service call has been executed and its answer leaves.
-    ServiceDone {
+    /// A service call has been executed and its response leaves.
+    ServiceCompleted {
         request: usize,
         attempt: u8,
         back_end: usize,
         run: u32,
     },
-    /// The platform's answer reaches a node.
-    PlatformAnswer {
+    /// The platform's response reaches a node.
+    PlatformResponse {
         node: usize,
         run: u32,
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     },
     /// A node asks a back end for its load.
     Poll {
@@ -82,7 +82,7 @@
         cursor: u64,
     },
     /// A fault begins.
-    FaultBegin { fault: usize },
+    FaultStart { fault: usize },
     /// A fault ends.
     FaultEnd { fault: usize },
     /// A dead machine disappears from the platform's list, if it is still dead.
--- a/crates/lab/simulator/src/lib.rs
+++ b/crates/lab/simulator/src/lib.rs
@@ -7,7 +7,6 @@
 
 #![forbid(unsafe_code)]
 
-mod bench;
 mod chaos;
 mod checker;
 mod engines;
@@ -25,13 +24,14 @@
 mod services;
 mod shares;
 mod shrink;
+mod simulation;
 mod workload;
 mod world;
 
-pub use bench::{SimulationError, simulate};
 pub use chaos::chaos_scenario;
-pub use checker::{Promise, Violation};
+pub use checker::{Guarantee, Violation};
 pub use entry_logic::{Policy, Rule};
-pub use report::{ClassFigures, Report};
+pub use report::{ClassReport, Report};
 pub use scenario::{Fault, FaultKind, RateStep, Scenario, ScenarioError};
 pub use shrink::shrink;
+pub use simulation::{SimulationError, simulate};
--- a/crates/lab/simulator/src/metrics.rs
+++ b/crates/lab/simulator/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Figures per class.
 
-use crate::requests::{Fate, SimRequest};
+use crate::requests::{RequestStatus, SimRequest};
 use eiderferry_config::Configuration;
 use eiderferry_types::{ClassId, Reason, Span, Tier, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,8 +17,8 @@
     pub lost: u64,
     pub hung_up: u64,
     pub reasons: BTreeMap<Reason, u64>,
-    pub first_tokens: Vec<Span>,
-    pub per_tokens: Vec<Span>,
+    pub first_token_times: Vec<Span>,
+    pub token_intervals: Vec<Span>,
     pub delivered_tokens: u64,
     pub attained_tokens: u64,
 }
@@ -26,8 +26,8 @@
 /// Figures of all classes.
 pub(crate) struct Metrics {
     pub classes: BTreeMap<ClassId, ClassMetrics>,
-    /// Requests whose fate is not known yet.
-    pub open: BTreeSet<usize>,
+    /// Requests whose status is not known yet.
+    pub open_requests: BTreeSet<usize>,
     pub relayed_tokens: u64,
 }
 
@@ -44,8 +44,8 @@
                 lost: 0,
                 hung_up: 0,
                 reasons: BTreeMap::new(),
-                first_tokens: Vec::new(),
-                per_tokens: Vec::new(),
+                first_token_times: Vec::new(),
+                token_intervals: Vec::new(),
                 delivered_tokens: 0,
                 attained_tokens: 0,
             };
@@ -53,7 +53,7 @@
         });
         Self {
             classes: classes.collect(),
-            open: BTreeSet::new(),
+            open_requests: BTreeSet::new(),
             relayed_tokens: 0,
         }
     }
@@ -64,51 +64,51 @@
             .map_or(Tier(7), |metrics| metrics.tier)
     }
 
-    pub fn refused(&mut self, request: &SimRequest, reason: Reason) {
+    pub fn record_refusal(&mut self, request: &SimRequest, reason: Reason) {
         if let Some(metrics) = self.classes.get_mut(&request.class) {
             *metrics.reasons.entry(reason).or_default() += 1;
         }
     }
 
-    pub fn ended(&mut self, _now: Timestamp, request: &SimRequest) {
+    pub fn record_end(&mut self, _now: Timestamp, request: &SimRequest) {
         let Some(metrics) = self.classes.get_mut(&request.class) else {
             return;
         };
         metrics.ended += 1;
-        match request.fate {
-            Fate::Open => {}
-            Fate::Refused => metrics.refused += 1,
-            Fate::Lost => metrics.lost += 1,
-            Fate::HungUp => metrics.hung_up += 1,
-            Fate::Completed => metrics.completed_one(request),
+        match request.status {
+            RequestStatus::Open => {}
+            RequestStatus::Refused => metrics.refused += 1,
+            RequestStatus::Lost => metrics.lost += 1,
+            RequestStatus::HungUp => metrics.hung_up += 1,
+            RequestStatus::Completed => metrics.record_completion(request),
         }
     }
 }
 
 impl ClassMetrics {
-    fn completed_one(&mut self, request: &SimRequest) {
+    fn record_completion(&mut self, request: &SimRequest) {
         self.completed += 1;
-        let tokens = u64::from(request.answer_tokens);
+        let tokens = u64::from(request.response_tokens);
         self.delivered_tokens += tokens;
-        if request.attained() {
+        if request.met_targets() {
             self.attained += 1;
             self.attained_tokens += tokens;
         }
         if let Some(first) = request.first_token {
-            self.first_tokens.push(first.since(request.arrived));
-            let intervals = u64::from(request.answer_tokens.saturating_sub(1).max(1));
-            self.per_tokens
+            self.first_token_times.push(first.since(request.arrived));
+            let intervals = u64::from(request.response_tokens.saturating_sub(1).max(1));
+            self.token_intervals
                 .push(Span(request.last_token.since(first).0 / intervals));
         }
     }
 }
 
 /// The value below which `part` of the values lie, in milliseconds.
-pub(crate) fn quantile_ms(values: &mut [Span], part: f64) -> f64 {
+pub(crate) fn quantile_ms(values: &mut [Span], quantile: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
     values.sort_unstable();
-    let position = ((values.len() - 1) as f64 * part).round() as usize;
+    let position = ((values.len() - 1) as f64 * quantile).round() as usize;
     values[position].0 as f64 / 1_000.0
 }
--- a/crates/lab/simulator/src/nodes.rs
+++ b/crates/lab/simulator/src/nodes.rs
@@ -3,7 +3,7 @@
 
 use crate::entry_logic::{EntryLogic, Rule};
 use crate::event::Event;
-use crate::requests::Fate;
+use crate::requests::RequestStatus;
 use crate::world::{World, address_of, back_end_index, node_index};
 use eiderferry_admission::Outcome;
 use eiderferry_config::{DirectoryEntry, EntryState};
@@ -18,7 +18,7 @@
 const SEND_DELAY: Span = Span(50);
 /// Time after which a connection attempt to a cut-off machine fails.
 const CONNECT_TIMEOUT: Span = Span::from_milliseconds(1_000);
-/// Time for the platform to answer.
+/// Time for the platform to response.
 const PLATFORM_LATENCY: Span = Span::from_milliseconds(3);
 /// Time after which a read of an unreachable platform fails.
 const PLATFORM_TIMEOUT: Span = Span::from_milliseconds(2_000);
@@ -26,7 +26,7 @@
 const MESSAGES_PER_ENVELOPE: usize = 24;
 
 /// A number as large as those of real processes, so that messages are as long.
-fn incarnation_of_run(run: u32) -> Incarnation {
+fn incarnation_for_run(run: u32) -> Incarnation {
     const FIRST_INCARNATION: u64 = 580_000_000;
     Incarnation(FIRST_INCARNATION + u64::from(run))
 }
@@ -39,10 +39,10 @@
     /// Counts the runs of its process.
     pub run: u32,
     pub paused_until: Timestamp,
-    /// Since when the process is down, or does not answer health checks.
+    /// Since when the process is down, or does not response health checks.
     pub unhealthy_since: Option<Timestamp>,
     pub draining_since: Option<Timestamp>,
-    pub started: Timestamp,
+    pub started_at: Timestamp,
     pub was_ready: bool,
     pub sent_bytes: u64,
     pub sent_messages: u64,
@@ -58,7 +58,7 @@
             paused_until: Timestamp::default(),
             unhealthy_since: None,
             draining_since: None,
-            started: Timestamp::default(),
+            started_at: Timestamp::default(),
             was_ready: false,
             sent_bytes: 0,
             sent_messages: 0,
@@ -82,8 +82,8 @@
 }
 
 /// Makes leaving back ends look as if they stayed.
-fn hide_leaving(answer: &mut Result<Option<PlatformDocument>, ()>) {
-    if let Ok(Some(PlatformDocument::Directory(directory))) = answer {
+fn list_leaving_as_live(response: &mut Result<Option<PlatformDocument>, ()>) {
+    if let Ok(Some(PlatformDocument::Directory(directory))) = response {
         for entry in &mut directory.back_ends {
             entry.state = EntryState::Live;
         }
@@ -94,22 +94,22 @@
     /// Starts a node's process, empty.
     pub fn start_node(&mut self, index: usize) {
         let now = self.now;
-        let seed = self.random.random();
+        let seed = self.rng.random();
         let node = &mut self.nodes[index];
         node.run += 1;
         let identity = Identity {
             node: node.id,
             zone: node.zone,
-            incarnation: incarnation_of_run(node.run),
+            incarnation: incarnation_for_run(node.run),
         };
         node.logic = Some(EntryLogic::new(self.policy, identity, now, seed));
         node.paused_until = now;
         node.unhealthy_since = None;
         node.draining_since = None;
-        node.started = now;
+        node.started_at = now;
         node.was_ready = false;
         let run = node.run;
-        let offset = Span(self.random.random_range(1_000..50_000));
+        let offset = Span(self.rng.random_range(1_000..50_000));
         self.schedule(offset, Event::Tick { node: index, run });
     }
 
@@ -124,45 +124,45 @@
         let run = node.run;
         let delay = Span::from_milliseconds(self.scenario.lags.dead_listed_ms);
         self.schedule(delay, Event::Delist { node: index, run });
-        let open: Vec<usize> = self.metrics.open.iter().copied().collect();
+        let open: Vec<usize> = self.metrics.open_requests.iter().copied().collect();
         for request in open {
-            let here = self.requests[request].node == Some(index);
-            if here && self.requests[request].node_run == run {
-                self.lose_request(request);
+            let is_on_node = self.requests[request].node == Some(index);
+            if is_on_node && self.requests[request].node_run == run {
+                self.handle_lost_entry_node(request);
             }
         }
     }
 
     /// The entry node of a request died: the caller's connection breaks.
-    fn lose_request(&mut self, request: usize) {
+    fn handle_lost_entry_node(&mut self, request: usize) {
         self.cancel_job(request);
         self.requests[request].attempt = None;
-        if self.caller_tries_again(request, None) {
+        if self.schedule_caller_retry(request, None) {
             return;
         }
-        self.end_request(request, Fate::Lost);
+        self.end_request(request, RequestStatus::Lost);
     }
 
     pub fn is_paused(&self, index: usize) -> bool {
         self.now < self.nodes[index].paused_until
     }
 
-    pub fn runs(&self, index: usize, run: u32) -> bool {
+    pub fn is_running(&self, index: usize, run: u32) -> bool {
         self.nodes[index].logic.is_some() && self.nodes[index].run == run
     }
 
     /// Puts an event off until the node's process wakes up.
-    pub fn put_off(&mut self, index: usize, event: Event) {
+    pub fn defer_event(&mut self, index: usize, event: Event) {
         let delay = self.now.until(self.nodes[index].paused_until);
         self.schedule(delay, event);
     }
 
     pub fn tick_node(&mut self, index: usize, run: u32) {
-        if !self.runs(index, run) {
+        if !self.is_running(index, run) {
             return;
         }
         if self.is_paused(index) {
-            self.put_off(index, Event::Tick { node: index, run });
+            self.defer_event(index, Event::Tick { node: index, run });
             return;
         }
         self.schedule(Node::tick_interval(), Event::Tick { node: index, run });
@@ -170,16 +170,16 @@
         if let Some(logic) = &mut self.nodes[index].logic {
             logic.tick(now);
         }
-        self.carry_out(index);
-        self.finish_planned_stop(index);
+        self.process_outputs(index);
+        self.complete_planned_stop(index);
         self.check_readiness(index);
     }
 
     pub fn deliver(&mut self, to: NodeId, mut envelope: Envelope) {
         let is_fresh = self.nodes[node_index(to)].run > 1;
-        let deaf = self.is_without(Rule::Dissemination)
-            || (self.is_without(Rule::AskingPeers) && is_fresh);
-        if deaf {
+        let drops_updates = self.is_disabled(Rule::Dissemination)
+            || (self.is_disabled(Rule::AskingPeers) && is_fresh);
+        if drops_updates {
             let is_update = |message: &Message| matches!(message, Message::ConfigurationUpdate(_));
             envelope.messages.retain(|message| !is_update(message));
         }
@@ -188,7 +188,7 @@
             return;
         }
         if self.is_paused(index) {
-            self.put_off(index, Event::Deliver { to, envelope });
+            self.defer_event(index, Event::Deliver { to, envelope });
             return;
         }
         let now = self.now;
@@ -199,11 +199,11 @@
         {
             node.receive(now, envelope);
         }
-        self.carry_out(index);
+        self.process_outputs(index);
     }
 
     /// Carries out what a node's decision code wants.
-    pub fn carry_out(&mut self, index: usize) {
+    pub fn process_outputs(&mut self, index: usize) {
         let run = self.nodes[index].run;
         let Some(logic) = &mut self.nodes[index].logic else {
             return;
@@ -238,7 +238,7 @@
                 } => {
                     let zone = self.nodes[index].zone;
                     let target = self.back_ends[back_end_index(back_end)].zone;
-                    let delay = self.network.latency(&mut self.random, zone, target);
+                    let delay = self.network.latency(&mut self.rng, zone, target);
                     let cursor = cache_cursor;
                     self.schedule(
                         delay,
@@ -262,12 +262,12 @@
     fn transmit(&mut self, index: usize, to: NodeId, messages: Vec<Message>) {
         let node = &self.nodes[index];
         let (from, zone) = (node.id, node.zone);
-        let known = node.logic.as_ref().and_then(EntryLogic::node);
+        let sender = node.logic.as_ref().and_then(EntryLogic::node);
         let envelope = Envelope {
             from,
-            incarnation: incarnation_of_run(node.run),
-            receiver: known
-                .and_then(|known| known.incarnation_of(to))
+            incarnation: incarnation_for_run(node.run),
+            receiver: sender
+                .and_then(|sender| sender.incarnation_of(to))
                 .map(Incarnation::mark),
             messages,
         };
@@ -280,11 +280,11 @@
             return;
         }
         let target_zone = self.nodes[target].zone;
-        if !self.network.connected(zone, target_zone) {
+        if !self.network.are_connected(zone, target_zone) {
             return;
         }
-        for _ in 0..self.network.copies(&mut self.random) {
-            let delay = self.network.latency(&mut self.random, zone, target_zone);
+        for _ in 0..self.network.delivered_copies(&mut self.rng) {
+            let delay = self.network.latency(&mut self.rng, zone, target_zone);
             let envelope = envelope.clone();
             self.schedule(delay, Event::Deliver { to, envelope });
         }
@@ -292,11 +292,11 @@
 
     /// The node's process opens a connection to a back end, if the order still holds.
     pub fn send_to_back_end(&mut self, index: usize, run: u32, dispatch: Dispatch) {
-        if !self.runs(index, run) {
+        if !self.is_running(index, run) {
             return;
         }
         if self.is_paused(index) {
-            self.put_off(
+            self.defer_event(
                 index,
                 Event::SendToBackEnd {
                     node: index,
@@ -306,22 +306,22 @@
             );
             return;
         }
-        let Some(&request) = self.by_id.get(&dispatch.request) else {
+        let Some(&request) = self.index_by_id.get(&dispatch.request) else {
             return;
         };
-        if self.requests[request].fate != Fate::Open {
+        if self.requests[request].status != RequestStatus::Open {
             return;
         }
         if self.now > dispatch.dispatch_by {
-            self.tell_broken(request, dispatch.attempt, Verdict::NotRun);
+            self.report_attempt_failure(request, dispatch.attempt, Verdict::NotRun);
             return;
         }
         let target = back_end_index(dispatch.back_end);
         let zone = self.nodes[index].zone;
         let target_zone = self.back_ends[target].zone;
         let attempt = dispatch.attempt;
-        if !self.network.connected(zone, target_zone) {
-            let event = Event::AttemptBroken {
+        if !self.network.are_connected(zone, target_zone) {
+            let event = Event::AttemptFailed {
                 request,
                 attempt,
                 connected: false,
@@ -329,9 +329,9 @@
             self.schedule(CONNECT_TIMEOUT, event);
             return;
         }
-        let latency = self.network.latency(&mut self.random, zone, target_zone);
+        let latency = self.network.latency(&mut self.rng, zone, target_zone);
         if !self.back_ends[target].up {
-            let event = Event::AttemptBroken {
+            let event = Event::AttemptFailed {
                 request,
                 attempt,
                 connected: false,
@@ -351,7 +351,7 @@
     }
 
     /// A node's process notices that an attempt has broken off.
-    pub fn attempt_broken(&mut self, request: usize, attempt: u8, connected: bool) {
+    pub fn handle_attempt_failure(&mut self, request: usize, attempt: u8, connected: bool) {
         let Some(index) = self.requests[request].node else {
             return;
         };
@@ -360,14 +360,14 @@
             None => !connected,
         };
         let run = self.requests[request].node_run;
-        let open = self.requests[request].fate == Fate::Open;
-        if !is_current || !open || !self.runs(index, run) {
+        let open = self.requests[request].status == RequestStatus::Open;
+        if !is_current || !open || !self.is_running(index, run) {
             return;
         }
         if self.is_paused(index) {
-            self.put_off(
+            self.defer_event(
                 index,
-                Event::AttemptBroken {
+                Event::AttemptFailed {
                     request,
                     attempt,
                     connected,
@@ -376,26 +376,26 @@
             return;
         }
         self.cancel_job(request);
-        let certain = !connected || self.is_without(Rule::VerdictCare);
-        let verdict = if certain {
+        let known_not_run = !connected || self.is_disabled(Rule::VerdictCare);
+        let verdict = if known_not_run {
             Verdict::NotRun
         } else {
             Verdict::MayHaveRun
         };
-        self.tell_broken(request, attempt, verdict);
+        self.report_attempt_failure(request, attempt, verdict);
     }
 
-    pub fn tell_broken(&mut self, request: usize, attempt: u8, verdict: Verdict) {
-        let taken = self.requests[request].attempt.take();
+    pub fn report_attempt_failure(&mut self, request: usize, attempt: u8, verdict: Verdict) {
+        let ended_attempt = self.requests[request].attempt.take();
         self.requests[request].waiting_since = self.now;
-        let observation = match taken {
+        let observation = match ended_attempt {
             Some(current) => current.observation(Outcome::Failed),
             None => eiderferry_admission::Observation {
                 outcome: Outcome::Failed,
                 ..eiderferry_admission::Observation::UNUSED
             },
         };
-        self.tell_end(
+        self.report_attempt_end(
             request,
             attempt,
             AttemptEnd::Failed {
@@ -407,7 +407,7 @@
     }
 
     /// Tells the entry node's decision code how an attempt ended.
-    pub fn tell_end(&mut self, request: usize, attempt: u8, end: AttemptEnd) {
+    pub fn report_attempt_end(&mut self, request: usize, attempt: u8, end: AttemptEnd) {
         let now = self.now;
         let (Some(index), Some(id)) = (self.requests[request].node, self.requests[request].id)
         else {
@@ -420,65 +420,65 @@
         if let Some(logic) = &mut self.nodes[index].logic {
             logic.attempt_ended(now, id, attempt, end);
         }
-        self.carry_out(index);
+        self.process_outputs(index);
     }
 
-    fn read_platform(&mut self, index: usize, kind: DocumentKind, have: u64) {
+    fn read_platform(&mut self, index: usize, kind: DocumentKind, known_version: u64) {
         let run = self.nodes[index].run;
         let zone = self.nodes[index].zone;
         self.platform.calls += 1;
         if !self.network.reaches_platform(zone) {
-            let answer = Err(());
-            let event = Event::PlatformAnswer {
+            let response = Err(());
+            let event = Event::PlatformResponse {
                 node: index,
                 run,
                 kind,
-                answer,
+                response,
             };
             self.schedule(PLATFORM_TIMEOUT, event);
             return;
         }
         let lags = self.scenario.lags;
-        let mut answer = self.platform.answer(self.now, kind, have, &lags);
-        if self.is_without(Rule::LeavingList) {
-            hide_leaving(&mut answer);
+        let mut response = self.platform.read(self.now, kind, known_version, &lags);
+        if self.is_disabled(Rule::LeavingList) {
+            list_leaving_as_live(&mut response);
         }
-        let event = Event::PlatformAnswer {
+        let event = Event::PlatformResponse {
             node: index,
             run,
             kind,
-            answer,
+            response,
         };
         self.schedule(PLATFORM_LATENCY, event);
     }
 
-    pub fn platform_answer(
+    pub fn handle_platform_response(
         &mut self,
         index: usize,
         run: u32,
         kind: DocumentKind,
-        answer: Result<Option<PlatformDocument>, ()>,
+        response: Result<Option<PlatformDocument>, ()>,
     ) {
-        if !self.runs(index, run) {
+        if !self.is_running(index, run) {
             return;
         }
         if self.is_paused(index) {
-            self.put_off(
+            self.defer_event(
                 index,
-                Event::PlatformAnswer {
+                Event::PlatformResponse {
                     node: index,
                     run,
                     kind,
-                    answer,
+                    response,
                 },
             );
             return;
         }
         let now = self.now;
         if let Some(logic) = &mut self.nodes[index].logic {
-            logic.platform_answered(now, kind, answer);
+            logic.handle_platform_response(now, kind, response);
         }
-        self.carry_out(index);
+        self.process_outputs(index);
     }
 
     pub fn delist(&mut self, index: usize, run: u32) {
@@ -491,9 +491,10 @@
     /// A planned stop begins.
     pub fn drain_node(&mut self, index: usize) {
         let now = self.now;
-        if self.is_without(Rule::Draining) {
+        if self.is_disabled(Rule::Draining) {
             let open = self.open_requests_of(index);
-            self.checker.planned_stop(now, self.nodes[index].id, open);
+            self.checker
+                .check_planned_stop(now, self.nodes[index].id, open);
             self.kill_node(index);
             return;
         }
@@ -504,12 +505,12 @@
         logic.drain(now);
         node.draining_since = Some(now);
         let entry = node.entry();
-        self.platform.put_node(now, entry);
-        self.carry_out(index);
+        self.platform.upsert_node(now, entry);
+        self.process_outputs(index);
     }
 
     /// A planned stop ends when nothing is left to finish.
-    fn finish_planned_stop(&mut self, index: usize) {
+    fn complete_planned_stop(&mut self, index: usize) {
         let node = &self.nodes[index];
         let drained = node
             .logic
@@ -518,18 +519,18 @@
             .is_some_and(Node::is_drained);
         if node.draining_since.is_some() && drained {
             let open = self.open_requests_of(index);
-            self.checker.planned_stop(self.now, node.id, open);
+            self.checker.check_planned_stop(self.now, node.id, open);
             self.kill_node(index);
         }
     }
 
     fn open_requests_of(&self, index: usize) -> usize {
         let run = self.nodes[index].run;
-        let here = |request: &&usize| {
+        let is_on_run = |request: &&usize| {
             let request = &self.requests[**request];
             request.node == Some(index) && request.node_run == run && request.at_node
         };
-        self.metrics.open.iter().filter(here).count()
+        self.metrics.open_requests.iter().filter(is_on_run).count()
     }
 
     fn check_readiness(&mut self, index: usize) {
@@ -541,18 +542,20 @@
             return;
         }
         let version = logic.configuration().map_or(0, |document| document.version);
-        let known = self.version_known_nearby(index);
-        self.checker.became_ready(self.now, node.id, version, known);
+        let known = self.version_known_to_zone_peers(index);
+        self.checker
+            .check_readiness(self.now, node.id, version, known);
         self.nodes[index].was_ready = true;
     }
 
     /// The newest configuration that a reachable node of the zone has had for a while.
-    fn version_known_nearby(&self, index: usize) -> u64 {
+    fn version_known_to_zone_peers(&self, index: usize) -> u64 {
         let zone = self.nodes[index].zone;
-        let started = self.nodes[index].started;
+        let started = self.nodes[index].started_at;
         let peers = self.nodes.iter().enumerate().filter(|(other, node)| {
-            let calm = !self.is_paused(*other) && node.started < started && node.was_ready;
-            *other != index && node.zone == zone && calm
+            let is_eligible =
+                !self.is_paused(*other) && node.started_at < started && node.was_ready;
+            *other != index && node.zone == zone && is_eligible
         });
         peers
             .filter_map(|(_, node)| node.logic.as_ref()?.node())
@@ -569,13 +572,19 @@
                 continue;
             };
             let version = logic.configuration().map_or(0, |document| document.version);
-            let undisturbed = !self.is_paused(index) && self.platform.is_undisturbed_since();
-            let due = self.platform.configuration_due(self.now, undisturbed);
-            let cut =
+            let undisturbed = !self.is_paused(index) && self.platform.is_undisturbed();
+            let due = self
+                .platform
+                .due_configuration_version(self.now, undisturbed);
+            let is_cut_off =
                 !self.network.reaches_platform(node.zone) || self.is_zone_disturbed(node.zone);
-            let due = if cut || !node.was_ready { 0 } else { due };
+            let due = if is_cut_off || !node.was_ready {
+                0
+            } else {
+                due
+            };
             self.checker
-                .version(self.now, node.id, node.run, version, due);
+                .check_version(self.now, node.id, node.run, version, due);
         }
     }
 }
--- a/crates/lab/simulator/src/oracle.rs
+++ b/crates/lab/simulator/src/oracle.rs
@@ -6,7 +6,7 @@
 
 use crate::engines::SimBackEnd;
 use crate::event::Event;
-use crate::requests::Fate;
+use crate::requests::RequestStatus;
 use crate::world::World;
 use eiderferry_admission::{Ask, Cell, CellEvent, CellPolicy, Observation, Ticket};
 use eiderferry_config::Configuration;
@@ -19,7 +19,7 @@
 /// From a decision to the request's arrival at the back end.
 const ORACLE_LATENCY: Span = Span(500);
 /// Attempts of one request at the most.
-const ORACLE_ATTEMPTS: u8 = 4;
+const ORACLE_MAX_ATTEMPTS: u8 = 4;
 
 /// One cell per pool.
 pub(crate) struct Oracle {
@@ -50,7 +50,7 @@
                 shard: 0,
             };
             let mut cell = Cell::new(id, CellPolicy::default());
-            cell.set_back_ends(&members(pool.id, &configuration, back_ends));
+            cell.set_back_ends(&cell_members(pool.id, &configuration, back_ends));
             cell.configure(Timestamp::default(), &configuration);
             cells.insert(pool.id, cell);
         }
@@ -60,7 +60,11 @@
 
 type Member = (eiderferry_types::BackEndId, u32, u64, bool);
 
-fn members(pool: PoolId, configuration: &Configuration, back_ends: &[SimBackEnd]) -> Vec<Member> {
+fn cell_members(
+    pool: PoolId,
+    configuration: &Configuration,
+    back_ends: &[SimBackEnd],
+) -> Vec<Member> {
     let Some(settings) = configuration.pool(pool) else {
         return Vec::new();
     };
@@ -68,7 +72,8 @@
         .iter()
         .filter(|back_end| back_end.pool == pool)
         .map(|back_end| {
-            let unusable = !back_end.up || back_end.frozen > 0 || back_end.leaving_since.is_some();
+            let unusable =
+                !back_end.up || back_end.freeze_count > 0 || back_end.leaving_since.is_some();
             (
                 back_end.id,
                 settings.slots_per_back_end,
@@ -82,21 +87,21 @@
 impl World {
     pub fn oracle_submit(&mut self, request: usize) {
         let state = &mut self.requests[request];
-        state.handed_in = self.now;
+        state.sent_at = self.now;
         state.at_node = true;
         state.id = Some(ticket(request, 0).request);
-        self.by_id.insert(ticket(request, 0).request, request);
-        self.oracle_ask(request, 0);
+        self.index_by_id.insert(ticket(request, 0).request, request);
+        self.request_from_oracle(request, 0);
     }
 
-    fn oracle_ask(&mut self, request: usize, attempt: u8) {
+    fn request_from_oracle(&mut self, request: usize, attempt: u8) {
         let now = self.now;
         let state = &self.requests[request];
         let ask = Ask {
             ticket: ticket(request, attempt),
             class: state.class,
             tenant: state.tenant,
-            prompt_tokens: state.prompt_tokens + state.answer_tokens,
+            prompt_tokens: state.prompt_tokens + state.response_tokens,
             prefixes: state.prefixes.clone(),
             first_token_due: now + state.first_token_target,
             arrived: now,
@@ -126,16 +131,16 @@
         self.oracle_release(request, attempt, &observation);
         let state = &self.requests[request];
         let repeatable = state.service.is_none() || verdict == Some(Verdict::NotRun);
-        let again = verdict.is_some() && repeatable && attempt + 1 < ORACLE_ATTEMPTS;
-        if again && state.fate == Fate::Open {
-            self.oracle_ask(request, attempt + 1);
+        let should_retry = verdict.is_some() && repeatable && attempt + 1 < ORACLE_MAX_ATTEMPTS;
+        if should_retry && state.status == RequestStatus::Open {
+            self.request_from_oracle(request, attempt + 1);
         } else if verdict.is_some() {
-            self.end_request(request, Fate::Refused);
+            self.end_request(request, RequestStatus::Refused);
         }
     }
 
-    pub fn oracle_caller_gone(&mut self, request: usize) {
-        for attempt in 0..ORACLE_ATTEMPTS {
+    pub fn oracle_caller_disconnected(&mut self, request: usize) {
+        for attempt in 0..ORACLE_MAX_ATTEMPTS {
             self.oracle_release(request, attempt, &Observation::UNUSED);
         }
     }
@@ -159,7 +164,7 @@
             return;
         };
         for (pool, cell) in &mut oracle.cells {
-            cell.set_back_ends(&members(*pool, &self.configuration, &self.back_ends));
+            cell.set_back_ends(&cell_members(*pool, &self.configuration, &self.back_ends));
             cell.tick(now);
         }
         self.flush_oracle();
@@ -207,8 +212,8 @@
                 } => {
                     let request = ticket.request.sequence as usize;
                     self.metrics
-                        .refused(&self.requests[request], refusal.reason);
-                    self.end_request(request, Fate::Refused);
+                        .record_refusal(&self.requests[request], refusal.reason);
+                    self.end_request(request, RequestStatus::Refused);
                 }
             }
         }
--- a/crates/lab/simulator/src/report.rs
+++ b/crates/lab/simulator/src/report.rs
@@ -8,12 +8,12 @@
 
 /// Figures of one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ClassFigures {
+pub struct ClassReport {
     /// Name.
     pub class: String,
     /// Tier; 1 is the highest.
     pub tier: u8,
-    /// Requests whose fate is known, and those already late.
+    /// Requests whose status is known, and those already late.
     pub requests: u64,
     /// Whole answers.
     pub completed: u64,
@@ -48,7 +48,7 @@
     /// Seed.
     pub seed: u64,
     /// Per class, highest tier first.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassReport>,
     /// Answer tokens within targets, per second.
     pub goodput_tokens_per_second: f64,
     /// Answer tokens of whole answers, per second.
@@ -76,9 +76,9 @@
 }
 
 impl Report {
-    pub(crate) fn of(world: &mut World, trace_hash: u64) -> Self {
+    pub(crate) fn from_world(world: &mut World, trace_hash: u64) -> Self {
         let seconds = world.scenario.duration_seconds;
-        let (late, open_tokens) = open_figures(world);
+        let (late, open_tokens) = late_and_open_tokens(world);
         let delivered: u64 = world
             .metrics
             .classes
@@ -94,12 +94,12 @@
         let generated: u64 = world
             .back_ends
             .iter()
-            .map(|each| each.generated_tokens())
+            .map(|back_end| back_end.generated_tokens())
             .sum();
         let prefilled: u64 = world
             .back_ends
             .iter()
-            .map(|each| each.prefilled_tokens())
+            .map(|back_end| back_end.prefilled_tokens())
             .sum();
         let wasted = generated.saturating_sub(delivered + open_tokens);
         let nodes = world.nodes.len().max(1) as f64;
@@ -115,7 +115,7 @@
             scenario: world.scenario.name.clone(),
             policy: world.policy.to_string(),
             seed: world.seed(),
-            classes: class_figures(world, &late),
+            classes: class_reports(world, &late),
             goodput_tokens_per_second: attained as f64 / seconds,
             delivered_tokens_per_second: delivered as f64 / seconds,
             wasted_fraction: wasted as f64 / generated.max(1) as f64,
@@ -124,7 +124,7 @@
             control_bytes_per_second_busiest: busiest as f64 / seconds,
             control_messages_per_second_per_node: messages as f64 / seconds / nodes,
             platform_calls_per_second: world.platform.calls as f64 / seconds,
-            faults: world.injected.clone(),
+            faults: world.injected_faults.clone(),
             violations: world.checker.violations().to_vec(),
             violation_count: world.checker.count(),
             trace_hash: format!("{trace_hash:016x}"),
@@ -134,10 +134,10 @@
 
 /// Requests still open that are late already, per class, and the tokens that open
 /// requests have received.
-fn open_figures(world: &World) -> (BTreeMap<u8, u64>, u64) {
+fn late_and_open_tokens(world: &World) -> (BTreeMap<u8, u64>, u64) {
     let mut late = BTreeMap::new();
     let mut tokens = 0;
-    for index in &world.metrics.open {
+    for index in &world.metrics.open_requests {
         let request = &world.requests[*index];
         tokens += u64::from(request.progress.tokens());
         if request.is_late(world.now) {
@@ -147,16 +147,16 @@
     (late, tokens)
 }
 
-fn class_figures(world: &mut World, late: &BTreeMap<u8, u64>) -> Vec<ClassFigures> {
-    let shares = &world.shares.smallest_part;
-    let mut figures: Vec<ClassFigures> = world
+fn class_reports(world: &mut World, late: &BTreeMap<u8, u64>) -> Vec<ClassReport> {
+    let shares = &world.shares.smallest_fraction;
+    let mut figures: Vec<ClassReport> = world
         .metrics
         .classes
         .iter_mut()
         .map(|(class, metrics)| {
             let requests = metrics.ended + late.get(&class.0).copied().unwrap_or(0);
             let reasons = metrics.reasons.iter();
-            ClassFigures {
+            ClassReport {
                 class: metrics.name.clone(),
                 tier: metrics.tier.0,
                 requests,
@@ -165,9 +165,9 @@
                 lost: metrics.lost,
                 hung_up: metrics.hung_up,
                 attainment: metrics.attained as f64 / requests.max(1) as f64,
-                first_token_p50_ms: quantile_ms(&mut metrics.first_tokens, 0.5),
-                first_token_p95_ms: quantile_ms(&mut metrics.first_tokens, 0.95),
-                per_token_p95_ms: quantile_ms(&mut metrics.per_tokens, 0.95),
+                first_token_p50_ms: quantile_ms(&mut metrics.first_token_times, 0.5),
+                first_token_p95_ms: quantile_ms(&mut metrics.first_token_times, 0.95),
+                per_token_p95_ms: quantile_ms(&mut metrics.token_intervals, 0.95),
                 minimum_share_met: shares.get(class).copied(),
                 reasons: reasons
                     .map(|(reason, count)| (reason.as_str(), *count))
--- a/crates/lab/simulator/src/requests.rs
+++ b/crates/lab/simulator/src/requests.rs
@@ -9,7 +9,7 @@
 
 /// What became of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum RequestStatus {
     /// Not known yet.
     Open,
     /// The whole answer came.
@@ -26,8 +26,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceCall {
     pub key: CallKey,
-    pub name: Option<KeyName>,
-    pub tries_left: u32,
+    pub key_name: Option<KeyName>,
+    pub remaining_retries: u32,
     pub service_time: Span,
 }
 
@@ -38,7 +38,7 @@
     pub back_end: usize,
     pub back_end_run: u32,
     pub job: Option<u64>,
-    pub started: Timestamp,
+    pub started_at: Timestamp,
     pub first_token: Option<Timestamp>,
     pub last_token: Timestamp,
     pub tokens: u32,
@@ -57,7 +57,7 @@
         Observation {
             outcome,
             tokens: self.tokens,
-            first_token: self.first_token.map(|first| first.since(self.started)),
+            first_token: self.first_token.map(|first| first.since(self.started_at)),
             per_token: self.per_token(),
         }
     }
@@ -72,7 +72,7 @@
     pub prompt_tokens: u32,
     pub prefixes: Vec<PrefixMark>,
     /// True answer length; no node knows it.
-    pub answer_tokens: u32,
+    pub response_tokens: u32,
     pub arrived: Timestamp,
     pub first_token_target: Span,
     pub per_token_target: Span,
@@ -83,19 +83,19 @@
     pub id: Option<RequestId>,
     /// Whether a node has it: not between two tries of its caller.
     pub at_node: bool,
-    pub handed_in: Timestamp,
+    pub sent_at: Timestamp,
     /// Since when it has no attempt under way.
     pub waiting_since: Timestamp,
-    pub hand_ins: u32,
+    pub send_count: u32,
     pub attempt: Option<Attempt>,
     pub progress: ResponseProgress,
     pub first_token: Option<Timestamp>,
     pub last_token: Timestamp,
-    pub fate: Fate,
+    pub status: RequestStatus,
     /// Times a back end took it up, over all hand-ins.
     pub executions: u32,
     /// Times a back end took up the last hand-in.
-    pub executions_of_hand_in: u32,
+    pub executions_since_send: u32,
     /// Zones whose cells refused or kept it: for explaining violations.
     pub zone: ZoneId,
 }
@@ -109,7 +109,7 @@
             pool,
             prompt_tokens: 0,
             prefixes: Vec::new(),
-            answer_tokens: 0,
+            response_tokens: 0,
             arrived: now,
             first_token_target: class.first_token_target(),
             per_token_target: class.per_token_target(),
@@ -118,26 +118,29 @@
             node_run: 0,
             id: None,
             at_node: false,
-            handed_in: now,
+            sent_at: now,
             waiting_since: now,
-            hand_ins: 0,
+            send_count: 0,
             attempt: None,
             progress: ResponseProgress::default(),
             first_token: None,
             last_token: now,
-            fate: Fate::Open,
+            status: RequestStatus::Open,
             executions: 0,
-            executions_of_hand_in: 0,
+            executions_since_send: 0,
             zone: ZoneId::default(),
         }
     }
 
     /// Whether both targets were met.
-    pub fn attained(&self) -> bool {
-        let Some(first) = self.first_token.filter(|_| self.fate == Fate::Completed) else {
+    pub fn met_targets(&self) -> bool {
+        let Some(first) = self
+            .first_token
+            .filter(|_| self.status == RequestStatus::Completed)
+        else {
             return false;
         };
-        let intervals = u64::from(self.answer_tokens.saturating_sub(1).max(1));
+        let intervals = u64::from(self.response_tokens.saturating_sub(1).max(1));
         let per_token = Span(self.last_token.since(first).0 / intervals);
         first.since(self.arrived) <= self.first_token_target && per_token <= self.per_token_target
     }
@@ -150,6 +153,6 @@
 
     /// Whether it waits for a back end.
     pub fn is_waiting(&self) -> bool {
-        self.fate == Fate::Open && self.at_node && self.attempt.is_none()
+        self.status == RequestStatus::Open && self.at_node && self.attempt.is_none()
     }
 }
--- a/crates/lab/simulator/src/services.rs
+++ b/crates/lab/simulator/src/services.rs
@@ -1,14 +1,14 @@
 //! Plain services on the virtual clock.
 
 use crate::event::Event;
-use crate::requests::Fate;
+use crate::requests::RequestStatus;
 use crate::world::World;
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_node::AttemptEnd;
 
 impl World {
     /// A service executes a call: from here on it has run.
-    pub fn run_service(&mut self, request: usize, back_end: usize, attempt: u8) {
+    pub fn execute_service_call(&mut self, request: usize, back_end: usize, attempt: u8) {
         let run = self.back_ends[back_end].run;
         let Some(call) = &self.requests[request].service else {
             return;
@@ -16,7 +16,7 @@
         let delay = call.service_time;
         self.schedule(
             delay,
-            Event::ServiceDone {
+            Event::ServiceCompleted {
                 request,
                 attempt,
                 back_end,
@@ -26,7 +26,13 @@
     }
 
     /// A service's answer comes back.
-    pub fn service_done(&mut self, request: usize, attempt: u8, back_end: usize, run: u32) {
+    pub fn complete_service_call(
+        &mut self,
+        request: usize,
+        attempt: u8,
+        back_end: usize,
+        run: u32,
+    ) {
         let state = &self.requests[request];
         let Some(node) = state.node else {
             return;
@@ -35,13 +41,17 @@
             current.number == attempt && current.back_end == back_end && !current.stalled
         });
         let alive = self.back_ends[back_end].run == run && self.back_ends[back_end].up;
-        if !current || !alive || state.fate != Fate::Open || !self.runs(node, state.node_run) {
+        if !current
+            || !alive
+            || state.status != RequestStatus::Open
+            || !self.is_running(node, state.node_run)
+        {
             return;
         }
         if self.is_paused(node) {
-            self.put_off(
+            self.defer_event(
                 node,
-                Event::ServiceDone {
+                Event::ServiceCompleted {
                     request,
                     attempt,
                     back_end,
@@ -59,11 +69,11 @@
         let observation = Observation {
             outcome: Outcome::Completed,
             tokens: 0,
-            first_token: Some(self.now.since(current.started)),
+            first_token: Some(self.now.since(current.started_at)),
             per_token: None,
         };
-        self.shares_ended(request, back_end);
-        self.end_request(request, Fate::Completed);
-        self.tell_end(request, attempt, AttemptEnd::Completed(observation));
+        self.release_share(request, back_end);
+        self.end_request(request, RequestStatus::Completed);
+        self.report_attempt_end(request, attempt, AttemptEnd::Completed(observation));
     }
 }
--- a/crates/lab/simulator/src/shares.rs
+++ b/crates/lab/simulator/src/shares.rs
@@ -1,6 +1,6 @@
 //! Minimum shares: who runs, who waits, and whether any class starves.
 
-use crate::checker::{Promise, Violation};
+use crate::checker::{Guarantee, Violation};
 use crate::engines::SimBackEnd;
 use crate::requests::SimRequest;
 use eiderferry_config::Configuration;
@@ -10,45 +10,45 @@
 /// Length of the windows in which a class with work must get its share.
 const WINDOW: Span = Span::from_milliseconds(10_000);
 /// Part of its guaranteed slots that a class must have on average.
-const TOLERATED_PART: f64 = 0.8;
+const MIN_SHARE_FRACTION: f64 = 0.8;
 /// Requests that wait less than this may be on their way already.
-const WAITING_AFTER: Span = Span::from_milliseconds(200);
+const MIN_WAITING_TIME: Span = Span::from_milliseconds(200);
 /// Time after a fault during which a zone counts as disturbed.
-const DISTURBANCE: Span = Span::from_milliseconds(15_000);
+const DISTURBANCE_PERIOD: Span = Span::from_milliseconds(15_000);
 
 /// Time by which holders learn of a back end that leaves or dies.
 const HOLDER_LAG: Span = Span::from_milliseconds(5_000);
 
-type Place = (ZoneId, PoolId, ClassId);
+type ShareKey = (ZoneId, PoolId, ClassId);
 
 #[derive(Clone, Debug, Default)]
 struct Window {
     samples: u32,
     samples_with_work: u32,
     running: f64,
-    guaranteed: f64,
+    guaranteed_slots: f64,
     disturbed: bool,
 }
 
 /// Slots in use and waiting work, by place and class.
-pub(crate) struct Shares {
+pub(crate) struct ShareTracker {
     slots_per_back_end: BTreeMap<PoolId, u32>,
     minimum_shares: BTreeMap<ClassId, f64>,
-    running: BTreeMap<Place, u32>,
-    total: BTreeMap<(ZoneId, PoolId), u32>,
+    running: BTreeMap<ShareKey, u32>,
+    total_slots: BTreeMap<(ZoneId, PoolId), u32>,
     /// The largest number of slots within the time by which holders may lag.
-    recent_total: BTreeMap<(ZoneId, PoolId), (Timestamp, u32)>,
-    limited: BTreeSet<(PoolId, TenantId)>,
-    windows: BTreeMap<Place, Window>,
+    recent_max_slots: BTreeMap<(ZoneId, PoolId), (Timestamp, u32)>,
+    limited_tenants: BTreeSet<(PoolId, TenantId)>,
+    windows: BTreeMap<ShareKey, Window>,
     window_start: Timestamp,
     disturbed_until: BTreeMap<ZoneId, Timestamp>,
     violations: Vec<Violation>,
     /// Smallest part of its guaranteed slots that a class with work had in any
     /// undisturbed window.
-    pub smallest_part: BTreeMap<ClassId, f64>,
+    pub smallest_fraction: BTreeMap<ClassId, f64>,
 }
 
-impl Shares {
+impl ShareTracker {
     pub fn new(configuration: &Configuration, back_ends: &[SimBackEnd]) -> Self {
         let slots = configuration
             .pools
@@ -58,46 +58,46 @@
             .classes
             .iter()
             .map(|class| (class.id, class.minimum_share));
-        let mut limited = BTreeSet::new();
+        let mut limited_tenants = BTreeSet::new();
         for tenant in &configuration.tenants {
             for limit in &tenant.limits {
                 if let Some(pool) = configuration.pool_named(&limit.pool) {
-                    limited.insert((pool.id, tenant.id));
+                    limited_tenants.insert((pool.id, tenant.id));
                 }
             }
         }
-        let mut total = BTreeMap::new();
+        let mut total_slots = BTreeMap::new();
         for back_end in back_ends {
-            total.insert((back_end.zone, back_end.pool), 0);
+            total_slots.insert((back_end.zone, back_end.pool), 0);
         }
         Self {
             slots_per_back_end: slots.collect(),
             minimum_shares: shares.collect(),
             running: BTreeMap::new(),
-            total,
-            recent_total: BTreeMap::new(),
-            limited,
+            total_slots,
+            recent_max_slots: BTreeMap::new(),
+            limited_tenants,
             windows: BTreeMap::new(),
             window_start: Timestamp::default(),
             disturbed_until: BTreeMap::new(),
             violations: Vec::new(),
-            smallest_part: BTreeMap::new(),
+            smallest_fraction: BTreeMap::new(),
         }
     }
 
-    pub fn started(&mut self, zone: ZoneId, pool: PoolId, class: ClassId) {
+    pub fn record_start(&mut self, zone: ZoneId, pool: PoolId, class: ClassId) {
         *self.running.entry((zone, pool, class)).or_default() += 1;
     }
 
-    pub fn ended(&mut self, zone: ZoneId, pool: PoolId, class: ClassId) {
+    pub fn record_end(&mut self, zone: ZoneId, pool: PoolId, class: ClassId) {
         let running = self.running.entry((zone, pool, class)).or_default();
         *running = running.saturating_sub(1);
     }
 
-    pub fn disturb(&mut self, zone: ZoneId, now: Timestamp) {
-        self.disturbed_until.insert(zone, now + DISTURBANCE);
-        for ((place, _, _), window) in &mut self.windows {
-            if *place == zone {
+    pub fn mark_disturbed(&mut self, zone: ZoneId, now: Timestamp) {
+        self.disturbed_until.insert(zone, now + DISTURBANCE_PERIOD);
+        for ((window_zone, _, _), window) in &mut self.windows {
+            if *window_zone == zone {
                 window.disturbed = true;
             }
         }
@@ -113,20 +113,20 @@
     pub fn is_within_share(&self, zone: ZoneId, pool: PoolId, class: ClassId) -> bool {
         let running = self.running.get(&(zone, pool, class)).copied().unwrap_or(0);
         let recent = self
-            .recent_total
+            .recent_max_slots
             .get(&(zone, pool))
-            .map_or(0, |(_, total)| *total);
-        f64::from(running) < self.guaranteed_of(class, recent)
+            .map_or(0, |(_, total_slots)| *total_slots);
+        f64::from(running) < self.guaranteed_slots_of(class, recent)
     }
 
-    fn guaranteed(&self, zone: ZoneId, pool: PoolId, class: ClassId) -> f64 {
-        let total = self.total.get(&(zone, pool)).copied().unwrap_or(0);
-        self.guaranteed_of(class, total)
+    fn guaranteed_slots(&self, zone: ZoneId, pool: PoolId, class: ClassId) -> f64 {
+        let total_slots = self.total_slots.get(&(zone, pool)).copied().unwrap_or(0);
+        self.guaranteed_slots_of(class, total_slots)
     }
 
-    fn guaranteed_of(&self, class: ClassId, total: u32) -> f64 {
+    fn guaranteed_slots_of(&self, class: ClassId, total_slots: u32) -> f64 {
         let share = self.minimum_shares.get(&class).copied().unwrap_or(0.0);
-        let slots = (share * f64::from(total)).floor();
+        let slots = (share * f64::from(total_slots)).floor();
         if share > 0.0 { slots.max(1.0) } else { 0.0 }
     }
 
@@ -138,49 +138,52 @@
         back_ends: &[SimBackEnd],
     ) {
         self.recount(now, back_ends);
-        let mut waiting: BTreeSet<Place> = BTreeSet::new();
+        let mut waiting: BTreeSet<ShareKey> = BTreeSet::new();
         for request in open {
-            let limited = self.limited.contains(&(request.pool, request.tenant));
-            let waits = request.is_waiting() && now.since(request.handed_in) >= WAITING_AFTER;
-            if waits && !limited {
+            let has_tenant_limit = self
+                .limited_tenants
+                .contains(&(request.pool, request.tenant));
+            let waits = request.is_waiting() && now.since(request.sent_at) >= MIN_WAITING_TIME;
+            if waits && !has_tenant_limit {
                 waiting.insert((request.zone, request.pool, request.class));
             }
         }
         if now.since(self.window_start) >= WINDOW {
             self.close_windows(now);
         }
-        for place in self.places() {
-            let (zone, pool, class) = place;
-            let guaranteed = self.guaranteed(zone, pool, class);
-            let running = self.running.get(&place).copied().unwrap_or(0);
+        for key in self.share_keys() {
+            let (zone, pool, class) = key;
+            let guaranteed_slots = self.guaranteed_slots(zone, pool, class);
+            let running = self.running.get(&key).copied().unwrap_or(0);
             let disturbed = self.is_disturbed(zone, now);
-            let window = self.windows.entry(place).or_default();
+            let window = self.windows.entry(key).or_default();
             window.samples += 1;
-            window.samples_with_work += u32::from(waiting.contains(&place));
+            window.samples_with_work += u32::from(waiting.contains(&key));
             window.running += f64::from(running);
-            window.guaranteed += guaranteed;
+            window.guaranteed_slots += guaranteed_slots;
             window.disturbed |= disturbed;
         }
     }
 
-    fn places(&self) -> Vec<Place> {
-        let mut places = Vec::new();
-        for (zone, pool) in self.total.keys() {
+    fn share_keys(&self) -> Vec<ShareKey> {
+        let mut share_keys = Vec::new();
+        for (zone, pool) in self.total_slots.keys() {
             for (class, share) in &self.minimum_shares {
                 if *share > 0.0 {
-                    places.push((*zone, *pool, *class));
+                    share_keys.push((*zone, *pool, *class));
                 }
             }
         }
-        places
+        share_keys
     }
 
     fn count_slots(&mut self, back_ends: &[SimBackEnd]) {
-        for total in self.total.values_mut() {
-            *total = 0;
+        for total_slots in self.total_slots.values_mut() {
+            *total_slots = 0;
         }
         for back_end in back_ends {
-            let usable = back_end.up && back_end.frozen == 0 && back_end.leaving_since.is_none();
+            let usable =
+                back_end.up && back_end.freeze_count == 0 && back_end.leaving_since.is_none();
             let slots = self
                 .slots_per_back_end
                 .get(&back_end.pool)
@@ -188,7 +191,7 @@
                 .unwrap_or(0);
             if usable {
                 *self
-                    .total
+                    .total_slots
                     .entry((back_end.zone, back_end.pool))
                     .or_default() += slots;
             }
@@ -198,14 +201,17 @@
     /// Counts the slots anew: a back end came or went.
     pub fn recount(&mut self, now: Timestamp, back_ends: &[SimBackEnd]) {
         self.count_slots(back_ends);
-        self.note_recent_totals(now);
+        self.record_recent_totals(now);
     }
 
-    fn note_recent_totals(&mut self, now: Timestamp) {
-        for (place, total) in &self.total {
-            let recent = self.recent_total.entry(*place).or_insert((now, *total));
-            if *total >= recent.1 || now.since(recent.0) > HOLDER_LAG {
-                *recent = (now, *total);
+    fn record_recent_totals(&mut self, now: Timestamp) {
+        for (key, total_slots) in &self.total_slots {
+            let recent = self
+                .recent_max_slots
+                .entry(*key)
+                .or_insert((now, *total_slots));
+            if *total_slots >= recent.1 || now.since(recent.0) > HOLDER_LAG {
+                *recent = (now, *total_slots);
             }
         }
     }
@@ -214,20 +220,20 @@
         self.window_start = now;
         for ((zone, pool, class), window) in std::mem::take(&mut self.windows) {
             let has_work = window.samples > 0 && window.samples == window.samples_with_work;
-            if !has_work || window.disturbed || window.guaranteed <= 0.0 {
+            if !has_work || window.disturbed || window.guaranteed_slots <= 0.0 {
                 continue;
             }
-            let part = window.running / window.guaranteed;
-            let smallest = self.smallest_part.entry(class).or_insert(f64::INFINITY);
-            *smallest = smallest.min(part);
-            if part < TOLERATED_PART {
+            let fraction = window.running / window.guaranteed_slots;
+            let smallest = self.smallest_fraction.entry(class).or_insert(f64::INFINITY);
+            *smallest = smallest.min(fraction);
+            if fraction < MIN_SHARE_FRACTION {
                 let what = format!(
                     "class {class} had work in zone {zone}, pool {pool} for 10 s and {:.0} % of its \
                      guaranteed slots",
-                    part * 100.0
+                    fraction * 100.0
                 );
                 self.violations.push(Violation {
-                    promise: Promise::Starvation,
+                    promise: Guarantee::Starvation,
                     at_seconds: now.0 as f64 / 1e6,
                     what,
                 });
--- a/crates/lab/simulator/src/shrink.rs
+++ b/crates/lab/simulator/src/shrink.rs
@@ -1,26 +1,26 @@
 //! Shortening a failing schedule to what the failure needs.
 
-use crate::bench::{SimulationError, simulate};
-use crate::checker::Promise;
+use crate::checker::Guarantee;
 use crate::entry_logic::Policy;
 use crate::scenario::Scenario;
+use crate::simulation::{SimulationError, simulate};
 
 /// Shortest fault tried, in seconds.
-const SHORTEST_FAULT: f64 = 0.2;
+const MIN_FAULT_SECONDS: f64 = 0.2;
 
 /// Removes and shortens faults as long as the same promise is still broken.
 pub fn shrink(
     scenario: &Scenario,
     policy: Policy,
     seed: u64,
-    promise: Promise,
+    promise: Guarantee,
 ) -> Result<Scenario, SimulationError> {
     let mut smallest = scenario.clone();
     let mut progress = true;
     while progress {
         progress = false;
         for candidate in candidates(&smallest) {
-            if still_breaks(&candidate, policy, seed, promise)? {
+            if still_violates(&candidate, policy, seed, promise)? {
                 smallest = candidate;
                 progress = true;
                 break;
@@ -31,11 +31,11 @@
     Ok(smallest)
 }
 
-fn still_breaks(
+fn still_violates(
     scenario: &Scenario,
     policy: Policy,
     seed: u64,
-    promise: Promise,
+    promise: Guarantee,
 ) -> Result<bool, SimulationError> {
     let report = simulate(scenario, policy, seed)?;
     Ok(report
@@ -58,7 +58,7 @@
         candidates.push(simpler);
     }
     for index in 0..scenario.faults.len() {
-        if scenario.faults[index].lasts > SHORTEST_FAULT * 2.0 {
+        if scenario.faults[index].lasts > MIN_FAULT_SECONDS * 2.0 {
             let mut simpler = scenario.clone();
             simpler.faults[index].lasts /= 2.0;
             candidates.push(simpler);
--- a/crates/lab/simulator/src/bench.rs
+++ b/crates/lab/simulator/src/simulation.rs
@@ -37,21 +37,21 @@
 }
 
 /// The world and the events that wait for their time.
-struct Stage {
+struct SimulationDriver {
     world: World,
-    waiting: BTreeMap<u64, Event>,
-    next_event: u64,
+    pending_events: BTreeMap<u64, Event>,
+    last_event_id: u64,
 }
 
-impl Stage {
+impl SimulationDriver {
     /// Stores the events that the world wants scheduled; returns their delays and
     /// numbers.
     fn take_scheduled(&mut self) -> Vec<(Span, u64)> {
         let mut scheduled = Vec::new();
         for (delay, event) in self.world.take_scheduled() {
-            self.next_event += 1;
-            self.waiting.insert(self.next_event, event);
-            scheduled.push((delay, self.next_event));
+            self.last_event_id += 1;
+            self.pending_events.insert(self.last_event_id, event);
+            scheduled.push((delay, self.last_event_id));
         }
         scheduled
     }
@@ -61,32 +61,32 @@
 #[derive(Serialize, Deserialize, Default)]
 struct Fleet {
     #[serde(skip)]
-    stage: Arc<Mutex<Option<Stage>>>,
+    driver: Arc<Mutex<Option<SimulationDriver>>>,
 }
 
 #[Model]
 impl Fleet {
-    /// An event's time has come; number zero starts the world.
+    /// An event's time has come; event_id zero starts the world.
     #[nexosim(schedulable)]
-    async fn happen(&mut self, number: u64, context: &Context<Self>) {
-        let mut guard = self.stage.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(stage) = guard.as_mut() else {
+    async fn handle_event(&mut self, event_id: u64, context: &Context<Self>) {
+        let mut guard = self.driver.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(driver) = guard.as_mut() else {
             return;
         };
-        let now = now_of(context.time());
-        match stage.waiting.remove(&number) {
-            Some(event) => stage.world.handle(now, event),
-            None => stage.world.start(now),
+        let now = to_timestamp(context.time());
+        match driver.pending_events.remove(&event_id) {
+            Some(event) => driver.world.handle(now, event),
+            None => driver.world.start(now),
         }
-        for (delay, number) in stage.take_scheduled() {
+        for (delay, event_id) in driver.take_scheduled() {
             let delay = Duration::from_micros(delay.0.max(1));
             // Scheduling fails only for delays of zero.
-            let _ = context.schedule_event(delay, schedulable!(Self::happen), number);
+            let _ = context.schedule_event(delay, schedulable!(Self::handle_event), event_id);
         }
     }
 }
 
-fn now_of(time: MonotonicTime) -> Timestamp {
+fn to_timestamp(time: MonotonicTime) -> Timestamp {
     let since = time.duration_since(MonotonicTime::EPOCH);
     Timestamp(since.as_micros() as u64)
 }
@@ -94,34 +94,34 @@
 /// Runs a scenario to its end.
 pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Report, SimulationError> {
     let world = World::new(scenario.clone(), policy, seed)?;
-    let stage = Arc::new(Mutex::new(Some(Stage {
+    let driver = Arc::new(Mutex::new(Some(SimulationDriver {
         world,
-        waiting: BTreeMap::new(),
-        next_event: 0,
+        pending_events: BTreeMap::new(),
+        last_event_id: 0,
     })));
-    let library = |error: String| SimulationError::Library(error);
+    let library_error = |error: String| SimulationError::Library(error);
     let mailbox = Mailbox::new();
     let mut init = SimInit::with_num_threads(1);
     let start = EventSource::new()
-        .connect(Fleet::happen, &mailbox)
+        .connect(Fleet::handle_event, &mailbox)
         .register(&mut init);
     let fleet = Fleet {
-        stage: stage.clone(),
+        driver: driver.clone(),
     };
     let mut simulation = init
         .add_model(fleet, mailbox, "fleet")
         .init(MonotonicTime::EPOCH)
-        .map_err(|error| library(error.to_string()))?;
+        .map_err(|error| library_error(error.to_string()))?;
     simulation
         .process_event(&start, 0)
-        .map_err(|error| library(error.to_string()))?;
-    let length = Duration::from_secs_f64(scenario.duration_seconds);
+        .map_err(|error| library_error(error.to_string()))?;
+    let duration = Duration::from_secs_f64(scenario.duration_seconds);
     simulation
-        .step_until(length)
-        .map_err(|error| library(error.to_string()))?;
-    let finished = stage.lock().unwrap_or_else(PoisonError::into_inner).take();
-    let Some(mut stage) = finished else {
-        return Err(library("the world was lost".into()));
+        .step_until(duration)
+        .map_err(|error| library_error(error.to_string()))?;
+    let finished = driver.lock().unwrap_or_else(PoisonError::into_inner).take();
+    let Some(mut driver) = finished else {
+        return Err(library_error("the world was lost".into()));
     };
-    Ok(stage.world.report())
+    Ok(driver.world.report())
 }
--- a/crates/lab/simulator/src/workload.rs
+++ b/crates/lab/simulator/src/workload.rs
@@ -1,8 +1,8 @@
-//! Callers: arrivals, choice of node, patience, repetitions.
+//! Callers: arrivals, choice of node, caller_timeout, repetitions.
 
 use crate::entry_logic::{EntryLogic, Rule};
 use crate::event::Event;
-use crate::requests::{Fate, ServiceCall, SimRequest};
+use crate::requests::{RequestStatus, ServiceCall, SimRequest};
 use crate::scenario::{CallKey, ClassLoad, RateStep, TokenSpread};
 use crate::world::World;
 use eiderferry_admission::{Outcome, PrefixMark};
@@ -21,17 +21,17 @@
 /// Time between tries when no node is healthy.
 const NO_NODE_DELAY: Span = Span::from_milliseconds(200);
 /// Hand-ins of one request at the most.
-const MAXIMUM_HAND_INS: u32 = 6;
+const MAX_SENDS: u32 = 6;
 /// Patience of callers in targets for the first token.
-const PATIENCE_TARGETS: u64 = 4;
-/// Shortest patience of callers.
-const SHORTEST_PATIENCE: Span = Span::from_milliseconds(10_000);
+const CALLER_TIMEOUT_FACTOR: u64 = 4;
+/// Shortest caller_timeout of callers.
+const MIN_CALLER_TIMEOUT: Span = Span::from_milliseconds(10_000);
 /// Longest pause of a caller between two tries of a service call.
-const LONGEST_RETRY: Span = Span::from_milliseconds(2_000);
+const MAX_RETRY_DELAY: Span = Span::from_milliseconds(2_000);
 /// Shortest time between two looks for a rate above zero.
-const IDLE_LOOK: f64 = 0.5;
-/// Candidates drawn per second at the most when rates change.
-const MINIMUM_RATE: f64 = 1e-6;
+const IDLE_CHECK_SECONDS: f64 = 0.5;
+/// Candidates sampled per second at the most when rates change.
+const MIN_RATE: f64 = 1e-6;
 
 fn rate_at(steps: &[RateStep], seconds: f64) -> f64 {
     steps
@@ -41,38 +41,38 @@
         .map_or(0.0, |step| step.per_second)
 }
 
-fn next_gap(random: &mut ChaCha8Rng, rate: f64) -> Span {
-    if rate <= MINIMUM_RATE {
-        return Span::from_seconds(IDLE_LOOK);
+fn sample_interval(rng: &mut ChaCha8Rng, rate: f64) -> Span {
+    if rate <= MIN_RATE {
+        return Span::from_seconds(IDLE_CHECK_SECONDS);
     }
-    let gap = Exp::new(rate).map_or(IDLE_LOOK, |gaps| gaps.sample(random));
-    Span::from_seconds(gap)
+    let interval = Exp::new(rate).map_or(IDLE_CHECK_SECONDS, |intervals| intervals.sample(rng));
+    Span::from_seconds(interval)
 }
 
-fn draw_tokens(random: &mut ChaCha8Rng, spread: &TokenSpread) -> u32 {
+fn sample_tokens(rng: &mut ChaCha8Rng, spread: &TokenSpread) -> u32 {
     let mu = spread.mean.max(1.0).ln() - spread.sigma * spread.sigma / 2.0;
-    let drawn =
-        LogNormal::new(mu, spread.sigma).map_or(spread.mean, |lengths| lengths.sample(random));
-    (drawn.round() as u32).clamp(1, spread.maximum)
+    let sampled =
+        LogNormal::new(mu, spread.sigma).map_or(spread.mean, |lengths| lengths.sample(rng));
+    (sampled.round() as u32).clamp(1, spread.maximum)
 }
 
-fn draw_tenant(random: &mut ChaCha8Rng, plan: &ClassLoad) -> Option<String> {
+fn sample_tenant(rng: &mut ChaCha8Rng, plan: &ClassLoad) -> Option<String> {
     let total: f64 = plan.tenants.values().sum();
-    let mut point = random.random::<f64>() * total;
+    let mut remaining_weight = rng.random::<f64>() * total;
     for (name, weight) in &plan.tenants {
-        point -= weight;
-        if point <= 0.0 {
+        remaining_weight -= weight;
+        if remaining_weight <= 0.0 {
             return Some(name.clone());
         }
     }
     plan.tenants.keys().next_back().cloned()
 }
 
-fn draw_prefixes(random: &mut ChaCha8Rng, plan: &ClassLoad, tenant: &str) -> Vec<PrefixMark> {
+fn sample_prefixes(rng: &mut ChaCha8Rng, plan: &ClassLoad, tenant: &str) -> Vec<PrefixMark> {
     let Some(shared) = plan.shared_prefixes else {
         return Vec::new();
     };
-    let variant = random.random_range(0..shared.count.max(1));
+    let variant = rng.random_range(0..shared.count.max(1));
     let text = format!("{}/{tenant}/{variant}", plan.class);
     let hash = xxh3_64(text.as_bytes()) as u32;
     vec![PrefixMark {
@@ -84,66 +84,66 @@
 impl World {
     pub fn schedule_arrival(&mut self, load: usize) {
         let rate = rate_at(&self.scenario.load[load].rate, self.now.0 as f64 / 1e6);
-        let delay = next_gap(&mut self.load_random[load], rate * self.burst_factor);
+        let delay = sample_interval(&mut self.load_rngs[load], rate * self.burst_factor);
         self.schedule(delay, Event::Arrival { load });
     }
 
     pub fn schedule_service_arrival(&mut self, load: usize) {
         let rate = self.scenario.service_calls[load].per_second;
-        let stream = self.scenario.load.len() + load;
-        let delay = next_gap(&mut self.load_random[stream], rate);
+        let rng_index = self.scenario.load.len() + load;
+        let delay = sample_interval(&mut self.load_rngs[rng_index], rate);
         self.schedule(delay, Event::ServiceArrival { load });
     }
 
     /// A model request arrives.
-    pub fn arrive(&mut self, load: usize) {
+    pub fn handle_arrival(&mut self, load: usize) {
         self.schedule_arrival(load);
         let plan = self.scenario.load[load].clone();
-        if rate_at(&plan.rate, self.now.0 as f64 / 1e6) <= MINIMUM_RATE {
+        if rate_at(&plan.rate, self.now.0 as f64 / 1e6) <= MIN_RATE {
             return;
         }
-        let Some(request) = self.draw_request(load, &plan) else {
+        let Some(request) = self.sample_request(load, &plan) else {
             return;
         };
-        let patience = Span(request.first_token_target.0 * PATIENCE_TARGETS);
-        let patience = patience.max(SHORTEST_PATIENCE);
+        let caller_timeout = Span(request.first_token_target.0 * CALLER_TIMEOUT_FACTOR);
+        let caller_timeout = caller_timeout.max(MIN_CALLER_TIMEOUT);
         let index = self.add_request(request);
-        self.schedule(patience, Event::PatienceOver { request: index });
-        self.hand_in(index);
+        self.schedule(caller_timeout, Event::FirstTokenTimeout { request: index });
+        self.send_request(index);
     }
 
     fn add_request(&mut self, request: SimRequest) -> usize {
         let index = self.requests.len();
-        self.metrics.open.insert(index);
+        self.metrics.open_requests.insert(index);
         self.requests.push(request);
         index
     }
 
-    fn draw_request(&mut self, load: usize, plan: &ClassLoad) -> Option<SimRequest> {
+    fn sample_request(&mut self, load: usize, plan: &ClassLoad) -> Option<SimRequest> {
         let class = self.configuration.class_named(&plan.class)?.clone();
         let pool = self.configuration.pool_named(&plan.pool)?.id;
-        let random = &mut self.load_random[load];
-        let name = draw_tenant(random, plan)?;
+        let rng = &mut self.load_rngs[load];
+        let name = sample_tenant(rng, plan)?;
         let tenant = self
             .configuration
             .tenants
             .iter()
             .find(|known| known.name == name)?
             .id;
-        let prompt_tokens = draw_tokens(random, &plan.prompt);
-        let answer_tokens = draw_tokens(random, &plan.answer);
-        let prefixes = draw_prefixes(random, plan, &name);
+        let prompt_tokens = sample_tokens(rng, &plan.prompt);
+        let response_tokens = sample_tokens(rng, &plan.answer);
+        let prefixes = sample_prefixes(rng, plan, &name);
         let shared = prefixes.last().map_or(0, |mark| mark.tokens);
         let mut request = SimRequest::new(self.now, &class, tenant, pool);
         request.prompt_tokens = prompt_tokens.max(shared);
         request.prefixes = prefixes;
-        request.answer_tokens = answer_tokens;
+        request.response_tokens = response_tokens;
         request.zone = self.configuration.zones[0].id;
         Some(request)
     }
 
     /// A service call arrives.
-    pub fn arrive_service(&mut self, load: usize) {
+    pub fn handle_service_arrival(&mut self, load: usize) {
         self.schedule_service_arrival(load);
         let plan = self.scenario.service_calls[load].clone();
         let Some(class) = self.configuration.class_named(&plan.class).cloned() else {
@@ -164,67 +164,67 @@
         request.zone = self.configuration.zones[0].id;
         request.service = Some(ServiceCall {
             key: plan.key,
-            name: None,
-            tries_left: plan.tries,
+            key_name: None,
+            remaining_retries: plan.tries,
             service_time: Span::from_milliseconds(plan.service_ms),
         });
         let index = self.add_request(request);
-        self.hand_in(index);
+        self.send_request(index);
     }
 
     /// The balancer's choice: any node that it takes for healthy.
     fn choose_node(&mut self) -> Option<usize> {
-        let noticed = |since: Option<Timestamp>| {
+        let is_noticed = |since: Option<Timestamp>| {
             since.is_some_and(|since| self.now.since(since) >= HEALTH_CHECK_LAG)
         };
         let healthy: Vec<usize> = (0..self.nodes.len())
             .filter(|index| {
                 let node = &self.nodes[*index];
-                !noticed(node.unhealthy_since) && !noticed(node.draining_since)
+                !is_noticed(node.unhealthy_since) && !is_noticed(node.draining_since)
             })
             .collect();
         if healthy.is_empty() {
             return None;
         }
-        Some(healthy[self.random.random_range(0..healthy.len())])
+        Some(healthy[self.rng.random_range(0..healthy.len())])
     }
 
     /// A caller sends its request to a node.
-    pub fn hand_in(&mut self, request: usize) {
-        if self.requests[request].fate != Fate::Open {
+    pub fn send_request(&mut self, request: usize) {
+        if self.requests[request].status != RequestStatus::Open {
             return;
         }
-        self.requests[request].hand_ins += 1;
-        if self.requests[request].hand_ins > MAXIMUM_HAND_INS {
-            self.end_request(request, Fate::Lost);
+        self.requests[request].send_count += 1;
+        if self.requests[request].send_count > MAX_SENDS {
+            self.end_request(request, RequestStatus::Lost);
             return;
         }
         let Some(node) = self.choose_node() else {
-            self.schedule(NO_NODE_DELAY, Event::TryNextNode { request });
+            self.schedule(NO_NODE_DELAY, Event::RetryAtNextNode { request });
             return;
         };
         if self.nodes[node].logic.is_none() {
-            self.schedule(NEXT_NODE_DELAY, Event::TryNextNode { request });
+            self.schedule(NEXT_NODE_DELAY, Event::RetryAtNextNode { request });
             return;
         }
         let run = self.nodes[node].run;
-        self.hand_in_at(request, node, run);
+        self.receive_request(request, node, run);
     }
 
     /// A request reaches a node's process.
-    pub fn hand_in_at(&mut self, request: usize, node: usize, run: u32) {
-        if self.requests[request].fate != Fate::Open {
+    pub fn receive_request(&mut self, request: usize, node: usize, run: u32) {
+        if self.requests[request].status != RequestStatus::Open {
             return;
         }
-        if !self.runs(node, run) {
+        if !self.is_running(node, run) {
             // The process died with the connection in its queue.
-            if !self.caller_tries_again(request, None) {
-                self.end_request(request, Fate::Lost);
+            if !self.schedule_caller_retry(request, None) {
+                self.end_request(request, RequestStatus::Lost);
             }
             return;
         }
         if self.is_paused(node) {
-            self.put_off(node, Event::HandIn { request, node, run });
+            self.defer_event(node, Event::ReceiveRequest { request, node, run });
             return;
         }
         if self.oracle.is_some() {
@@ -238,14 +238,14 @@
 
     fn submit_at(&mut self, request: usize, node: usize, run: u32) {
         let now = self.now;
-        let not_repeatable = self.protection_of(request, node);
+        let not_repeatable = self.retry_protection(request, node);
         let state = &mut self.requests[request];
         state.node = Some(node);
         state.node_run = run;
-        state.handed_in = now;
+        state.sent_at = now;
         state.waiting_since = now;
         state.at_node = true;
-        state.executions_of_hand_in = 0;
+        state.executions_since_send = 0;
         state.zone = self.nodes[node].zone;
         let submission = Submission {
             digest: RequestDigest(request as u64),
@@ -262,15 +262,15 @@
         };
         let id = logic.submit(now, submission);
         self.requests[request].id = Some(id);
-        self.by_id.insert(id, request);
-        self.note("submit", &[request as u64, node as u64]);
-        self.carry_out(node);
+        self.index_by_id.insert(id, request);
+        self.record_trace("submit", &[request as u64, node as u64]);
+        self.process_outputs(node);
     }
 
     /// What keeps a request from running twice; a ticket is fetched on first use.
-    fn protection_of(&mut self, request: usize, node: usize) -> Option<NotRepeatable> {
+    fn retry_protection(&mut self, request: usize, node: usize) -> Option<NotRepeatable> {
         let now = self.now;
-        if self.is_without(Rule::NotRepeatable) {
+        if self.is_disabled(Rule::NotRepeatable) {
             return None;
         }
         let call = self.requests[request].service.as_mut()?;
@@ -282,14 +282,14 @@
                 Some(NotRepeatable::WithKey(name))
             }
             CallKey::Ticket => {
-                if call.name.is_none() {
+                if call.key_name.is_none() {
                     let issuer = self.nodes[node]
                         .logic
                         .as_mut()
                         .and_then(EntryLogic::node_mut);
-                    call.name = issuer.and_then(|issuer| issuer.issue_ticket(now).ok());
+                    call.key_name = issuer.and_then(|issuer| issuer.issue_ticket(now).ok());
                 }
-                let protection = match call.name.clone() {
+                let protection = match call.key_name.clone() {
                     Some(name) => NotRepeatable::WithKey(name),
                     None => NotRepeatable::WithoutKey,
                 };
@@ -300,11 +300,11 @@
 
     /// A node ended a request without an answer.
     pub fn rejected(&mut self, id: RequestId, refusal: Refusal) {
-        let Some(&request) = self.by_id.get(&id) else {
+        let Some(&request) = self.index_by_id.get(&id) else {
             return;
         };
         let state = &self.requests[request];
-        if state.fate != Fate::Open || state.id != Some(id) {
+        if state.status != RequestStatus::Open || state.id != Some(id) {
             return;
         }
         let numbers = [
@@ -312,21 +312,22 @@
             refusal.verdict as u64,
             refusal.reason as u64,
         ];
-        self.note("reject", &numbers);
+        self.record_trace("reject", &numbers);
         self.check_refusal(request, &refusal);
-        if self.caller_tries_again(request, Some(&refusal)) {
+        if self.schedule_caller_retry(request, Some(&refusal)) {
             return;
         }
         self.metrics
-            .refused(&self.requests[request], refusal.reason);
-        self.end_request(request, Fate::Refused);
+            .record_refusal(&self.requests[request], refusal.reason);
+        self.end_request(request, RequestStatus::Refused);
     }
 
     fn check_refusal(&mut self, request: usize, refusal: &Refusal) {
         let state = &self.requests[request];
-        self.checker.refused(self.now, request, state, refusal);
+        self.checker
+            .check_refusal(self.now, request, state, refusal);
         let disturbed = self.is_zone_disturbed(state.zone);
-        let overload = match refusal.reason {
+        let is_overload = match refusal.reason {
             Reason::DeadlineUnreachable
             | Reason::DeadlinePassed
             | Reason::QueueFull
@@ -335,66 +336,66 @@
             Reason::HolderUnreachable => !disturbed,
             _ => false,
         };
-        if overload && !self.policy_is_baseline() {
+        if is_overload && !self.is_baseline_policy() {
             let tier = self.metrics.tier(state.class);
             let state = &self.requests[request];
             self.checker
-                .shed(self.now, request, state, tier, disturbed, refusal.reason);
+                .check_shed(self.now, request, state, tier, disturbed, refusal.reason);
         }
     }
 
     /// Whether the caller sends its request again, now or later: to another node if
     /// this one is going or gone, and a protected service call whenever its outcome
     /// is not known.
-    pub fn caller_tries_again(&mut self, request: usize, refusal: Option<&Refusal>) -> bool {
+    pub fn schedule_caller_retry(&mut self, request: usize, refusal: Option<&Refusal>) -> bool {
         let state = &mut self.requests[request];
         state.at_node = false;
-        let elsewhere = refusal.is_some_and(|refusal| {
+        let retry_elsewhere = refusal.is_some_and(|refusal| {
             matches!(refusal.reason, Reason::Draining | Reason::NotReady)
                 && refusal.verdict == Verdict::NotRun
         });
-        if elsewhere && state.progress.tokens() == 0 {
+        if retry_elsewhere && state.progress.tokens() == 0 {
             state.attempt = None;
-            self.schedule(NEXT_NODE_DELAY, Event::TryNextNode { request });
+            self.schedule(NEXT_NODE_DELAY, Event::RetryAtNextNode { request });
             return true;
         }
         let Some(call) = &mut state.service else {
             return false;
         };
-        let protected = match call.key {
+        let may_resend = match call.key {
             CallKey::Repeatable | CallKey::Ticket | CallKey::Caller => true,
             CallKey::None => refusal.is_some_and(|refusal| refusal.verdict == Verdict::NotRun),
         };
-        let settled = refusal.is_some_and(|refusal| refusal.reason == Reason::KeyFinished);
-        if !protected || settled || call.tries_left == 0 {
+        let is_final = refusal.is_some_and(|refusal| refusal.reason == Reason::KeyFinished);
+        if !may_resend || is_final || call.remaining_retries == 0 {
             return false;
         }
-        call.tries_left -= 1;
+        call.remaining_retries -= 1;
         state.attempt = None;
-        let wait = refusal
+        let delay = refusal
             .and_then(|refusal| refusal.retry_after)
             .unwrap_or(NEXT_NODE_DELAY);
-        self.schedule(wait.min(LONGEST_RETRY), Event::ServiceRetry { request });
+        self.schedule(delay.min(MAX_RETRY_DELAY), Event::ServiceRetry { request });
         true
     }
 
     /// A caller gives up waiting for the first token.
-    pub fn lose_patience(&mut self, request: usize) {
+    pub fn handle_first_token_timeout(&mut self, request: usize) {
         let state = &self.requests[request];
-        if state.fate != Fate::Open || state.first_token.is_some() {
+        if state.status != RequestStatus::Open || state.first_token.is_some() {
             return;
         }
         let (Some(node), Some(id)) = (state.node, state.id) else {
-            self.end_request(request, Fate::HungUp);
+            self.end_request(request, RequestStatus::HungUp);
             return;
         };
         let now = self.now;
         self.cancel_job(request);
         let attempt = self.requests[request].attempt.take();
-        self.end_request(request, Fate::HungUp);
+        self.end_request(request, RequestStatus::HungUp);
         if let Some(attempt) = attempt {
             let observation = attempt.observation(Outcome::Cancelled);
-            self.tell_end(
+            self.report_attempt_end(
                 request,
                 attempt.number,
                 AttemptEnd::CallerDisconnected(observation),
@@ -402,28 +403,28 @@
             return;
         }
         if self.oracle.is_some() {
-            self.oracle_caller_gone(request);
+            self.oracle_caller_disconnected(request);
             return;
         }
         if let Some(logic) = &mut self.nodes[node].logic {
-            logic.caller_gone(now, id);
+            logic.caller_disconnected(now, id);
         }
-        self.carry_out(node);
+        self.process_outputs(node);
     }
 
     /// The caller knows what became of its request.
-    pub fn end_request(&mut self, request: usize, fate: Fate) {
-        if self.requests[request].fate != Fate::Open {
+    pub fn end_request(&mut self, request: usize, status: RequestStatus) {
+        if self.requests[request].status != RequestStatus::Open {
             return;
         }
-        self.requests[request].fate = fate;
-        self.metrics.open.remove(&request);
-        self.note("end", &[request as u64, fate as u64]);
+        self.requests[request].status = status;
+        self.metrics.open_requests.remove(&request);
+        self.record_trace("end", &[request as u64, status as u64]);
         let now = self.now;
-        self.metrics.ended(now, &self.requests[request]);
-        if fate == Fate::Completed {
+        self.metrics.record_end(now, &self.requests[request]);
+        if status == RequestStatus::Completed {
             self.checker
-                .completed(now, request, &self.requests[request]);
+                .check_completion(now, request, &self.requests[request]);
         }
     }
 }
--- a/crates/lab/simulator/src/world.rs
+++ b/crates/lab/simulator/src/world.rs
@@ -12,7 +12,7 @@
 use crate::report::Report;
 use crate::requests::SimRequest;
 use crate::scenario::{Scenario, ScenarioError};
-use crate::shares::Shares;
+use crate::shares::ShareTracker;
 use eiderferry_config::{Configuration, PoolKind};
 use eiderferry_types::{BackEndId, NodeId, RequestId, Span, Timestamp, ZoneId};
 use rand::SeedableRng;
@@ -23,62 +23,62 @@
 /// Time between two samples of figures.
 const SAMPLE_INTERVAL: Span = Span::from_milliseconds(250);
 /// Number of the first entry node.
-const FIRST_NODE: u32 = 1;
+const FIRST_NODE_ID: u32 = 1;
 /// Number of the first back end.
-const FIRST_BACK_END: u32 = 1;
+const FIRST_BACK_END_ID: u32 = 1;
 
 /// Everything there is.
 pub(crate) struct World {
     pub scenario: Scenario,
     pub policy: Policy,
     pub configuration: Configuration,
-    pub random: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     /// Randomness of each load, apart from all else: every policy sees the same
     /// requests.
-    pub load_random: Vec<ChaCha8Rng>,
+    pub load_rngs: Vec<ChaCha8Rng>,
     pub now: Timestamp,
     pub nodes: Vec<SimNode>,
     pub back_ends: Vec<SimBackEnd>,
     pub platform: SimPlatform,
     pub network: Network,
     pub requests: Vec<SimRequest>,
-    pub by_id: HashMap<RequestId, usize>,
+    pub index_by_id: HashMap<RequestId, usize>,
     pub oracle: Option<Oracle>,
     pub checker: Checker,
     pub metrics: Metrics,
-    pub shares: Shares,
-    pub injected: BTreeMap<&'static str, u32>,
+    pub shares: ShareTracker,
+    pub injected_faults: BTreeMap<&'static str, u32>,
     pub burst_factor: f64,
     scheduled: Vec<(Span, Event)>,
-    trace: Xxh3,
+    trace_hasher: Xxh3,
     seed: u64,
 }
 
 impl World {
     pub fn new(scenario: Scenario, policy: Policy, seed: u64) -> Result<Self, ScenarioError> {
         let configuration = scenario.configuration()?;
-        let nodes = place_nodes(&scenario, &configuration);
-        let back_ends = place_back_ends(&scenario, &configuration);
+        let nodes = create_nodes(&scenario, &configuration);
+        let back_ends = create_back_ends(&scenario, &configuration);
         let platform = SimPlatform::new(&configuration, &nodes, &back_ends);
         let oracle = (policy == Policy::Oracle).then(|| Oracle::new(&configuration, &back_ends));
-        let shares = Shares::new(&configuration, &back_ends);
-        let loads = scenario.load.len() + scenario.service_calls.len();
-        let load_random = (0..loads as u64)
+        let shares = ShareTracker::new(&configuration, &back_ends);
+        let load_count = scenario.load.len() + scenario.service_calls.len();
+        let load_rngs = (0..load_count as u64)
             .map(|load| ChaCha8Rng::seed_from_u64(seed.wrapping_add(load << 32)))
             .collect();
         Ok(Self {
             network: Network::new(scenario.network),
-            random: ChaCha8Rng::seed_from_u64(seed),
-            load_random,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            load_rngs,
             now: Timestamp::default(),
             requests: Vec::new(),
-            by_id: HashMap::new(),
+            index_by_id: HashMap::new(),
             checker: Checker::default(),
             metrics: Metrics::new(&configuration),
-            injected: BTreeMap::new(),
+            injected_faults: BTreeMap::new(),
             burst_factor: 1.0,
             scheduled: Vec::new(),
-            trace: Xxh3::new(),
+            trace_hasher: Xxh3::new(),
             nodes,
             back_ends,
             platform,
@@ -104,9 +104,9 @@
             self.schedule_service_arrival(load);
         }
         for (index, fault) in self.scenario.faults.clone().iter().enumerate() {
-            let begin = Span::from_seconds(fault.at);
+            let start = Span::from_seconds(fault.at);
             let end = Span::from_seconds(fault.at + fault.lasts);
-            self.schedule(begin, Event::FaultBegin { fault: index });
+            self.schedule(start, Event::FaultStart { fault: index });
             self.schedule(end, Event::FaultEnd { fault: index });
         }
         self.schedule(SAMPLE_INTERVAL, Event::Sample);
@@ -121,23 +121,23 @@
     }
 
     /// Adds to the trace what happened.
-    pub fn note(&mut self, what: &str, numbers: &[u64]) {
-        self.trace.update(&self.now.0.to_le_bytes());
-        self.trace.update(what.as_bytes());
+    pub fn record_trace(&mut self, what: &str, numbers: &[u64]) {
+        self.trace_hasher.update(&self.now.0.to_le_bytes());
+        self.trace_hasher.update(what.as_bytes());
         for number in numbers {
-            self.trace.update(&number.to_le_bytes());
+            self.trace_hasher.update(&number.to_le_bytes());
         }
     }
 
     pub fn handle(&mut self, now: Timestamp, event: Event) {
         self.now = now;
         match event {
-            Event::Arrival { load } => self.arrive(load),
-            Event::ServiceArrival { load } => self.arrive_service(load),
-            Event::ServiceRetry { request } | Event::TryNextNode { request } => {
-                self.hand_in(request);
+            Event::Arrival { load } => self.handle_arrival(load),
+            Event::ServiceArrival { load } => self.handle_service_arrival(load),
+            Event::ServiceRetry { request } | Event::RetryAtNextNode { request } => {
+                self.send_request(request);
             }
-            Event::PatienceOver { request } => self.lose_patience(request),
+            Event::FirstTokenTimeout { request } => self.handle_first_token_timeout(request),
             Event::Deliver { to, envelope } => self.deliver(to, envelope),
             Event::Tick { node, run } => self.tick_node(node, run),
             Event::SendToBackEnd {
@@ -154,7 +154,9 @@
             } => {
                 self.reach_back_end(node, run, &dispatch);
             }
-            Event::HandIn { request, node, run } => self.hand_in_at(request, node, run),
+            Event::ReceiveRequest { request, node, run } => {
+                self.receive_request(request, node, run)
+            }
             Event::StallCheck {
                 request,
                 attempt,
@@ -162,15 +164,15 @@
             } => {
                 self.check_stall(request, attempt, since);
             }
-            Event::AttemptBroken {
+            Event::AttemptFailed {
                 request,
                 attempt,
                 connected,
             } => {
-                self.attempt_broken(request, attempt, connected);
+                self.handle_attempt_failure(request, attempt, connected);
             }
             Event::StepEnd { engine, run } => self.end_step(engine, run),
-            Event::LateToken {
+            Event::DeferredToken {
                 request,
                 attempt,
                 index,
@@ -178,21 +180,21 @@
             } => {
                 self.relay_token(request, attempt, index, last);
             }
-            Event::ServiceDone {
+            Event::ServiceCompleted {
                 request,
                 attempt,
                 back_end,
                 run,
             } => {
-                self.service_done(request, attempt, back_end, run);
+                self.complete_service_call(request, attempt, back_end, run);
             }
-            Event::PlatformAnswer {
+            Event::PlatformResponse {
                 node,
                 run,
                 kind,
-                answer,
+                response,
             } => {
-                self.platform_answer(node, run, kind, answer);
+                self.handle_platform_response(node, run, kind, response);
             }
             Event::Poll {
                 node,
@@ -202,7 +204,7 @@
             } => {
                 self.poll(node, run, back_end, cursor);
             }
-            Event::FaultBegin { fault } => self.begin_fault(fault),
+            Event::FaultStart { fault } => self.start_fault(fault),
             Event::FaultEnd { fault } => self.end_fault(fault),
             Event::Delist { node, run } => self.delist(node, run),
             Event::Sample => self.sample(),
@@ -211,9 +213,13 @@
 
     fn sample(&mut self) {
         self.schedule(SAMPLE_INTERVAL, Event::Sample);
-        let requests = self.metrics.open.iter().map(|index| &self.requests[*index]);
+        let requests = self
+            .metrics
+            .open_requests
+            .iter()
+            .map(|index| &self.requests[*index]);
         self.shares.sample(self.now, requests, &self.back_ends);
-        self.network.note_isolation(self.now);
+        self.network.record_isolation(self.now);
         if self.network.extra_loss > 0.0 {
             self.checker.last_loss = self.now;
         }
@@ -228,23 +234,23 @@
     /// The figures of the run.
     pub fn report(&mut self) -> Report {
         self.checker.finish(&self.requests);
-        let starved = self.shares.finish();
-        if !self.policy_is_baseline() {
-            for violation in starved {
+        let starvation_violations = self.shares.finish();
+        if !self.is_baseline_policy() {
+            for violation in starvation_violations {
                 self.checker.add(violation);
             }
         }
-        let hash = self.trace.digest();
-        Report::of(self, hash)
+        let trace_hash = self.trace_hasher.digest();
+        Report::from_world(self, trace_hash)
     }
 
     /// Whether a rule is left out on purpose.
-    pub fn is_without(&self, rule: Rule) -> bool {
+    pub fn is_disabled(&self, rule: Rule) -> bool {
         self.policy == Policy::Without(rule)
     }
 
     /// Whether the policy promises nothing.
-    pub fn policy_is_baseline(&self) -> bool {
+    pub fn is_baseline_policy(&self) -> bool {
         matches!(
             self.policy,
             Policy::Random | Policy::RoundRobin | Policy::LeastLoaded | Policy::Oracle
@@ -252,18 +258,18 @@
     }
 }
 
-fn place_nodes(scenario: &Scenario, configuration: &Configuration) -> Vec<SimNode> {
+fn create_nodes(scenario: &Scenario, configuration: &Configuration) -> Vec<SimNode> {
     let mut nodes = Vec::new();
     for (zone, count) in configuration.zones.iter().zip(&scenario.nodes_per_zone) {
         for _ in 0..*count {
-            let number = NodeId(FIRST_NODE + nodes.len() as u32);
-            nodes.push(SimNode::new(number, zone.id));
+            let id = NodeId(FIRST_NODE_ID + nodes.len() as u32);
+            nodes.push(SimNode::new(id, zone.id));
         }
     }
     nodes
 }
 
-fn place_back_ends(scenario: &Scenario, configuration: &Configuration) -> Vec<SimBackEnd> {
+fn create_back_ends(scenario: &Scenario, configuration: &Configuration) -> Vec<SimBackEnd> {
     let mut back_ends: Vec<SimBackEnd> = Vec::new();
     for pool in &configuration.pools {
         let Some(counts) = scenario.back_ends_per_zone.get(&pool.name) else {
@@ -271,7 +277,7 @@
         };
         for (zone, count) in configuration.zones.iter().zip(counts) {
             for _ in 0..*count {
-                let id = BackEndId(FIRST_BACK_END + back_ends.len() as u32);
+                let id = BackEndId(FIRST_BACK_END_ID + back_ends.len() as u32);
                 let is_engine = pool.kind == PoolKind::Engine;
                 let timing = is_engine.then_some(scenario.engine);
                 back_ends.push(SimBackEnd::new(id, pool.id, zone.id, timing));
@@ -283,12 +289,12 @@
 
 /// The place of a node or back end among its kind, by its number.
 pub(crate) fn back_end_index(id: BackEndId) -> usize {
-    (id.0 - FIRST_BACK_END) as usize
+    (id.0 - FIRST_BACK_END_ID) as usize
 }
 
 /// The place of a node, by its number.
 pub(crate) fn node_index(id: NodeId) -> usize {
-    (id.0 - FIRST_NODE) as usize
+    (id.0 - FIRST_NODE_ID) as usize
 }
 
 /// An address that identifies a machine; nothing listens there.
@@ -298,6 +304,6 @@
 }
 
 /// Zones of a configuration by their numbers.
-pub(crate) fn zone_numbers(configuration: &Configuration) -> Vec<ZoneId> {
+pub(crate) fn zone_ids(configuration: &Configuration) -> Vec<ZoneId> {
     configuration.zones.iter().map(|zone| zone.id).collect()
 }
--- a/crates/lab/simulator/tests/promises.rs
+++ b/crates/lab/simulator/tests/promises.rs
@@ -1,7 +1,7 @@
 //! The promises under faults, and the checker's bite.
 
 use eiderferry_simulator::{
-    Fault, FaultKind, Policy, Promise, Report, Rule, Scenario, chaos_scenario, simulate,
+    Fault, FaultKind, Guarantee, Policy, Report, Rule, Scenario, chaos_scenario, simulate,
 };
 use rstest::rstest;
 
@@ -21,9 +21,9 @@
 const CHAOS_SEEDS: u64 = 40;
 
 #[rstest]
-fn no_promise_breaks_under_random_faults(#[values(0, 1, 2, 3)] quarter: u64) {
-    let part = CHAOS_SEEDS / 4;
-    for seed in quarter * part..(quarter + 1) * part {
+fn random_faults_violate_no_guarantee(#[values(0, 1, 2, 3)] block: u64) {
+    let block_size = CHAOS_SEEDS / 4;
+    for seed in block * block_size..(block + 1) * block_size {
         let scenario = chaos_scenario(seed).expect("built in");
         let report = run(&scenario, Policy::Eiderferry, seed);
         assert_eq!(report.violations, [], "seed {seed}");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_trace() {
+fn same_seed_gives_same_trace() {
     let scenario = chaos_scenario(7).expect("built in");
     let first = run(&scenario, Policy::Eiderferry, 7);
     let second = run(&scenario, Policy::Eiderferry, 7);
@@ -58,7 +58,7 @@
     2501
 )]
 #[case::leaving_in_burst(include_str!("../scenarios/regressions/leaving-in-burst-seed-946.yaml"), 946)]
-fn mended_failures_stay_mended(#[case] text: &str, #[case] seed: u64) {
+fn fixed_failures_do_not_recur(#[case] text: &str, #[case] seed: u64) {
     let scenario = Scenario::from_yaml("regression", text).expect("valid");
     let report = run(&scenario, Policy::Eiderferry, seed);
     assert_eq!(report.violations, []);
@@ -84,7 +84,7 @@
 }
 
 /// Demand of the highest tiers far beyond capacity for a long time.
-fn crowded_by_high_tiers() -> Scenario {
+fn overloaded_by_high_tiers() -> Scenario {
     let mut scenario = quick();
     scenario.duration_seconds = 60.0;
     for load in &mut scenario.load {
@@ -127,7 +127,7 @@
 }
 
 /// A node that starts while the platform shows an old configuration.
-fn restart_before_a_stale_platform() -> Scenario {
+fn restart_with_stale_platform() -> Scenario {
     let mut scenario = quick();
     scenario.nodes_per_zone = vec![3, 3, 3];
     scenario.faults = vec![
@@ -140,41 +140,45 @@
 
 /// Each promise is broken when the rule that keeps it is left out, and holds with it.
 #[rstest]
-#[case::tier_order(quick(), Rule::TierOrder, Promise::TierInversion)]
-#[case::minimum_shares(crowded_by_high_tiers(), Rule::MinimumShares, Promise::Starvation)]
-#[case::token_order(abandoned_streams(), Rule::TokenOrder, Promise::WholeAnswer)]
-#[case::verdict(crashing_services(), Rule::VerdictCare, Promise::NotRunHolds)]
-#[case::verdict_repeats(crashing_services(), Rule::VerdictCare, Promise::AtMostOnce)]
-#[case::not_repeatable(crashing_services(), Rule::NotRepeatable, Promise::AtMostOnce)]
-#[case::leaving(leaving_engines(), Rule::LeavingList, Promise::LeavingBackEnd)]
-#[case::draining(restarts(), Rule::Draining, Promise::PlannedStop)]
+#[case::tier_order(quick(), Rule::TierOrder, Guarantee::TierInversion)]
+#[case::minimum_shares(overloaded_by_high_tiers(), Rule::MinimumShares, Guarantee::Starvation)]
+#[case::token_order(abandoned_streams(), Rule::TokenOrder, Guarantee::WholeAnswer)]
+#[case::verdict(crashing_services(), Rule::VerdictCare, Guarantee::NotRunHolds)]
+#[case::verdict_repeats(crashing_services(), Rule::VerdictCare, Guarantee::AtMostOnce)]
+#[case::not_repeatable(crashing_services(), Rule::NotRepeatable, Guarantee::AtMostOnce)]
+#[case::leaving(leaving_engines(), Rule::LeavingList, Guarantee::LeavingBackEnd)]
+#[case::draining(restarts(), Rule::Draining, Guarantee::PlannedStop)]
 #[case::in_force(
     configuration_changes(),
     Rule::Dissemination,
-    Promise::ConfigurationInForce
+    Guarantee::ConfigurationInForce
 )]
 #[case::reverts(
-    restart_before_a_stale_platform(),
+    restart_with_stale_platform(),
     Rule::AskingPeers,
-    Promise::ConfigurationReverts
+    Guarantee::ConfigurationReverts
 )]
-fn the_checker_bites(#[case] scenario: Scenario, #[case] rule: Rule, #[case] promise: Promise) {
-    let whole = run(&scenario, Policy::Eiderferry, 2);
-    assert_eq!(whole.violations, []);
-    let broken = run(&scenario, Policy::Without(rule), 2);
-    let fired = broken
+fn checker_detects_a_disabled_rule(
+    #[case] scenario: Scenario,
+    #[case] rule: Rule,
+    #[case] promise: Guarantee,
+) {
+    let complete = run(&scenario, Policy::Eiderferry, 2);
+    assert_eq!(complete.violations, []);
+    let without_rule = run(&scenario, Policy::Without(rule), 2);
+    let detected = without_rule
         .violations
         .iter()
         .any(|violation| violation.promise == promise);
     assert!(
-        fired,
+        detected,
         "without {rule:?} the checker saw only {:?}",
-        broken.violations
+        without_rule.violations
     );
 }
 
 #[test]
-fn a_rolling_restart_loses_nothing() {
+fn rolling_restart_loses_and_refuses_no_request() {
     let scenario = Scenario::load("rolling-restart").expect("built in");
     let report = run(&scenario, Policy::Eiderferry, 3);
     assert_eq!(report.violations, []);
@@ -184,7 +188,7 @@
 }
 
 #[test]
-fn a_cut_zone_goes_on_serving() {
+fn isolated_zone_keeps_serving() {
     let mut scenario = quick();
     for load in &mut scenario.load {
         load.rate.truncate(1);
