--- a/crates/lab/emulator/src/cache.rs
+++ b/crates/lab/emulator/src/cache.rs
@@ -1,26 +1,27 @@
-//! The prefix cache of an engine and the events it publishes.
+//! Prefix cache of an engine and the change events that it publishes.
 
 use eiderferry_admission::PrefixMark;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Events kept for readers that come late; older ones are a gap.
+/// Number of events kept for readers; a reader that is further behind is told of a gap.
 const MAX_EVENTS: usize = 1_024;
 
-/// A change of the cache.
+/// A change of the cache contents; carries the hash of the prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
     /// A prefix was stored.
     Stored(u32),
-    /// A prefix was dropped.
+    /// A prefix was evicted.
     Removed(u32),
 }
 
-/// Prompt prefixes in limited memory, least recently used first out.
+/// LRU cache of prompt prefixes, limited by their total number of tokens.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity_tokens: u64,
     used_tokens: u64,
     clock: u64,
+    /// Time of the last use and number of tokens, by prefix hash.
     entries: BTreeMap<u32, (u64, u32)>,
     by_last_use: BTreeMap<u64, u32>,
     events: VecDeque<(u64, CacheEvent)>,
@@ -28,7 +29,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Looks a prompt up and stores its prefixes; returns the tokens it held.
+    /// Stores the prefixes of a prompt and returns how many of its tokens were cached before.
     pub fn look_up_and_store(&mut self, prefixes: &[PrefixMark]) -> u32 {
         let cached_tokens = prefixes
             .iter()
@@ -88,12 +89,13 @@
         }
     }
 
-    /// Number of the last event.
+    /// Sequence number of the last event.
     pub fn last_event(&self) -> u64 {
         self.next_event
     }
 
-    /// Events after `cursor` up to `last`, and whether some are missing between.
+    /// Returns whether events after `cursor` are no longer kept, and the events after `cursor`
+    /// up to and including `last`.
     pub fn events_between(&self, cursor: u64, last: u64) -> (bool, Vec<CacheEvent>) {
         let oldest = self
             .events
--- a/crates/lab/emulator/src/engine.rs
+++ b/crates/lab/emulator/src/engine.rs
@@ -1,28 +1,29 @@
-//! A model engine with continuous batching.
+//! Model of an inference engine with continuous batching.
 
 use crate::{EngineTiming, PrefixCache};
 use eiderferry_admission::PrefixMark;
 use eiderferry_types::Span;
 use std::collections::BTreeMap;
 
-/// Number of a job within its engine.
+/// Identifier of a job within its engine.
 pub type JobId = u64;
 
-/// A request as the engine sees it.
+/// An inference request as submitted to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Smaller numbers go first.
+    /// Scheduling priority; smaller numbers are scheduled first.
     pub priority: u8,
-    /// Prompt length in tokens, with whatever part of the answer it continues.
+    /// Prompt length in tokens, including the part of the response that the job continues.
     pub prompt_tokens: u32,
-    /// Prefixes of the prompt, shortest first.
+    /// Cacheable prefixes of the prompt, shortest first.
     pub prefixes: Vec<PrefixMark>,
-    /// First answer token to produce: more than zero if the answer is continued.
+    /// Index of the first response token to generate; above zero for a resumed response.
     pub first_index: u32,
-    /// Answer length in tokens, counted from its very beginning.
+    /// Length of the complete response in tokens, including those before `first_index`.
     pub response_tokens: u32,
 }
 
+/// A job in the running batch.
 #[derive(Clone, Debug)]
 struct Sequence {
     job: Job,
@@ -31,47 +32,47 @@
     kv_tokens: u64,
 }
 
-/// A token that left the engine.
+/// A generated token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Emission {
-    /// Its job.
+    /// Job that the token belongs to.
     pub job: JobId,
-    /// Its place in the answer.
+    /// Index of the token in the response.
     pub index: u32,
-    /// Whether it is the last one.
+    /// Whether it is the last token of the response.
     pub last: bool,
 }
 
-/// What an engine is doing now.
+/// Current load of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Sequences in the batch.
+    /// Sequences in the running batch.
     pub running: u32,
-    /// Jobs waiting.
+    /// Queued jobs.
     pub waiting: u32,
-    /// KV tokens of the batch.
+    /// KV cache tokens held by the running batch.
     pub kv_tokens: u64,
 }
 
-/// A model engine; its caller keeps the time.
+/// A model engine without a clock: the caller waits for the duration of each step.
 #[derive(Clone, Debug)]
 pub struct Engine {
     timing: EngineTiming,
-    /// How many times slower than its timing the engine runs.
+    /// Factor by which each step takes longer than `timing` says.
     pub slow_factor: f64,
     next_job: JobId,
     waiting: BTreeMap<(u8, JobId), Job>,
     running: BTreeMap<JobId, Sequence>,
-    /// The prefix cache.
+    /// Prefix cache.
     pub cache: PrefixCache,
-    /// Answer tokens produced since the start.
+    /// Response tokens generated since the start.
     pub generated_tokens: u64,
     /// Prompt tokens prefilled since the start.
     pub prefilled_tokens: u64,
 }
 
 impl Engine {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(timing: EngineTiming) -> Self {
         Self {
             timing,
@@ -85,27 +86,27 @@
         }
     }
 
-    /// Takes in a job.
+    /// Queues a job.
     pub fn submit(&mut self, job: Job) -> JobId {
         self.next_job += 1;
         self.waiting.insert((job.priority, self.next_job), job);
         self.next_job
     }
 
-    /// Drops a job, wherever it stands. Returns whether it had been started.
+    /// Removes a queued or running job. Returns whether it was running.
     pub fn cancel(&mut self, id: JobId) -> bool {
         self.waiting.retain(|(_, waiting), _| *waiting != id);
         self.running.remove(&id).is_some()
     }
 
-    /// Loses all jobs and the cache, as a crash does.
+    /// Drops all jobs and the cache, as a crash does.
     pub fn crash(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.cache = PrefixCache::new(self.timing.prefix_cache_tokens);
     }
 
-    /// What the engine is doing now.
+    /// Returns the current load.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.len() as u32,
@@ -121,7 +122,8 @@
             .sum()
     }
 
-    /// Fills the batch and returns how long the next step takes; `None` if idle.
+    /// Fills the batch, prefills prompts in priority order and returns the duration of the
+    /// step; `None` if the engine is idle.
     pub fn begin_step(&mut self) -> Option<Span> {
         self.fill_batch();
         if self.running.is_empty() {
@@ -156,7 +158,7 @@
         Some(Span((microseconds as f64 * self.slow_factor) as u64))
     }
 
-    /// Ends the step: every prefilled sequence yields one token.
+    /// Completes the step: every fully prefilled sequence generates one token.
     pub fn end_step(&mut self) -> Vec<Emission> {
         let mut emissions = Vec::new();
         for (id, sequence) in &mut self.running {
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Out of KV memory: the least important sequence waits and is computed again.
+    /// While the batch exceeds the KV memory, moves the sequence of the lowest priority back to
+    /// the queue; its KV cache is computed again later.
     fn preempt_if_full(&mut self) {
         while self.running.len() > 1 && self.kv_in_use() > self.timing.kv_tokens {
             let victim = self
--- a/crates/lab/emulator/src/engine_server.rs
+++ b/crates/lab/emulator/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! An engine behind its wire protocol.
+//! HTTP server for an emulated engine that runs in real time.
 
 use crate::engine::{Emission, Engine, EngineLoad, Job, JobId};
 use crate::http::{Server, json, query_number, spawn};
@@ -15,9 +15,10 @@
 use trillium::{Conn, Handler, KnownHeaderName, Method, Status};
 use trillium_http::Body;
 
-/// Bytes that may wait for a slow reader of a stream.
+/// Capacity in bytes of the buffer between a token stream and its HTTP connection.
 const STREAM_BUFFER_BYTES: usize = 4 * 1024;
 
+/// Commands to the task that steps the engine.
 enum Command {
     Submit {
         job: Job,
@@ -34,14 +35,14 @@
     Stop,
 }
 
-/// Counters of an engine server.
+/// Counters of an engine server, read by other threads.
 #[derive(Debug, Default)]
 struct Counters {
     generated_tokens: AtomicU64,
     cancelled_jobs: AtomicU64,
 }
 
-/// A running engine.
+/// Handle of a running engine server.
 pub struct EngineServer {
     server: Server,
     commands: async_channel::Sender<Command>,
@@ -49,7 +50,7 @@
 }
 
 impl EngineServer {
-    /// Starts an engine whose load reports lag by `report_lag`.
+    /// Starts an engine server whose load reports are delayed by `report_lag`.
     pub fn start(
         address: SocketAddr,
         timing: EngineTiming,
@@ -78,39 +79,40 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Tokens generated since the start.
+    /// Number of tokens generated since the start.
     pub fn generated_tokens(&self) -> u64 {
         self.counters.generated_tokens.load(Ordering::Relaxed)
     }
 
-    /// Jobs cancelled since the start.
+    /// Number of jobs cancelled since the start.
     pub fn cancelled_jobs(&self) -> u64 {
         self.counters.cancelled_jobs.load(Ordering::Relaxed)
     }
 
-    /// Breaks all streams off and forgets everything; goes on taking requests.
+    /// Ends all streams without an end marker and drops all jobs and the cache; new requests
+    /// are still accepted.
     pub fn crash(&self) {
         let _ = self.commands.try_send(Command::Crash);
     }
 
-    /// Runs slower by this factor from now on.
+    /// Sets the factor by which steps take longer from now on.
     pub fn slow_down(&self, factor: f64) {
         let _ = self.commands.try_send(Command::SlowDown(factor));
     }
 
-    /// Ends the engine.
+    /// Stops the HTTP server and the engine.
     pub fn stop(&self) {
         self.server.stop();
         let _ = self.commands.try_send(Command::Stop);
     }
 }
 
-/// Past loads, so that reports can lag.
+/// Recent loads with the last cache event at that time, for delayed load reports.
 struct LoadHistory {
     lag: Duration,
     history: Vec<(Instant, EngineLoad, u64)>,
@@ -145,6 +147,7 @@
     }
 }
 
+/// Task that steps the engine in real time and handles commands.
 struct Driver {
     engine: Engine,
     commands: async_channel::Receiver<Command>,
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Handles commands until the step is over; false when told to stop.
+    /// Handles commands until the end of the step. Returns false if the engine was stopped.
     async fn wait_until(&mut self, end: Instant) -> bool {
         loop {
             let command = async { Some(self.commands.recv().await) };
@@ -374,8 +377,9 @@
     }
 }
 
-/// Writes tokens as they come; false if the reader went away. A channel that
-/// closes before the last token is a crash: the stream ends without its mark.
+/// Writes tokens as server-sent events. Returns false if the client disconnected. If the
+/// channel closes before the last token, the engine has crashed: the stream then ends without
+/// the end marker.
 async fn stream_tokens(
     tokens: async_channel::Receiver<Emission>,
     mut writer: piper::Writer,
--- a/crates/lab/emulator/src/http.rs
+++ b/crates/lab/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP servers share.
+//! Helpers shared by the emulated HTTP servers.
 
 use std::net::{SocketAddr, TcpListener};
 use trillium::{Conn, Handler, KnownHeaderName, Status};
@@ -11,7 +11,7 @@
 }
 
 impl Server {
-    /// Serves `handler` on `address`.
+    /// Binds `address` and serves `handler` on it.
     pub fn start(address: SocketAddr, handler: impl Handler) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
@@ -27,18 +27,18 @@
         })
     }
 
-    /// Takes no new connections.
+    /// Starts a graceful shutdown; new connections are no longer accepted.
     pub fn stop(&self) {
         drop(self.handle.shut_down());
     }
 }
 
-/// Runs a task on the servers' threads.
+/// Spawns a task on the servers' runtime.
 pub(crate) fn spawn(task: impl Future<Output = ()> + Send + 'static) {
     drop(SmolRuntime::default().spawn(task));
 }
 
-/// Answers with a JSON document.
+/// Responds with a JSON document.
 pub(crate) fn json(conn: Conn, document: &impl serde::Serialize) -> Conn {
     match serde_json::to_string(document) {
         Ok(text) => conn
@@ -51,7 +51,7 @@
     }
 }
 
-/// The number given as `name` in the query.
+/// Returns the numeric query parameter `name`, or 0 if it is missing or invalid.
 pub(crate) fn query_number(conn: &Conn, name: &str) -> u64 {
     let pairs = conn.querystring().split('&');
     let value = pairs
--- a/crates/lab/emulator/src/lib.rs
+++ b/crates/lab/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for everything the router meets: model engines, plain services and
-//! the platform's read-only service.
+//! Emulated peers of the router: model engines, plain HTTP services and the platform's
+//! read-only service.
 //!
-//! The engine model ([`Engine`]) does no I/O: the simulator steps it on a virtual
-//! clock, [`EngineServer`] steps it in real time behind its wire protocol.
+//! The engine model ([`Engine`]) does no I/O: the simulator steps it on a virtual clock, and
+//! [`EngineServer`] steps it in real time behind an HTTP interface.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lab/emulator/src/platform_server.rs
+++ b/crates/lab/emulator/src/platform_server.rs
@@ -1,4 +1,4 @@
-//! The platform's read-only service, and a hand to change what it serves.
+//! Emulation of the platform's read-only service; the served documents can be changed.
 
 use crate::http::{Server, query_number};
 use eiderferry_config::{Configuration, Directory, Versioned, pack_directory_version};
@@ -7,16 +7,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use trillium::{Conn, Handler, Status};
 
-/// What the platform serves now.
+/// Documents that the platform serves, and its availability.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformState {
-    /// Text of the configuration, as published.
+    /// Text of the published configuration.
     pub configuration: String,
     /// Version of the configuration.
     pub configuration_version: u64,
-    /// The list of machines.
+    /// Directory of entry nodes and back ends.
     pub directory: Directory,
-    /// Whether it answers nothing.
+    /// Whether every call is answered with 503 Service Unavailable.
     pub down: bool,
 }
 
@@ -26,14 +26,14 @@
     calls: AtomicU64,
 }
 
-/// A running platform service.
+/// Handle of a running platform service.
 pub struct PlatformServer {
     server: Server,
     shared: Arc<Shared>,
 }
 
 impl PlatformServer {
-    /// Starts a platform that serves these documents.
+    /// Starts a platform service that serves these documents.
     pub fn start(
         address: SocketAddr,
         configuration: &str,
@@ -47,18 +47,17 @@
         Ok(platform)
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Calls answered since the start.
+    /// Number of calls received since the start.
     pub fn calls(&self) -> u64 {
         self.shared.calls.load(Ordering::Relaxed)
     }
 
-    /// Serves another configuration. Its text may be invalid: the router's
-    /// business is to notice.
+    /// Serves another configuration. The text may be invalid; the router has to detect that.
     pub fn publish(&self, text: &str) {
         let version = Configuration::from_yaml("configuration", text).map_or_else(
             |_| self.version() + 1,
@@ -74,7 +73,7 @@
         self.lock().configuration_version
     }
 
-    /// Changes what is served.
+    /// Changes the served documents or the availability.
     pub fn update(&self, update: impl FnOnce(&mut PlatformState)) {
         update(&mut self.lock());
     }
--- a/crates/lab/emulator/src/service_server.rs
+++ b/crates/lab/emulator/src/service_server.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request was executed.
+//! Emulation of a plain HTTP service that counts how often each request was executed.
 
 use crate::http::{Server, json};
 use std::collections::BTreeMap;
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use trillium::{Conn, Handler, Status};
 
-/// Executions by the text of the request's body.
+/// Number of executions by request body.
 type Executions = Arc<Mutex<BTreeMap<String, u32>>>;
 
-/// A running service.
+/// Handle of a running service.
 pub struct ServiceServer {
     server: Server,
     executions: Executions,
 }
 
 impl ServiceServer {
-    /// Starts a service that takes `duration` for each call.
+    /// Starts a service that takes `duration` to execute a call.
     pub fn start(address: SocketAddr, duration: Duration) -> std::io::Result<Self> {
         let executions = Executions::default();
         let handler = ServiceHandler {
@@ -28,12 +28,12 @@
         Ok(Self { server, executions })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Executions by the text of the request's body.
+    /// Returns the number of executions by request body.
     pub fn executions(&self) -> BTreeMap<String, u32> {
         self.executions
             .lock()
@@ -41,7 +41,7 @@
             .clone()
     }
 
-    /// Takes no new connections.
+    /// Starts a graceful shutdown; new connections are no longer accepted.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/lab/emulator/src/text.rs
+++ b/crates/lab/emulator/src/text.rs
@@ -1,5 +1,5 @@
-//! The text of emulated answers: a function of the prompt, so that whoever knows
-//! the prompt can check an answer token by token.
+//! Text of emulated responses. It is derived from the prompt, so that a client that knows the
+//! prompt can check a response token by token.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -21,12 +21,12 @@
     "thrush",
     "north",
 ];
-/// Shortest answer when the request names no length.
+/// Minimum response length in tokens if the request states none.
 const MIN_RESPONSE_TOKENS: u64 = 20;
-/// Spread of answer lengths when the request names none.
+/// Number of different response lengths, in tokens, if the request states none.
 const RESPONSE_TOKENS_SPREAD: u64 = 100;
 
-/// Token number `index` of the answer to a prompt.
+/// Returns the text of token `index` of the response to a prompt.
 pub fn token_text(prompt: &str, index: u32) -> String {
     token_for_hash(xxh3_64(prompt.as_bytes()), index)
 }
@@ -37,7 +37,7 @@
     format!("{word}{index} ")
 }
 
-/// The whole answer to a prompt.
+/// Returns the complete response to a prompt, with the given number of tokens.
 pub fn response_text(prompt: &str, tokens: u32) -> String {
     let hash = xxh3_64(prompt.as_bytes());
     (0..tokens)
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// Answer length when the request names none.
+/// Returns the response length in tokens if the request states none.
 pub fn default_response_tokens(prompt: &str) -> u32 {
     let hash = xxh3_64(prompt.as_bytes());
     (MIN_RESPONSE_TOKENS + hash % RESPONSE_TOKENS_SPREAD) as u32
--- a/crates/lab/emulator/src/timing.rs
+++ b/crates/lab/emulator/src/timing.rs
@@ -1,24 +1,24 @@
-//! How fast an engine is.
+//! Speed and memory of an emulated engine.
 
 use serde::{Deserialize, Serialize};
 
-/// Timing and memory of a model engine.
+/// Step times and memory sizes of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineTiming {
-    /// Time of one step with an empty batch, in microseconds.
+    /// Fixed duration of a step, in microseconds.
     pub step_base_us: u64,
     /// Time that each decoding sequence adds to a step, in microseconds.
     pub step_per_sequence_us: u64,
     /// Time that each prefilled prompt token adds to a step, in microseconds.
     pub prefill_per_token_us: u64,
-    /// Prompt tokens prefilled in one step at the most.
+    /// Maximum number of prompt tokens prefilled per step.
     pub prefill_chunk_tokens: u32,
-    /// Sequences in the batch at the most.
+    /// Maximum number of sequences in the batch.
     pub maximum_batch: usize,
-    /// Tokens of KV cache for running sequences.
+    /// KV cache size for running sequences, in tokens.
     pub kv_tokens: u64,
-    /// Tokens of KV cache kept for prompt prefixes.
+    /// KV cache size for prompt prefixes, in tokens.
     pub prefix_cache_tokens: u64,
 }
 
