--- a/crates/lab/simulator/src/chaos.rs
+++ b/crates/lab/simulator/src/chaos.rs
@@ -1,25 +1,26 @@
-//! Random schedules of faults: singly, together, twice.
+//! Random fault schedules with single, simultaneous and repeated faults.
 
 use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The deployment and load under which faults are tried.
+/// Scenario with the deployment and load to which faults are added.
 const BASE_SCENARIO: &str = include_str!("../scenarios/chaos-base.yaml");
-/// First moment of a fault, in seconds: the fleet has come up by then.
+/// Earliest start of a fault, in seconds; the fleet is running by then.
 const FIRST_FAULT_SECONDS: f64 = 5.0;
-/// Last moment of a fault, in seconds.
+/// Latest start of a fault, in seconds.
 const LAST_FAULT_SECONDS: f64 = 40.0;
-/// Longest fault, in seconds.
+/// Maximum duration of a fault, in seconds.
 const MAX_FAULT_SECONDS: f64 = 12.0;
-/// Faults in one schedule.
+/// Number of faults in a schedule, without repetitions.
 const FAULT_COUNT: std::ops::RangeInclusive<u32> = 1..=8;
-/// Part of faults that come twice, and part that come together with another.
+/// Probability that a fault is repeated.
 const REPEAT_PROBABILITY: f64 = 0.25;
+/// Probability that a fault starts together with the previous one.
 const SIMULTANEOUS_PROBABILITY: f64 = 0.35;
 
-/// The schedule of one seed.
+/// Returns the chaos scenario of a seed.
 pub fn chaos_scenario(seed: u64) -> Result<Scenario, ScenarioError> {
     let mut scenario = Scenario::from_yaml("chaos-base", BASE_SCENARIO)?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x0063_6861_6f73);
--- a/crates/lab/simulator/src/checker.rs
+++ b/crates/lab/simulator/src/checker.rs
@@ -1,6 +1,7 @@
-//! The promises, checked against what the back ends executed and the callers got.
+//! Checks of the router's guarantees.
 //!
-//! Nothing here asks the decision code for its opinion.
+//! They rely only on what back ends executed and callers received, never on the state of the
+//! router's own decision code.
 
 use crate::requests::{RequestStatus, SimRequest};
 use crate::scenario::CallKey;
@@ -9,62 +10,64 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Time from the beginning of leaving within which new work may still handle_arrival.
+/// Time after a back end starts to leave during which new work may still reach it.
 const LEAVING_GRACE_PERIOD: Span = Span::from_milliseconds(5_000);
-/// Starts of lower tiers this shortly after a request's arrival were decided before.
+/// Starts of lower tiers within this time after a request began to wait were decided before.
 const INVERSION_SLACK: Span = Span::from_milliseconds(50);
-/// The same while messages get lost: a lost grant is asked for again after this
-/// time at the most, and the start follows its decision that much later.
+/// The same while messages are lost: a lost grant is requested again after at most this time,
+/// which delays the start after the decision by as much.
 const INVERSION_SLACK_WITH_LOSS: Span = Span::from_milliseconds(3_100);
-/// Violations of one promise kept in full; more are only counted.
+/// Maximum number of violations of a guarantee that are reported in full; others are counted.
 const MAX_REPORTED_VIOLATIONS: usize = 20;
 
-/// A promise.
+/// A guarantee that the router gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Guarantee {
     /// No request of a higher tier is shed to make room for a lower one.
     TierInversion,
-    /// No class with work gets less than its minimum share.
+    /// No class with waiting requests gets less than its minimum share.
     Starvation,
-    /// Each caller receives the whole answer to its own request.
+    /// Each caller receives the complete response to its own request.
     WholeAnswer,
-    /// What was called "not run" did not run.
+    /// A request refused with the verdict `not_run` was not executed.
     NotRunHolds,
-    /// A non-repeatable request runs at most once.
+    /// A non-repeatable request is executed at most once.
     AtMostOnce,
-    /// A leaving back end receives no new work.
+    /// A leaving back end receives no new requests.
     LeavingBackEnd,
-    /// A planned stop cuts off nothing.
+    /// A planned stop interrupts no request.
     PlannedStop,
-    /// A configuration comes into force everywhere.
+    /// A published configuration is applied on every node in time.
     ConfigurationInForce,
-    /// A configuration never reverts.
+    /// A node never goes back to an older configuration.
     ConfigurationReverts,
 }
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// Violated guarantee.
     pub promise: Guarantee,
-    /// When, in seconds.
+    /// Simulated time of the violation, in seconds.
     pub at_seconds: f64,
-    /// What was seen.
+    /// Description of what was observed.
     pub what: String,
 }
 
-/// Watches everything that back ends and callers see.
+/// Checks the guarantees against the events at back ends and callers.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     violations: Vec<Violation>,
     count: u64,
     counts: BTreeMap<Guarantee, usize>,
-    /// Last start outside minimum shares, per place and tier.
+    /// Time of the last start outside minimum shares, per zone, pool and tier.
     starts_outside_shares: BTreeMap<(ZoneId, PoolId, Tier), Timestamp>,
-    /// When messages between nodes were last being lost.
+    /// Last time at which messages between nodes were being lost.
     pub last_loss: Timestamp,
+    /// Process run and configuration version of each node.
     versions: BTreeMap<NodeId, (u32, u64)>,
+    /// Newest overdue version already reported for each node.
     reported_overdue: BTreeMap<NodeId, u64>,
 }
 
@@ -95,7 +98,7 @@
         self.count
     }
 
-    /// A back end took up a request.
+    /// Records that a back end started to execute a request.
     pub fn record_start(
         &mut self,
         now: Timestamp,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// A request was shed for want of capacity.
+    /// Checks that a request shed for lack of capacity was not passed over for a lower tier.
     pub fn check_shed(
         &mut self,
         now: Timestamp,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// A caller got a refusal.
+    /// Checks that a request refused as not run was not executed.
     pub fn check_refusal(
         &mut self,
         now: Timestamp,
@@ -169,27 +172,27 @@
         };
         if executions > 0 {
             let what = format!(
-                "request {request} was told not_run ({}) and had run {executions} times",
+                "request {request} was refused as not_run ({}) but had been executed {executions} times",
                 refusal.reason
             );
             self.add_violation(Guarantee::NotRunHolds, now, what);
         }
     }
 
-    /// A token reached a caller.
+    /// Checks that the token that reached a caller is the next one.
     pub fn check_token(&mut self, now: Timestamp, request: usize, expected: u32, index: u32) {
         if index != expected {
-            let what = format!("request {request} got token {index} where {expected} was due");
+            let what = format!("request {request} received token {index} instead of {expected}");
             self.add_violation(Guarantee::WholeAnswer, now, what);
         }
     }
 
-    /// A caller got the end of its answer.
+    /// Checks that a completed response is complete.
     pub fn check_completion(&mut self, now: Timestamp, request: usize, state: &SimRequest) {
         let complete = state.service.is_some() || state.progress.tokens() == state.response_tokens;
         if !complete {
             let what = format!(
-                "request {request} got {} of {} tokens",
+                "request {request} completed with {} of {} tokens",
                 state.progress.tokens(),
                 state.response_tokens
             );
@@ -197,27 +200,27 @@
         }
     }
 
-    /// Work reached a back end that is leaving.
+    /// Checks that no new work reaches a back end that started to leave at `since`.
     pub fn check_leaving(&mut self, now: Timestamp, back_end: usize, since: Timestamp) {
         let elapsed = now.since(since);
         if elapsed > LEAVING_GRACE_PERIOD {
             let what = format!(
-                "back end {back_end} got new work {:.1} s after it began to leave",
+                "back end {back_end} received new work {:.1} s after it started to leave",
                 elapsed.seconds()
             );
             self.add_violation(Guarantee::LeavingBackEnd, now, what);
         }
     }
 
-    /// A node's process ended as planned with this many requests open.
+    /// Checks that a planned stop left no request open.
     pub fn check_planned_stop(&mut self, now: Timestamp, node: NodeId, open: usize) {
         if open > 0 {
-            let what = format!("node {node} stopped as planned and cut off {open} requests");
+            let what = format!("planned stop of node {node} interrupted {open} requests");
             self.add_violation(Guarantee::PlannedStop, now, what);
         }
     }
 
-    /// A fresh node called itself ready.
+    /// Checks that a node that became ready is not behind the version `known` to its peers.
     pub fn check_readiness(&mut self, now: Timestamp, node: NodeId, version: u64, known: u64) {
         if version < known {
             let what = format!(
@@ -227,7 +230,7 @@
         }
     }
 
-    /// A node has this configuration in force; `due` must be in force by now.
+    /// Checks that the configuration version of a node does not go back and has reached `due`.
     pub fn check_version(
         &mut self,
         now: Timestamp,
@@ -247,12 +250,12 @@
         let reported = self.reported_overdue.entry(node).or_default();
         if version < due && *reported < due {
             *reported = due;
-            let what = format!("node {node} still has configuration {version}, {due} is overdue");
+            let what = format!("node {node} still uses configuration {version}; {due} is overdue");
             self.add_violation(Guarantee::ConfigurationInForce, now, what);
         }
     }
 
-    /// The run is over: what can only be told now.
+    /// Checks at the end of the run how often service calls were executed.
     pub fn finish(&mut self, requests: &[SimRequest]) {
         for (index, request) in requests.iter().enumerate() {
             let Some(call) = &request.service else {
@@ -260,13 +263,13 @@
             };
             if call.key != CallKey::Repeatable && request.executions > 1 {
                 let what = format!(
-                    "call {index} ({:?}) ran {} times; its caller saw {:?}",
+                    "call {index} ({:?}) was executed {} times; status for its caller: {:?}",
                     call.key, request.executions, request.status
                 );
                 self.add_violation(Guarantee::AtMostOnce, request.arrived, what);
             }
             if request.status == RequestStatus::Completed && request.executions == 0 {
-                let what = format!("call {index} was answered without having run");
+                let what = format!("call {index} completed without being executed");
                 self.add_violation(Guarantee::WholeAnswer, request.arrived, what);
             }
         }
@@ -274,8 +277,8 @@
 }
 
 impl World {
-    /// Checks new work against the leaving of its back end. A node that is cut off
-    /// from the platform and from every other zone can't know of it.
+    /// Checks new work for a back end that may be leaving. A node that reaches neither the
+    /// platform nor another zone cannot know of that and is exempt.
     pub fn check_leaving(&mut self, node: usize, back_end: usize) {
         let Some(since) = self.back_ends[back_end].leaving_since else {
             return;
--- a/crates/lab/simulator/src/entry_logic.rs
+++ b/crates/lab/simulator/src/entry_logic.rs
@@ -1,4 +1,4 @@
-//! The decision code of an entry node: ours, or a simple baseline.
+//! Routing logic of an entry node: the production state machine or a simple baseline.
 
 use eiderferry_admission::{CellPolicy, LoadReport};
 use eiderferry_config::{Directory, EntryState};
@@ -15,56 +15,57 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Who decides where requests go.
+/// Routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
-    /// This project.
+    /// The production state machine.
     Eiderferry,
-    /// This project without one rule, to measure what the rule is worth or to show
-    /// that the checker notices its absence.
+    /// The production state machine with one rule disabled, to measure the effect of the rule
+    /// or to show that the checker detects its absence.
     Without(Rule),
-    /// Any back end of the zone.
+    /// Random back end of the node's zone.
     Random,
-    /// Each back end of the zone in turn.
+    /// Round robin over the back ends of the node's zone.
     RoundRobin,
-    /// The back end of the zone with the least load by its lagging report.
+    /// Back end of the node's zone with the lowest load according to delayed reports.
     LeastLoaded,
-    /// One scheduler over all zones with exact and instant knowledge, also of
-    /// response lengths.
+    /// One scheduler over all zones with exact and immediate knowledge, including the response
+    /// lengths.
     Oracle,
 }
 
-/// A rule that can be left out.
+/// A rule of the router that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Higher tiers first.
+    /// Serve higher tiers first.
     TierOrder,
-    /// Minimum shares.
+    /// Guarantee each class its minimum share.
     MinimumShares,
-    /// Refusing at once what can't be met.
+    /// Refuse requests early if their deadline is unreachable.
     EarlyRefusal,
-    /// Preferring back ends that hold the prompt's prefix.
+    /// Prefer back ends that have the prompt's prefix cached.
     PrefixAffinity,
-    /// Giving slow back ends less.
+    /// Send fewer requests to slow back ends.
     SlowDetection,
-    /// Taking turns among tenants.
+    /// Share capacity fairly among tenants.
     TenantFairness,
-    /// Passing on only the next token of the current attempt.
+    /// Forward only the next token of the current attempt.
     TokenOrder,
-    /// Saying "not run" only when it is certain.
+    /// Give the verdict `not_run` only if the request was certainly not executed.
     VerdictCare,
-    /// Treating non-repeatable calls as such.
+    /// Execute non-repeatable calls at most once.
     NotRepeatable,
-    /// Heeding that a back end is leaving.
+    /// Send no new requests to leaving back ends.
     LeavingList,
-    /// Finishing requests before a planned stop.
+    /// Finish open requests before a planned stop.
     Draining,
-    /// Passing configurations on between nodes.
+    /// Disseminate configurations between nodes.
     Dissemination,
-    /// Taking newer configurations from peers on a fresh node.
+    /// Accept newer configurations from peers after a restart.
     AskingPeers,
 }
 
+/// Rules and the names of the policies that disable them.
 const RULE_NAMES: [(Rule, &str); 13] = [
     (Rule::TierOrder, "without-tier-order"),
     (Rule::MinimumShares, "without-minimum-shares"),
@@ -98,7 +99,7 @@
     }
 }
 
-/// A name that is no policy.
+/// Error for a name that is not a policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownPolicy(String);
 
@@ -135,7 +136,7 @@
 }
 
 impl Policy {
-    /// Rules of the cells under this policy.
+    /// Returns the admission rules of the cells under this policy.
     pub(crate) fn cell_policy(self) -> CellPolicy {
         let mut policy = CellPolicy::default();
         if let Policy::Without(rule) = self {
@@ -146,7 +147,7 @@
                 Rule::PrefixAffinity => policy.prefix_affinity = false,
                 Rule::SlowDetection => policy.slow_detection = false,
                 Rule::TenantFairness => policy.tenant_fairness = false,
-                // The others are left out by the simulated processes around it.
+                // The simulation disables the other rules outside the state machine.
                 _ => {}
             }
         }
@@ -154,11 +155,11 @@
     }
 }
 
-/// The decision code of one entry node.
+/// Routing logic of one entry node.
 pub(crate) enum EntryLogic {
     /// The production state machine.
     Node(Box<Node>),
-    /// A baseline.
+    /// A baseline router.
     Baseline(Box<BaselineRouter>),
 }
 
@@ -270,15 +271,16 @@
     }
 }
 
-/// Attempts of one request at the most.
+/// Maximum number of attempts per request.
 const BASELINE_MAX_ATTEMPTS: u8 = 3;
-/// Time between two reads of the directory.
+/// Interval between two reads of the directory.
 const BASELINE_READ_INTERVAL: Span = Span::from_milliseconds(1_000);
-/// Time between two polls of each back end.
+/// Interval between two polls of each back end.
 const BASELINE_POLL_INTERVAL: Span = Span::from_milliseconds(1_000);
-/// Validity of an order to send.
+/// Time for which a dispatch is valid.
 const BASELINE_DISPATCH_VALIDITY: Span = Span::from_milliseconds(60_000);
 
+/// A back end as listed in the directory, with its last reported load.
 struct BaselineBackEnd {
     pool: PoolId,
     zone: ZoneId,
@@ -287,13 +289,14 @@
     reported_load: u32,
 }
 
-/// A router that sends each request to a back end of its zone at once, which
-/// queues by tier itself.
+/// A router that immediately sends each request to a back end of its zone; the back ends
+/// queue requests by tier.
 pub(crate) struct BaselineRouter {
     policy: Policy,
     identity: Identity,
     rng: ChaCha8Rng,
     back_ends: BTreeMap<BackEndId, BaselineBackEnd>,
+    /// Submission, attempt number and number of delivered tokens by sequence number.
     requests: BTreeMap<u64, (Submission, u8, u32)>,
     next_sequence: u64,
     next_round_robin: usize,
--- a/crates/lab/simulator/src/event.rs
+++ b/crates/lab/simulator/src/event.rs
@@ -1,25 +1,25 @@
-//! What can handle_event.
+//! Events of the simulation.
 
 use crate::network::Destination;
 use eiderferry_node::{Dispatch, DocumentKind, Envelope, PlatformDocument};
 use eiderferry_types::{BackEndId, Timestamp};
 
-/// Something scheduled on the virtual clock.
+/// An event scheduled on the virtual clock.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// The next request of a load arrives.
+    /// The next model request of a load arrives.
     Arrival { load: usize },
     /// The next call of a service load arrives.
     ServiceArrival { load: usize },
-    /// A caller tries a service call at another node.
+    /// A caller retries a service call at another node.
     ServiceRetry { request: usize },
-    /// A caller gives up waiting for the first token.
+    /// A caller's timeout for the first token expires.
     FirstTokenTimeout { request: usize },
-    /// A caller tries another node because one took no connection.
+    /// A caller tries another node after one refused the connection or the request.
     RetryAtNextNode { request: usize },
-    /// Messages reach a node.
+    /// An envelope of messages reaches a node.
     Deliver { to: Destination, envelope: Envelope },
-    /// A node's regular work.
+    /// A node runs its periodic work.
     Tick { node: usize, run: u32 },
     /// A node's process sends a request to a back end.
     SendToBackEnd {
@@ -33,19 +33,19 @@
         run: u32,
         dispatch: Dispatch,
     },
-    /// A caller's request reaches a node that had been paused.
+    /// A node that was paused receives a caller's request.
     ReceiveRequest {
         request: usize,
         node: usize,
         run: u32,
     },
-    /// A node looks whether a stream has stood still since then.
+    /// A node checks whether a stream has stalled since then.
     StallCheck {
         request: usize,
         attempt: u8,
         since: Timestamp,
     },
-    /// A node learns that an attempt has broken off.
+    /// A node learns that an attempt failed, after or without a connection.
     AttemptFailed {
         request: usize,
         attempt: u8,
@@ -53,14 +53,14 @@
     },
     /// An engine's step ends.
     StepEnd { engine: usize, run: u32 },
-    /// Tokens reach a node that had been paused.
+    /// A node that was paused receives a token.
     DeferredToken {
         request: usize,
         attempt: u8,
         index: u32,
         last: bool,
     },
-    /// A service call has been executed and its response leaves.
+    /// A service has executed a call and responds.
     ServiceCompleted {
         request: usize,
         attempt: u8,
@@ -74,7 +74,7 @@
         kind: DocumentKind,
         response: Result<Option<PlatformDocument>, ()>,
     },
-    /// A node asks a back end for its load.
+    /// A node's poll of the load reaches a back end.
     Poll {
         node: usize,
         run: u32,
@@ -85,8 +85,8 @@
     FaultStart { fault: usize },
     /// A fault ends.
     FaultEnd { fault: usize },
-    /// A dead machine disappears from the platform's list, if it is still dead.
+    /// The platform removes a dead node from the directory, unless it has restarted.
     Delist { node: usize, run: u32 },
-    /// Figures are sampled.
+    /// Metrics are sampled.
     Sample,
 }
--- a/crates/lab/simulator/src/faults.rs
+++ b/crates/lab/simulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carrying out faults.
+//! Fault injection.
 
 use crate::entry_logic::EntryLogic;
 use crate::scenario::{Fault, FaultKind};
@@ -50,7 +50,7 @@
                 self.platform
                     .publish(self.now, |document| document.classes.clear());
                 let classes = self.configuration.classes.clone();
-                // The next valid version follows at once, as an operator would mend it.
+                // A valid version follows immediately, as if an operator had corrected it.
                 self.platform
                     .publish(self.now, |document| document.classes = classes);
             }
@@ -106,8 +106,8 @@
         self.shares.recount(self.now, &self.back_ends);
     }
 
-    /// Remembers which zones a fault touches: while they are disturbed, and for a
-    /// while after, some promises are limited there.
+    /// Marks the zones that a fault affects as disturbed: during the fault and for some time
+    /// after it, some guarantees are restricted there.
     fn mark_disturbed_zones(&mut self, fault: &Fault) {
         match fault.kind {
             FaultKind::ZoneCut { zone } | FaultKind::PlatformCut { zone } => {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Whether a zone is, or lately was, is_affected by a fault.
+    /// Whether a zone is, or recently was, affected by a fault.
     pub fn is_zone_disturbed(&self, zone: ZoneId) -> bool {
         self.shares.is_disturbed(zone, self.now)
     }
@@ -153,8 +153,8 @@
         back_end as usize % self.back_ends.len()
     }
 
-    /// Starts a node's process again. One that is still finishing requests after a
-    /// planned stop is left alone and taken back into service.
+    /// Restarts a node's process. A process that is still finishing requests before a planned
+    /// stop keeps running and is put back into service.
     fn restart_node(&mut self, index: usize) {
         let now = self.now;
         if let Some(node) = self.nodes[index]
@@ -208,7 +208,7 @@
         self.stall_streams_where(crosses_cut, true);
     }
 
-    /// Streams that get nothing any more are taken for broken after a while.
+    /// Schedules stall checks for the affected streams; if `permanent`, they never resume.
     fn stall_streams_where(&mut self, is_affected: impl Fn(usize, usize) -> bool, permanent: bool) {
         let mut stalled = BTreeSet::new();
         for request in &self.metrics.open_requests {
@@ -227,7 +227,7 @@
     }
 
     fn change_configuration(&mut self) {
-        // A change that shows in the version and in one value, and harms nothing.
+        // The change affects only the version and one value without consequences.
         self.platform.publish(self.now, |document| {
             if let Some(class) = document.classes.last_mut() {
                 class.assumed_answer_tokens += 1;
--- a/crates/lab/simulator/src/lib.rs
+++ b/crates/lab/simulator/src/lib.rs
@@ -1,9 +1,9 @@
 //! Deterministic simulation of a whole fleet on a virtual clock.
 //!
-//! The production state machine ([`eiderferry_node::Node`]) runs unchanged; the
-//! network, the engines, the services, the platform, the callers and the faults
-//! are simulated around it. The same scenario, policy and seed give the same
-//! trace, and [`Report::trace_hash`] proves it.
+//! The production state machine ([`eiderferry_node::Node`]) runs unchanged; the network, the
+//! engines, the services, the platform, the callers and the faults are simulated around it.
+//! The same scenario, policy and seed give the same trace, identified by
+//! [`Report::trace_hash`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/lab/simulator/src/metrics.rs
+++ b/crates/lab/simulator/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Figures per class.
+//! Metrics per request class.
 
 use crate::requests::{RequestStatus, SimRequest};
 use eiderferry_config::Configuration;
 use eiderferry_types::{ClassId, Reason, Span, Tier, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Figures of one class as they come in.
+/// Metrics of one request class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassMetrics {
     pub name: String,
@@ -23,10 +23,10 @@
     pub attained_tokens: u64,
 }
 
-/// Figures of all classes.
+/// Metrics of all request classes.
 pub(crate) struct Metrics {
     pub classes: BTreeMap<ClassId, ClassMetrics>,
-    /// Requests whose status is not known yet.
+    /// Indices of the requests without an outcome.
     pub open_requests: BTreeSet<usize>,
     pub relayed_tokens: u64,
 }
@@ -103,7 +103,7 @@
     }
 }
 
-/// The value below which `part` of the values lie, in milliseconds.
+/// Returns a quantile of the values, in milliseconds; sorts them.
 pub(crate) fn quantile_ms(values: &mut [Span], quantile: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
--- a/crates/lab/simulator/src/network.rs
+++ b/crates/lab/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between machines: latency, losses and cuts.
+//! Simulated network with latency, message loss and partitions.
 
 use crate::scenario::NetworkPlan;
 use eiderferry_types::{NodeId, Span, Timestamp, ZoneId};
@@ -6,18 +6,19 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Receiver of a message: a node, by its number.
+/// Receiver of a message.
 pub(crate) type Destination = NodeId;
 
 /// State of the network.
 pub(crate) struct Network {
     plan: NetworkPlan,
-    /// Cuts in force, counted per zone: a zone with any loses all others.
+    /// Number of active cuts per zone; a zone with any cut reaches no other zone.
     zone_cut_counts: BTreeMap<ZoneId, u32>,
+    /// Number of active cuts between each zone and the platform.
     platform_cut_counts: BTreeMap<ZoneId, u32>,
-    /// When a zone last had neither the platform nor another zone.
+    /// Last time at which a zone reached neither the platform nor another zone.
     last_isolated: BTreeMap<ZoneId, Timestamp>,
-    /// Part of messages lost, and of messages doubled, on top of the plan.
+    /// Additional probability that a message is lost, and likewise that it is duplicated.
     pub extra_loss: f64,
 }
 
@@ -40,7 +41,7 @@
         adjust_count(&mut self.platform_cut_counts, zone, delta);
     }
 
-    /// Notes which zones have neither the platform nor another zone now.
+    /// Records which zones currently reach neither the platform nor another zone.
     pub fn record_isolation(&mut self, now: Timestamp) {
         let cut_zones: Vec<ZoneId> = self.zone_cut_counts.keys().copied().collect();
         for zone in cut_zones {
@@ -50,24 +51,24 @@
         }
     }
 
-    /// Whether a zone is isolated, or was within `span`.
+    /// Whether a zone was isolated within the last `span`.
     pub fn is_isolated(&self, zone: ZoneId, now: Timestamp, span: Span) -> bool {
         let last = self.last_isolated.get(&zone);
         last.is_some_and(|last| now.since(*last) < span)
     }
 
-    /// Whether two zones reach each other.
+    /// Whether two zones can reach each other.
     pub fn are_connected(&self, left: ZoneId, right: ZoneId) -> bool {
         left == right
             || (!is_cut(&self.zone_cut_counts, left) && !is_cut(&self.zone_cut_counts, right))
     }
 
-    /// Whether a zone reaches the platform.
+    /// Whether a zone can reach the platform.
     pub fn reaches_platform(&self, zone: ZoneId) -> bool {
         !is_cut(&self.platform_cut_counts, zone)
     }
 
-    /// One way between two zones.
+    /// Samples the one-way latency between two zones.
     pub fn latency(&self, rng: &mut ChaCha8Rng, left: ZoneId, right: ZoneId) -> Span {
         let base = if left == right {
             self.plan.zone_latency_us
@@ -78,7 +79,7 @@
         Span(base + jitter)
     }
 
-    /// How many copies of a message handle_arrival.
+    /// Samples how many copies of a message are delivered.
     pub fn delivered_copies(&self, rng: &mut ChaCha8Rng) -> u32 {
         let loss = self.plan.loss + self.extra_loss;
         let duplicate = self.plan.duplicate + self.extra_loss;
--- a/crates/lab/simulator/src/nodes.rs
+++ b/crates/lab/simulator/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Entry nodes' processes: start, death, pause, and carrying out what the
-//! decision code wants.
+//! Simulated processes of entry nodes: start, crash, pause, and the outputs of their routing
+//! logic.
 
 use crate::entry_logic::{EntryLogic, Rule};
 use crate::event::Event;
@@ -14,32 +14,34 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// From a decision to the bytes leaving the process.
+/// Delay between a decision and sending the request.
 const SEND_DELAY: Span = Span(50);
-/// Time after which a connection attempt to a cut-off machine fails.
+/// Time after which connecting to an unreachable machine fails.
 const CONNECT_TIMEOUT: Span = Span::from_milliseconds(1_000);
-/// Time for the platform to response.
+/// Response time of the platform.
 const PLATFORM_LATENCY: Span = Span::from_milliseconds(3);
 /// Time after which a read of an unreachable platform fails.
 const PLATFORM_TIMEOUT: Span = Span::from_milliseconds(2_000);
-/// Messages in one envelope at the most.
+/// Maximum number of messages in an envelope.
 const MESSAGES_PER_ENVELOPE: usize = 24;
 
-/// A number as large as those of real processes, so that messages are as long.
+/// Returns the incarnation of a process run. It is as large as that of a real process, so that
+/// encoded messages have a realistic length.
 fn incarnation_for_run(run: u32) -> Incarnation {
     const FIRST_INCARNATION: u64 = 580_000_000;
     Incarnation(FIRST_INCARNATION + u64::from(run))
 }
 
-/// An entry node's machine.
+/// A simulated entry node.
 pub(crate) struct SimNode {
     pub id: NodeId,
     pub zone: ZoneId,
+    /// Routing logic; `None` while the process is down.
     pub logic: Option<EntryLogic>,
-    /// Counts the runs of its process.
+    /// Number of times the process has been started; events of earlier runs are ignored.
     pub run: u32,
     pub paused_until: Timestamp,
-    /// Since when the process is down, or does not response health checks.
+    /// Time since which the process is down or fails health checks.
     pub unhealthy_since: Option<Timestamp>,
     pub draining_since: Option<Timestamp>,
     pub started_at: Timestamp,
@@ -81,7 +83,7 @@
     }
 }
 
-/// Makes leaving back ends look as if they stayed.
+/// Changes the state of all back ends in a directory to live, which hides those that leave.
 fn list_leaving_as_live(response: &mut Result<Option<PlatformDocument>, ()>) {
     if let Ok(Some(PlatformDocument::Directory(directory))) = response {
         for entry in &mut directory.back_ends {
@@ -91,7 +93,7 @@
 }
 
 impl World {
-    /// Starts a node's process, empty.
+    /// Starts a node's process without any state.
     pub fn start_node(&mut self, index: usize) {
         let now = self.now;
         let seed = self.rng.random();
@@ -113,7 +115,7 @@
         self.schedule(offset, Event::Tick { node: index, run });
     }
 
-    /// The process is gone, with everything it knew.
+    /// Ends a node's process, which loses its state and breaks its connections.
     pub fn kill_node(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The entry node of a request died: the caller's connection breaks.
+    /// Handles the loss of a request's entry node: the caller retries or the request is lost.
     fn handle_lost_entry_node(&mut self, request: usize) {
         self.cancel_job(request);
         self.requests[request].attempt = None;
@@ -151,7 +153,7 @@
         self.nodes[index].logic.is_some() && self.nodes[index].run == run
     }
 
-    /// Puts an event off until the node's process wakes up.
+    /// Reschedules an event for the end of the node's pause.
     pub fn defer_event(&mut self, index: usize, event: Event) {
         let delay = self.now.until(self.nodes[index].paused_until);
         self.schedule(delay, event);
@@ -202,7 +204,7 @@
         self.process_outputs(index);
     }
 
-    /// Carries out what a node's decision code wants.
+    /// Processes the outputs of a node's routing logic.
     pub fn process_outputs(&mut self, index: usize) {
         let run = self.nodes[index].run;
         let Some(logic) = &mut self.nodes[index].logic else {
@@ -290,7 +292,7 @@
         }
     }
 
-    /// The node's process opens a connection to a back end, if the order still holds.
+    /// Connects to a back end for a dispatch, unless the dispatch has expired.
     pub fn send_to_back_end(&mut self, index: usize, run: u32, dispatch: Dispatch) {
         if !self.is_running(index, run) {
             return;
@@ -339,7 +341,7 @@
             self.schedule(latency, event);
             return;
         }
-        // Opening the connection takes a way there and back before the request's own.
+        // Opening the connection takes a round trip before the request itself is sent.
         self.schedule(
             Span(latency.0 * 3),
             Event::ReachBackEnd {
@@ -350,7 +352,7 @@
         );
     }
 
-    /// A node's process notices that an attempt has broken off.
+    /// Handles a failed attempt at its node, if it is the current attempt.
     pub fn handle_attempt_failure(&mut self, request: usize, attempt: u8, connected: bool) {
         let Some(index) = self.requests[request].node else {
             return;
@@ -406,7 +408,7 @@
         );
     }
 
-    /// Tells the entry node's decision code how an attempt ended.
+    /// Reports the end of an attempt to the entry node's routing logic.
     pub fn report_attempt_end(&mut self, request: usize, attempt: u8, end: AttemptEnd) {
         let now = self.now;
         let (Some(index), Some(id)) = (self.requests[request].node, self.requests[request].id)
@@ -488,7 +490,7 @@
         }
     }
 
-    /// A planned stop begins.
+    /// Starts a planned stop of a node.
     pub fn drain_node(&mut self, index: usize) {
         let now = self.now;
         if self.is_disabled(Rule::Draining) {
@@ -509,7 +511,7 @@
         self.process_outputs(index);
     }
 
-    /// A planned stop ends when nothing is left to finish.
+    /// Completes a planned stop once no request is left to finish.
     fn complete_planned_stop(&mut self, index: usize) {
         let node = &self.nodes[index];
         let drained = node
@@ -548,7 +550,8 @@
         self.nodes[index].was_ready = true;
     }
 
-    /// The newest configuration that a reachable node of the zone has had for a while.
+    /// Returns the oldest configuration version among the ready nodes of the zone that started
+    /// earlier and are not paused.
     fn version_known_to_zone_peers(&self, index: usize) -> u64 {
         let zone = self.nodes[index].zone;
         let started = self.nodes[index].started_at;
@@ -564,7 +567,7 @@
             .unwrap_or(0)
     }
 
-    /// Checks that versions grow and that published ones come into force.
+    /// Checks that configuration versions never decrease and that published ones are applied.
     pub fn check_versions(&mut self) {
         for index in 0..self.nodes.len() {
             let node = &self.nodes[index];
--- a/crates/lab/simulator/src/oracle.rs
+++ b/crates/lab/simulator/src/oracle.rs
@@ -1,8 +1,9 @@
-//! The bound: one scheduler over all zones with exact and instant knowledge.
+//! Oracle policy: one scheduler over all zones with exact and immediate knowledge, as an upper
+//! bound.
 //!
-//! It uses the production cell, but a single one per pool for all zones, asked
-//! without delay, told the true length of each answer, and told at once of every
-//! back end that goes or comes.
+//! It uses the production admission cell, but a single one per pool for all zones. The cell is
+//! called without delay, knows the true length of each response, and learns at the next sample
+//! of every back end that joins or leaves.
 
 use crate::engines::SimBackEnd;
 use crate::event::Event;
@@ -16,12 +17,12 @@
 };
 use std::collections::BTreeMap;
 
-/// From a decision to the request's arrival at the back end.
+/// Delay between a decision and the arrival of the request at the back end.
 const ORACLE_LATENCY: Span = Span(500);
-/// Attempts of one request at the most.
+/// Maximum number of attempts per request.
 const ORACLE_MAX_ATTEMPTS: u8 = 4;
 
-/// One cell per pool.
+/// One admission cell per pool.
 pub(crate) struct Oracle {
     cells: BTreeMap<PoolId, Cell>,
 }
@@ -40,7 +41,7 @@
         let mut cells = BTreeMap::new();
         let mut configuration = configuration.clone();
         for class in &mut configuration.classes {
-            // The true length is part of each ask.
+            // Each ask already contains the true response length.
             class.assumed_answer_tokens = 0;
         }
         for pool in &configuration.pools {
@@ -58,6 +59,7 @@
     }
 }
 
+/// Identifier, slots and KV tokens of a back end, and whether it is unusable.
 type Member = (eiderferry_types::BackEndId, u32, u64, bool);
 
 fn cell_members(
--- a/crates/lab/simulator/src/platform.rs
+++ b/crates/lab/simulator/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's read-only service: lagging lists, staleness, outages.
+//! Simulated read-only service of the platform with delayed directories, stale documents and
+//! outages.
 
 use crate::engines::SimBackEnd;
 use crate::nodes::SimNode;
@@ -7,22 +8,22 @@
 use eiderferry_node::{DocumentKind, PlatformDocument};
 use eiderferry_types::{BackEndId, NodeId, Span, Timestamp};
 
-/// Time within which a published configuration must be in force.
+/// Time after publication by which a configuration must be applied on every node.
 const CONFIGURATION_DEADLINE: Span = Span::from_milliseconds(14_000);
 
-/// The platform with the history of what it serves.
+/// The platform with the history of its documents.
 pub(crate) struct SimPlatform {
     directories: Vec<(Timestamp, Directory)>,
     configurations: Vec<(Timestamp, Configuration)>,
-    /// Outages in force.
+    /// Number of active outages.
     pub outage_count: u32,
-    /// Ages in force at which it serves what it served then.
+    /// Ages of the active staleness faults; the highest one applies.
     pub stale_ages: Vec<Span>,
-    /// When it last was down or stale.
+    /// Last time at which an outage, staleness or message loss ended.
     pub last_disturbed: Timestamp,
-    /// Calls, whether answered or not.
+    /// Number of calls, including those that failed.
     pub calls: u64,
-    /// When each configuration became due everywhere.
+    /// Publication time and version of each valid configuration.
     published_versions: Vec<(Timestamp, u64)>,
 }
 
@@ -81,7 +82,7 @@
         });
     }
 
-    /// Publishes a changed configuration; returns its version.
+    /// Publishes a changed configuration and returns its version.
     pub fn publish(&mut self, now: Timestamp, change: impl FnOnce(&mut Configuration)) -> u64 {
         let Some((_, last)) = self.configurations.last() else {
             return 0;
@@ -97,7 +98,7 @@
         version
     }
 
-    /// What a read gets.
+    /// Reads a document; `Ok(None)` if none newer than `known_version` is served.
     pub fn read(
         &self,
         now: Timestamp,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The newest version that must be in force everywhere by now.
+    /// Returns the newest configuration version that must be applied on every node by now.
     pub fn due_configuration_version(&self, now: Timestamp, undisturbed: bool) -> u64 {
         if !undisturbed || now.since(self.last_disturbed) < CONFIGURATION_DEADLINE {
             return 0;
@@ -138,13 +139,13 @@
             .unwrap_or(0)
     }
 
-    /// Whether it serves the present state.
+    /// Whether no outage or staleness fault is active.
     pub fn is_undisturbed(&self) -> bool {
         self.outage_count == 0 && self.stale_ages.is_empty()
     }
 }
 
-/// The last document from a time at or before `moment`, or the first one.
+/// Returns the last document published at or before `cutoff`, or the first one.
 fn document_at<Document>(
     history: &[(Timestamp, Document)],
     cutoff: Timestamp,
--- a/crates/lab/simulator/src/report.rs
+++ b/crates/lab/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of one run.
+//! Results of a simulation run.
 
 use crate::checker::Violation;
 use crate::metrics::quantile_ms;
@@ -6,72 +6,72 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Figures of one class.
+/// Results of one request class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// Name.
+    /// Name of the class.
     pub class: String,
     /// Tier; 1 is the highest.
     pub tier: u8,
-    /// Requests whose status is known, and those already late.
+    /// Requests with an outcome, and open ones that have missed their first-token target.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub completed: u64,
     /// Refusals.
     pub refused: u64,
-    /// Requests whose entry node died.
+    /// Requests lost with their entry node.
     pub lost: u64,
-    /// Callers who gave up waiting.
+    /// Requests whose caller timed out waiting for the first token.
     pub hung_up: u64,
-    /// Part of the requests answered within both targets.
+    /// Fraction of the requests completed within both latency targets.
     pub attainment: f64,
-    /// Median time to the first token.
+    /// Median time to the first token, in milliseconds.
     pub first_token_p50_ms: f64,
-    /// 95th percentile of the time to the first token.
+    /// 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms: f64,
-    /// 95th percentile of the mean time between tokens.
+    /// 95th percentile of the mean time between tokens, in milliseconds.
     pub per_token_p95_ms: f64,
-    /// Smallest part of its guaranteed slots in a window with work; `None` if it
-    /// never had work for a whole window.
+    /// Smallest fraction of its guaranteed slots that the class used in a window with waiting
+    /// requests throughout; `None` without such a window.
     pub minimum_share_met: Option<f64>,
     /// Refusals by reason.
     pub reasons: BTreeMap<&'static str, u64>,
 }
 
-/// Figures of a run.
+/// Results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// Who decided.
+    /// Name of the policy.
     pub policy: String,
-    /// Seed.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Per class, highest tier first.
+    /// Results per request class, highest tier first.
     pub classes: Vec<ClassReport>,
-    /// Answer tokens within targets, per second.
+    /// Tokens of responses that met both targets, per second.
     pub goodput_tokens_per_second: f64,
-    /// Answer tokens of whole answers, per second.
+    /// Tokens of completed responses per second.
     pub delivered_tokens_per_second: f64,
-    /// Part of the generated tokens that reached no caller in a whole answer.
+    /// Fraction of the generated tokens that belong to no completed or open response.
     pub wasted_fraction: f64,
-    /// Prompt tokens prefilled, per second.
+    /// Prefilled prompt tokens per second.
     pub prefilled_tokens_per_second: f64,
-    /// Bytes of control messages that a node sent, on average.
+    /// Mean bytes of control messages sent per second and node.
     pub control_bytes_per_second_per_node: f64,
-    /// Bytes of control messages that the busiest node sent.
+    /// Bytes of control messages sent per second by the busiest node.
     pub control_bytes_per_second_busiest: f64,
-    /// Datagrams of control messages that a node sent, on average.
+    /// Mean number of control datagrams sent per second and node.
     pub control_messages_per_second_per_node: f64,
-    /// Calls to the platform.
+    /// Calls to the platform per second, from all nodes.
     pub platform_calls_per_second: f64,
-    /// Faults injected, by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<&'static str, u32>,
-    /// Broken promises; at most 20 of each in full.
+    /// Violated guarantees; at most 20 violations of each.
     pub violations: Vec<Violation>,
-    /// Number of broken promises.
+    /// Total number of violations.
     pub violation_count: u64,
-    /// Hash of everything that happened.
+    /// Hash of the trace of the run, in hexadecimal.
     pub trace_hash: String,
 }
 
@@ -132,8 +132,8 @@
     }
 }
 
-/// Requests still open that are late already, per class, and the tokens that open
-/// requests have received.
+/// Returns the number of open requests that have missed their first-token target, per class,
+/// and the number of tokens delivered to open requests.
 fn late_and_open_tokens(world: &World) -> (BTreeMap<u8, u64>, u64) {
     let mut late = BTreeMap::new();
     let mut tokens = 0;
--- a/crates/lab/simulator/src/requests.rs
+++ b/crates/lab/simulator/src/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests and what the callers see.
+//! Simulated requests as seen by their callers.
 
 use crate::scenario::CallKey;
 use eiderferry_admission::{Observation, Outcome, PrefixMark};
@@ -7,22 +7,22 @@
 use eiderferry_once::KeyName;
 use eiderferry_types::{ClassId, PoolId, RequestId, Span, TenantId, Timestamp, ZoneId};
 
-/// What became of a request, as its caller sees it.
+/// Status of a request as seen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestStatus {
-    /// Not known yet.
+    /// No outcome yet.
     Open,
-    /// The whole answer came.
+    /// The complete response arrived.
     Completed,
-    /// Refused, or ended with a verdict.
+    /// Refused, or ended by the router with a verdict.
     Refused,
-    /// The entry node died.
+    /// The entry node was lost, or no node accepted the request.
     Lost,
-    /// The caller gave up waiting.
+    /// The caller timed out waiting for the first token.
     HungUp,
 }
 
-/// A plain service call's own data.
+/// Data of a request that is a call to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceCall {
     pub key: CallKey,
@@ -31,7 +31,7 @@
     pub service_time: Span,
 }
 
-/// An attempt that runs on a back end, as the entry node's process sees it.
+/// An attempt in progress on a back end, as seen by the entry node.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub number: u8,
@@ -42,7 +42,7 @@
     pub first_token: Option<Timestamp>,
     pub last_token: Timestamp,
     pub tokens: u32,
-    /// Cut off from its engine: nothing arrives any more.
+    /// Whether the connection to the back end is cut, so that no more tokens arrive.
     pub stalled: bool,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// A request with everything the world knows of it.
+/// A request with its complete simulated state.
 #[derive(Clone, Debug)]
 pub(crate) struct SimRequest {
     pub class: ClassId,
@@ -71,37 +71,39 @@
     pub pool: PoolId,
     pub prompt_tokens: u32,
     pub prefixes: Vec<PrefixMark>,
-    /// True answer length; no node knows it.
+    /// True response length in tokens, which no node knows.
     pub response_tokens: u32,
     pub arrived: Timestamp,
     pub first_token_target: Span,
     pub per_token_target: Span,
     pub service: Option<ServiceCall>,
-    /// Where it was handed in last.
+    /// Index of the node that it was last sent to.
     pub node: Option<usize>,
     pub node_run: u32,
     pub id: Option<RequestId>,
-    /// Whether a node has it: not between two tries of its caller.
+    /// Whether a node holds the request; false between two attempts of the caller.
     pub at_node: bool,
+    /// Time at which it was last sent to a node.
     pub sent_at: Timestamp,
-    /// Since when it has no attempt under way.
+    /// Time since which it has been waiting for an attempt.
     pub waiting_since: Timestamp,
+    /// Number of times the caller tried to send it to a node.
     pub send_count: u32,
     pub attempt: Option<Attempt>,
     pub progress: ResponseProgress,
     pub first_token: Option<Timestamp>,
     pub last_token: Timestamp,
     pub status: RequestStatus,
-    /// Times a back end took it up, over all hand-ins.
+    /// Number of executions started by back ends.
     pub executions: u32,
-    /// Times a back end took up the last hand-in.
+    /// Number of executions started since it was last sent to a node.
     pub executions_since_send: u32,
-    /// Zones whose cells refused or kept it: for explaining violations.
+    /// Zone of the node that it was last sent to.
     pub zone: ZoneId,
 }
 
 impl SimRequest {
-    /// A request that arrives now and has not been handed to any node.
+    /// Creates a request that arrives now and has not been sent to a node.
     pub fn new(now: Timestamp, class: &Class, tenant: TenantId, pool: PoolId) -> Self {
         Self {
             class: class.id,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Whether both targets were met.
+    /// Whether the response was completed within both latency targets.
     pub fn met_targets(&self) -> bool {
         let Some(first) = self
             .first_token
@@ -145,13 +147,13 @@
         first.since(self.arrived) <= self.first_token_target && per_token <= self.per_token_target
     }
 
-    /// Whether the first token is late by now.
+    /// Whether the first token missed its target or is overdue.
     pub fn is_late(&self, now: Timestamp) -> bool {
         let first = self.first_token.unwrap_or(now);
         first.since(self.arrived) > self.first_token_target
     }
 
-    /// Whether it waits for a back end.
+    /// Whether it is waiting at a node for an attempt.
     pub fn is_waiting(&self) -> bool {
         self.status == RequestStatus::Open && self.at_node && self.attempt.is_none()
     }
--- a/crates/lab/simulator/src/scenario.rs
+++ b/crates/lab/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a deployment, its load and its faults, as YAML.
+//! Scenario files: a deployment, its load and its faults in YAML.
 
 use eiderferry_config::Configuration;
 use eiderferry_emulator::EngineTiming;
@@ -8,89 +8,90 @@
 use std::path::Path;
 
 quick_error! {
-    /// A scenario that can't be run.
+    /// Reason why a scenario cannot be used.
     #[derive(Debug)]
     pub enum ScenarioError {
-        /// A file can't be read.
+        /// A file cannot be read.
         Read(path: String, cause: std::io::Error) {
-            display("{path}: can't be read: {cause}")
+            display("{path}: cannot read file: {cause}")
         }
-        /// The text is no scenario.
+        /// The text is not a valid scenario, or a scenario cannot be written as YAML.
         Syntax(path: String, cause: String) {
             display("{path}: {cause}")
         }
-        /// The configuration that it names can't be used.
+        /// The configuration of the scenario is invalid.
         Configuration(cause: eiderferry_config::ConfigurationError) {
             from()
             display("{cause}")
         }
-        /// It names something that its configuration does not have.
+        /// The scenario names a class, pool or tenant that its configuration lacks.
         Unknown(path: String, what: &'static str, name: String) {
             display("{path}: no {what} named {name:?} in the configuration")
         }
     }
 }
 
-/// A whole experiment.
+/// A simulation experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name.
+    /// Name of the scenario.
     pub name: String,
-    /// What it shows.
+    /// Purpose of the scenario.
     #[serde(default)]
     pub description: String,
-    /// `quetzal`, `consortium`, or a file's path.
+    /// `quetzal`, `consortium`, or the path of a configuration file.
     pub configuration: String,
-    /// Length in seconds; requests still open then are left out of the figures.
+    /// Simulated duration in seconds. Requests that are open and not late at the end are not
+    /// counted.
     pub duration_seconds: f64,
-    /// Entry nodes in each zone.
+    /// Number of entry nodes in each zone.
     pub nodes_per_zone: Vec<u32>,
-    /// Back ends in each zone, per pool.
+    /// Number of back ends in each zone, by pool name.
     pub back_ends_per_zone: BTreeMap<String, Vec<u32>>,
-    /// Back ends in one admission queue at the most, if other than configured.
+    /// Maximum number of back ends per admission cell; overrides the configuration.
     #[serde(default)]
     pub back_ends_per_cell: Option<u32>,
-    /// Slots of each engine, if other than configured.
+    /// Slots per engine; overrides the configuration.
     #[serde(default)]
     pub slots_per_engine: Option<u32>,
-    /// Whether tenants' limits are left out: those of the configuration fit its own
-    /// deployment.
+    /// Whether tenant limits are removed; those of the configuration suit its own deployment
+    /// only.
     #[serde(default)]
     pub without_tenant_limits: bool,
-    /// How fast engines are.
+    /// Speed and memory of the engines.
     #[serde(default)]
     pub engine: EngineTiming,
-    /// The network between machines.
+    /// Network between the machines.
     #[serde(default)]
     pub network: NetworkPlan,
-    /// How far the platform and reports lag.
+    /// Delays of the platform's directory and of load reports.
     #[serde(default)]
     pub lags: LagPlan,
-    /// Model requests.
+    /// Load of model requests.
     #[serde(default)]
     pub load: Vec<ClassLoad>,
-    /// Calls to plain services.
+    /// Load of calls to plain services.
     #[serde(default)]
     pub service_calls: Vec<ServiceLoad>,
-    /// Faults.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// Latency and losses.
+/// Latency and message loss.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkPlan {
-    /// One way within a zone, in microseconds.
+    /// One-way latency within a zone, in microseconds.
     pub zone_latency_us: u64,
-    /// One way between zones, in microseconds.
+    /// One-way latency between zones, in microseconds.
     pub cross_zone_latency_us: u64,
-    /// Largest random addition, in microseconds.
+    /// Maximum random addition to the latency, in microseconds.
     pub jitter_us: u64,
-    /// Part of messages between nodes that are lost.
+    /// Probability that a message between nodes is lost.
     pub loss: f64,
-    /// Part of messages between nodes that come twice.
+    /// Probability that a message between nodes is delivered twice.
     pub duplicate: f64,
 }
 
@@ -106,19 +107,19 @@
     }
 }
 
-/// Lags of what the platform and the back ends tell.
+/// Delays of information from the platform and the back ends.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LagPlan {
-    /// From a change to its showing in the platform's list, in milliseconds.
+    /// Delay until a change appears in the platform's directory, in milliseconds.
     pub directory_ms: u64,
-    /// From a machine's death to its removal from the list, in milliseconds.
+    /// Delay until a dead entry node is removed from the directory, in milliseconds.
     pub dead_listed_ms: u64,
     /// Age of a load report, in milliseconds.
     pub load_report_ms: u64,
     /// Age of cache events, in milliseconds.
     pub cache_events_ms: u64,
-    /// Part of load reports that lose the cache events since the last one.
+    /// Probability that a load report has a gap in its cache events.
     pub cache_event_gaps: f64,
 }
 
@@ -134,16 +135,16 @@
     }
 }
 
-/// Log-normal lengths in tokens.
+/// Log-normal distribution of lengths in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenSpread {
-    /// Mean.
+    /// Mean length.
     pub mean: f64,
     /// Standard deviation of the logarithm.
     #[serde(default)]
     pub sigma: f64,
-    /// Longest.
+    /// Maximum length.
     #[serde(default = "longest")]
     pub maximum: u32,
 }
@@ -152,27 +153,27 @@
     4_000
 }
 
-/// A rate that holds from a time on.
+/// An arrival rate that applies from a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RateStep {
-    /// From when, in seconds.
+    /// Time from which the rate applies, in seconds.
     pub from: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
 }
 
-/// Prompts that begin alike.
+/// Prompt prefixes that requests of a tenant share.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SharedPrefixes {
-    /// Different beginnings per tenant.
+    /// Number of different prefixes per tenant.
     pub count: u32,
-    /// Their length in tokens.
+    /// Length of each prefix in tokens.
     pub tokens: u32,
 }
 
-/// Model requests of one class.
+/// Load of model requests of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
@@ -180,20 +181,20 @@
     pub class: String,
     /// Name of the pool.
     pub pool: String,
-    /// Tenants with their parts of the requests.
+    /// Relative weights of the tenants.
     pub tenants: BTreeMap<String, f64>,
-    /// Arrivals, as a Poisson process.
+    /// Rates of the Poisson arrival process.
     pub rate: Vec<RateStep>,
-    /// Prompt lengths.
+    /// Distribution of prompt lengths.
     pub prompt: TokenSpread,
-    /// Answer lengths, unknown to the router.
+    /// Distribution of response lengths, which the router does not know.
     pub answer: TokenSpread,
-    /// Prompts that begin alike, if any.
+    /// Shared prompt prefixes, if any.
     #[serde(default)]
     pub shared_prefixes: Option<SharedPrefixes>,
 }
 
-/// Calls to a plain service.
+/// Load of calls to a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceLoad {
@@ -203,14 +204,14 @@
     pub pool: String,
     /// Name of the tenant.
     pub tenant: String,
-    /// Calls a second.
+    /// Calls per second.
     pub per_second: f64,
-    /// What callers do to have a call run once at the most.
+    /// How callers keep a call from being executed twice.
     pub key: CallKey,
-    /// Tries at different nodes until an answer or a final verdict.
+    /// Maximum number of retries until a response or a final verdict.
     #[serde(default = "three")]
     pub tries: u32,
-    /// Time that the service takes for a call, in milliseconds.
+    /// Execution time of a call, in milliseconds.
     #[serde(default = "twenty")]
     pub service_ms: u64,
 }
@@ -223,110 +224,110 @@
     20
 }
 
-/// How a call is protected from running twice.
+/// Protection of a call against being executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKey {
-    /// It may be repeated.
+    /// None needed: the call may be repeated.
     Repeatable,
-    /// No key: the caller never sends it again unless told that it did not run.
+    /// No key: the caller sends the call again only after the verdict `not_run`.
     None,
-    /// A ticket.
+    /// A ticket issued by a node.
     Ticket,
-    /// A key of the caller's own.
+    /// An idempotency key chosen by the caller.
     Caller,
 }
 
-/// Something that goes wrong, or is changed, at some time.
+/// A fault or change at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When, in seconds.
+    /// Start of the fault, in seconds.
     pub at: f64,
-    /// For how long, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(default)]
     pub lasts: f64,
-    /// What.
+    /// Kind of the fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// Kinds of faults. Numbers of nodes and back ends count from zero in the order of
-/// zones and pools and wrap around.
+/// Kind of a fault. Nodes and back ends are numbered from zero in the order of zones and pools;
+/// numbers beyond the last one wrap around.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// An entry node's process dies, and starts again empty when the fault ends.
+    /// An entry node's process crashes and restarts without state when the fault ends.
     NodeCrash {
-        /// Which.
+        /// Number of the node.
         node: u32,
     },
-    /// An entry node's process stands still.
+    /// An entry node's process is paused.
     NodePause {
-        /// Which.
+        /// Number of the node.
         node: u32,
     },
-    /// An entry node is stopped as planned, and starts again when the fault ends.
+    /// An entry node is drained and stopped, and restarts when the fault ends.
     NodeRestart {
-        /// Which.
+        /// Number of the node.
         node: u32,
     },
-    /// A back end dies and starts again empty when the fault ends.
+    /// A back end crashes and restarts without state when the fault ends.
     BackEndCrash {
-        /// Which.
+        /// Number of the back end.
         back_end: u32,
     },
     /// An engine runs slower.
     BackEndSlow {
-        /// Which.
+        /// Number of the back end.
         back_end: u32,
-        /// How many times.
+        /// Factor by which steps take longer.
         factor: f64,
     },
-    /// A back end stands still, with its connections open.
+    /// A back end hangs with its connections open.
     BackEndFreeze {
-        /// Which.
+        /// Number of the back end.
         back_end: u32,
     },
-    /// A back end leaves: it is listed as leaving until the fault ends.
+    /// A back end is listed as leaving until the fault ends.
     BackEndLeave {
-        /// Which.
+        /// Number of the back end.
         back_end: u32,
     },
-    /// A zone loses all other zones.
+    /// A zone reaches no other zone.
     ZoneCut {
         /// Number of the zone, from 1.
         zone: u8,
     },
-    /// A zone loses the platform.
+    /// A zone cannot reach the platform.
     PlatformCut {
         /// Number of the zone, from 1.
         zone: u8,
     },
-    /// The platform answers nobody.
+    /// The platform does not respond.
     PlatformDown,
-    /// The platform serves what it served some time ago.
+    /// The platform serves stale documents.
     PlatformStale {
-        /// How long ago, in seconds.
+        /// Age of the documents, in seconds.
         age: f64,
     },
-    /// Messages between nodes are lost and doubled.
+    /// Messages between nodes are lost and duplicated.
     MessageLoss {
-        /// Part that is lost or doubled.
+        /// Additional probability of loss, and likewise of duplication.
         part: f64,
     },
-    /// Operators publish a new configuration.
+    /// A new configuration is published.
     ConfigurationChange,
-    /// Operators publish a configuration that is invalid.
+    /// An invalid configuration is published, followed by a valid one.
     InvalidConfiguration,
-    /// All classes' arrivals are multiplied.
+    /// The arrival rates of all model requests are multiplied.
     Burst {
-        /// By how much.
+        /// Multiplier of the rates.
         factor: f64,
     },
 }
 
 impl FaultKind {
-    /// Name for counting.
+    /// Returns the name of the kind as used in scenario files and reports.
     pub fn name(&self) -> &'static str {
         match self {
             FaultKind::NodeCrash { .. } => "node_crash",
@@ -351,7 +352,7 @@
 const QUETZAL: &str = include_str!("../../../../examples/quetzal.yaml");
 const CONSORTIUM: &str = include_str!("../../../../examples/consortium.yaml");
 
-/// Scenarios that come with the simulator, by file name.
+/// Built-in scenarios by file name.
 const BUILT_IN: &[(&str, &str)] = &[
     (
         "quetzal-news-morning",
@@ -379,7 +380,7 @@
 ];
 
 impl Scenario {
-    /// Names and descriptions of the scenarios that come with the simulator.
+    /// Returns the names and descriptions of the built-in scenarios.
     pub fn built_in() -> Result<Vec<(String, String)>, ScenarioError> {
         let parse = |(name, text): &(&str, &str)| {
             let scenario = Self::from_yaml(name, text)?;
@@ -388,7 +389,7 @@
         BUILT_IN.iter().map(parse).collect()
     }
 
-    /// Finds a scenario by name, or reads it from a file.
+    /// Returns the built-in scenario of this name, or else reads the file of this name.
     pub fn load(name: &str) -> Result<Self, ScenarioError> {
         if let Some((name, text)) = BUILT_IN.iter().find(|(known, _)| *known == name) {
             return Self::from_yaml(name, text);
@@ -398,19 +399,19 @@
         Self::from_yaml(name, &text)
     }
 
-    /// Reads a scenario; `path` names it in errors.
+    /// Parses a scenario; `path` identifies it in errors.
     pub fn from_yaml(path: &str, text: &str) -> Result<Self, ScenarioError> {
         serde_saphyr::from_str(text)
             .map_err(|cause| ScenarioError::Syntax(path.to_owned(), cause.to_string()))
     }
 
-    /// Writes a scenario.
+    /// Serializes the scenario.
     pub fn to_yaml(&self) -> Result<String, ScenarioError> {
         serde_saphyr::to_string(self)
             .map_err(|cause| ScenarioError::Syntax(self.name.clone(), cause.to_string()))
     }
 
-    /// The configuration that it names, with its own changes.
+    /// Loads the configuration and applies the overrides of the scenario.
     pub fn configuration(&self) -> Result<Configuration, ScenarioError> {
         let mut configuration = match self.configuration.as_str() {
             "quetzal" => Configuration::from_yaml("quetzal", QUETZAL)?,
--- a/crates/lab/simulator/src/services.rs
+++ b/crates/lab/simulator/src/services.rs
@@ -1,4 +1,4 @@
-//! Plain services on the virtual clock.
+//! Simulated plain services.
 
 use crate::event::Event;
 use crate::requests::RequestStatus;
@@ -7,7 +7,7 @@
 use eiderferry_node::AttemptEnd;
 
 impl World {
-    /// A service executes a call: from here on it has run.
+    /// Starts the execution of a service call.
     pub fn execute_service_call(&mut self, request: usize, back_end: usize, attempt: u8) {
         let run = self.back_ends[back_end].run;
         let Some(call) = &self.requests[request].service else {
@@ -25,7 +25,7 @@
         );
     }
 
-    /// A service's answer comes back.
+    /// Handles the response of a service at the entry node.
     pub fn complete_service_call(
         &mut self,
         request: usize,
--- a/crates/lab/simulator/src/shares.rs
+++ b/crates/lab/simulator/src/shares.rs
@@ -1,4 +1,4 @@
-//! Minimum shares: who runs, who waits, and whether any class starves.
+//! Tracking of slots in use and waiting requests, to detect classes below their minimum share.
 
 use crate::checker::{Guarantee, Violation};
 use crate::engines::SimBackEnd;
@@ -7,20 +7,23 @@
 use eiderferry_types::{ClassId, PoolId, Span, TenantId, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Length of the windows in which a class with work must get its share.
+/// Length of the windows in which a class with waiting requests must get its share.
 const WINDOW: Span = Span::from_milliseconds(10_000);
-/// Part of its guaranteed slots that a class must have on average.
+/// Fraction of its guaranteed slots that a class must use on average in a window.
 const MIN_SHARE_FRACTION: f64 = 0.8;
-/// Requests that wait less than this may be on their way already.
+/// Minimum time since a request was sent for it to count as waiting; before, it may already be
+/// on its way to a back end.
 const MIN_WAITING_TIME: Span = Span::from_milliseconds(200);
-/// Time after a fault during which a zone counts as disturbed.
+/// Time after the start or end of a fault during which a zone counts as disturbed.
 const DISTURBANCE_PERIOD: Span = Span::from_milliseconds(15_000);
 
-/// Time by which holders learn of a back end that leaves or dies.
+/// Time within which cell holders learn that a back end has left or crashed.
 const HOLDER_LAG: Span = Span::from_milliseconds(5_000);
 
+/// Key of a share: a class in a pool of a zone.
 type ShareKey = (ZoneId, PoolId, ClassId);
 
+/// Sums over the samples of a window.
 #[derive(Clone, Debug, Default)]
 struct Window {
     samples: u32,
@@ -30,20 +33,20 @@
     disturbed: bool,
 }
 
-/// Slots in use and waiting work, by place and class.
+/// Tracks slots in use and waiting requests by zone, pool and class.
 pub(crate) struct ShareTracker {
     slots_per_back_end: BTreeMap<PoolId, u32>,
     minimum_shares: BTreeMap<ClassId, f64>,
     running: BTreeMap<ShareKey, u32>,
     total_slots: BTreeMap<(ZoneId, PoolId), u32>,
-    /// The largest number of slots within the time by which holders may lag.
+    /// Highest number of slots within the time that cell holders may lag behind.
     recent_max_slots: BTreeMap<(ZoneId, PoolId), (Timestamp, u32)>,
     limited_tenants: BTreeSet<(PoolId, TenantId)>,
     windows: BTreeMap<ShareKey, Window>,
     window_start: Timestamp,
     disturbed_until: BTreeMap<ZoneId, Timestamp>,
     violations: Vec<Violation>,
-    /// Smallest part of its guaranteed slots that a class with work had in any
+    /// Smallest fraction of its guaranteed slots that a class with waiting requests used in an
     /// undisturbed window.
     pub smallest_fraction: BTreeMap<ClassId, f64>,
 }
@@ -109,7 +112,7 @@
             .is_some_and(|until| now < *until)
     }
 
-    /// Whether a class that starts one more request here is within its share.
+    /// Whether the class is within its share if it starts one more request.
     pub fn is_within_share(&self, zone: ZoneId, pool: PoolId, class: ClassId) -> bool {
         let running = self.running.get(&(zone, pool, class)).copied().unwrap_or(0);
         let recent = self
@@ -130,7 +133,7 @@
         if share > 0.0 { slots.max(1.0) } else { 0.0 }
     }
 
-    /// Looks at who waits and who runs.
+    /// Samples running and waiting requests.
     pub fn sample<'a>(
         &mut self,
         now: Timestamp,
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Counts the slots anew: a back end came or went.
+    /// Updates the number of slots after back ends have changed.
     pub fn recount(&mut self, now: Timestamp, back_ends: &[SimBackEnd]) {
         self.count_slots(back_ends);
         self.record_recent_totals(now);
@@ -228,8 +231,8 @@
             *smallest = smallest.min(fraction);
             if fraction < MIN_SHARE_FRACTION {
                 let what = format!(
-                    "class {class} had work in zone {zone}, pool {pool} for 10 s and {:.0} % of its \
-                     guaranteed slots",
+                    "class {class} had waiting requests in zone {zone}, pool {pool} for 10 s but used \
+                     only {:.0} % of its guaranteed slots",
                     fraction * 100.0
                 );
                 self.violations.push(Violation {
--- a/crates/lab/simulator/src/shrink.rs
+++ b/crates/lab/simulator/src/shrink.rs
@@ -1,14 +1,15 @@
-//! Shortening a failing schedule to what the failure needs.
+//! Reduction of a failing scenario to the faults that the failure needs.
 
 use crate::checker::Guarantee;
 use crate::entry_logic::Policy;
 use crate::scenario::Scenario;
 use crate::simulation::{SimulationError, simulate};
 
-/// Shortest fault tried, in seconds.
+/// Minimum duration to which a fault is shortened, in seconds.
 const MIN_FAULT_SECONDS: f64 = 0.2;
 
-/// Removes and shortens faults as long as the same promise is still broken.
+/// Removes faults and service calls and shortens faults as long as the same guarantee is still
+/// violated.
 pub fn shrink(
     scenario: &Scenario,
     policy: Policy,
@@ -44,7 +45,7 @@
         .any(|violation| violation.promise == promise))
 }
 
-/// Simpler schedules, the boldest first.
+/// Returns simpler scenarios, those with a fault or load removed first.
 fn candidates(scenario: &Scenario) -> Vec<Scenario> {
     let mut candidates = Vec::new();
     for index in 0..scenario.faults.len() {
--- a/crates/lab/simulator/src/simulation.rs
+++ b/crates/lab/simulator/src/simulation.rs
@@ -1,8 +1,8 @@
-//! The clock and the event queue, from the library `nexosim`.
+//! Simulation loop on top of the discrete-event simulation library `nexosim`.
 //!
-//! The whole fleet is one model of the bench: its parts share too much state (the
-//! network decides over every message) to be models of their own. The library
-//! keeps virtual time and the order of events; one thread makes that order total.
+//! The whole fleet is a single `nexosim` model, because its parts share too much state to be
+//! separate models: every message passes through the simulated network. The library keeps the
+//! virtual time and the order of events; running on one thread makes that order total.
 
 use crate::entry_logic::Policy;
 use crate::event::Event;
@@ -21,22 +21,22 @@
 use std::time::Duration;
 
 quick_error! {
-    /// A simulation that could not be run.
+    /// Reason why a simulation could not be run.
     #[derive(Debug)]
     pub enum SimulationError {
-        /// The scenario can't be used.
+        /// The scenario is invalid.
         Scenario(cause: ScenarioError) {
             from()
             display("{cause}")
         }
         /// The simulation library failed.
         Library(cause: String) {
-            display("the simulation stopped: {cause}")
+            display("simulation library failed: {cause}")
         }
     }
 }
 
-/// The world and the events that wait for their time.
+/// The simulated world and its pending events.
 struct SimulationDriver {
     world: World,
     pending_events: BTreeMap<u64, Event>,
@@ -44,8 +44,7 @@
 }
 
 impl SimulationDriver {
-    /// Stores the events that the world wants scheduled; returns their delays and
-    /// numbers.
+    /// Stores the events that the world has scheduled; returns their delays and identifiers.
     fn take_scheduled(&mut self) -> Vec<(Span, u64)> {
         let mut scheduled = Vec::new();
         for (delay, event) in self.world.take_scheduled() {
@@ -57,7 +56,7 @@
     }
 }
 
-/// The bench's only model.
+/// The only `nexosim` model of the simulation.
 #[derive(Serialize, Deserialize, Default)]
 struct Fleet {
     #[serde(skip)]
@@ -66,7 +65,7 @@
 
 #[Model]
 impl Fleet {
-    /// An event's time has come; event_id zero starts the world.
+    /// Handles a due event; the event with identifier zero starts the world.
     #[nexosim(schedulable)]
     async fn handle_event(&mut self, event_id: u64, context: &Context<Self>) {
         let mut guard = self.driver.lock().unwrap_or_else(PoisonError::into_inner);
@@ -80,7 +79,7 @@
         }
         for (delay, event_id) in driver.take_scheduled() {
             let delay = Duration::from_micros(delay.0.max(1));
-            // Scheduling fails only for delays of zero.
+            // Scheduling fails only for a delay of zero.
             let _ = context.schedule_event(delay, schedulable!(Self::handle_event), event_id);
         }
     }
@@ -91,7 +90,7 @@
     Timestamp(since.as_micros() as u64)
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario to its end and reports the results.
 pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Report, SimulationError> {
     let world = World::new(scenario.clone(), policy, seed)?;
     let driver = Arc::new(Mutex::new(Some(SimulationDriver {
@@ -121,7 +120,7 @@
         .map_err(|error| library_error(error.to_string()))?;
     let finished = driver.lock().unwrap_or_else(PoisonError::into_inner).take();
     let Some(mut driver) = finished else {
-        return Err(library_error("the world was lost".into()));
+        return Err(library_error("simulation state is missing".into()));
     };
     Ok(driver.world.report())
 }
--- a/crates/lab/simulator/src/workload.rs
+++ b/crates/lab/simulator/src/workload.rs
@@ -1,4 +1,4 @@
-//! Callers: arrivals, choice of node, caller_timeout, repetitions.
+//! Simulated callers: arrivals, load balancing, timeouts and retries.
 
 use crate::entry_logic::{EntryLogic, Rule};
 use crate::event::Event;
@@ -14,23 +14,23 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time after which the balancer notices that a node does not answer.
+/// Time after which the load balancer detects an unhealthy or draining node.
 const HEALTH_CHECK_LAG: Span = Span::from_milliseconds(1_000);
-/// Time for a refused connection to be tried at another node.
+/// Delay before a caller tries another node after a refused connection or request.
 const NEXT_NODE_DELAY: Span = Span::from_milliseconds(2);
-/// Time between tries when no node is healthy.
+/// Delay between tries while no node is healthy.
 const NO_NODE_DELAY: Span = Span::from_milliseconds(200);
-/// Hand-ins of one request at the most.
+/// Maximum number of times that a request is sent.
 const MAX_SENDS: u32 = 6;
-/// Patience of callers in targets for the first token.
+/// Timeout of callers as a multiple of the first-token target.
 const CALLER_TIMEOUT_FACTOR: u64 = 4;
-/// Shortest caller_timeout of callers.
+/// Minimum timeout of callers.
 const MIN_CALLER_TIMEOUT: Span = Span::from_milliseconds(10_000);
-/// Longest pause of a caller between two tries of a service call.
+/// Maximum delay before a caller retries a service call.
 const MAX_RETRY_DELAY: Span = Span::from_milliseconds(2_000);
-/// Shortest time between two looks for a rate above zero.
+/// Interval in seconds between two checks whether a rate has become positive.
 const IDLE_CHECK_SECONDS: f64 = 0.5;
-/// Candidates sampled per second at the most when rates change.
+/// Rate in requests per second at or below which no requests arrive.
 const MIN_RATE: f64 = 1e-6;
 
 fn rate_at(steps: &[RateStep], seconds: f64) -> f64 {
@@ -95,7 +95,7 @@
         self.schedule(delay, Event::ServiceArrival { load });
     }
 
-    /// A model request arrives.
+    /// Handles the arrival of a model request.
     pub fn handle_arrival(&mut self, load: usize) {
         self.schedule_arrival(load);
         let plan = self.scenario.load[load].clone();
@@ -142,7 +142,7 @@
         Some(request)
     }
 
-    /// A service call arrives.
+    /// Handles the arrival of a service call.
     pub fn handle_service_arrival(&mut self, load: usize) {
         self.schedule_service_arrival(load);
         let plan = self.scenario.service_calls[load].clone();
@@ -172,7 +172,7 @@
         self.send_request(index);
     }
 
-    /// The balancer's choice: any node that it takes for healthy.
+    /// Chooses a random node among those that the load balancer considers healthy.
     fn choose_node(&mut self) -> Option<usize> {
         let is_noticed = |since: Option<Timestamp>| {
             since.is_some_and(|since| self.now.since(since) >= HEALTH_CHECK_LAG)
@@ -189,7 +189,7 @@
         Some(healthy[self.rng.random_range(0..healthy.len())])
     }
 
-    /// A caller sends its request to a node.
+    /// Sends a caller's request to a node, or schedules another try.
     pub fn send_request(&mut self, request: usize) {
         if self.requests[request].status != RequestStatus::Open {
             return;
@@ -211,13 +211,13 @@
         self.receive_request(request, node, run);
     }
 
-    /// A request reaches a node's process.
+    /// Handles a request that reaches a node's process.
     pub fn receive_request(&mut self, request: usize, node: usize, run: u32) {
         if self.requests[request].status != RequestStatus::Open {
             return;
         }
         if !self.is_running(node, run) {
-            // The process died with the connection in its queue.
+            // The process ended while the connection was still in its accept queue.
             if !self.schedule_caller_retry(request, None) {
                 self.end_request(request, RequestStatus::Lost);
             }
@@ -267,7 +267,8 @@
         self.process_outputs(node);
     }
 
-    /// What keeps a request from running twice; a ticket is fetched on first use.
+    /// Returns the protection of a request against repeated execution. A ticket is issued on
+    /// first use.
     fn retry_protection(&mut self, request: usize, node: usize) -> Option<NotRepeatable> {
         let now = self.now;
         if self.is_disabled(Rule::NotRepeatable) {
@@ -298,7 +299,7 @@
         }
     }
 
-    /// A node ended a request without an answer.
+    /// Handles a refusal by a node.
     pub fn rejected(&mut self, id: RequestId, refusal: Refusal) {
         let Some(&request) = self.index_by_id.get(&id) else {
             return;
@@ -332,7 +333,7 @@
             | Reason::DeadlinePassed
             | Reason::QueueFull
             | Reason::Displaced => true,
-            // Words get lost while the zone is disturbed, and only then.
+            // Messages to the holder are lost only while the zone is disturbed.
             Reason::HolderUnreachable => !disturbed,
             _ => false,
         };
@@ -344,9 +345,9 @@
         }
     }
 
-    /// Whether the caller sends its request again, now or later: to another node if
-    /// this one is going or gone, and a protected service call whenever its outcome
-    /// is not known.
+    /// Schedules a retry if the caller sends its request again, and returns whether it does: to
+    /// another node if this one is draining or not ready, and for a protected service call as
+    /// long as its outcome is unknown.
     pub fn schedule_caller_retry(&mut self, request: usize, refusal: Option<&Refusal>) -> bool {
         let state = &mut self.requests[request];
         state.at_node = false;
@@ -379,7 +380,7 @@
         true
     }
 
-    /// A caller gives up waiting for the first token.
+    /// Ends a request whose caller timed out waiting for the first token.
     pub fn handle_first_token_timeout(&mut self, request: usize) {
         let state = &self.requests[request];
         if state.status != RequestStatus::Open || state.first_token.is_some() {
@@ -412,7 +413,7 @@
         self.process_outputs(node);
     }
 
-    /// The caller knows what became of its request.
+    /// Records the outcome of a request.
     pub fn end_request(&mut self, request: usize, status: RequestStatus) {
         if self.requests[request].status != RequestStatus::Open {
             return;
--- a/crates/lab/simulator/src/world.rs
+++ b/crates/lab/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: its state, and the way from an event to its handler.
+//! State of the simulated world and dispatch of events to their handlers.
 
 use crate::checker::Checker;
 use crate::engines::SimBackEnd;
@@ -20,20 +20,20 @@
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Time between two samples of figures.
+/// Interval between two samples of the metrics.
 const SAMPLE_INTERVAL: Span = Span::from_milliseconds(250);
-/// Number of the first entry node.
+/// Identifier of the first entry node.
 const FIRST_NODE_ID: u32 = 1;
-/// Number of the first back end.
+/// Identifier of the first back end.
 const FIRST_BACK_END_ID: u32 = 1;
 
-/// Everything there is.
+/// Complete state of a simulation.
 pub(crate) struct World {
     pub scenario: Scenario,
     pub policy: Policy,
     pub configuration: Configuration,
     pub rng: ChaCha8Rng,
-    /// Randomness of each load, apart from all else: every policy sees the same
+    /// Separate random number generator of each load, so that every policy sees the same
     /// requests.
     pub load_rngs: Vec<ChaCha8Rng>,
     pub now: Timestamp,
@@ -120,7 +120,7 @@
         std::mem::take(&mut self.scheduled)
     }
 
-    /// Adds to the trace what happened.
+    /// Adds an entry to the trace hash.
     pub fn record_trace(&mut self, what: &str, numbers: &[u64]) {
         self.trace_hasher.update(&self.now.0.to_le_bytes());
         self.trace_hasher.update(what.as_bytes());
@@ -231,7 +231,7 @@
         self.seed
     }
 
-    /// The figures of the run.
+    /// Completes the checks and returns the results of the run.
     pub fn report(&mut self) -> Report {
         self.checker.finish(&self.requests);
         let starvation_violations = self.shares.finish();
@@ -244,12 +244,12 @@
         Report::from_world(self, trace_hash)
     }
 
-    /// Whether a rule is left out on purpose.
+    /// Whether the policy disables a rule.
     pub fn is_disabled(&self, rule: Rule) -> bool {
         self.policy == Policy::Without(rule)
     }
 
-    /// Whether the policy promises nothing.
+    /// Whether the policy is a baseline, which gives no guarantees.
     pub fn is_baseline_policy(&self) -> bool {
         matches!(
             self.policy,
@@ -287,23 +287,23 @@
     back_ends
 }
 
-/// The place of a node or back end among its kind, by its number.
+/// Returns the index of a back end.
 pub(crate) fn back_end_index(id: BackEndId) -> usize {
     (id.0 - FIRST_BACK_END_ID) as usize
 }
 
-/// The place of a node, by its number.
+/// Returns the index of a node.
 pub(crate) fn node_index(id: NodeId) -> usize {
     (id.0 - FIRST_NODE_ID) as usize
 }
 
-/// An address that identifies a machine; nothing listens there.
+/// Returns a unique address for a machine; nothing listens on it.
 pub(crate) fn address_of(number: u32) -> std::net::SocketAddr {
     let [_, high, middle, low] = number.to_be_bytes();
     std::net::SocketAddr::from(([10, high, middle, low], 1))
 }
 
-/// Zones of a configuration by their numbers.
+/// Returns the identifiers of the configured zones.
 pub(crate) fn zone_ids(configuration: &Configuration) -> Vec<ZoneId> {
     configuration.zones.iter().map(|zone| zone.id).collect()
 }
--- a/crates/lab/simulator/tests/promises.rs
+++ b/crates/lab/simulator/tests/promises.rs
@@ -1,4 +1,4 @@
-//! The promises under faults, and the checker's bite.
+//! Checks that the guarantees hold under faults and that the checker detects violations.
 
 use eiderferry_simulator::{
     Fault, FaultKind, Guarantee, Policy, Report, Rule, Scenario, chaos_scenario, simulate,
@@ -17,7 +17,7 @@
     Fault { at, lasts, kind }
 }
 
-/// Chaos runs in CI: a few dozen of the thousands run by hand.
+/// Number of chaos runs in CI; thousands of others are run manually.
 const CHAOS_SEEDS: u64 = 40;
 
 #[rstest]
@@ -44,7 +44,7 @@
     assert_ne!(first.trace_hash, other.trace_hash);
 }
 
-/// Schedules that once broke a promise, shortened.
+/// Reduced fault schedules that violated a guarantee before the cause was fixed.
 #[rstest]
 #[case::lost_grants(include_str!("../scenarios/regressions/lost-grants-seed-22.yaml"), 22)]
 #[case::healed_cut(include_str!("../scenarios/regressions/healed-cut-seed-139.yaml"), 139)]
@@ -64,7 +64,7 @@
     assert_eq!(report.violations, []);
 }
 
-/// A back-end crash amid slow service calls, so that calls break while running.
+/// Back ends crash during slow service calls, which interrupts calls in execution.
 fn crashing_services() -> Scenario {
     let mut scenario = chaos_scenario(0).expect("built in");
     scenario.duration_seconds = 30.0;
@@ -83,7 +83,7 @@
     scenario
 }
 
-/// Demand of the highest tiers far beyond capacity for a long time.
+/// The highest tiers' demand exceeds the capacity by far for a long time.
 fn overloaded_by_high_tiers() -> Scenario {
     let mut scenario = quick();
     scenario.duration_seconds = 60.0;
@@ -114,7 +114,7 @@
     scenario
 }
 
-/// A schedule in which engines that were given up go on sending.
+/// Engines keep sending tokens after the router has abandoned their attempts.
 fn abandoned_streams() -> Scenario {
     chaos_scenario(2).expect("built in")
 }
@@ -126,7 +126,7 @@
     scenario
 }
 
-/// A node that starts while the platform shows an old configuration.
+/// A node restarts while the platform serves an old configuration.
 fn restart_with_stale_platform() -> Scenario {
     let mut scenario = quick();
     scenario.nodes_per_zone = vec![3, 3, 3];
@@ -138,7 +138,7 @@
     scenario
 }
 
-/// Each promise is broken when the rule that keeps it is left out, and holds with it.
+/// Each guarantee holds with all rules and is violated if the rule that ensures it is disabled.
 #[rstest]
 #[case::tier_order(quick(), Rule::TierOrder, Guarantee::TierInversion)]
 #[case::minimum_shares(overloaded_by_high_tiers(), Rule::MinimumShares, Guarantee::Starvation)]
