--- a/crates/lab/simulator/src/engines.rs
+++ b/crates/lab/simulator/src/engines.rs
@@ -378,7 +378,7 @@
     }
 
     /// Crashes a back end's process, which breaks its connections.
-    pub fn kill_back_end(&mut self, index: usize) {
+    pub fn crash_back_end(&mut self, index: usize) {
         let back_end = &mut self.back_ends[index];
         if !back_end.up {
             return;
--- a/crates/lab/simulator/src/faults.rs
+++ b/crates/lab/simulator/src/faults.rs
@@ -16,7 +16,7 @@
         match fault.kind {
             FaultKind::NodeCrash { node } => {
                 let node = self.wrapped_node_index(node);
-                self.kill_node(node);
+                self.end_process(node);
             }
             FaultKind::NodePause { node } => {
                 let node = self.wrapped_node_index(node);
@@ -31,7 +31,7 @@
             }
             FaultKind::BackEndCrash { back_end } => {
                 let back_end = self.wrapped_back_end_index(back_end);
-                self.kill_back_end(back_end);
+                self.crash_back_end(back_end);
             }
             FaultKind::BackEndSlow { back_end, factor } => self.set_speed(back_end, factor),
             FaultKind::BackEndFreeze { back_end } => self.freeze(back_end),
--- a/crates/lab/simulator/src/nodes.rs
+++ b/crates/lab/simulator/src/nodes.rs
@@ -116,7 +116,7 @@
     }
 
     /// Ends a node's process, which loses its state and breaks its connections.
-    pub fn kill_node(&mut self, index: usize) {
+    pub fn end_process(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         if node.logic.take().is_none() {
@@ -228,7 +228,7 @@
                         },
                     );
                 }
-                Output::Reject { request, refusal } => self.rejected(request, refusal),
+                Output::Reject { request, refusal } => self.handle_refusal(request, refusal),
                 Output::ReadPlatform {
                     kind,
                     known_version,
@@ -483,7 +483,7 @@
         self.process_outputs(index);
     }
 
-    pub fn delist(&mut self, index: usize, run: u32) {
+    pub fn remove_dead_node(&mut self, index: usize, run: u32) {
         if self.nodes[index].run == run && self.nodes[index].logic.is_none() {
             let id = self.nodes[index].id;
             self.platform.remove_node(self.now, id);
@@ -497,7 +497,7 @@
             let open = self.open_requests_of(index);
             self.checker
                 .check_planned_stop(now, self.nodes[index].id, open);
-            self.kill_node(index);
+            self.end_process(index);
             return;
         }
         let node = &mut self.nodes[index];
@@ -522,7 +522,7 @@
         if node.draining_since.is_some() && drained {
             let open = self.open_requests_of(index);
             self.checker.check_planned_stop(self.now, node.id, open);
-            self.kill_node(index);
+            self.end_process(index);
         }
     }
 
--- a/crates/lab/simulator/src/workload.rs
+++ b/crates/lab/simulator/src/workload.rs
@@ -233,10 +233,10 @@
             self.oracle_submit(request);
             return;
         }
-        self.submit_at(request, node, run);
+        self.submit_to_node(request, node, run);
     }
 
-    fn submit_at(&mut self, request: usize, node: usize, run: u32) {
+    fn submit_to_node(&mut self, request: usize, node: usize, run: u32) {
         let now = self.now;
         let not_repeatable = self.retry_protection(request, node);
         let state = &mut self.requests[request];
@@ -300,7 +300,7 @@
     }
 
     /// Handles a refusal by a node.
-    pub fn rejected(&mut self, id: RequestId, refusal: Refusal) {
+    pub fn handle_refusal(&mut self, id: RequestId, refusal: Refusal) {
         let Some(&request) = self.index_by_id.get(&id) else {
             return;
         };
--- a/crates/lab/simulator/src/world.rs
+++ b/crates/lab/simulator/src/world.rs
@@ -206,7 +206,7 @@
             }
             Event::FaultStart { fault } => self.start_fault(fault),
             Event::FaultEnd { fault } => self.end_fault(fault),
-            Event::Delist { node, run } => self.delist(node, run),
+            Event::Delist { node, run } => self.remove_dead_node(node, run),
             Event::Sample => self.sample(),
         }
     }
--- a/crates/lab/simulator/tests/promises.rs
+++ b/crates/lab/simulator/tests/promises.rs
@@ -21,9 +21,9 @@
 const CHAOS_SEEDS: u64 = 40;
 
 #[rstest]
-fn random_faults_violate_no_guarantee(#[values(0, 1, 2, 3)] block: u64) {
-    let block_size = CHAOS_SEEDS / 4;
-    for seed in block * block_size..(block + 1) * block_size {
+fn random_faults_violate_no_guarantee(#[values(0, 1, 2, 3)] quarter: u64) {
+    let quarter_size = CHAOS_SEEDS / 4;
+    for seed in quarter * quarter_size..(quarter + 1) * quarter_size {
         let scenario = chaos_scenario(seed).expect("built in");
         let report = run(&scenario, Policy::Eiderferry, seed);
         assert_eq!(report.violations, [], "seed {seed}");
