--- a/crates/lab/simulator/src/checker.rs
+++ b/crates/lab/simulator/src/checker.rs
@@ -1,71 +1,74 @@
-//! The promises, checked against what the back ends executed and the callers got.
+//! Checks of the router's guarantees.
 //!
-//! Nothing here asks the decision code for its opinion.
+//! They rely only on what back ends executed and callers received, never on the state of the
+//! router's own decision code.
 
-use crate::requests::{Fate, SimRequest};
+use crate::requests::{RequestStatus, SimRequest};
 use crate::scenario::CallKey;
 use crate::world::World;
 use eiderferry_types::{NodeId, PoolId, Reason, Refusal, Span, Tier, Timestamp, Verdict, ZoneId};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Time from the beginning of leaving within which new work may still arrive.
-const LEAVING_LIMIT: Span = Span::from_milliseconds(5_000);
-/// Starts of lower tiers this shortly after a request's arrival were decided before.
+/// Time after a back end starts to leave during which new work may still reach it.
+const LEAVING_GRACE_PERIOD: Span = Span::from_milliseconds(5_000);
+/// Starts of lower tiers within this time after a request began to wait were decided before.
 const INVERSION_SLACK: Span = Span::from_milliseconds(50);
-/// The same while messages get lost: a lost grant is asked for again after this
-/// time at the most, and the start follows its decision that much later.
+/// The same while messages are lost: a lost grant is requested again after at most this time,
+/// which delays the start after the decision by as much.
 const INVERSION_SLACK_WITH_LOSS: Span = Span::from_milliseconds(3_100);
-/// Violations of one promise kept in full; more are only counted.
-const KEPT_VIOLATIONS: usize = 20;
+/// Maximum number of violations of a guarantee that are reported in full; others are counted.
+const MAX_REPORTED_VIOLATIONS: usize = 20;
 
-/// A promise.
+/// A guarantee that the router gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Guarantee {
     /// No request of a higher tier is shed to make room for a lower one.
     TierInversion,
-    /// No class with work gets less than its minimum share.
+    /// No class with waiting requests gets less than its minimum share.
     Starvation,
-    /// Each caller receives the whole answer to its own request.
+    /// Each caller receives the complete response to its own request.
     WholeAnswer,
-    /// What was called "not run" did not run.
+    /// A request refused with the verdict `not_run` was not executed.
     NotRunHolds,
-    /// A non-repeatable request runs at most once.
+    /// A non-repeatable request is executed at most once.
     AtMostOnce,
-    /// A leaving back end receives no new work.
+    /// A leaving back end receives no new requests.
     LeavingBackEnd,
-    /// A planned stop cuts off nothing.
+    /// A planned stop interrupts no request.
     PlannedStop,
-    /// A configuration comes into force everywhere.
+    /// A published configuration is applied on every node in time.
     ConfigurationInForce,
-    /// A configuration never reverts.
+    /// A node never goes back to an older configuration.
     ConfigurationReverts,
 }
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
-    pub promise: Promise,
-    /// When, in seconds.
+    /// Violated guarantee.
+    pub promise: Guarantee,
+    /// Simulated time of the violation, in seconds.
     pub at_seconds: f64,
-    /// What was seen.
+    /// Description of what was observed.
     pub what: String,
 }
 
-/// Watches everything that back ends and callers see.
+/// Checks the guarantees against the events at back ends and callers.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     violations: Vec<Violation>,
     count: u64,
-    counts: BTreeMap<Promise, usize>,
-    /// Last start outside minimum shares, per place and tier.
-    open_starts: BTreeMap<(ZoneId, PoolId, Tier), Timestamp>,
-    /// When messages between nodes were last being lost.
+    counts: BTreeMap<Guarantee, usize>,
+    /// Time of the last start outside minimum shares, per zone, pool and tier.
+    starts_outside_shares: BTreeMap<(ZoneId, PoolId, Tier), Timestamp>,
+    /// Last time at which messages between nodes were being lost.
     pub last_loss: Timestamp,
+    /// Process run and configuration version of each node.
     versions: BTreeMap<NodeId, (u32, u64)>,
-    overdue: BTreeMap<NodeId, u64>,
+    /// Newest overdue version already reported for each node.
+    reported_overdue: BTreeMap<NodeId, u64>,
 }
 
 impl Checker {
@@ -73,12 +76,12 @@
         self.count += 1;
         let count = self.counts.entry(violation.promise).or_default();
         *count += 1;
-        if *count <= KEPT_VIOLATIONS {
+        if *count <= MAX_REPORTED_VIOLATIONS {
             self.violations.push(violation);
         }
     }
 
-    fn broken(&mut self, promise: Promise, now: Timestamp, what: String) {
+    fn add_violation(&mut self, promise: Guarantee, now: Timestamp, what: String) {
         let at_seconds = now.0 as f64 / 1e6;
         self.add(Violation {
             promise,
@@ -95,8 +98,8 @@
         self.count
     }
 
-    /// A back end took up a request.
-    pub fn started(
+    /// Records that a back end started to execute a request.
+    pub fn record_start(
         &mut self,
         now: Timestamp,
         zone: ZoneId,
@@ -105,12 +108,12 @@
         within_share: bool,
     ) {
         if !within_share {
-            self.open_starts.insert((zone, pool, tier), now);
+            self.starts_outside_shares.insert((zone, pool, tier), now);
         }
     }
 
-    /// A request was shed for want of capacity.
-    pub fn shed(
+    /// Checks that a request shed for lack of capacity was not passed over for a lower tier.
+    pub fn check_shed(
         &mut self,
         now: Timestamp,
         request: usize,
@@ -119,19 +122,21 @@
         disturbed: bool,
         reason: Reason,
     ) {
-        let lossy = now.since(self.last_loss) < INVERSION_SLACK_WITH_LOSS;
-        let slack = if lossy {
+        let had_recent_loss = now.since(self.last_loss) < INVERSION_SLACK_WITH_LOSS;
+        let slack = if had_recent_loss {
             INVERSION_SLACK_WITH_LOSS
         } else {
             INVERSION_SLACK
         };
-        let waited_from = state.waiting_since + slack;
+        let waiting_threshold = state.waiting_since + slack;
         let lower = (tier.0 + 1..=u8::MAX)
             .map(Tier)
             .take_while(|lower| lower.0 <= 7)
             .find(|lower| {
-                let start = self.open_starts.get(&(state.zone, state.pool, *lower));
-                start.is_some_and(|start| *start > waited_from)
+                let start = self
+                    .starts_outside_shares
+                    .get(&(state.zone, state.pool, *lower));
+                start.is_some_and(|start| *start > waiting_threshold)
             });
         if let Some(lower) = lower {
             let what = format!(
@@ -141,12 +146,12 @@
                 state.waiting_since.0 as f64 / 1e6,
                 if disturbed { " (zone disturbed)" } else { "" }
             );
-            self.broken(Promise::TierInversion, now, what);
+            self.add_violation(Guarantee::TierInversion, now, what);
         }
     }
 
-    /// A caller got a refusal.
-    pub fn refused(
+    /// Checks that a request refused as not run was not executed.
+    pub fn check_refusal(
         &mut self,
         now: Timestamp,
         request: usize,
@@ -156,94 +161,101 @@
         if refusal.verdict != Verdict::NotRun {
             return;
         }
-        let keyed = state
+        let has_key = state
             .service
             .as_ref()
             .is_some_and(|call| matches!(call.key, CallKey::Ticket | CallKey::Caller));
-        let executions = if keyed {
+        let executions = if has_key {
             state.executions
         } else {
-            state.executions_of_hand_in
+            state.executions_since_send
         };
         if executions > 0 {
             let what = format!(
-                "request {request} was told not_run ({}) and had run {executions} times",
+                "request {request} was refused as not_run ({}) but had been executed {executions} times",
                 refusal.reason
             );
-            self.broken(Promise::NotRunHolds, now, what);
+            self.add_violation(Guarantee::NotRunHolds, now, what);
         }
     }
 
-    /// A token reached a caller.
-    pub fn token(&mut self, now: Timestamp, request: usize, expected: u32, index: u32) {
+    /// Checks that the token that reached a caller is the next one.
+    pub fn check_token(&mut self, now: Timestamp, request: usize, expected: u32, index: u32) {
         if index != expected {
-            let what = format!("request {request} got token {index} where {expected} was due");
-            self.broken(Promise::WholeAnswer, now, what);
+            let what = format!("request {request} received token {index} instead of {expected}");
+            self.add_violation(Guarantee::WholeAnswer, now, what);
         }
     }
 
-    /// A caller got the end of its answer.
-    pub fn completed(&mut self, now: Timestamp, request: usize, state: &SimRequest) {
-        let whole = state.service.is_some() || state.progress.tokens() == state.answer_tokens;
-        if !whole {
+    /// Checks that a completed response is complete.
+    pub fn check_completion(&mut self, now: Timestamp, request: usize, state: &SimRequest) {
+        let complete = state.service.is_some() || state.progress.tokens() == state.response_tokens;
+        if !complete {
             let what = format!(
-                "request {request} got {} of {} tokens",
+                "request {request} completed with {} of {} tokens",
                 state.progress.tokens(),
-                state.answer_tokens
+                state.response_tokens
             );
-            self.broken(Promise::WholeAnswer, now, what);
+            self.add_violation(Guarantee::WholeAnswer, now, what);
         }
     }
 
-    /// Work reached a back end that is leaving.
-    pub fn reached_leaving(&mut self, now: Timestamp, back_end: usize, since: Timestamp) {
-        let after = now.since(since);
-        if after > LEAVING_LIMIT {
+    /// Checks that no new work reaches a back end that started to leave at `since`.
+    pub fn check_leaving(&mut self, now: Timestamp, back_end: usize, since: Timestamp) {
+        let elapsed = now.since(since);
+        if elapsed > LEAVING_GRACE_PERIOD {
             let what = format!(
-                "back end {back_end} got new work {:.1} s after it began to leave",
-                after.seconds()
+                "back end {back_end} received new work {:.1} s after it started to leave",
+                elapsed.seconds()
             );
-            self.broken(Promise::LeavingBackEnd, now, what);
+            self.add_violation(Guarantee::LeavingBackEnd, now, what);
         }
     }
 
-    /// A node's process ended as planned with this many requests open.
-    pub fn planned_stop(&mut self, now: Timestamp, node: NodeId, open: usize) {
+    /// Checks that a planned stop left no request open.
+    pub fn check_planned_stop(&mut self, now: Timestamp, node: NodeId, open: usize) {
         if open > 0 {
-            let what = format!("node {node} stopped as planned and cut off {open} requests");
-            self.broken(Promise::PlannedStop, now, what);
+            let what = format!("planned stop of node {node} interrupted {open} requests");
+            self.add_violation(Guarantee::PlannedStop, now, what);
         }
     }
 
-    /// A fresh node called itself ready.
-    pub fn became_ready(&mut self, now: Timestamp, node: NodeId, version: u64, known: u64) {
+    /// Checks that a node that became ready is not behind the version `known` to its peers.
+    pub fn check_readiness(&mut self, now: Timestamp, node: NodeId, version: u64, known: u64) {
         if version < known {
             let what = format!(
                 "node {node} became ready with configuration {version} while all its peers had {known}"
             );
-            self.broken(Promise::ConfigurationReverts, now, what);
+            self.add_violation(Guarantee::ConfigurationReverts, now, what);
         }
     }
 
-    /// A node has this configuration in force; `due` must be in force by now.
-    pub fn version(&mut self, now: Timestamp, node: NodeId, run: u32, version: u64, due: u64) {
+    /// Checks that the configuration version of a node does not go back and has reached `due`.
+    pub fn check_version(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        run: u32,
+        version: u64,
+        due: u64,
+    ) {
         let last = self.versions.insert(node, (run, version));
         if let Some((last_run, last_version)) = last
             && last_run == run
             && version < last_version
         {
             let what = format!("node {node} went from configuration {last_version} to {version}");
-            self.broken(Promise::ConfigurationReverts, now, what);
+            self.add_violation(Guarantee::ConfigurationReverts, now, what);
         }
-        let reported = self.overdue.entry(node).or_default();
+        let reported = self.reported_overdue.entry(node).or_default();
         if version < due && *reported < due {
             *reported = due;
-            let what = format!("node {node} still has configuration {version}, {due} is overdue");
-            self.broken(Promise::ConfigurationInForce, now, what);
+            let what = format!("node {node} still uses configuration {version}; {due} is overdue");
+            self.add_violation(Guarantee::ConfigurationInForce, now, what);
         }
     }
 
-    /// The run is over: what can only be told now.
+    /// Checks at the end of the run how often service calls were executed.
     pub fn finish(&mut self, requests: &[SimRequest]) {
         for (index, request) in requests.iter().enumerate() {
             let Some(call) = &request.service else {
@@ -251,36 +263,38 @@
             };
             if call.key != CallKey::Repeatable && request.executions > 1 {
                 let what = format!(
-                    "call {index} ({:?}) ran {} times; its caller saw {:?}",
-                    call.key, request.executions, request.fate
+                    "call {index} ({:?}) was executed {} times; status for its caller: {:?}",
+                    call.key, request.executions, request.status
                 );
-                self.broken(Promise::AtMostOnce, request.arrived, what);
+                self.add_violation(Guarantee::AtMostOnce, request.arrived, what);
             }
-            if request.fate == Fate::Completed && request.executions == 0 {
-                let what = format!("call {index} was answered without having run");
-                self.broken(Promise::WholeAnswer, request.arrived, what);
+            if request.status == RequestStatus::Completed && request.executions == 0 {
+                let what = format!("call {index} completed without being executed");
+                self.add_violation(Guarantee::WholeAnswer, request.arrived, what);
             }
         }
     }
 }
 
 impl World {
-    /// Checks new work against the leaving of its back end. A node that is cut off
-    /// from the platform and from every other zone can't know of it.
+    /// Checks new work for a back end that may be leaving. A node that reaches neither the
+    /// platform nor another zone cannot know of that and is exempt.
     pub fn check_leaving(&mut self, node: usize, back_end: usize) {
         let Some(since) = self.back_ends[back_end].leaving_since else {
             return;
         };
-        if self.policy_is_baseline() {
+        if self.is_baseline_policy() {
             return;
         }
         let zone = self.nodes[node].zone;
-        let platform_silent = !self.platform.is_undisturbed_since()
-            || self.now.since(self.platform.disturbed) < LEAVING_LIMIT;
-        let alone = self.network.is_isolated(zone, self.now, LEAVING_LIMIT);
-        let uninformed = platform_silent || alone;
-        if !uninformed {
-            self.checker.reached_leaving(self.now, back_end, since);
+        let platform_silent = !self.platform.is_undisturbed()
+            || self.now.since(self.platform.last_disturbed) < LEAVING_GRACE_PERIOD;
+        let isolated = self
+            .network
+            .is_isolated(zone, self.now, LEAVING_GRACE_PERIOD);
+        let unaware = platform_silent || isolated;
+        if !unaware {
+            self.checker.check_leaving(self.now, back_end, since);
         }
     }
 }
--- a/crates/lab/simulator/src/lib.rs
+++ b/crates/lab/simulator/src/lib.rs
@@ -1,13 +1,12 @@
 //! Deterministic simulation of a whole fleet on a virtual clock.
 //!
-//! The production state machine ([`eiderferry_node::Node`]) runs unchanged; the
-//! network, the engines, the services, the platform, the callers and the faults
-//! are simulated around it. The same scenario, policy and seed give the same
-//! trace, and [`Report::trace_hash`] proves it.
+//! The production state machine ([`eiderferry_node::Node`]) runs unchanged; the network, the
+//! engines, the services, the platform, the callers and the faults are simulated around it.
+//! The same scenario, policy and seed give the same trace, identified by
+//! [`Report::trace_hash`].
 
 #![forbid(unsafe_code)]
 
-mod bench;
 mod chaos;
 mod checker;
 mod engines;
@@ -25,13 +24,14 @@
 mod services;
 mod shares;
 mod shrink;
+mod simulation;
 mod workload;
 mod world;
 
-pub use bench::{SimulationError, simulate};
 pub use chaos::chaos_scenario;
-pub use checker::{Promise, Violation};
+pub use checker::{Guarantee, Violation};
 pub use entry_logic::{Policy, Rule};
-pub use report::{ClassFigures, Report};
+pub use report::{ClassReport, Report};
 pub use scenario::{Fault, FaultKind, RateStep, Scenario, ScenarioError};
 pub use shrink::shrink;
+pub use simulation::{SimulationError, simulate};
