--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -275,8 +275,8 @@
             .collect()
     }
 
-    /// An announcement of newer documents, which this node got from the platform (`is_first_hand`)
-    /// or from a peer. It is sent at once.
+    /// An announcement of newer documents to peers. `is_first_hand` says that this node read them
+    /// from their source; otherwise it got them from a peer and forwards them to fewer nodes. It is sent at once.
     pub fn announce(&mut self, is_first_hand: bool, now: Timestamp) -> Envelope {
         let (same_zone_fanout, cross_zone_fanout) = if is_first_hand {
             (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -445,6 +445,7 @@
         self.report_of(|_| true, now).to_message(back_end, placed)
     }
 
+    /// Sum of this node's own load at the back end and the fresh reports of the included scopes.
     fn report_of(&self, is_included: impl Fn(LoadScope) -> bool, now: Timestamp) -> ReceivedReport {
         let mut total = ReceivedReport {
             occupancy: self.own_occupancy(now),
--- a/crates/coordination/dispatch/src/load/holders.rs
+++ b/crates/coordination/dispatch/src/load/holders.rs
@@ -4,7 +4,9 @@
 use eiderferry_routing::PartId;
 use std::collections::HashMap;
 
-/// Back ends remembered for each part: enough to copy the part from one while another is busy.
+/// Maximum number of holders remembered for each shared prompt part. A holder is a back end that
+/// was given a request with the part and so probably has it cached. Several are remembered so
+/// that the part can be copied from one while another is busy.
 const MAX_HOLDERS: usize = 4;
 /// Parts in each of the two generations. Together they take about 4 MB (calculated) and cover the
 /// placements of several minutes, which is longer than engines keep parts.
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -1,6 +1,7 @@
 //! Cost model for choosing a back end.
 //!
-//! All costs are expressed as times. A request that misses its target costs
+//! All costs are expressed as times: a cost of one second is as bad as one second of waiting for
+//! the first event of a request with a short target. A request that misses its target costs
 //! [`LATE_REQUEST_COST`]; the other costs are set relative to that.
 
 use eiderferry_types::Span;
@@ -33,8 +34,10 @@
 /// prefilled again.
 const FULL_MEMORY_COST: Span = Span::from_milliseconds(2_000);
 
-/// Costs of a failure of a request that may be retried, and of one that may not.
+/// Cost of a failed request that may be retried: another back end can still serve it.
 const RETRYABLE_FAILURE_COST: Span = Span::from_milliseconds(800);
+/// Cost of a failed request that may not be retried, so that the caller gets the failure. It is
+/// five times the cost of a failure that may be retried.
 pub(crate) const PERMANENT_FAILURE_COST: Span = Span::from_milliseconds(4_000);
 
 /// A back end that may get a request, with the inputs of its cost.
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -1,4 +1,6 @@
 //! Which running streams get a replica, which engine holds it, and which may take over a run.
+//!
+//! A run is the generation of one stream by an engine. Its replica is a copy on a second engine.
 
 mod support;
 
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -545,6 +545,8 @@
         }
     }
 
+    /// Sends the announcement of a node's newer documents. `is_first_hand` says that the node read
+    /// them from the platform, not from a peer.
     fn announce(&mut self, number: usize, is_first_hand: bool) {
         let messages = self.nodes[number].announce(is_first_hand, self.now);
         self.post(number, vec![messages]);
--- a/crates/coordination/node/src/held_cells.rs
+++ b/crates/coordination/node/src/held_cells.rs
@@ -22,7 +22,8 @@
 const FREE_SLOTS_FANOUT: usize = 3;
 /// Time between two rounds of lease checks.
 pub(crate) const LEASE_CHECK_INTERVAL: Span = Span::from_milliseconds(10_000);
-/// Time after which an unused cell that another node holds is dropped.
+/// Time after its last use from which on this node discards its state of a cell that another node
+/// holds by now. A cell with leases or waiting requests is kept.
 const IDLE_TIMEOUT: Span = Span::from_milliseconds(3_000);
 
 /// A cell held by this node.
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -103,7 +103,8 @@
     pub(crate) probes: ProbeSchedule,
     pub(crate) quarantine: Quarantine,
     pub(crate) draining: bool,
-    /// Set after a pause until the directory is confirmed or this time is reached.
+    /// Set after this node's process was paused, as its directory may be out of date: the node
+    /// grants nothing until the directory is confirmed, or at the latest until this time.
     pub(crate) unverified_until: Option<Timestamp>,
     /// Echo value of the pings sent after the last pause.
     pub(crate) verification_echo: u16,
--- a/crates/lab/simulator/src/network.rs
+++ b/crates/lab/simulator/src/network.rs
@@ -18,7 +18,8 @@
     platform_cut_counts: BTreeMap<ZoneId, u32>,
     /// Last time at which a zone reached neither the platform nor another zone.
     last_isolated: BTreeMap<ZoneId, Timestamp>,
-    /// Additional probability that a message is lost, and likewise that it is duplicated.
+    /// Sum of the active message-loss faults. It is added to the probability that a message is lost
+    /// and to the probability that it is duplicated, as such a fault causes both.
     pub extra_loss: f64,
 }
 
@@ -79,7 +80,7 @@
         Span(base + jitter)
     }
 
-    /// Samples how many copies of a message are delivered.
+    /// Samples how many copies of a message are delivered: 0 if it is lost, 2 if it is duplicated.
     pub fn delivered_copies(&self, rng: &mut ChaCha8Rng) -> u32 {
         let loss = self.plan.loss + self.extra_loss;
         let duplicate = self.plan.duplicate + self.extra_loss;
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -489,6 +489,8 @@
         }
     }
 
+    /// Announces newer documents to peers. `is_first_hand` says that this node read them from their
+    /// source, not from a peer.
     fn announce(&self, is_first_hand: bool) {
         let now = self.clock.now();
         let announcement = self.dispatcher.borrow_mut().announce(is_first_hand, now);
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -190,7 +190,7 @@
         .increment(1);
 }
 
-/// Updates gauges and counters from the dispatcher's state.
+/// Updates the gauges and counters that show the dispatcher's state.
 pub(crate) fn set_gauges(snapshot: &Snapshot) {
     metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
--- a/crates/transport/relay/tests/support/crashing_back_end.rs
+++ b/crates/transport/relay/tests/support/crashing_back_end.rs
@@ -28,8 +28,8 @@
     hangs: bool,
 }
 
-/// Path prefix of requests whose crash leaves connections open without a response; new
-/// connections are refused.
+/// Path prefix of requests that make the back end crash silently: its connections stay open but
+/// get no response, and new connections are refused. Other crashes reset the connections.
 const HANG_PATH: &str = "/quick/";
 
 type OpenStreams = Arc<Mutex<Vec<TcpStream>>>;
