--- a/crates/coordination/dispatch/src/dispatcher.rs
+++ b/crates/coordination/dispatch/src/dispatcher.rs
@@ -151,11 +151,11 @@
     /// Cold back ends.
     pub cold_back_ends: usize,
     /// Cold back ends to which this node may send.
-    pub cold_sending_to: usize,
+    pub cold_back_ends_as_sender: usize,
     /// Back ends that have stated a rate limit.
     pub limited_back_ends: usize,
     /// Rate-limited back ends to which this node sends.
-    pub limited_sending_to: usize,
+    pub limited_back_ends_as_sender: usize,
     /// Whether this node is an aggregator of its zone.
     pub is_aggregator: bool,
     /// Other zones held to be partitioned from this one.
@@ -546,8 +546,8 @@
             let states = self.back_ends.all();
             states.filter(|state| state.warmup.role() == role).count()
         };
-        let cold_sending_to = count(ColdRole::Sender);
-        let (limited, limited_sending_to) = self.limit_counts();
+        let cold_back_ends_as_sender = count(ColdRole::Sender);
+        let (limited, limited_back_ends_as_sender) = self.limit_counts();
         let (followed_cache_count, cache_counts) = self.cache_counts();
         Snapshot {
             live_peers: self.peers.live_count(),
@@ -557,10 +557,10 @@
                 .all()
                 .filter(|state| state.health.is_ejected(now))
                 .count(),
-            cold_back_ends: cold_sending_to + count(ColdRole::OtherNodes),
-            cold_sending_to,
+            cold_back_ends: cold_back_ends_as_sender + count(ColdRole::OtherNodes),
+            cold_back_ends_as_sender,
             limited_back_ends: limited,
-            limited_sending_to,
+            limited_back_ends_as_sender,
             is_aggregator: self.is_aggregator(),
             silent_zones: self.silent_zones.len(),
             evacuated_zones: self.evacuated_zones.len(),
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -275,10 +275,10 @@
             .collect()
     }
 
-    /// An announcement of newer documents to peers. `is_first_hand` says that this node read them
+    /// An announcement of newer documents to peers. `is_from_source` says that this node read them
     /// from their source; otherwise it got them from a peer and forwards them to fewer nodes. It is sent at once.
-    pub fn announce(&mut self, is_first_hand: bool, now: Timestamp) -> Envelope {
-        let (same_zone_fanout, cross_zone_fanout) = if is_first_hand {
+    pub fn announce(&mut self, is_from_source: bool, now: Timestamp) -> Envelope {
+        let (same_zone_fanout, cross_zone_fanout) = if is_from_source {
             (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
         } else {
             (FORWARD_SAME_ZONE_FANOUT, FORWARD_CROSS_ZONE_FANOUT)
@@ -288,7 +288,7 @@
             same_zone_fanout,
             &mut self.same_zone_cursor,
         );
-        peers.extend(self.cross_zone_receivers(is_first_hand, cross_zone_fanout));
+        peers.extend(self.cross_zone_receivers(is_from_source, cross_zone_fanout));
         let mut message = self.bare_gossip(false, now);
         message.recent_changes = self.unannounced_changes();
         self.announced_versions
@@ -304,7 +304,7 @@
     /// nodes, the first node to learn of a change sends it to one or two nodes of each zone, and
     /// representatives forward it to one node of each zone. All others forward it inside their own
     /// zone only.
-    fn cross_zone_receivers(&mut self, is_first_hand: bool, fanout: usize) -> Vec<SocketAddr> {
+    fn cross_zone_receivers(&mut self, is_from_source: bool, fanout: usize) -> Vec<SocketAddr> {
         if !self.is_represented() {
             return round_robin(
                 &self.peers.other_zone_peers(),
@@ -312,12 +312,12 @@
                 &mut self.other_zone_cursor,
             );
         }
-        if !is_first_hand && !self.represents_zone() {
+        if !is_from_source && !self.represents_zone() {
             return Vec::new();
         }
         let mut receivers = self.digest_receivers();
         let others = self.peers.one_per_other_zone(&mut self.random);
-        let others = others.into_values().filter(|_| is_first_hand);
+        let others = others.into_values().filter(|_| is_from_source);
         receivers.extend(others);
         receivers.sort_unstable();
         receivers.dedup();
--- a/crates/coordination/dispatch/src/load/back_end_load.rs
+++ b/crates/coordination/dispatch/src/load/back_end_load.rs
@@ -425,13 +425,13 @@
 
     /// Report of this node's own requests.
     pub(crate) fn own_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
-        self.report_of(|_| false, now)
+        self.combined_report(|_| false, now)
             .to_message(back_end, self.own_placed_tokens)
     }
 
     /// Report of the requests of this node and of all nodes that report directly to it.
     pub(crate) fn zone_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
-        self.report_of(|scope| matches!(scope, LoadScope::Node(_)), now)
+        self.combined_report(|scope| matches!(scope, LoadScope::Node(_)), now)
             .to_message(
                 back_end,
                 self.own_placed_tokens + self.tokens_placed_by_nodes,
@@ -442,11 +442,16 @@
     pub(crate) fn fleet_report(&self, back_end: u32, now: Timestamp) -> LoadReport {
         let placed =
             self.own_placed_tokens + self.tokens_placed_by_nodes + self.tokens_placed_by_zones;
-        self.report_of(|_| true, now).to_message(back_end, placed)
+        self.combined_report(|_| true, now)
+            .to_message(back_end, placed)
     }
 
     /// Sum of this node's own load at the back end and the fresh reports of the included scopes.
-    fn report_of(&self, is_included: impl Fn(LoadScope) -> bool, now: Timestamp) -> ReceivedReport {
+    fn combined_report(
+        &self,
+        is_included: impl Fn(LoadScope) -> bool,
+        now: Timestamp,
+    ) -> ReceivedReport {
         let mut total = ReceivedReport {
             occupancy: self.own_occupancy(now),
             outcomes: self.own_outcomes(now),
--- a/crates/coordination/dispatch/src/load/holders.rs
+++ b/crates/coordination/dispatch/src/load/holders.rs
@@ -7,7 +7,7 @@
 /// Maximum number of holders remembered for each shared prompt part. A holder is a back end that
 /// was given a request with the part and so probably has it cached. Several are remembered so
 /// that the part can be copied from one while another is busy.
-const MAX_HOLDERS: usize = 4;
+const MAX_HOLDERS_PER_PART: usize = 4;
 /// Parts in each of the two generations. Together they take about 4 MB (calculated) and cover the
 /// placements of several minutes, which is longer than engines keep parts.
 const PARTS_PER_GENERATION: usize = 32_768;
@@ -30,7 +30,7 @@
         let holders = self.current.entry(part);
         let holders = holders.or_insert_with(|| previous.get(&part).cloned().unwrap_or_default());
         holders.retain(|holder| *holder != back_end);
-        if holders.len() >= MAX_HOLDERS {
+        if holders.len() >= MAX_HOLDERS_PER_PART {
             holders.remove(0);
         }
         holders.push(back_end);
--- a/crates/coordination/dispatch/src/placement/candidate.rs
+++ b/crates/coordination/dispatch/src/placement/candidate.rs
@@ -38,7 +38,7 @@
 const RETRYABLE_FAILURE_COST: Span = Span::from_milliseconds(800);
 /// Cost of a failed request that may not be retried, so that the caller gets the failure. It is
 /// five times the cost of a failure that may be retried.
-pub(crate) const PERMANENT_FAILURE_COST: Span = Span::from_milliseconds(4_000);
+pub(crate) const UNRETRYABLE_FAILURE_COST: Span = Span::from_milliseconds(4_000);
 
 /// A back end that may get a request, with the inputs of its cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -130,7 +130,7 @@
         let failure = if self.may_retry {
             RETRYABLE_FAILURE_COST
         } else {
-            PERMANENT_FAILURE_COST
+            UNRETRYABLE_FAILURE_COST
         };
         failure.scaled(self.excess_failures)
     }
--- a/crates/coordination/dispatch/src/placement/planning.rs
+++ b/crates/coordination/dispatch/src/placement/planning.rs
@@ -14,9 +14,10 @@
 
 /// Minimum number of tokens that are copied from another engine. At 500 Gbit/s a copy takes 2.5
 /// ms plus 0.25 ms per 100 tokens, while prefilling 100 tokens delays every stream on the engine
-/// by 1.5 ms. Copying also costs less than a tenth of what recomputing the same tokens costs (0.025
-/// against 0.33 price units for 1,000 tokens at one deployment). On a loaded day of 78 nodes and 90 engines, 3.0 million shared tokens were recomputed and 3,566 GB copied;
-/// with a minimum of 1,000 it was 4.8 million and 2,909 GB (one run each).
+/// by 1.5 ms. Copying also costs less than a tenth of what recomputing the same tokens costs
+/// (0.025 against 0.33 price units for 1,000 tokens at one deployment). On a loaded day of 78
+/// nodes and 90 engines, 3.0 million shared tokens were recomputed and 3,566 GB copied; with a
+/// minimum of 1,000 it was 4.8 million and 2,909 GB (one run each).
 const MINIMUM_COPIED_TOKENS: u32 = 100;
 /// Prompts shorter than this are short: prefilling one delays no stream noticeably.
 const SHORT_PROMPT_TOKENS: u32 = 2_000;
--- a/crates/coordination/dispatch/src/placement/replication.rs
+++ b/crates/coordination/dispatch/src/placement/replication.rs
@@ -5,7 +5,7 @@
 //! Both are compared as times, like the costs of back ends.
 
 use crate::load::registry::{BackEndState, Registry};
-use crate::placement::candidate::{COPY_COST_PER_TOKEN, PERMANENT_FAILURE_COST};
+use crate::placement::candidate::{COPY_COST_PER_TOKEN, UNRETRYABLE_FAILURE_COST};
 use crate::placement::eligibility::is_eligible;
 use crate::placement::view::View;
 use crate::{Demand, ReplicaTarget};
@@ -81,7 +81,7 @@
         + loss_probabilities
             .of(&demand.pool)
             .max(source_failure_share);
-    let loss = PERMANENT_FAILURE_COST.scaled(probability.min(1.0));
+    let loss = UNRETRYABLE_FAILURE_COST.scaled(probability.min(1.0));
     loss.0 >= u64::from(replica_tokens(demand)) * COPY_COST_PER_TOKEN
 }
 
--- a/crates/coordination/dispatch/tests/run_replicas.rs
+++ b/crates/coordination/dispatch/tests/run_replicas.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_replica_is_released_with_its_run() {
+fn a_replica_is_released_when_its_stream_ends() {
     let mut subject = with_replicas(2);
     for prompt in 0..3_000 {
         let grant = granted(subject.dispatch(&stream(prompt), START));
--- a/crates/coordination/dispatch/tests/support/mod.rs
+++ b/crates/coordination/dispatch/tests/support/mod.rs
@@ -545,10 +545,10 @@
         }
     }
 
-    /// Sends the announcement of a node's newer documents. `is_first_hand` says that the node read
+    /// Sends the announcement of a node's newer documents. `is_from_source` says that the node read
     /// them from the platform, not from a peer.
-    fn announce(&mut self, number: usize, is_first_hand: bool) {
-        let messages = self.nodes[number].announce(is_first_hand, self.now);
+    fn announce(&mut self, number: usize, is_from_source: bool) {
+        let messages = self.nodes[number].announce(is_from_source, self.now);
         self.post(number, vec![messages]);
     }
 
@@ -569,12 +569,12 @@
         number: usize,
         known: &VersionVector,
         at: Timestamp,
-        is_first_hand: bool,
+        is_from_source: bool,
     ) {
         let before = self.nodes[number].document_store().version_vector().clone();
         self.nodes[number].record_confirmation(known, at);
         if !before.includes(known) {
-            self.announce(number, is_first_hand);
+            self.announce(number, is_from_source);
         }
     }
 
--- a/crates/coordination/node/src/node.rs
+++ b/crates/coordination/node/src/node.rs
@@ -105,7 +105,7 @@
     pub(crate) draining: bool,
     /// Set after this node's process was paused, as its directory may be out of date: the node
     /// grants nothing until the directory is confirmed, or at the latest until this time.
-    pub(crate) unverified_until: Option<Timestamp>,
+    pub(crate) directory_unverified_until: Option<Timestamp>,
     /// Echo value of the pings sent after the last pause.
     pub(crate) verification_echo: u16,
     pub(crate) heard_any_peer: bool,
@@ -146,7 +146,7 @@
             probes: ProbeSchedule::default(),
             quarantine: Quarantine::default(),
             draining: false,
-            unverified_until: None,
+            directory_unverified_until: None,
             verification_echo: 0,
             heard_any_peer: false,
             random: ChaCha8Rng::seed_from_u64(seed),
--- a/crates/coordination/node/src/pause.rs
+++ b/crates/coordination/node/src/pause.rs
@@ -29,7 +29,7 @@
         self.fleet.detector.clear_all_suspicions();
         self.free_slots.clear();
         self.saturated_until.clear();
-        self.unverified_until = Some(self.now + VERIFICATION_GRACE);
+        self.directory_unverified_until = Some(self.now + VERIFICATION_GRACE);
         self.directory_reads.reset();
         self.configuration_reads.reset();
         self.ping_zone_for_versions();
@@ -39,10 +39,10 @@
 
     /// Whether the node still waits for its directory to be confirmed after a pause.
     pub(crate) fn is_unverified(&mut self) -> bool {
-        match self.unverified_until {
+        match self.directory_unverified_until {
             Some(until) if self.now < until => true,
             _ => {
-                self.unverified_until = None;
+                self.directory_unverified_until = None;
                 false
             }
         }
@@ -50,7 +50,7 @@
 
     /// Records that the directory in force has been confirmed.
     pub(crate) fn confirm_directory(&mut self) {
-        self.unverified_until = None;
+        self.directory_unverified_until = None;
     }
 
     fn ping_zone_for_versions(&mut self) {
--- a/crates/lab/simulator/src/faults.rs
+++ b/crates/lab/simulator/src/faults.rs
@@ -44,7 +44,7 @@
             FaultKind::PlatformStale { age } => {
                 self.platform.stale_ages.push(Span::from_seconds(age));
             }
-            FaultKind::MessageLoss { part } => self.network.extra_loss += part,
+            FaultKind::MessageLoss { part } => self.network.extra_loss_and_duplication += part,
             FaultKind::ConfigurationChange => self.change_configuration(),
             FaultKind::InvalidConfiguration => {
                 self.platform
@@ -97,7 +97,8 @@
                 self.platform.last_disturbed = self.now;
             }
             FaultKind::MessageLoss { part } => {
-                self.network.extra_loss = (self.network.extra_loss - part).max(0.0);
+                self.network.extra_loss_and_duplication =
+                    (self.network.extra_loss_and_duplication - part).max(0.0);
                 self.platform.last_disturbed = self.now;
             }
             FaultKind::ConfigurationChange | FaultKind::InvalidConfiguration => {}
--- a/crates/lab/simulator/src/network.rs
+++ b/crates/lab/simulator/src/network.rs
@@ -20,7 +20,7 @@
     last_isolated: BTreeMap<ZoneId, Timestamp>,
     /// Sum of the active message-loss faults. It is added to the probability that a message is lost
     /// and to the probability that it is duplicated, as such a fault causes both.
-    pub extra_loss: f64,
+    pub extra_loss_and_duplication: f64,
 }
 
 impl Network {
@@ -30,7 +30,7 @@
             zone_cut_counts: BTreeMap::new(),
             platform_cut_counts: BTreeMap::new(),
             last_isolated: BTreeMap::new(),
-            extra_loss: 0.0,
+            extra_loss_and_duplication: 0.0,
         }
     }
 
@@ -82,8 +82,8 @@
 
     /// Samples how many copies of a message are delivered: 0 if it is lost, 2 if it is duplicated.
     pub fn delivered_copies(&self, rng: &mut ChaCha8Rng) -> u32 {
-        let loss = self.plan.loss + self.extra_loss;
-        let duplicate = self.plan.duplicate + self.extra_loss;
+        let loss = self.plan.loss + self.extra_loss_and_duplication;
+        let duplicate = self.plan.duplicate + self.extra_loss_and_duplication;
         if loss > 0.0 && rng.random_bool(loss.min(1.0)) {
             return 0;
         }
--- a/crates/lab/simulator/src/world.rs
+++ b/crates/lab/simulator/src/world.rs
@@ -220,7 +220,7 @@
             .map(|index| &self.requests[*index]);
         self.shares.sample(self.now, requests, &self.back_ends);
         self.network.record_isolation(self.now);
-        if self.network.extra_loss > 0.0 {
+        if self.network.extra_loss_and_duplication > 0.0 {
             self.checker.last_loss = self.now;
         }
         self.check_versions();
--- a/crates/transport/relay/src/control.rs
+++ b/crates/transport/relay/src/control.rs
@@ -281,7 +281,7 @@
             follower.start_calls(self);
             count += 1;
             if count.is_multiple_of(GAUGE_INTERVAL_TICKS) {
-                metrics::set_gauges(&self.dispatcher.borrow().snapshot(now));
+                metrics::update_dispatcher_metrics(&self.dispatcher.borrow().snapshot(now));
             }
         }
     }
@@ -468,11 +468,11 @@
             .clone()
     }
 
-    fn record_confirmation(&self, known: &VersionVector, at: Timestamp, is_first_hand: bool) {
+    fn record_confirmation(&self, known: &VersionVector, at: Timestamp, is_from_source: bool) {
         let before = self.version_vector();
         self.dispatcher.borrow_mut().record_confirmation(known, at);
         if !before.includes(known) {
-            self.announce(is_first_hand);
+            self.announce(is_from_source);
         }
     }
 
@@ -489,11 +489,11 @@
         }
     }
 
-    /// Announces newer documents to peers. `is_first_hand` says that this node read them from their
-    /// source, not from a peer.
-    fn announce(&self, is_first_hand: bool) {
+    /// Announces newer documents to peers. `is_from_source` says that this node read them from
+    /// their source, not from a peer.
+    fn announce(&self, is_from_source: bool) {
         let now = self.clock.now();
-        let announcement = self.dispatcher.borrow_mut().announce(is_first_hand, now);
+        let announcement = self.dispatcher.borrow_mut().announce(is_from_source, now);
         self.send(&announcement);
     }
 }
--- a/crates/transport/relay/src/metrics.rs
+++ b/crates/transport/relay/src/metrics.rs
@@ -191,14 +191,16 @@
 }
 
 /// Updates the gauges and counters that show the dispatcher's state.
-pub(crate) fn set_gauges(snapshot: &Snapshot) {
+pub(crate) fn update_dispatcher_metrics(snapshot: &Snapshot) {
     metrics::gauge!("eiderferry_living_peers").set(snapshot.live_peers as f64);
     metrics::gauge!("eiderferry_back_ends").set(snapshot.back_ends as f64);
     metrics::gauge!("eiderferry_back_ends_ejected").set(snapshot.ejected_back_ends as f64);
     metrics::gauge!("eiderferry_back_ends_cold").set(snapshot.cold_back_ends as f64);
     metrics::gauge!("eiderferry_back_ends_limited").set(snapshot.limited_back_ends as f64);
-    metrics::gauge!("eiderferry_back_ends_limited_sender").set(snapshot.limited_sending_to as f64);
-    metrics::gauge!("eiderferry_back_ends_cold_sender").set(snapshot.cold_sending_to as f64);
+    metrics::gauge!("eiderferry_back_ends_limited_sender")
+        .set(snapshot.limited_back_ends_as_sender as f64);
+    metrics::gauge!("eiderferry_back_ends_cold_sender")
+        .set(snapshot.cold_back_ends_as_sender as f64);
     let aggregates = f64::from(u8::from(snapshot.is_aggregator));
     metrics::gauge!("eiderferry_aggregates").set(aggregates);
     metrics::gauge!("eiderferry_silent_zones").set(snapshot.silent_zones as f64);
