--- a/crates/coordination/dispatch/src/dispatcher/aggregation.rs
+++ b/crates/coordination/dispatch/src/dispatcher/aggregation.rs
@@ -360,9 +360,9 @@
         (ticks.ceil() as u64).clamp(MIN_SUMMARY_TICKS, MAX_SUMMARY_TICKS)
     }
 
-    /// Index of this node among the aggregators, which send to other zones in turn. If its
-    /// own list doesn't contain this node, the node takes one of the indexes by its hash, so that
-    /// such nodes spread over the turns.
+    /// Index of this node among the aggregators, which send to other zones in turn. A
+    /// node that others still report to acts as an aggregator although its own list doesn't
+    /// contain it; it takes one of the indexes by its hash.
     pub(super) fn aggregator_index(&self) -> u64 {
         let own = self.settings.address;
         let mut aggregators = self.aggregation.aggregators.iter();
--- a/crates/coordination/dispatch/src/dispatcher/messages.rs
+++ b/crates/coordination/dispatch/src/dispatcher/messages.rs
@@ -276,7 +276,8 @@
     }
 
     /// An announcement of newer documents to peers. `is_from_source` says that this node read them
-    /// from their source; otherwise it got them from a peer and forwards them to fewer nodes. It is sent at once.
+    /// from their source; otherwise it got them from a peer and forwards them.
+    /// It is sent at once.
     pub fn announce(&mut self, is_from_source: bool, now: Timestamp) -> Envelope {
         let (same_zone_fanout, cross_zone_fanout) = if is_from_source {
             (SAME_ZONE_FANOUT, CROSS_ZONE_FANOUT)
