--- a/crates/lab/simulator/src/network.rs
+++ b/crates/lab/simulator/src/network.rs
@@ -18,8 +18,9 @@
     platform_cut_counts: BTreeMap<ZoneId, u32>,
     /// Last time at which a zone reached neither the platform nor another zone.
     last_isolated: BTreeMap<ZoneId, Timestamp>,
-    /// Additional probability that a message is lost, and likewise that it is duplicated.
-    pub extra_loss: f64,
+    /// Sum of the active message-loss faults. It is added to the probability that a message is lost
+    /// and to the probability that it is duplicated, as such a fault causes both.
+    pub extra_loss_and_duplication: f64,
 }
 
 impl Network {
@@ -29,7 +30,7 @@
             zone_cut_counts: BTreeMap::new(),
             platform_cut_counts: BTreeMap::new(),
             last_isolated: BTreeMap::new(),
-            extra_loss: 0.0,
+            extra_loss_and_duplication: 0.0,
         }
     }
 
@@ -79,10 +80,10 @@
         Span(base + jitter)
     }
 
-    /// Samples how many copies of a message are delivered.
+    /// Samples how many copies of a message are delivered: 0 if it is lost, 2 if it is duplicated.
     pub fn delivered_copies(&self, rng: &mut ChaCha8Rng) -> u32 {
-        let loss = self.plan.loss + self.extra_loss;
-        let duplicate = self.plan.duplicate + self.extra_loss;
+        let loss = self.plan.loss + self.extra_loss_and_duplication;
+        let duplicate = self.plan.duplicate + self.extra_loss_and_duplication;
         if loss > 0.0 && rng.random_bool(loss.min(1.0)) {
             return 0;
         }
