--- a/bins/eiderferry/src/serve.rs
+++ b/bins/eiderferry/src/serve.rs
@@ -1,6 +1,6 @@
-//! `eiderferry serve`.
+//! `eiderferry serve`: runs an entry node.
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 use crate::logging;
 use async_signal::{Signal, Signals};
 use clap::ArgMatches;
@@ -8,8 +8,8 @@
 use futures_lite::StreamExt;
 use std::path::PathBuf;
 
-/// Runs a node until a signal asks it to stop.
-pub fn run(arguments: &ArgMatches) -> Result<(), Failure> {
+/// Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.
+pub fn run(arguments: &ArgMatches) -> Result<(), CommandError> {
     let Some(path) = arguments.get_one::<PathBuf>("settings") else {
         return Ok(());
     };
@@ -18,18 +18,19 @@
     smol::block_on(serve(&settings))
 }
 
-async fn serve(settings: &Settings) -> Result<(), Failure> {
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(Failure::Signals)?;
+async fn serve(settings: &Settings) -> Result<(), CommandError> {
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int]).map_err(CommandError::SignalSetup)?;
     let node = eiderferry_entry::start(settings)?;
     log::info!(
         node:% = settings.node, zone:% = settings.zone, listen:% = node.listen;
-        "serving callers"
+        "entry node started; accepting requests"
     );
     signals.next().await;
-    log::info!("stopping: no new requests are taken, running ones are finished");
+    log::info!("draining: rejecting new requests, waiting for running ones to finish");
     if node.stop().await? {
-        log::info!("stopped; every request was finished");
+        log::info!("stopped; all requests finished");
         return Ok(());
     }
-    Err(Failure::CutOff)
+    Err(CommandError::DrainTimeout)
 }
--- a/crates/coordination/admission/src/selection.rs
+++ b/crates/coordination/admission/src/selection.rs
@@ -8,8 +8,8 @@
 //! 2. *Tier order.* All capacity outside the minimum shares goes to the highest tier
 //!    with waiting requests.
 //!
-//! A minimum share is never part of the capacity of higher tiers, so serving it takes
-//! nothing away from them.
+//! A minimum share is never part of the capacity of higher tiers, so serving it does
+//! not reduce their capacity.
 
 use crate::back_end::BackEndState;
 use crate::class_queue::ClassQueue;
@@ -34,7 +34,7 @@
 pub(crate) struct SelectedClass {
     pub class: ClassId,
     /// Whether the class was selected because it is below its minimum share.
-    pub by_share: bool,
+    pub from_minimum_share: bool,
 }
 
 /// Slots out of `total` that are guaranteed to a class; at least one if it has a
@@ -77,7 +77,7 @@
     let (class, state) = candidates.min_by_key(key)?;
     Some(SelectedClass {
         class: *class,
-        by_share: policy.minimum_shares && state.is_below_share(total_slots),
+        from_minimum_share: policy.minimum_shares && state.is_below_share(total_slots),
     })
 }
 
--- a/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
+++ b/crates/coordination/dispatch/src/dispatcher/cold_senders.rs
@@ -32,8 +32,8 @@
             let cold = start.filter(|start| state.warmup.is_cold(start, now));
             let role = cold.map_or(ColdRole::Warm, |start| {
                 let is_same_zone = state.back_end.zone == self.settings.zone;
-                let senders = self.settings.cold_rate_limit.senders(start);
-                role(may_send && is_same_zone, &self.peers, state, senders)
+                let sender_count = self.settings.cold_rate_limit.sender_count(start);
+                role(may_send && is_same_zone, &self.peers, state, sender_count)
             });
             self.has_cold_back_ends |= role != ColdRole::Warm;
             if state.warmup.update_role(role) {
@@ -47,8 +47,8 @@
         changes
     }
 
-    /// Whether this node isn't stopping and knows the other nodes of its zone well enough to tell
-    /// which of them send.
+    /// Whether this node isn't stopping and knows enough of the other nodes of its zone to
+    /// determine which of them send.
     pub(super) fn may_be_sender(&self, now: Timestamp) -> bool {
         let is_settled = self.uptime(now) >= SENDER_SETTLING_TIME
             && self.peers.time_since_zone_grew(now) >= GROWTH_SETTLING_TIME;
@@ -64,8 +64,8 @@
     }
 }
 
-fn role(may_send: bool, peers: &Peers, state: &BackEndState, senders: usize) -> ColdRole {
-    if may_send && peers.sender_index(state.digest) < senders {
+fn role(may_send: bool, peers: &Peers, state: &BackEndState, sender_count: usize) -> ColdRole {
+    if may_send && peers.sender_index(state.digest) < sender_count {
         ColdRole::Sender
     } else {
         ColdRole::OtherNodes
--- a/crates/coordination/dispatch/src/fleet/members.rs
+++ b/crates/coordination/dispatch/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! Indirect membership: what nodes tell each other about third nodes. A node of a large zone
+//! Indirect membership: what nodes report to each other about third nodes. A node of a large zone
 //! contacts only two nodes of each other zone directly. It learns about the others from the nodes
 //! of its own zone, which learn about them from the senders of zone digests.
 
@@ -15,11 +15,11 @@
 const MEMBERS_PER_MESSAGE: usize = 12;
 /// Number of nodes of another zone that a node contacts directly; it learns about the others
 /// indirectly. When each of 300 nodes probed every other one, they sent 14 MB across zones at
-/// startup (`tests/borders.rs`).
+/// startup (`tests/cross_zone_traffic.rs`).
 const CONTACTS_PER_ZONE: usize = 2;
 /// Upper bound on the transit time of a message between two nodes of a zone, added to the
-/// reported silence. Without it, two nodes that report a third one to each other would make it
-/// look ever more recently heard.
+/// reported silence. Without it, two nodes that report a third one to each other would make its
+/// last contact appear ever more recent.
 const MEMBER_TRANSIT_TIME: Span = Span::from_milliseconds(10);
 
 impl Peers {
@@ -29,7 +29,7 @@
     pub(super) fn apply_members(&mut self, message: &Gossip, is_same_zone: bool, now: Timestamp) {
         let members = message.members.iter();
         for member in members.filter(|member| member.address != self.own_address) {
-            let silence = Span::from_milliseconds(u64::from(member.silent_ms));
+            let silence = Span::from_milliseconds(u64::from(member.silence_ms));
             let heard_at = now - silence;
             let is_known = self.peers.contains_key(&member.address);
             if !is_known && self.accepts_indirect(member, message, is_same_zone) {
@@ -55,7 +55,7 @@
     /// it.
     fn accepts_indirect(&self, member: &Member, message: &Gossip, is_same_zone: bool) -> bool {
         let is_trusted = is_same_zone || member.zone == message.zone;
-        let silence = Span::from_milliseconds(u64::from(member.silent_ms));
+        let silence = Span::from_milliseconds(u64::from(member.silence_ms));
         let is_fresh = silence < INDIRECT_SILENCE;
         is_trusted && is_fresh && member.zone != self.zone && self.has_enough_contacts(&member.zone)
     }
@@ -113,7 +113,7 @@
         live.map(move |(address, peer)| Member {
             address: *address,
             zone: peer.zone.clone(),
-            silent_ms: (now.since(peer.last_heard) + MEMBER_TRANSIT_TIME).milliseconds() as u32,
+            silence_ms: (now.since(peer.last_heard) + MEMBER_TRANSIT_TIME).milliseconds() as u32,
         })
     }
 }
--- a/crates/coordination/dispatch/src/load/cache_index.rs
+++ b/crates/coordination/dispatch/src/load/cache_index.rs
@@ -45,7 +45,7 @@
     /// Identifies one lifetime of the engine's cache; it changes with each restart.
     pub epoch: u64,
     /// Sequence number from which the next call continues.
-    pub next: u64,
+    pub next_event: u64,
     /// Whether events before these have been lost.
     pub has_gap: bool,
     /// The events; they may be out of order.
@@ -58,9 +58,9 @@
     /// Identifies one lifetime of the engine's cache.
     pub epoch: u64,
     /// Sequence number from which the first call for events continues.
-    pub next: u64,
+    pub next_event: u64,
     /// The cached prompt parts.
-    pub kept: Vec<PromptPart>,
+    pub parts: Vec<PromptPart>,
 }
 
 /// A call to be made to an engine.
@@ -119,7 +119,7 @@
 /// The contents of one engine's cache, as reported by the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheIndex {
-    since: Timestamp,
+    followed_since: Timestamp,
     epoch: Option<u64>,
     next_event: u64,
     /// Sequence number of the last event reflected in the listing; events with lower numbers are
@@ -151,7 +151,7 @@
     /// Starts following an engine.
     pub fn new(now: Timestamp) -> Self {
         Self {
-            since: now,
+            followed_since: now,
             epoch: None,
             next_event: 0,
             listed_through: 0,
@@ -167,8 +167,8 @@
     }
 
     /// When this node started to follow the engine.
-    pub fn since(&self) -> Timestamp {
-        self.since
+    pub fn followed_since(&self) -> Timestamp {
+        self.followed_since
     }
 
     /// Counters of the calls to the engine and their results.
@@ -177,7 +177,7 @@
     }
 
     /// Returns the call that is due, if any. At most one call is pending at a time.
-    pub fn call(&mut self, now: Timestamp) -> Option<CacheCall> {
+    pub fn next_due_call(&mut self, now: Timestamp) -> Option<CacheCall> {
         if self.is_call_pending || now < self.next_call {
             return None;
         }
@@ -206,15 +206,15 @@
     }
 
     fn apply_listing(&mut self, listing: CacheListing, now: Timestamp) -> bool {
-        let number = listing.next.saturating_sub(1);
-        let kept = listing.kept.iter().take(MAX_PARTS);
-        let stored = kept.map(|part| {
+        let number = listing.next_event.saturating_sub(1);
+        let parts = listing.parts.iter().take(MAX_PARTS);
+        let stored = parts.map(|part| {
             let tokens = part.tokens;
             (part.id, StoredPart { tokens, number })
         });
         self.stored = stored.collect();
         self.epoch = Some(listing.epoch);
-        self.next_event = listing.next;
+        self.next_event = listing.next_event;
         self.listed_through = number;
         self.counts.listings += 1;
         self.record_successful_call(now);
@@ -231,7 +231,7 @@
         for event in &report.events {
             self.apply_event(event);
         }
-        self.next_event = self.next_event.max(report.next);
+        self.next_event = self.next_event.max(report.next_event);
         self.counts.responses += 1;
         self.counts.events += report.events.len() as u64;
         self.prune_removed();
--- a/crates/coordination/dispatch/src/load/limit_notices.rs
+++ b/crates/coordination/dispatch/src/load/limit_notices.rs
@@ -1,5 +1,5 @@
-//! Rate limits stated by back ends, to this node or to others, and what nodes tell each other
-//! about them.
+//! Rate limits stated by back ends, to this node or to others, and the reports of them that nodes
+//! exchange.
 //!
 //! Nodes that send no requests to a back end don't learn directly that its limit has changed or
 //! been lifted, so each notice is forwarded; the most recent one applies. A notice holds until
@@ -23,8 +23,9 @@
 const SAME_ZONE_REPORTING_PERIOD: Span = Span::from_milliseconds(500);
 /// The same for other zones, which receive messages less often.
 const OTHER_ZONES_REPORTING_PERIOD: Span = Span::from_milliseconds(2_000);
-/// Number of rounds in which an aggregator reports a change; there are two aggregators.
-const AGGREGATOR_REPORTING_ROUNDS: f64 = 1.5;
+/// Time for which an aggregator reports a change, in its sending intervals; there are two
+/// aggregators.
+const AGGREGATOR_REPORTING_INTERVALS: f64 = 1.5;
 /// Changed notices in one message, at about 15 bytes each: they make a message a third longer
 /// than an aggregator's summary.
 const MAX_CHANGED_REPORTS: usize = 96;
@@ -71,10 +72,10 @@
     /// Peers in the same zone, or its aggregators.
     OwnZone,
     /// Nodes in the same zone, when the sender is their aggregator and sends to all of them in
-    /// rounds.
+    /// turn.
     ZoneMembers {
         /// Time in which the aggregator sends to each of them once.
-        round: Span,
+        interval: Span,
     },
     /// Nodes in other zones.
     OtherZones,
@@ -96,7 +97,7 @@
         match self {
             Audience::OwnZone => SAME_ZONE_REPORTING_PERIOD,
             Audience::OtherZones => OTHER_ZONES_REPORTING_PERIOD,
-            Audience::ZoneMembers { round } => round.scaled(AGGREGATOR_REPORTING_ROUNDS),
+            Audience::ZoneMembers { interval } => interval.scaled(AGGREGATOR_REPORTING_INTERVALS),
         }
     }
 
--- a/crates/lab/emulator/src/cache.rs
+++ b/crates/lab/emulator/src/cache.rs
@@ -1,34 +1,35 @@
-//! The prefix cache of an engine and the events it publishes.
+//! Prefix cache of an engine and the change events that it publishes.
 
 use eiderferry_admission::PrefixMark;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Events kept for readers that come late; older ones are a gap.
-const KEPT_EVENTS: usize = 1_024;
+/// Number of events kept for readers; a reader that is further behind is told of a gap.
+const MAX_EVENTS: usize = 1_024;
 
-/// A change of the cache.
+/// A change of the cache contents; carries the hash of the prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
     /// A prefix was stored.
     Stored(u32),
-    /// A prefix was dropped.
+    /// A prefix was evicted.
     Removed(u32),
 }
 
-/// Prompt prefixes in limited memory, least recently used first out.
+/// LRU cache of prompt prefixes, limited by their total number of tokens.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity_tokens: u64,
     used_tokens: u64,
     clock: u64,
+    /// Time of the last use and number of tokens, by prefix hash.
     entries: BTreeMap<u32, (u64, u32)>,
-    by_use: BTreeMap<u64, u32>,
+    by_last_use: BTreeMap<u64, u32>,
     events: VecDeque<(u64, CacheEvent)>,
     next_event: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
@@ -36,27 +37,27 @@
         }
     }
 
-    /// Looks a prompt up and stores its prefixes; returns the tokens it held.
-    pub fn use_prompt(&mut self, prefixes: &[PrefixMark]) -> u32 {
-        let held = prefixes
+    /// Stores the prefixes of a prompt and returns how many of its tokens were cached before.
+    pub fn look_up_and_store(&mut self, prefixes: &[PrefixMark]) -> u32 {
+        let cached_tokens = prefixes
             .iter()
             .rev()
             .find(|mark| self.entries.contains_key(&mark.hash))
             .map_or(0, |mark| mark.tokens);
-        let mut covered = 0;
+        let mut covered_tokens = 0;
         for mark in prefixes {
-            self.store(mark.hash, mark.tokens.saturating_sub(covered));
-            covered = mark.tokens;
+            self.store(mark.hash, mark.tokens.saturating_sub(covered_tokens));
+            covered_tokens = mark.tokens;
         }
-        held
+        cached_tokens
     }
 
     fn store(&mut self, hash: u32, tokens: u32) {
         self.clock += 1;
         match self.entries.get_mut(&hash) {
-            Some((used, _)) => {
-                self.by_use.remove(used);
-                *used = self.clock;
+            Some((last_use, _)) => {
+                self.by_last_use.remove(last_use);
+                *last_use = self.clock;
             }
             None => {
                 self.entries.insert(hash, (self.clock, tokens));
@@ -64,13 +65,13 @@
                 self.publish(CacheEvent::Stored(hash));
             }
         }
-        self.by_use.insert(self.clock, hash);
+        self.by_last_use.insert(self.clock, hash);
         self.evict();
     }
 
     fn evict(&mut self) {
         while self.used_tokens > self.capacity_tokens {
-            let Some((_, hash)) = self.by_use.pop_first() else {
+            let Some((_, hash)) = self.by_last_use.pop_first() else {
                 return;
             };
             if let Some((_, tokens)) = self.entries.remove(&hash) {
@@ -83,17 +84,18 @@
     fn publish(&mut self, event: CacheEvent) {
         self.next_event += 1;
         self.events.push_back((self.next_event, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Number of the last event.
+    /// Sequence number of the last event.
     pub fn last_event(&self) -> u64 {
         self.next_event
     }
 
-    /// Events after `cursor` up to `last`, and whether some are missing between.
+    /// Returns whether events after `cursor` are no longer kept, and the events after `cursor`
+    /// up to and including `last`.
     pub fn events_between(&self, cursor: u64, last: u64) -> (bool, Vec<CacheEvent>) {
         let oldest = self
             .events
--- a/crates/lab/emulator/src/lib.rs
+++ b/crates/lab/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for everything the router meets: model engines, plain services and
-//! the platform's read-only service.
+//! Emulated peers of the router: model engines, plain HTTP services and the platform's
+//! read-only service.
 //!
-//! The engine model ([`Engine`]) does no I/O: the simulator steps it on a virtual
-//! clock, [`EngineServer`] steps it in real time behind its wire protocol.
+//! The engine model ([`Engine`]) does no I/O: the simulator steps it on a virtual clock, and
+//! [`EngineServer`] steps it in real time behind an HTTP interface.
 
 #![forbid(unsafe_code)]
 
@@ -20,5 +20,5 @@
 pub use engine_server::EngineServer;
 pub use platform_server::{PlatformServer, PlatformState};
 pub use service_server::ServiceServer;
-pub use text::{answer_text, default_answer_tokens, token_text};
+pub use text::{default_response_tokens, response_text, token_text};
 pub use timing::EngineTiming;
--- a/crates/transport/entry/src/callers.rs
+++ b/crates/transport/entry/src/callers.rs
@@ -1,9 +1,9 @@
-//! The callers' interface: which handler serves which path.
+//! HTTP interface for callers: readiness, routing of paths to handlers, and tickets.
 
 use crate::authorization::{authenticate, format_ticket};
 use crate::chat::chat_completion;
 use crate::control::ControlHandle;
-use crate::reply::{BadRequest, bad_request, refused};
+use crate::error_response::{BadRequest, bad_request, refusal_response};
 use crate::service::service_call;
 use crate::upstream::Upstream;
 use crate::{Clock, TrafficView};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use trillium::{Conn, Handler, KnownHeaderName, Method, Status};
 
-/// What the handlers of all requests share.
+/// State shared by the handlers of all requests.
 #[derive(Clone)]
 pub(crate) struct EntryState {
     pub control: ControlHandle,
@@ -23,10 +23,10 @@
     pub maximum_body_bytes: usize,
 }
 
-/// Serves callers.
-pub(crate) struct Callers(pub EntryState);
+/// Routes the requests of callers by method and path.
+pub(crate) struct CallerHandler(pub EntryState);
 
-impl Handler for Callers {
+impl Handler for CallerHandler {
     async fn run(&self, conn: Conn) -> Conn {
         let state = &self.0;
         let view = state.view.load_full();
@@ -35,13 +35,13 @@
         }
         let Some(configuration) = view.configuration.as_ref().filter(|_| view.ready) else {
             let retry_after = Some(Span::from_milliseconds(1_000));
-            return refused(conn, &Refusal::not_run(Reason::NotReady, retry_after), None);
+            return refusal_response(conn, &Refusal::not_run(Reason::NotReady, retry_after), None);
         };
         match (conn.method(), conn.path()) {
             (Method::Post, "/v1/chat/completions") => {
                 chat_completion(conn, state, configuration).await
             }
-            (Method::Get, "/v1/models") => models(conn, configuration),
+            (Method::Get, "/v1/models") => list_models(conn, configuration),
             (Method::Post, "/v1/tickets") => issue_ticket(conn, state, configuration).await,
             (_, path) if path.starts_with("/v1/") => {
                 let path = path.to_owned();
@@ -52,26 +52,26 @@
     }
 }
 
-/// Tells the balancer whether to send callers here.
+/// Responds to the readiness check of a load balancer.
 fn readiness(conn: Conn, view: &TrafficView) -> Conn {
-    let (status, word) = match (view.ready, view.draining) {
+    let (status, body) = match (view.ready, view.draining) {
         (true, false) => (Status::Ok, "ready"),
         (_, true) => (Status::ServiceUnavailable, "draining"),
         (false, false) => (Status::ServiceUnavailable, "not ready"),
     };
-    conn.with_status(status).with_body(word).halt()
+    conn.with_status(status).with_body(body).halt()
 }
 
-fn models(conn: Conn, configuration: &Configuration) -> Conn {
+fn list_models(conn: Conn, configuration: &Configuration) -> Conn {
     let tenant = match authenticate(conn.request_headers(), configuration) {
         Ok(tenant) => tenant,
         Err(error) => return bad_request(conn, &error),
     };
-    let allowed = configuration
+    let allowed_pools = configuration
         .pools
         .iter()
         .filter(|pool| tenant.pools.contains(&pool.name));
-    let data: Vec<_> = allowed
+    let data: Vec<_> = allowed_pools
         .filter_map(|pool| pool.model.as_ref())
         .map(|model| serde_json::json!({ "id": model, "object": "model" }))
         .collect();
@@ -91,24 +91,24 @@
             conn.with_response_header(KnownHeaderName::ContentType, "application/json")
                 .ok(body.to_string())
         }
-        Ok(Err(_)) => refused(
+        Ok(Err(_)) => refusal_response(
             conn,
             &Refusal::not_run(Reason::KeyTableFull, retry_after),
             None,
         ),
-        Err(_) => refused(conn, &Refusal::not_run(Reason::Draining, retry_after), None),
+        Err(_) => refusal_response(conn, &Refusal::not_run(Reason::Draining, retry_after), None),
     }
 }
 
-/// Reads a request's body up to the limit.
+/// Reads a request's body of at most `limit` bytes.
 pub(crate) async fn read_body(conn: &mut Conn, limit: usize) -> Result<Vec<u8>, BadRequest> {
-    let declared = conn.request_body().content_length();
-    if declared.is_some_and(|length| length > limit as u64) {
-        return Err(BadRequest::TooLarge(limit));
+    let content_length = conn.request_body().content_length();
+    if content_length.is_some_and(|length| length > limit as u64) {
+        return Err(BadRequest::BodyTooLarge(limit));
     }
     let body = conn.request_body().with_max_len(limit as u64);
     body.read_bytes().await.map_err(|error| match error {
-        trillium_http::Error::ReceivedBodyTooLong(_) => BadRequest::TooLarge(limit),
-        _ => BadRequest::Incomplete,
+        trillium_http::Error::ReceivedBodyTooLong(_) => BadRequest::BodyTooLarge(limit),
+        _ => BadRequest::IncompleteBody,
     })
 }
--- a/crates/transport/entry/src/metrics_text.rs
+++ b/crates/transport/entry/src/metrics_text.rs
@@ -1,8 +1,8 @@
-//! Metrics in the Prometheus text form.
+//! Metrics in the Prometheus text format.
 //!
-//! The control state is read when the metrics are asked for, so that nothing is
-//! spent on them in between. Labels are classes and cells: their number does not
-//! grow with tenants or requests.
+//! The metrics are computed from the control state when they are scraped, so that they cost nothing
+//! in between. Labels are classes, tiers and cells: the number of time series does not grow with
+//! tenants or requests.
 
 use eiderferry_node::Node;
 use metrics::{Key, Label, Level, Metadata, Recorder};
@@ -10,7 +10,7 @@
 
 const METADATA: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, None);
 
-/// The metrics of a node.
+/// Renders the metrics of a node.
 pub(crate) fn metrics_text(node: &Node) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
     let gauge = |name: &'static str, labels: Vec<Label>, value: f64| {
@@ -43,15 +43,19 @@
     );
     record_classes(&recorder, node);
     for (cell, snapshot) in node.held_cells() {
-        let label = || vec![Label::new("cell", cell.to_string())];
+        let cell_labels = || vec![Label::new("cell", cell.to_string())];
         let waiting: usize = snapshot.classes.iter().map(|class| class.waiting).sum();
         gauge(
             "eiderferry_cell_slots",
-            label(),
+            cell_labels(),
             f64::from(snapshot.total_slots),
         );
-        gauge("eiderferry_cell_running", label(), snapshot.leases as f64);
-        gauge("eiderferry_cell_waiting", label(), waiting as f64);
+        gauge(
+            "eiderferry_cell_running",
+            cell_labels(),
+            snapshot.leases as f64,
+        );
+        gauge("eiderferry_cell_waiting", cell_labels(), waiting as f64);
     }
     recorder.handle().render()
 }
@@ -62,14 +66,14 @@
     };
     for class in &configuration.classes {
         let counts = node.class_counts(class.id);
-        let values = [
+        let counters = [
             ("eiderferry_requests_total", counts.requests),
             ("eiderferry_completed_total", counts.completed),
             ("eiderferry_refused_total", counts.refused),
             ("eiderferry_attained_total", counts.attained),
             ("eiderferry_answer_tokens_total", counts.tokens),
         ];
-        for (name, value) in values {
+        for (name, value) in counters {
             let labels = vec![
                 Label::new("class", class.name.clone()),
                 Label::new("tier", class.tier.to_string()),
--- a/crates/transport/entry/src/session.rs
+++ b/crates/transport/entry/src/session.rs
@@ -1,8 +1,8 @@
-//! One request's dialogue with the control thread and its engines.
+//! Runs a chat completion: follows the control thread's decisions and reads the engines' streams.
 
 use crate::Clock;
 use crate::control::{Command, ControlHandle, RequestEvent};
-use crate::upstream::{Answer, Upstream, UpstreamError, within};
+use crate::upstream::{Upstream, UpstreamError, UpstreamResponse, with_timeout};
 use eiderferry_admission::{Observation, Outcome};
 use eiderferry_node::{AttemptEnd, Dispatch, ResponseProgress, Submission, TokenVerdict};
 use eiderferry_openai::{Chunk, EngineRequest, Event, EventParser, Resume};
@@ -14,83 +14,86 @@
 use trillium_client::ResponseBody;
 use trillium_http::Method;
 
-/// Longest wait for an engine's first token before it counts as broken.
+/// Longest wait for the response's headers, and then for each read before the first token. The
+/// attempt fails after it.
 const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest wait for an engine's next token before it counts as broken.
+/// Longest wait for each read after the first token. The attempt fails after it.
 const NEXT_TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read from an engine at once.
-const READ_BYTES: usize = 8 * 1024;
-/// Tokens after which a stream's speed is judged for the first time.
+/// Most bytes read from an engine at once; also the most of a rejection's body that is read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+/// Number of tokens after which a stream's time per token is compared with the class's target.
 const SPEED_CHECK_TOKENS: u32 = 16;
 
-/// What a session yields.
-pub(crate) enum Progress {
-    /// One more chunk of the answer.
-    Token(Chunk),
-    /// The answer is complete.
+/// Event returned by [`Session::next`].
+pub(crate) enum SessionEvent {
+    /// The next chunk of the response.
+    Chunk(Chunk),
+    /// The response is complete.
     Finished,
 }
 
-/// Why a session ended without the whole answer.
+/// Reason for a session to end before the response was complete.
 pub(crate) enum SessionError {
-    /// Refused or failed; the verdict says what may have run.
+    /// The request was refused or failed; the verdict says whether it may have run.
     Refused(Refusal),
-    /// The engine does not accept the request; its own words.
+    /// The engine rejected the request as invalid, with this status and body.
     EngineRejected { status: u16, body: String },
 }
 
-/// An answer being streamed by an engine.
-struct Stream {
+/// Response being streamed by an engine.
+struct EngineStream {
     dispatch: Dispatch,
     body: ResponseBody<'static>,
     parser: EventParser,
-    events: VecDeque<Event>,
+    parsed_events: VecDeque<Event>,
     started: Timestamp,
     first_token: Option<Timestamp>,
     last_token: Timestamp,
     tokens: u32,
-    finished: bool,
+    has_finish_reason: bool,
 }
 
-/// What a session needs to send its request to engines.
+/// Parameters of a chat completion that are needed to send it to engines.
 pub(crate) struct ChatCall {
     pub body: Map<String, Value>,
     pub priority: u8,
     pub per_token_target: Span,
 }
 
-/// One request from its submission to its end. Dropping it early tells the
-/// control thread that the caller went away, and closes the engine's stream,
-/// which cancels the work there.
+/// One request from its submission to its end. Dropping it before the end reports to the control
+/// thread that the caller disconnected, and closes the engine's stream, which cancels the work
+/// there.
 pub(crate) struct Session {
     control: ControlHandle,
     clock: Clock,
     upstream: Upstream,
     call: ChatCall,
-    events: async_channel::Receiver<RequestEvent>,
-    request: Option<RequestId>,
-    stream: Option<Stream>,
+    control_events: async_channel::Receiver<RequestEvent>,
+    request_id: Option<RequestId>,
+    stream: Option<EngineStream>,
     text: String,
     progress: ResponseProgress,
-    ended: bool,
+    /// Whether the end of the request is known to the control thread, or that thread has stopped.
+    is_closed: bool,
+    /// Whether a slow stream has been reported; done at most once per request.
     reported_slow: bool,
 }
 
-/// Events that may wait between the control thread and a session.
-const EVENT_QUEUE: usize = 8;
+/// Capacity of the event channel from the control thread to a session.
+const EVENT_QUEUE_CAPACITY: usize = 8;
 
 impl Session {
-    /// Submits a request.
-    pub fn open(
+    /// Submits a request to the control thread.
+    pub fn submit(
         control: &ControlHandle,
         clock: Clock,
         upstream: &Upstream,
         submission: Submission,
         call: ChatCall,
     ) -> Self {
-        let (sender, events) = async_channel::bounded(EVENT_QUEUE);
-        // A stopped control thread shows as a closed event channel.
-        let _ = control.tell(Command::Submit {
+        let (sender, control_events) = async_channel::bounded(EVENT_QUEUE_CAPACITY);
+        // If the control thread has stopped, the event channel is closed, which `next` reports.
+        let _ = control.send(Command::Submit {
             submission,
             events: sender,
         });
@@ -99,33 +102,34 @@
             clock,
             upstream: upstream.clone(),
             call,
-            events,
-            request: None,
+            control_events,
+            request_id: None,
             stream: None,
             text: String::new(),
             progress: ResponseProgress::default(),
-            ended: false,
+            is_closed: false,
             reported_slow: false,
         }
     }
 
-    /// The request's name, once it has been taken in.
-    pub fn request(&self) -> Option<RequestId> {
-        self.request
+    /// The request's id, once the control thread has assigned it.
+    pub fn request_id(&self) -> Option<RequestId> {
+        self.request_id
     }
 
-    /// Answer tokens yielded so far.
+    /// Number of response tokens returned so far.
     pub fn tokens(&self) -> u32 {
         self.progress.tokens()
     }
 
-    /// The text yielded so far.
+    /// Response text returned so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Waits for the next piece of the answer, through moves to other engines.
-    pub async fn next(&mut self) -> Result<Progress, SessionError> {
+    /// Waits for the next event of the response; fails over to other engines as the control thread
+    /// decides.
+    pub async fn next(&mut self) -> Result<SessionEvent, SessionError> {
         loop {
             if self.stream.is_none() {
                 self.wait_for_stream().await?;
@@ -134,30 +138,30 @@
             match self.read_event().await {
                 Ok(Some(chunk)) => {
                     self.text.push_str(&chunk.text);
-                    return Ok(Progress::Token(chunk));
+                    return Ok(SessionEvent::Chunk(chunk));
                 }
                 Ok(None) => {
                     self.report_completed();
-                    return Ok(Progress::Finished);
+                    return Ok(SessionEvent::Finished);
                 }
-                Err(error) => self.report_broken(&error).await,
+                Err(error) => self.report_broken_stream(&error).await,
             }
         }
     }
 
     async fn wait_for_stream(&mut self) -> Result<(), SessionError> {
-        match self.events.recv().await {
+        match self.control_events.recv().await {
             Ok(RequestEvent::Accepted(request)) => {
-                self.request = Some(request);
+                self.request_id = Some(request);
                 Ok(())
             }
             Ok(RequestEvent::Rejected(refusal)) => {
-                self.ended = true;
+                self.is_closed = true;
                 Err(SessionError::Refused(refusal))
             }
             Ok(RequestEvent::Dispatch(dispatch)) => self.dispatch(dispatch).await,
             Err(_) => {
-                self.ended = true;
+                self.is_closed = true;
                 let verdict = if self.tokens() > 0 {
                     Verdict::MayHaveRun
                 } else {
@@ -175,8 +179,8 @@
     async fn dispatch(&mut self, dispatch: Dispatch) -> Result<(), SessionError> {
         let started = self.clock.now();
         if started > dispatch.dispatch_by {
-            log::warn!(request:% = dispatch.request; "an order to dispatch came too late");
-            self.tell_broken(&dispatch, Verdict::NotRun, failed_observation());
+            log::warn!(request:% = dispatch.request; "a dispatch was received after its deadline");
+            self.report_failure(&dispatch, Verdict::NotRun, failed_observation());
             return Ok(());
         }
         let request_id = format!("{}/{}", dispatch.request, dispatch.attempt);
@@ -196,7 +200,7 @@
         ];
         let body = engine_request.body(&self.call.body);
         let path = "/v1/chat/completions";
-        let answer = self
+        let response = self
             .upstream
             .call(
                 Method::Post,
@@ -207,15 +211,15 @@
                 FIRST_TOKEN_TIMEOUT,
             )
             .await;
-        match answer {
-            Ok(answer) => {
-                self.accept_answer(dispatch, answer, &request_id, started)
+        match response {
+            Ok(response) => {
+                self.handle_response(dispatch, response, &request_id, started)
                     .await
             }
             Err(error) => {
                 log::warn!(
                     request:% = dispatch.request, back_end:% = dispatch.back_end;
-                    "an engine could not be called: {error}"
+                    "call to an engine failed: {error}"
                 );
                 let has_crashed = self.upstream.has_crashed(dispatch.address, &error).await;
                 let end = AttemptEnd::Failed {
@@ -223,51 +227,51 @@
                     observation: failed_observation(),
                     has_crashed,
                 };
-                self.tell_end(&dispatch, end);
+                self.report_attempt_end(&dispatch, end);
                 Ok(())
             }
         }
     }
 
-    async fn accept_answer(
+    async fn handle_response(
         &mut self,
         dispatch: Dispatch,
-        answer: Answer,
+        response: UpstreamResponse,
         request_id: &str,
         started: Timestamp,
     ) -> Result<(), SessionError> {
-        let crossed = answer
+        let is_mismatched = response
             .request_id
             .as_deref()
-            .is_some_and(|name| name != request_id);
-        if crossed {
-            self.tell_broken(&dispatch, Verdict::MayHaveRun, failed_observation());
+            .is_some_and(|id| id != request_id);
+        if is_mismatched {
+            self.report_failure(&dispatch, Verdict::MayHaveRun, failed_observation());
             return Ok(());
         }
-        match answer.status {
+        match response.status {
             200 => {
-                self.stream = Some(Stream {
+                self.stream = Some(EngineStream {
                     dispatch,
-                    body: answer.body,
+                    body: response.body,
                     parser: EventParser::default(),
-                    events: VecDeque::new(),
+                    parsed_events: VecDeque::new(),
                     started,
                     first_token: None,
                     last_token: started,
                     tokens: 0,
-                    finished: false,
+                    has_finish_reason: false,
                 });
                 Ok(())
             }
             status @ 400..=499 if status != 429 => {
-                self.ended = true;
-                self.tell_end(
+                self.is_closed = true;
+                self.report_attempt_end(
                     &dispatch,
                     AttemptEnd::CallerDisconnected(Observation::UNUSED),
                 );
-                let body = answer
+                let body = response
                     .body
-                    .with_max_len(READ_BYTES as u64)
+                    .with_max_len(READ_BUFFER_BYTES as u64)
                     .read_string()
                     .await;
                 let body = body.unwrap_or_default();
@@ -275,29 +279,29 @@
             }
             status => {
                 let verdict = UpstreamError::Status(status).verdict();
-                self.tell_broken(&dispatch, verdict, failed_observation());
+                self.report_failure(&dispatch, verdict, failed_observation());
                 Ok(())
             }
         }
     }
 
-    /// The next chunk; `None` at the mark that the answer is complete.
+    /// Returns the next chunk; `None` at the event that ends a complete response.
     async fn read_event(&mut self) -> Result<Option<Chunk>, UpstreamError> {
         let progress = &mut self.progress;
         let Some(stream) = &mut self.stream else {
             return Err(UpstreamError::Timeout);
         };
         loop {
-            match stream.events.pop_front() {
-                Some(Event::Done) if stream.finished => return Ok(None),
+            match stream.parsed_events.pop_front() {
+                Some(Event::Done) if stream.has_finish_reason => return Ok(None),
                 Some(Event::Done) => {
-                    return Err(UpstreamError::Broken(
-                        "done before the answer finished".into(),
+                    return Err(UpstreamError::ConnectionBroken(
+                        "the end event came before a finish reason".into(),
                     ));
                 }
                 Some(Event::Data(data)) => {
-                    if let Some(chunk) = stream.take_chunk(&data, progress)? {
-                        stream.note_token(self.clock.now());
+                    if let Some(chunk) = stream.parse_chunk(&data, progress)? {
+                        stream.record_token(self.clock.now());
                         self.check_speed();
                         return Ok(Some(chunk));
                     }
@@ -322,25 +326,25 @@
             let request = stream.dispatch.request;
             let _ = self
                 .control
-                .tell(Command::SlowStream { request, per_token });
+                .send(Command::SlowStream { request, per_token });
         }
     }
 
     fn report_completed(&mut self) {
-        self.ended = true;
+        self.is_closed = true;
         if let Some(stream) = self.stream.take() {
             let observation = stream.observation(Outcome::Completed);
-            self.tell_end(&stream.dispatch, AttemptEnd::Completed(observation));
+            self.report_attempt_end(&stream.dispatch, AttemptEnd::Completed(observation));
         }
     }
 
-    async fn report_broken(&mut self, error: &UpstreamError) {
+    async fn report_broken_stream(&mut self, error: &UpstreamError) {
         let Some(stream) = self.stream.take() else {
             return;
         };
         log::warn!(
             request:% = stream.dispatch.request, back_end:% = stream.dispatch.back_end;
-            "an answer broke off after {} tokens: {error}", stream.tokens
+            "response stream failed after {} tokens: {error}", stream.tokens
         );
         let observation = stream.observation(Outcome::Failed);
         let has_crashed = self
@@ -352,12 +356,12 @@
             observation,
             has_crashed,
         };
-        self.tell_end(&stream.dispatch, end);
+        self.report_attempt_end(&stream.dispatch, end);
     }
 
-    /// Tells of a failure of a back end that goes on serving.
-    fn tell_broken(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
-        self.tell_end(
+    /// Reports a failed attempt at a back end that has not crashed.
+    fn report_failure(&self, dispatch: &Dispatch, verdict: Verdict, observation: Observation) {
+        self.report_attempt_end(
             dispatch,
             AttemptEnd::Failed {
                 verdict,
@@ -367,71 +371,73 @@
         );
     }
 
-    fn tell_end(&self, dispatch: &Dispatch, end: AttemptEnd) {
+    fn report_attempt_end(&self, dispatch: &Dispatch, end: AttemptEnd) {
         let command = Command::AttemptEnded {
             request: dispatch.request,
             attempt: dispatch.attempt,
             end,
         };
-        let _ = self.control.tell(command);
+        let _ = self.control.send(command);
     }
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
-        if self.ended {
+        if self.is_closed {
             return;
         }
         if let Some(stream) = self.stream.take() {
             let observation = stream.observation(Outcome::Cancelled);
-            self.tell_end(
+            self.report_attempt_end(
                 &stream.dispatch,
                 AttemptEnd::CallerDisconnected(observation),
             );
-        } else if let Some(request) = self.request {
-            let _ = self.control.tell(Command::CallerGone { request });
-        } else if let Ok(RequestEvent::Accepted(request)) = self.events.try_recv() {
-            let _ = self.control.tell(Command::CallerGone { request });
+        } else if let Some(request) = self.request_id {
+            let _ = self.control.send(Command::CallerDisconnected { request });
+        } else if let Ok(RequestEvent::Accepted(request)) = self.control_events.try_recv() {
+            let _ = self.control.send(Command::CallerDisconnected { request });
         }
     }
 }
 
-impl Stream {
+impl EngineStream {
     async fn read_more(&mut self) -> Result<(), UpstreamError> {
         let timeout = match self.first_token {
             None => FIRST_TOKEN_TIMEOUT,
             Some(_) => NEXT_TOKEN_TIMEOUT,
         };
-        let mut buffer = [0; READ_BYTES];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         let body = &mut self.body;
         let read = async {
             body.read(&mut buffer)
                 .await
-                .map_err(|error| UpstreamError::Broken(error.to_string()))
+                .map_err(|error| UpstreamError::ConnectionBroken(error.to_string()))
         };
-        let count = within(timeout, read).await?;
+        let count = with_timeout(timeout, read).await?;
         if count == 0 {
-            return Err(UpstreamError::Broken("the stream ended early".into()));
+            return Err(UpstreamError::ConnectionBroken(
+                "the stream ended early".into(),
+            ));
         }
         let events = self
             .parser
             .push(&buffer[..count])
-            .map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
-        self.events.extend(events);
+            .map_err(|error| UpstreamError::MalformedResponse(error.to_string()))?;
+        self.parsed_events.extend(events);
         Ok(())
     }
 
-    /// Reads a chunk; `None` if it carries no text. A token that is not the next
-    /// one means that the stream can't be trusted.
-    fn take_chunk(
+    /// Parses a chunk; `None` if it contains no text or belongs to an abandoned attempt. A token
+    /// out of order is an error, since the rest of the stream is unreliable.
+    fn parse_chunk(
         &mut self,
         data: &str,
         progress: &mut ResponseProgress,
     ) -> Result<Option<Chunk>, UpstreamError> {
-        let chunk =
-            Chunk::parse(data).map_err(|error| UpstreamError::Unreadable(error.to_string()))?;
+        let chunk = Chunk::parse(data)
+            .map_err(|error| UpstreamError::MalformedResponse(error.to_string()))?;
         if chunk.finish_reason.is_some() {
-            self.finished = true;
+            self.has_finish_reason = true;
         }
         if chunk.text.is_empty() {
             return Ok(None);
@@ -440,20 +446,21 @@
             TokenVerdict::Forward => {}
             TokenVerdict::Stale => return Ok(None),
             TokenVerdict::OutOfOrder { expected } => {
-                let found = chunk.token_index.unwrap_or_default();
-                let text = format!("token {found} came where {expected} was due");
-                return Err(UpstreamError::Unreadable(text));
+                let received = chunk.token_index.unwrap_or_default();
+                let message = format!("received token {received}, expected token {expected}");
+                return Err(UpstreamError::MalformedResponse(message));
             }
         }
         Ok(Some(chunk))
     }
 
-    fn note_token(&mut self, now: Timestamp) {
+    fn record_token(&mut self, now: Timestamp) {
         self.first_token.get_or_insert(now);
         self.last_token = now;
         self.tokens += 1;
     }
 
+    /// Mean time between tokens; `None` before the second token.
     fn per_token(&self) -> Option<Span> {
         let first = self.first_token?;
         let intervals = u64::from(self.tokens.checked_sub(1).filter(|count| *count > 0)?);
--- a/crates/transport/relay/src/events.rs
+++ b/crates/transport/relay/src/events.rs
@@ -132,8 +132,9 @@
         prompt_engines = stats.prompt_engines, engines = stats.ranked_engines,
         usable = stats.load.engines, needed_prompts = stats.need.prompts,
         needed_streams = stats.need.streams, running = stats.load.running,
-        exposed = stats.load.exposed_streams, long_requests = stats.load.long_requests,
-        placed_per_s = stats.placed_rate, read_per_s = stats.load.prefill_rate;
+        exposed = stats.load.exposed_streams, long_requests = stats.load.long_prefills,
+        placed_per_s = stats.placed_tokens_per_second,
+        read_per_s = stats.load.prefill_tokens_per_second;
         "split of engines between long prompts and streams changed"
     );
 }
@@ -294,7 +295,8 @@
     let candidate = &grant.candidate;
     log::info!(
         event = "granted", request = id, route = route, rank = rank, attempt = attempt, digest:% = digest,
-        back_end = grant.instance.as_str(), expected_ms = candidate.first_event.milliseconds(),
+        back_end = grant.instance.as_str(),
+        expected_ms = candidate.time_to_first_event.milliseconds(),
         uncached = grant.uncached_tokens, read_again = candidate.recomputed_tokens,
         copied = candidate.copied_tokens, cache = if grant.cache_observation_age.is_some() { "known" } else { "believed" },
         cache_age_ms = grant.cache_observation_age.unwrap_or_default().milliseconds(), is_home = candidate.is_home, cost_ms = candidate.cost().milliseconds(),
